--- a/core/quarantine/bench_test.go
+++ b/core/quarantine/bench_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// fleetOf returns a book that holds the records of gateways with so many crashes each, as after the
-// loss of a zone.
-func fleetOf(gateways, crashes int) (*Book, []Record) {
+// bookWithRecords returns a Book with the records of that many other gateways, each with that many
+// crashes, as after the loss of a zone, and the records.
+func bookWithRecords(gateways, crashes int) (*Book, []Record) {
 	b := New("g0")
 	b.Reset(nil, 0)
 	var records []Record
 	for g := range gateways {
 		var record Record
 		for c := range crashes {
-			record.Crashes = append(record.Crashes, under(fmt.Sprint(g, "/", c), fmt.Sprint("u", (g+c)%1100)))
+			record.Crashes = append(record.Crashes, crashOf(fmt.Sprint(g, "/", c), fmt.Sprint("u", (g+c)%1100)))
 		}
 		records = append(records, record)
 		b.Take(fmt.Sprint("g", g+1), record, 0)
@@ -23,12 +23,12 @@
 	return b, records
 }
 
-// BenchmarkTakingARecord: all gateways write within a moment when a zone is lost, and each takes the records of
-// all.
+// BenchmarkTakingARecord measures one update of a record. When a zone is lost, all gateways write
+// at nearly the same time, and each receives the records of all.
 func BenchmarkTakingARecord(b *testing.B) {
-	for _, size := range []struct{ gateways, crashes int }{{5, 16}, {340, 14}, {340, 100}, {340, mostCrashes}} {
+	for _, size := range []struct{ gateways, crashes int }{{5, 16}, {340, 14}, {340, 100}, {340, maxCrashes}} {
 		b.Run(fmt.Sprintf("%dgateways/%dcrashes", size.gateways, size.crashes), func(b *testing.B) {
-			book, records := fleetOf(size.gateways, size.crashes)
+			book, records := bookWithRecords(size.gateways, size.crashes)
 			for i := 0; b.Loop(); i++ {
 				at := i % len(records)
 				book.Take(fmt.Sprint("g", at+1), records[at], time.Second)
--- a/core/quarantine/memory.go
+++ b/core/quarantine/memory.go
@@ -2,38 +2,38 @@
 
 import "acaciawinch/core/fingerprint"
 
-// memory holds the requests that were added last.
-type memory struct {
-	places map[fingerprint.Fingerprint]int
-	// order holds them in a ring, next is where the next one goes.
-	order []fingerprint.Fingerprint
-	next  int
-	most  int
+// boundedSet holds the requests that were added last, up to capacity.
+type boundedSet struct {
+	index map[fingerprint.Fingerprint]int
+	// ring holds the requests in a ring buffer; next is the index of the next write.
+	ring     []fingerprint.Fingerprint
+	next     int
+	capacity int
 }
 
-// newMemory returns a memory of a number of requests at most.
-func newMemory(most int) memory {
-	return memory{places: make(map[fingerprint.Fingerprint]int), most: most}
+// newBoundedSet returns a set that holds at most capacity requests.
+func newBoundedSet(capacity int) boundedSet {
+	return boundedSet{index: make(map[fingerprint.Fingerprint]int), capacity: capacity}
 }
 
-// add adds a request in place of the oldest one, if there are enough. One that is there stays where
-// it is.
-func (m *memory) add(request fingerprint.Fingerprint) {
-	if m.has(request) {
+// add adds a request and evicts the oldest one if the set is full. A request that is already in the
+// set keeps its place.
+func (s *boundedSet) add(request fingerprint.Fingerprint) {
+	if s.contains(request) {
 		return
 	}
-	if len(m.order) < m.most {
-		m.order = append(m.order, request)
+	if len(s.ring) < s.capacity {
+		s.ring = append(s.ring, request)
 	} else {
-		delete(m.places, m.order[m.next])
-		m.order[m.next] = request
+		delete(s.index, s.ring[s.next])
+		s.ring[s.next] = request
 	}
-	m.places[request] = m.next
-	m.next = (m.next + 1) % m.most
+	s.index[request] = s.next
+	s.next = (s.next + 1) % s.capacity
 }
 
-// has tells whether a request is there.
-func (m *memory) has(request fingerprint.Fingerprint) bool {
-	_, known := m.places[request]
-	return known
+// contains reports whether a request is in the set.
+func (s *boundedSet) contains(request fingerprint.Fingerprint) bool {
+	_, found := s.index[request]
+	return found
 }
--- a/core/quarantine/merge.go
+++ b/core/quarantine/merge.go
@@ -7,196 +7,198 @@
 	"acaciawinch/core/fingerprint"
 )
 
-// merged is what the records of all gateways say together. It is kept by differences: when a zone is
-// lost each gateway writes and each takes the records of all, which must not cost the work of merging
-// all each time.
+// merged is the union of the records of all gateways. It is updated incrementally: when a zone is
+// lost, each gateway writes its record and receives those of all others, and merging everything
+// anew for each of them would cost too much.
 type merged struct {
 	entries map[Crash]*entry
-	// suspects holds the crashes that count by their requests, ended by their upstreams.
-	suspects map[fingerprint.Fingerprint][]Crash
-	ended    map[string][]Crash
-	// proven counts the other gateways that say of a request that it ran well.
+	// byRequest and byUpstream hold the active crashes by request and by upstream incarnation.
+	byRequest  map[fingerprint.Fingerprint][]Crash
+	byUpstream map[string][]Crash
+	// proven counts the other gateways that report a request as proven.
 	proven map[fingerprint.Fingerprint]int
 }
 
-// entry is what is known of one crash.
+// entry is the state of one crash.
 type entry struct {
-	// told counts the other gateways that tell of it, mine whether this one does or suspects it,
-	// cleared all that have cleared it.
-	told, mine, cleared int
-	// learned is when it became known here.
-	learned time.Duration
-	known   bool
-	// counts is set while it is in suspects and ended.
-	counts bool
+	// peerReports counts the other gateways that report the crash, ownReports is 1 if this gateway
+	// reports or suspects it, and clearedBy counts all gateways that have cleared it.
+	peerReports, ownReports, clearedBy int
+	// learned is when the crash became known to this gateway.
+	learned  time.Duration
+	reported bool
+	// active is set while the crash is in byRequest and byUpstream.
+	active bool
 }
 
-// newMerged returns what no records say.
+// newMerged returns the union of no records.
 func newMerged() merged {
 	return merged{
-		entries:  make(map[Crash]*entry),
-		suspects: make(map[fingerprint.Fingerprint][]Crash),
-		ended:    make(map[string][]Crash),
-		proven:   make(map[fingerprint.Fingerprint]int),
+		entries:    make(map[Crash]*entry),
+		byRequest:  make(map[fingerprint.Fingerprint][]Crash),
+		byUpstream: make(map[string][]Crash),
+		proven:     make(map[fingerprint.Fingerprint]int),
 	}
 }
 
-// of returns the entry of a crash.
-func (m *merged) of(crash Crash) *entry {
-	one := m.entries[crash]
-	if one == nil {
-		one = &entry{}
-		m.entries[crash] = one
+// entryFor returns the entry of a crash, which it creates if needed.
+func (m *merged) entryFor(crash Crash) *entry {
+	e := m.entries[crash]
+	if e == nil {
+		e = &entry{}
+		m.entries[crash] = e
 	}
-	return one
+	return e
 }
 
-// tell counts this gateway's word of a crash up or down, clear that of any gateway that clears it.
-// The crash must be settled afterwards.
-func (m *merged) tell(crash Crash, by int)  { m.of(crash).mine += by }
-func (m *merged) clear(crash Crash, by int) { m.of(crash).cleared += by }
+// countReport adds delta to this gateway's reports of a crash, countCleared to the gateways that
+// have cleared it. The caller must call reevaluate for the crash afterwards.
+func (m *merged) countReport(crash Crash, delta int)  { m.entryFor(crash).ownReports += delta }
+func (m *merged) countCleared(crash Crash, delta int) { m.entryFor(crash).clearedBy += delta }
 
-// learnedAt returns when a crash became known here.
+// learnedAt returns when a crash became known to this gateway.
 func (m *merged) learnedAt(crash Crash) time.Duration {
-	if one := m.entries[crash]; one != nil {
-		return one.learned
+	if e := m.entries[crash]; e != nil {
+		return e.learned
 	}
 	return 0
 }
 
-// record counts another gateway's record up or down. Its crashes must be settled afterwards.
-func (m *merged) record(record Record, by int) {
+// countRecord adds another gateway's record (delta 1) or removes it (delta -1). The caller must
+// call reevaluate for its crashes afterwards.
+func (m *merged) countRecord(record Record, delta int) {
 	for _, crash := range record.Crashes {
-		m.of(crash).told += by
+		m.entryFor(crash).peerReports += delta
 	}
 	for _, crash := range record.Cleared {
-		m.of(crash).cleared += by
+		m.entryFor(crash).clearedBy += delta
 	}
 	for _, request := range record.Proven {
-		m.proven[request] += by
+		m.proven[request] += delta
 		if m.proven[request] == 0 {
 			delete(m.proven, request)
 		}
 	}
 }
 
-// settle lets a crash count or not, by who tells of it and who has cleared it.
-func (m *merged) settle(crash Crash, now time.Duration) {
-	one := m.of(crash)
-	reported := one.told+one.mine > 0
-	if reported && !one.known {
-		one.learned = now
+// reevaluate decides whether a crash is active: reported, cleared by no gateway and not expired.
+func (m *merged) reevaluate(crash Crash, now time.Duration) {
+	e := m.entryFor(crash)
+	reported := e.peerReports+e.ownReports > 0
+	if reported && !e.reported {
+		e.learned = now
 	}
-	one.known = reported
-	counts := reported && one.cleared == 0 && now-one.learned < keepFor
+	e.reported = reported
+	active := reported && e.clearedBy == 0 && now-e.learned < crashTTL
 	switch {
-	case counts && !one.counts:
-		m.suspects[crash.Request] = append(m.suspects[crash.Request], crash)
-		m.ended[crash.Upstream] = append(m.ended[crash.Upstream], crash)
-	case !counts && one.counts:
-		unlist(m.suspects, crash.Request, crash)
-		unlist(m.ended, crash.Upstream, crash)
-	}
-	one.counts = counts
-	if !reported && one.cleared == 0 {
+	case active && !e.active:
+		m.byRequest[crash.Request] = append(m.byRequest[crash.Request], crash)
+		m.byUpstream[crash.Upstream] = append(m.byUpstream[crash.Upstream], crash)
+	case !active && e.active:
+		removeCrash(m.byRequest, crash.Request, crash)
+		removeCrash(m.byUpstream, crash.Upstream, crash)
+	}
+	e.active = active
+	if !reported && e.clearedBy == 0 {
 		delete(m.entries, crash)
 	}
 }
 
-// unlist removes a crash from the list under a key.
-func unlist[K comparable](lists map[K][]Crash, key K, crash Crash) {
-	left := slices.DeleteFunc(lists[key], func(one Crash) bool { return one == crash })
-	if len(left) == 0 {
+// removeCrash removes a crash from the list of a key.
+func removeCrash[K comparable](lists map[K][]Crash, key K, crash Crash) {
+	remaining := slices.DeleteFunc(lists[key], func(c Crash) bool { return c == crash })
+	if len(remaining) == 0 {
 		delete(lists, key)
 		return
 	}
-	lists[key] = left
+	lists[key] = remaining
 }
 
-// replace takes the newest record of another gateway in place of the last one.
-func (b *Book) replace(gateway string, record Record, now time.Duration) {
-	b.settle(b.swap(gateway, record), now)
+// replaceRecord replaces the record of another gateway by its newest one.
+func (b *Book) replaceRecord(gateway string, record Record, now time.Duration) {
+	b.reevaluateRecord(b.swapRecord(gateway, record), now)
 }
 
-// swap counts a record of another gateway in place of the last one, and returns what both name,
-// which must be settled.
-func (b *Book) swap(gateway string, record Record) Record {
-	last := b.records[gateway]
+// swapRecord counts a new record of another gateway in place of its previous one and returns the
+// contents of both, which the caller must reevaluate.
+func (b *Book) swapRecord(gateway string, record Record) Record {
+	previous := b.records[gateway]
 	b.records[gateway] = record
-	b.merged.record(record, 1)
-	b.merged.record(last, -1)
+	b.merged.countRecord(record, 1)
+	b.merged.countRecord(previous, -1)
 	return Record{
-		Crashes: slices.Concat(record.Crashes, last.Crashes),
-		Cleared: slices.Concat(record.Cleared, last.Cleared),
-		Proven:  slices.Concat(record.Proven, last.Proven),
+		Crashes: slices.Concat(record.Crashes, previous.Crashes),
+		Cleared: slices.Concat(record.Cleared, previous.Cleared),
+		Proven:  slices.Concat(record.Proven, previous.Proven),
 	}
 }
 
-// settle settles all that a record names.
-func (b *Book) settle(named Record, now time.Duration) {
-	b.changed(now, slices.Concat(named.Crashes, named.Cleared)...)
-	for _, request := range named.Proven {
-		b.prove(request, now)
+// reevaluateRecord reevaluates all crashes and requests in a record.
+func (b *Book) reevaluateRecord(affected Record, now time.Duration) {
+	b.reevaluate(now, slices.Concat(affected.Crashes, affected.Cleared)...)
+	for _, request := range affected.Proven {
+		b.updateProven(request, now)
 	}
 }
 
-// changed settles crashes of which somebody's word has changed, and brings the own record up to date.
-func (b *Book) changed(now time.Duration, crashes ...Crash) {
+// reevaluate updates crashes whose reports have changed, and the own record with them.
+func (b *Book) reevaluate(now time.Duration, crashes ...Crash) {
 	for _, crash := range crashes {
-		b.merged.settle(crash, now)
+		b.merged.reevaluate(crash, now)
 	}
-	b.tidy(now)
+	b.prune(now)
 	for _, crash := range crashes {
-		b.prove(crash.Request, now)
+		b.updateProven(crash.Request, now)
 	}
 }
 
-// prove tells the other gateways of a request that is about to be refused and ran well here, until it
-// has no crashes that count.
-func (b *Book) prove(request fingerprint.Fingerprint, now time.Duration) {
-	crashes := len(b.merged.suspects[request])
-	at := slices.Index(b.own.Proven, request)
+// updateProven publishes a request that completed here as proven once it has crashLimit crashes,
+// unless another gateway has done so, and withdraws it once it has no active crashes.
+func (b *Book) updateProven(request fingerprint.Fingerprint, now time.Duration) {
+	count := len(b.merged.byRequest[request])
+	index := slices.Index(b.own.Proven, request)
 	switch {
-	case crashes == 0:
+	case count == 0:
 		delete(b.trials, request)
-		if at >= 0 {
-			b.own.Proven = slices.Delete(b.own.Proven, at, at+1)
-			b.publish(now + tidyAfter)
+		if index >= 0 {
+			b.own.Proven = slices.Delete(b.own.Proven, index, index+1)
+			b.scheduleWrite(now + batchDelay)
 		}
-	case at < 0 && crashes >= crashLimit && b.ranWell.has(request) && b.merged.proven[request] == 0:
+	case index < 0 && count >= crashLimit && b.completed.contains(request) && b.merged.proven[request] == 0:
 		b.own.Proven = append(b.own.Proven, request)
-		b.publish(now)
+		b.scheduleWrite(now)
 	}
 }
 
-// tidy drops from the own record the crashes that were cleared or lapsed, and what was cleared
-// of crashes that nobody tells of any more. The order keeps all gateways from counting a cleared
-// crash: its gateway drops it first, and then who cleared it.
-func (b *Book) tidy(now time.Duration) {
+// prune drops from the own record the crashes that were cleared or have expired, and the cleared
+// marks of crashes that no other gateway reports any more. The order matters: the gateway that
+// reported a crash drops it first and the gateway that cleared it drops its mark afterwards, so
+// that no gateway counts a cleared crash.
+func (b *Book) prune(now time.Duration) {
 	before := len(b.own.Crashes) + len(b.own.Cleared)
 	var dropped []Crash
 	b.own.Crashes = slices.DeleteFunc(b.own.Crashes, func(crash Crash) bool {
-		one := b.merged.of(crash)
-		if one.cleared == 0 && now-one.learned < keepFor {
+		e := b.merged.entryFor(crash)
+		if e.clearedBy == 0 && now-e.learned < crashTTL {
 			return false
 		}
-		one.mine--
+		e.ownReports--
 		dropped = append(dropped, crash)
 		return true
 	})
 	b.own.Cleared = slices.DeleteFunc(b.own.Cleared, func(crash Crash) bool {
-		one := b.merged.of(crash)
-		if one.told > 0 {
+		e := b.merged.entryFor(crash)
+		if e.peerReports > 0 {
 			return false
 		}
-		one.cleared--
+		e.clearedBy--
 		dropped = append(dropped, crash)
 		return true
 	})
 	for _, crash := range dropped {
-		b.merged.settle(crash, now)
+		b.merged.reevaluate(crash, now)
 	}
 	if len(b.own.Crashes)+len(b.own.Cleared) != before {
-		b.publish(now + tidyAfter)
+		b.scheduleWrite(now + batchDelay)
 	}
 }
--- a/core/quarantine/model_test.go
+++ b/core/quarantine/model_test.go
@@ -11,52 +11,52 @@
 	"acaciawinch/core/fingerprint"
 )
 
-// What is promised of a request that crashes each upstream that runs it: that gateways in touch
-// send it allowedLater times at most from contactTime after its third crash on.
+// The promised bound for a request that crashes each upstream that runs it: from propagationTime
+// after its third crash on, gateways that are connected to the store send it at most
+// allowedLateSends times.
 const (
-	contactTime  = 3 * time.Second
-	allowedLater = 3
+	propagationTime  = 3 * time.Second
+	allowedLateSends = 3
 )
 
 // Times of the model.
 const (
-	// troubleFor is how long upstreams, gateways and the store fail, and the request that
-	// crashes upstreams comes; calmFor is above the time of its trial.
-	troubleFor = 100 * time.Second
-	calmFor    = time.Minute
-	// lookEvery is how many events lie between two looks at what the gateways have merged.
-	lookEvery = 20
-	// sparedWithin is how long after the troubles an innocent request is served again: 12 s of
-	// the last cut or outage, a second trial, and what comes between.
-	sparedWithin = 30 * time.Second
+	// faultPhase is how long upstreams, gateways and the store fail and the request that crashes
+	// upstreams arrives; quietPhase is longer than the delay of a trial.
+	faultPhase = 100 * time.Second
+	quietPhase = time.Minute
+	// checkEvery is the number of events between two checks of the merged records.
+	checkEvery = 20
+	// recoveryTime is how long after the faults an innocent request must be served again: 12 s of
+	// the last disconnection or store outage, a second trial, and the delays between.
+	recoveryTime = 30 * time.Second
 )
 
-// crashing is the request that crashes upstreams, popular one that many clients send, turned one that
-// runs well until turnsAfter and crashes upstreams since.
-var crashing, popular, turned = of("crashing"), of("popular"), of("turned")
+// crashing is a request that crashes upstreams, popular one that many clients send, regressed one
+// that completes until regressesAfter and crashes upstreams from then on.
+var crashing, popular, regressed = req("crashing"), req("popular"), req("turned")
 
-// turnsAfter is when turned begins to crash upstreams, as after a release.
-const turnsAfter = 20 * time.Second
+// regressesAfter is when the regressed request begins to crash upstreams, as after a release.
+const regressesAfter = 20 * time.Second
 
-// variant is how the gateways of a model differ from the real ones.
+// variant describes how the gateways of a model differ from the real ones.
 type variant struct {
-	// identify returns what the gateways take for a request's fingerprint.
+	// identify returns what the gateways use as a request's fingerprint.
 	identify func(request fingerprint.Fingerprint, attempt int) fingerprint.Fingerprint
-	// mute gateways publish nothing, forgetful ones take nothing over after a start.
-	mute, forgetful bool
-	// free gateways make trials without asking the store.
-	free bool
-	// stubborn ones clear nothing.
-	stubborn bool
+	// noPublish gateways publish no records, noAdopt gateways adopt no record after a restart.
+	noPublish, noAdopt bool
+	// noTrialClaim gateways make trials without claiming them in the store.
+	noTrialClaim bool
+	// noClear gateways clear no crashes.
+	noClear bool
 }
 
-// event is something that happens at a time.
 type event struct {
 	at  time.Duration
 	run func()
 }
 
-// events is a heap of events.
+// events is a heap of events, earliest first.
 type events []event
 
 func (e events) Len() int           { return len(e) }
@@ -69,166 +69,168 @@
 	return last
 }
 
-// model is a fleet of gateways before a store and upstreams, in virtual time.
+// model is a fleet of gateways with a store and upstreams, in virtual time.
 type model struct {
 	variant
 	random   *rand.Rand
 	now      time.Duration
 	queue    events
 	gateways []*gateway
-	// store holds the records, trials the trials that were created.
+	// store holds the records, trials the claimed trials.
 	store  map[string]Record
 	trials map[string]grant
-	// storeAway is until when the store answers nobody.
-	storeAway, storeBack time.Duration
-	// starts counts the starts of each upstream; running are the open requests at it.
-	starts  []int
-	running []map[*attempt]bool
-	number  int
-	// crashes are the times at which upstreams crashed under each request, later counts its sends
-	// after the bound.
-	crashes map[fingerprint.Fingerprint][]time.Duration
-	later   map[fingerprint.Fingerprint]int
-	// wrong says what a gateway's merged records differ in from the union of them all, empty if
-	// in nothing.
-	wrong string
-	// refused says who refuses the popular request long after all troubles, empty if nobody.
-	refused string
+	// The store is unavailable until storeDownUntil; storeUpSince is when it last became available.
+	storeDownUntil, storeUpSince time.Duration
+	// incarnations counts the incarnations of each upstream; running holds the requests in flight
+	// at each.
+	incarnations []int
+	running      []map[*attempt]bool
+	attempts     int
+	// crashes holds the times at which upstreams crashed under each request; lateSends counts its
+	// sends after the bound.
+	crashes   map[fingerprint.Fingerprint][]time.Duration
+	lateSends map[fingerprint.Fingerprint]int
+	// mergeError describes how a gateway's merged records differ from the union of all records,
+	// empty if they do not.
+	mergeError string
+	// refusalError names a gateway that refuses the popular request after recoveryTime, empty if
+	// none does.
+	refusalError string
 }
 
-// grant is a trial in the store.
+// grant is a claimed trial in the store.
 type grant struct {
 	Trial
-	holder *gateway
-	life   int
+	owner       *gateway
+	incarnation int
 }
 
-// gateway is one gateway.
 type gateway struct {
 	*model
 	name string
 	book *Book
-	// life tells its starts apart.
-	life int
-	// known is set once the records were listed.
-	known bool
-	// downUntil and cutUntil are when it runs and reaches the store again.
-	downUntil, cutUntil time.Duration
-	writing             bool
-	// unused are the trials that it holds and was not told of.
-	unused map[string]bool
+	// incarnation counts the starts of the gateway.
+	incarnation int
+	// listed is set once the records were listed.
+	listed bool
+	// downUntil and offlineUntil are when the gateway runs and reaches the store again.
+	downUntil, offlineUntil time.Duration
+	writing                 bool
+	// unacknowledged holds the trials that the gateway has claimed without receiving the response.
+	unacknowledged map[string]bool
 }
 
 // attempt is one request at a gateway.
 type attempt struct {
-	number      int
-	gateway     *gateway
-	life        int
-	request     fingerprint.Fingerprint
-	fingerprint fingerprint.Fingerprint
-	upstream    int
-	start       int
+	number             int
+	gateway            *gateway
+	gatewayIncarnation int
+	request            fingerprint.Fingerprint
+	fingerprint        fingerprint.Fingerprint
+	upstream           int
+	incarnation        int
 }
 
-// newModel returns a fleet.
+// newModel returns a fleet of random size.
 func newModel(seed uint64, v variant) *model {
 	m := &model{variant: v, random: rand.New(rand.NewPCG(seed, 7)), store: make(map[string]Record), trials: make(map[string]grant),
-		crashes: make(map[fingerprint.Fingerprint][]time.Duration), later: make(map[fingerprint.Fingerprint]int)}
+		crashes: make(map[fingerprint.Fingerprint][]time.Duration), lateSends: make(map[fingerprint.Fingerprint]int)}
 	for i := range 2 + m.random.IntN(6) {
 		g := &gateway{model: m, name: fmt.Sprint("g", i)}
 		m.gateways = append(m.gateways, g)
-		g.begin()
+		g.start()
 	}
 	for range 2 + m.random.IntN(8) {
-		m.starts = append(m.starts, 1)
+		m.incarnations = append(m.incarnations, 1)
 		m.running = append(m.running, make(map[*attempt]bool))
 	}
 	return m
 }
 
-// after lets something happen after a time of up to longest.
-func (m *model) after(shortest, longest time.Duration, run func()) {
+// schedule runs an event after a random time between shortest and longest.
+func (m *model) schedule(shortest, longest time.Duration, run func()) {
 	wait := shortest + time.Duration(m.random.Int64N(int64(longest-shortest)+1))
 	heap.Push(&m.queue, event{at: m.now + wait, run: run})
 }
 
-// every repeats something until a time.
-func (m *model) every(shortest, longest, until time.Duration, run func()) {
-	m.after(shortest, longest, func() {
+// repeat schedules an event again and again until a time.
+func (m *model) repeat(shortest, longest, until time.Duration, run func()) {
+	m.schedule(shortest, longest, func() {
 		if m.now < until {
 			run()
-			m.every(shortest, longest, until, run)
+			m.repeat(shortest, longest, until, run)
 		}
 	})
 }
 
-// play lets the whole time pass.
-func (m *model) play() {
-	m.every(100*time.Millisecond, 1500*time.Millisecond, troubleFor+calmFor, func() { m.arrive(crashing) })
-	m.every(20*time.Millisecond, 150*time.Millisecond, troubleFor+calmFor, func() { m.arrive(popular) })
-	m.every(100*time.Millisecond, 1500*time.Millisecond, troubleFor+calmFor, func() { m.arrive(turned) })
-	m.every(5*time.Second, 40*time.Second, troubleFor, m.crashSeveral)
-	m.every(5*time.Second, 40*time.Second, troubleFor, m.restartSome)
-	m.every(5*time.Second, 40*time.Second, troubleFor, m.cutOne)
-	m.every(10*time.Second, 60*time.Second, troubleFor, m.loseStore)
-	m.after(troubleFor+sparedWithin, troubleFor+sparedWithin, m.lookForRefused)
-	for number := 0; len(m.queue) > 0; number++ {
+// simulate runs the model to its end.
+func (m *model) simulate() {
+	m.repeat(100*time.Millisecond, 1500*time.Millisecond, faultPhase+quietPhase, func() { m.arrive(crashing) })
+	m.repeat(20*time.Millisecond, 150*time.Millisecond, faultPhase+quietPhase, func() { m.arrive(popular) })
+	m.repeat(100*time.Millisecond, 1500*time.Millisecond, faultPhase+quietPhase, func() { m.arrive(regressed) })
+	m.repeat(5*time.Second, 40*time.Second, faultPhase, m.crashUpstreams)
+	m.repeat(5*time.Second, 40*time.Second, faultPhase, m.restartGateways)
+	m.repeat(5*time.Second, 40*time.Second, faultPhase, m.disconnectGateway)
+	m.repeat(10*time.Second, 60*time.Second, faultPhase, m.stopStore)
+	m.schedule(faultPhase+recoveryTime, faultPhase+recoveryTime, m.checkRefused)
+	for step := 0; len(m.queue) > 0; step++ {
 		next := heap.Pop(&m.queue).(event)
 		m.now = next.at
 		next.run()
-		if number%lookEvery == 0 {
-			m.lookAtMerged()
+		if step%checkEvery == 0 {
+			m.checkMerged()
 		}
 	}
 }
 
-// storeUp tells whether the store answers a gateway now.
-func (g *gateway) storeUp() bool { return g.now >= g.storeAway && g.now >= g.cutUntil }
+// storeUp reports whether the store responds to the gateway now.
+func (g *gateway) storeUp() bool { return g.now >= g.storeDownUntil && g.now >= g.offlineUntil }
 
-// inTouch tells whether a gateway has run and reached the store for contactTime.
-func (g *gateway) inTouch() bool {
-	return g.now >= g.downUntil+contactTime && g.now >= g.cutUntil+contactTime && g.now >= g.storeBack+contactTime
+// connected reports whether the gateway has been running and connected to the store for
+// propagationTime.
+func (g *gateway) connected() bool {
+	return g.now >= g.downUntil+propagationTime && g.now >= g.offlineUntil+propagationTime && g.now >= g.storeUpSince+propagationTime
 }
 
-// begin starts a gateway that knows nothing.
-func (g *gateway) begin() {
-	g.life++
-	g.book, g.known, g.writing, g.unused = New(g.name), false, false, make(map[string]bool)
-	g.list(g.life)
+// start starts the gateway with an empty Book.
+func (g *gateway) start() {
+	g.incarnation++
+	g.book, g.listed, g.writing, g.unacknowledged = New(g.name), false, false, make(map[string]bool)
+	g.listRecords(g.incarnation)
 }
 
-// list reads all records, as soon as the store answers.
-func (g *gateway) list(life int) {
-	g.after(5*time.Millisecond, 500*time.Millisecond, func() {
-		if g.life != life {
+// listRecords reads all records as soon as the store responds.
+func (g *gateway) listRecords(incarnation int) {
+	g.schedule(5*time.Millisecond, 500*time.Millisecond, func() {
+		if g.incarnation != incarnation {
 			return
 		}
 		if !g.storeUp() {
-			g.list(life)
+			g.listRecords(incarnation)
 			return
 		}
 		records := make(map[string]Record)
 		for name, record := range g.store {
-			if !g.forgetful || name != g.name {
+			if !g.noAdopt || name != g.name {
 				records[name] = record
 			}
 		}
 		g.book.Reset(records, g.now)
-		g.known = true
+		g.listed = true
 		g.write()
 	})
 }
 
-// write writes the gateway's record if that is due.
+// write writes the gateway's record if it is due.
 func (g *gateway) write() {
-	due, must := g.book.Due()
-	if g.mute || g.writing || !must {
+	due, isDue := g.book.Due()
+	if g.noPublish || g.writing || !isDue {
 		return
 	}
 	g.writing = true
-	life, wait := g.life, max(0, due-g.now)
-	g.after(wait+4*time.Millisecond, wait+50*time.Millisecond, func() {
-		if g.life != life {
+	incarnation, wait := g.incarnation, max(0, due-g.now)
+	g.schedule(wait+4*time.Millisecond, wait+50*time.Millisecond, func() {
+		if g.incarnation != incarnation {
 			return
 		}
 		g.writing = false
@@ -241,23 +243,23 @@
 	})
 }
 
-// publish puts a record into the store and tells all gateways that it reaches of it. Each gets the
-// records in the order of the store.
+// publish stores a record and notifies all gateways. Each gateway receives the newest record at the
+// time of delivery, as from the store.
 func (g *gateway) publish(record Record) {
 	g.store[g.name] = record
 	for _, to := range g.gateways {
-		to.hear(g.name, to.life)
+		to.receive(g.name, to.incarnation)
 	}
 }
 
-// hear brings a gateway the newest record of another one, later if it is cut off.
-func (g *gateway) hear(name string, life int) {
-	g.after(5*time.Millisecond, 300*time.Millisecond, func() {
+// receive delivers the newest record of another gateway, later if the store is unreachable.
+func (g *gateway) receive(name string, incarnation int) {
+	g.schedule(5*time.Millisecond, 300*time.Millisecond, func() {
 		switch {
-		case g.life != life || !g.known:
+		case g.incarnation != incarnation || !g.listed:
 		case !g.storeUp():
-			g.hear(name, life)
-		case g.forgetful && name == g.name:
+			g.receive(name, incarnation)
+		case g.noAdopt && name == g.name:
 		default:
 			g.book.Take(name, g.store[name], g.now)
 			g.write()
@@ -265,75 +267,75 @@
 	})
 }
 
-// arrive lets a request come to a gateway that runs.
+// arrive delivers a request to a gateway that runs.
 func (m *model) arrive(request fingerprint.Fingerprint) {
 	g := m.gateways[m.random.IntN(len(m.gateways))]
 	if m.now < g.downUntil {
 		return
 	}
-	m.number++
-	a := &attempt{number: m.number, gateway: g, life: g.life, request: request, fingerprint: m.identify(request, m.number)}
-	m.after(0, time.Second, func() { m.send(a) })
+	m.attempts++
+	a := &attempt{number: m.attempts, gateway: g, gatewayIncarnation: g.incarnation, request: request, fingerprint: m.identify(request, m.attempts)}
+	m.schedule(0, time.Second, func() { m.send(a) })
 }
 
-// send sends an attempt whose stages are done, unless it is refused.
+// send sends an attempt whose earlier stages are done, unless it is refused.
 func (m *model) send(a *attempt) {
 	g := a.gateway
-	if g.life != a.life || !g.allows(a) {
+	if g.incarnation != a.gatewayIncarnation || !g.allows(a) {
 		return
 	}
-	if crashes := m.crashes[a.request]; len(crashes) >= 3 && m.now > crashes[2]+contactTime && g.inTouch() {
-		m.later[a.request]++
+	if crashes := m.crashes[a.request]; len(crashes) >= 3 && m.now > crashes[2]+propagationTime && g.connected() {
+		m.lateSends[a.request]++
 	}
-	a.upstream = m.random.IntN(len(m.starts))
-	a.start = m.starts[a.upstream]
+	a.upstream = m.random.IntN(len(m.incarnations))
+	a.incarnation = m.incarnations[a.upstream]
 	m.running[a.upstream][a] = true
-	m.after(20*time.Millisecond, 400*time.Millisecond, func() { m.end(a) })
+	m.schedule(20*time.Millisecond, 400*time.Millisecond, func() { m.finish(a) })
 }
 
-// allows tells whether a gateway sends an attempt, and makes a trial if one is due.
+// allows reports whether the gateway sends an attempt, and claims a trial if one is due.
 func (g *gateway) allows(a *attempt) bool {
 	verdict := g.book.Judge(a.fingerprint, g.now)
 	if !verdict.Refused || verdict.Trial == 0 {
 		return !verdict.Refused
 	}
-	if g.free {
+	if g.noTrialClaim {
 		g.book.TrialUsed(a.fingerprint, g.book.NextTrial(a.fingerprint, verdict.Trial), g.now)
 		return true
 	}
-	return g.storeUp() && g.beginTrial(a.fingerprint, verdict.Trial)
+	return g.storeUp() && g.claimTrial(a.fingerprint, verdict.Trial)
 }
 
-// beginTrial tells whether a gateway may make a trial now.
-func (g *gateway) beginTrial(request fingerprint.Fingerprint, number int) bool {
+// claimTrial reports whether the gateway may make a trial now.
+func (g *gateway) claimTrial(request fingerprint.Fingerprint, number int) bool {
 	name := fmt.Sprint(request, number)
-	held, taken := g.trials[name]
-	if taken && g.book.IsPast(request, held.Trial) {
-		delete(g.unused, name)
-		taken = false
+	claim, claimed := g.trials[name]
+	if claimed && g.book.IsPast(request, claim.Trial) {
+		delete(g.unacknowledged, name)
+		claimed = false
 	}
-	if !taken {
-		held = grant{Trial: g.book.NextTrial(request, number), holder: g, life: g.life}
-		g.trials[name] = held
-		if g.random.IntN(50) == 0 { // the store carried the call out after it was given up
-			g.unused[name] = true
+	if !claimed {
+		claim = grant{Trial: g.book.NextTrial(request, number), owner: g, incarnation: g.incarnation}
+		g.trials[name] = claim
+		if g.random.IntN(50) == 0 { // the store executed the call after the gateway had given it up
+			g.unacknowledged[name] = true
 			return false
 		}
 	}
-	mine := held.holder == g && held.life == g.life && (!taken || g.unused[name])
-	delete(g.unused, name)
-	g.book.TrialUsed(request, held.Trial, g.now)
-	return mine
+	granted := claim.owner == g && claim.incarnation == g.incarnation && (!claimed || g.unacknowledged[name])
+	delete(g.unacknowledged, name)
+	g.book.TrialUsed(request, claim.Trial, g.now)
+	return granted
 }
 
-// endTrials removes the trials of a request that is cleared, unless the store is away.
-func (g *gateway) endTrials(request fingerprint.Fingerprint) {
-	life, count := g.life, g.book.TrialsOf(request)
+// removeTrials removes the trials of a cleared request, unless the store is unreachable.
+func (g *gateway) removeTrials(request fingerprint.Fingerprint) {
+	incarnation, count := g.incarnation, g.book.TrialsOf(request)
 	if count == 0 {
 		return
 	}
-	g.after(2*time.Second, 2100*time.Millisecond, func() {
-		if g.life != life || !g.storeUp() {
+	g.schedule(2*time.Second, 2100*time.Millisecond, func() {
+		if g.incarnation != incarnation || !g.storeUp() {
 			return
 		}
 		for number := 1; number <= count; number++ {
@@ -342,79 +344,81 @@
 	})
 }
 
-// end ends an attempt that still runs: well, or with its upstream.
-func (m *model) end(a *attempt) {
+// finish completes an attempt that still runs, or crashes its upstream.
+func (m *model) finish(a *attempt) {
 	if !m.running[a.upstream][a] {
 		return
 	}
-	if a.request == crashing || a.request == turned && m.now > turnsAfter {
+	if a.request == crashing || a.request == regressed && m.now > regressesAfter {
 		m.crashes[a.request] = append(m.crashes[a.request], m.now)
-		m.crash(a.upstream)
+		m.crashUpstream(a.upstream)
 		return
 	}
 	delete(m.running[a.upstream], a)
-	if a.gateway.life == a.life && !m.stubborn {
-		a.gateway.endTrials(a.fingerprint)
+	if a.gateway.incarnation == a.gatewayIncarnation && !m.noClear {
+		a.gateway.removeTrials(a.fingerprint)
 		a.gateway.book.Completed(a.fingerprint, m.now)
 		a.gateway.write()
 	}
 }
 
-// crash ends a start of an upstream, which is back at once, with all that runs there.
-func (m *model) crash(upstream int) {
-	broken := slices.SortedFunc(maps.Keys(m.running[upstream]), func(a, b *attempt) int { return a.number - b.number })
-	for _, a := range broken { // in one order, so that a seed always gives the same course
-		m.after(time.Millisecond, 10*time.Millisecond, func() { m.broken(a) })
+// crashUpstream ends an incarnation of an upstream, with all requests in flight there; the next one
+// starts at once.
+func (m *model) crashUpstream(upstream int) {
+	failed := slices.SortedFunc(maps.Keys(m.running[upstream]), func(a, b *attempt) int { return a.number - b.number })
+	for _, a := range failed { // in a fixed order, so that a seed always gives the same run
+		m.schedule(time.Millisecond, 10*time.Millisecond, func() { m.failAttempt(a) })
 	}
 	m.running[upstream] = make(map[*attempt]bool)
-	m.starts[upstream]++
+	m.incarnations[upstream]++
 }
 
-// broken tells a gateway that an attempt was broken off, and soon that its upstream has ended.
-func (m *model) broken(a *attempt) {
+// failAttempt notifies a gateway that an attempt was broken off, and soon after that its upstream
+// has ended.
+func (m *model) failAttempt(a *attempt) {
 	g := a.gateway
-	if g.life != a.life {
+	if g.incarnation != a.gatewayIncarnation {
 		return
 	}
-	crash := Crash{Request: a.fingerprint, Upstream: fmt.Sprint(a.upstream, "/", a.start)}
+	crash := Crash{Request: a.fingerprint, Upstream: fmt.Sprint(a.upstream, "/", a.incarnation)}
 	g.book.Suspect(crash, m.now)
-	m.after(time.Millisecond, 700*time.Millisecond, func() {
-		if g.life == a.life {
+	m.schedule(time.Millisecond, 700*time.Millisecond, func() {
+		if g.incarnation == a.gatewayIncarnation {
 			g.book.Confirm(crash, m.now)
 			g.write()
 		}
 	})
 }
 
-// crashSeveral ends a number of upstreams at the same moment, at times all of them.
-func (m *model) crashSeveral() {
-	for upstream := range m.starts {
+// crashUpstreams crashes a number of upstreams at the same moment, at times all of them.
+func (m *model) crashUpstreams() {
+	for upstream := range m.incarnations {
 		if m.random.IntN(3) > 0 {
-			m.crash(upstream)
+			m.crashUpstream(upstream)
 		}
 	}
 }
 
-// restartSome kills some gateways, at times all of them; they start again after a while.
-func (m *model) restartSome() {
+// restartGateways kills some gateways, at times all of them; they start again after 2 s.
+func (m *model) restartGateways() {
 	share := 1 + m.random.IntN(4)
 	for _, g := range m.gateways {
 		if m.random.IntN(share) == 0 {
-			g.life++
+			g.incarnation++
 			g.downUntil = m.now + 2*time.Second
-			m.after(2*time.Second, 2*time.Second, g.begin)
+			m.schedule(2*time.Second, 2*time.Second, g.start)
 		}
 	}
 }
 
-// cutOne cuts a gateway off from the store for a while.
-func (m *model) cutOne() {
+// disconnectGateway disconnects a gateway from the store for up to 12 s.
+func (m *model) disconnectGateway() {
 	g := m.gateways[m.random.IntN(len(m.gateways))]
-	g.cutUntil = m.now + time.Duration(m.random.Int64N(int64(12*time.Second)))
+	g.offlineUntil = m.now + time.Duration(m.random.Int64N(int64(12*time.Second)))
 }
 
-// loseStore takes the store away for a while.
-func (m *model) loseStore() {
-	m.storeAway = m.now + time.Duration(m.random.Int64N(int64(12*time.Second)))
-	m.storeBack = m.storeAway
+// stopStore makes the store unavailable for up to 12 s.
+func (m *model) stopStore() {
+	m.storeDownUntil = m.now + time.Duration(m.random.Int64N(int64(12*time.Second)))
+	m.storeUpSince = m.storeDownUntil
 }
--- a/core/quarantine/promises_test.go
+++ b/core/quarantine/promises_test.go
@@ -11,105 +11,104 @@
 	"acaciawinch/core/fingerprint"
 )
 
-// broke returns what a model's course broke, empty if nothing.
-func (m *model) broke() string {
-	if m.wrong != "" {
-		return m.wrong
+// violation returns the invariant that a run of the model violated, empty if none.
+func (m *model) violation() string {
+	if m.mergeError != "" {
+		return m.mergeError
 	}
-	for _, request := range []fingerprint.Fingerprint{crashing, turned} {
-		if m.later[request] > allowedLater {
-			return fmt.Sprintf("sent %d times more, %d crashes in all, ran well before: %t", m.later[request], len(m.crashes[request]), request == turned)
+	for _, request := range []fingerprint.Fingerprint{crashing, regressed} {
+		if m.lateSends[request] > allowedLateSends {
+			return fmt.Sprintf("sent %d times after the bound, %d crashes in total, proven before: %t", m.lateSends[request], len(m.crashes[request]), request == regressed)
 		}
 	}
-	return m.refused
+	return m.refusalError
 }
 
-// lookAtMerged notes a gateway whose crashes that count are not all that somebody tells of without all that
-// somebody has cleared.
-func (m *model) lookAtMerged() {
+// checkMerged notes a gateway whose active crashes are not all reported crashes without the cleared
+// ones.
+func (m *model) checkMerged() {
 	for _, g := range m.gateways {
-		wanted := make(map[Crash]bool)
+		want := make(map[Crash]bool)
 		for _, record := range append(slices.Collect(maps.Values(g.book.records)), g.book.own) {
 			for _, crash := range record.Crashes {
-				wanted[crash] = true
+				want[crash] = true
 			}
 		}
-		maps.Copy(wanted, g.book.unconfirmed)
+		maps.Copy(want, g.book.unconfirmed)
 		for _, record := range append(slices.Collect(maps.Values(g.book.records)), g.book.own) {
 			for _, crash := range record.Cleared {
-				delete(wanted, crash)
+				delete(want, crash)
 			}
 		}
-		found := make(map[Crash]bool)
-		for _, crashes := range g.book.merged.suspects {
+		got := make(map[Crash]bool)
+		for _, crashes := range g.book.merged.byRequest {
 			for _, crash := range crashes {
-				found[crash] = true
+				got[crash] = true
 			}
 		}
-		if !maps.Equal(wanted, found) {
-			m.wrong = fmt.Sprintf("%s counts %d crashes, the records say %d", g.name, len(found), len(wanted))
+		if !maps.Equal(want, got) {
+			m.mergeError = fmt.Sprintf("%s counts %d crashes, the records hold %d", g.name, len(got), len(want))
 		}
 	}
 }
 
-// lookForRefused notes a gateway that still refuses the popular request.
-func (m *model) lookForRefused() {
+// checkRefused notes a gateway that still refuses the popular request.
+func (m *model) checkRefused() {
 	for _, g := range m.gateways {
 		if g.book.Judge(popular, m.now).Refused {
-			m.refused = "an innocent request is still refused by " + g.name
+			m.refusalError = "a request that crashes nothing is still refused by " + g.name
 		}
 	}
 }
 
-// asItIs identifies requests as the real gateways do.
-func asItIs(request fingerprint.Fingerprint, _ int) fingerprint.Fingerprint { return request }
+// identity identifies requests as the real gateways do.
+func identity(request fingerprint.Fingerprint, _ int) fingerprint.Fingerprint { return request }
 
-// TestASeedGivesTheSameCourse.
-func TestASeedGivesTheSameCourse(t *testing.T) {
+func TestASeedGivesTheSameRun(t *testing.T) {
 	for seed := range uint64(20) {
-		first, second := newModel(seed, variant{identify: asItIs}), newModel(seed, variant{identify: asItIs})
-		first.play()
-		second.play()
+		first, second := newModel(seed, variant{identify: identity}), newModel(seed, variant{identify: identity})
+		first.simulate()
+		second.simulate()
 		assert.DeepEqual(t, first.crashes, second.crashes)
-		assert.Equal(t, first.number, second.number)
+		assert.Equal(t, first.attempts, second.attempts)
 	}
 }
 
-// TestARequestThatCrashesUpstreamsIsBoundedAndOthersAreSpared plays random courses of a fleet whose
-// gateways restart and are cut off from a store that goes away, while upstreams also crash
-// together for other reasons.
-func TestARequestThatCrashesUpstreamsIsBoundedAndOthersAreSpared(t *testing.T) {
+// TestCrashesOfARequestAreBoundedAndOtherRequestsRecover simulates a fleet whose gateways restart
+// and lose a store that fails at times, while upstreams also crash together for other reasons.
+func TestCrashesOfARequestAreBoundedAndOtherRequestsRecover(t *testing.T) {
 	for seed := range uint64(300) {
-		m := newModel(seed, variant{identify: asItIs})
-		m.play()
-		assert.Equal(t, m.broke(), "", "seed %d", seed)
+		m := newModel(seed, variant{identify: identity})
+		m.simulate()
+		assert.Equal(t, m.violation(), "", "seed %d", seed)
 	}
 }
 
-// TestARequestThatCrashesUpstreamsSinceAReleaseIsBounded holds one that ran well before to the same bound.
-func TestARequestThatCrashesUpstreamsSinceAReleaseIsBounded(t *testing.T) {
+// TestCrashesOfAProvenRequestAreBoundedAfterARelease checks the same bound for a request that
+// begins to crash upstreams after it has completed before, as after a release.
+func TestCrashesOfAProvenRequestAreBoundedAfterARelease(t *testing.T) {
 	for seed := range uint64(1000) {
-		m := newModel(seed, variant{identify: asItIs})
-		m.play()
-		assert.Assert(t, m.later[turned] <= allowedLater, "seed %d: sent %d times more, %d crashes in all", seed, m.later[turned], len(m.crashes[turned]))
+		m := newModel(seed, variant{identify: identity})
+		m.simulate()
+		assert.Assert(t, m.lateSends[regressed] <= allowedLateSends, "seed %d: sent %d times after the bound, %d crashes in total", seed, m.lateSends[regressed], len(m.crashes[regressed]))
 	}
 }
 
-// TestTheModelFindsPlantedFaults: each way to get it wrong shows within a few seeds.
+// TestTheModelFindsPlantedFaults: the model detects each planted fault within 300 seeds.
 func TestTheModelFindsPlantedFaults(t *testing.T) {
-	byAttempt := func(_ fingerprint.Fingerprint, attempt int) fingerprint.Fingerprint { return of(fmt.Sprint(attempt)) }
+	byAttempt := func(_ fingerprint.Fingerprint, attempt int) fingerprint.Fingerprint { return req(fmt.Sprint(attempt)) }
 	for name, v := range map[string]variant{
-		"attempts are not recognised":          {identify: byAttempt},
-		"gateways tell each other nothing":     {identify: asItIs, mute: true},
-		"a start forgets the own record":       {identify: asItIs, forgetful: true},
-		"each gateway makes trials of its own": {identify: asItIs, free: true},
-		"nothing is cleared":                   {identify: asItIs, stubborn: true},
+		"attempts are not recognised":              {identify: byAttempt},
+		"gateways publish no records":              {identify: identity, noPublish: true},
+		"a restarted gateway drops its own record": {identify: identity, noAdopt: true},
+		"gateways make trials without the store":   {identify: identity, noTrialClaim: true},
+		"nothing is cleared":                       {identify: identity, noClear: true},
 	} {
 		found := ""
 		for seed := uint64(0); seed < 300 && found == ""; seed++ {
 			m := newModel(seed, v)
-			m.play()
-			found = m.broke()
+			m.simulate()
+			found = m.violation()
 		}
 		assert.Assert(t, found != "", name)
 		t.Log(name+":", found)
--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -1,25 +1,29 @@
-// Package quarantine decides which requests are no longer sent because upstreams crash under
-// them. Requests are known by their fingerprints, so that further attempts of a client count
-// with the first, through whichever gateway they come.
+// Package quarantine decides which requests are no longer sent because upstreams crash while they
+// run them. Requests are identified by their fingerprints, so that a client's further attempts
+// count as the same request, whichever gateway they reach.
 //
-// Each gateway keeps a Record of the crashes that it saw and of those that it has cleared, and
-// publishes it; each one merges the records of all. A record has one writer and is replaced as a
-// whole, so that records need no order among each other: the merged crashes are the union of all
-// crashes without the union of all that was cleared.
+// Each gateway keeps and publishes a Record of the crashes that it saw (crash records) and of those
+// that it has cleared; each gateway merges the records of all. A record has one writer and is
+// replaced as a whole, so records need no order among each other: the merged crashes are the union
+// of all crashes without the union of all cleared ones.
 //
-// Why the bound holds: a fingerprint under which crashLimit starts of upstreams have crashed is sent
-// by nobody who knows of these crashes. Who does not know them yet sends at most what it gets
-// until the records arrive. After that only trials are sent, each held by the gateway that has
-// created its object in the store.
+// Why the number of crashes is bounded: no gateway that knows of crashLimit crashes under a
+// fingerprint sends that request. A gateway that does not know of them yet sends at most the
+// attempts that it receives until the records arrive. After that a request is sent only as a trial,
+// and each trial belongs to the gateway that created the trial's object in the store.
 //
-// Why others are spared: many requests run at an upstream that crashes, and all of them count as
-// suspect. One that then runs to its end anywhere clears itself of all crashes known, and an
-// upstream that answers again, as after a cut of its links, clears all that ran there. A single crash
-// keeps nothing from being sent. A request that any gateway has seen run well before is tried
-// sooner and has more trials: upstreams that crash together break off such requests at several.
+// Why innocent requests recover: many requests run at an upstream that crashes, and all of them
+// count as suspect. A request that then completes anywhere is cleared of all its known crashes, and
+// an upstream that responds again, as after a network partition, clears all requests that ran
+// there. A single crash blocks no request. A request that any gateway has seen complete before gets
+// its trials sooner and gets more of them, since upstreams that crash together break off such
+// requests at several upstreams.
 //
-// The package does no I/O and knows no wall clock: times are those since the machine's start.
-// It is not safe for concurrent use.
+// "Proven" requests are those that completed before they were suspected. An incarnation is one run
+// of an upstream.
+//
+// The package does no I/O and reads no wall clock: times count from the start of the machine. It is
+// not safe for concurrent use.
 package quarantine
 
 import (
@@ -29,121 +33,121 @@
 	"acaciawinch/core/fingerprint"
 )
 
-// Figures of the decision.
+// Limits and delays of the decision.
 const (
-	// crashLimit is under how many crashes a request is refused. With one, all that ran beside a
-	// crash would be refused.
+	// crashLimit is the number of crashes from which on a request is refused. With 1, every request
+	// that ran beside a crash would be refused.
 	crashLimit = 2
-	// noTrial is when a client whose request gets no more trials is asked to come back.
-	noTrial = time.Minute
-	// settleFor is how long after a crash further attempts of its request wait: the other
-	// gateways' words of other crashes arrive meanwhile, so that a client which comes again
-	// at once through one gateway after the other doesn't outrun them.
-	settleFor = 300 * time.Millisecond
-	// keepFor is how long a crash counts.
-	keepFor = time.Hour
-	// mostCrashes bounds the crashes of a record, some 80 bytes each; the oldest go first.
-	mostCrashes = 512
-	// mostProven bounds the requests that a gateway remembers to have run well, some 60 bytes
-	// each; the oldest go first.
-	mostProven = 4096
+	// noTrialRetryAfter is the Retry-After for a request that gets no more trials.
+	noTrialRetryAfter = time.Minute
+	// settleDelay is how long after a crash further attempts of its request wait. The other
+	// gateways' records of crashes arrive meanwhile, so that a client that retries at once through
+	// one gateway after another does not outrun them.
+	settleDelay = 300 * time.Millisecond
+	// crashTTL is how long a crash counts.
+	crashTTL = time.Hour
+	// maxCrashes bounds the crashes of a record, some 80 bytes each; the oldest are dropped first.
+	maxCrashes = 512
+	// maxCompleted bounds the completed requests that a gateway remembers, some 60 bytes each; the
+	// oldest are dropped first.
+	maxCompleted = 4096
 )
 
-// Crash is the end of one start of an upstream while a request ran there.
+// Crash is the end of one incarnation of an upstream while a request ran there.
 type Crash struct {
 	Request fingerprint.Fingerprint
-	// Upstream names the start.
+	// Upstream names the incarnation.
 	Upstream string
 }
 
-// Record is what one gateway tells the others.
+// Record is what one gateway publishes to the others.
 type Record struct {
-	// Crashes are those that it saw, oldest first.
+	// Crashes are the crashes that this gateway saw, oldest first.
 	Crashes []Crash
-	// Cleared are crashes that others saw and whose request has run to its end since.
+	// Cleared are crashes that this gateway cleared: their request has completed since, or their
+	// upstream has responded.
 	Cleared []Crash
-	// Proven are requests that ran well before they would have been refused.
+	// Proven are requests that completed before they would have been refused.
 	Proven []fingerprint.Fingerprint
 }
 
-// Book holds what one gateway knows.
+// Book holds one gateway's view of all crash records.
 type Book struct {
 	self string
 	own  Record
-	// adopted is set once the record of an earlier start of this gateway was taken over, or
-	// there was none.
+	// adopted is set once the record of an earlier incarnation of this gateway was adopted, or is
+	// known not to exist.
 	adopted bool
-	// records holds those of the other gateways, by their names.
+	// records holds the records of the other gateways by gateway name.
 	records map[string]Record
-	// unconfirmed are crashes of which it is not known yet whether the upstream has ended.
+	// unconfirmed holds crashes of upstreams that may still be running.
 	unconfirmed map[Crash]bool
-	// merged is what all of these say together.
+	// merged combines own, records and unconfirmed.
 	merged merged
-	// ranWell remembers requests that ran to their end here.
-	ranWell memory
-	// trials holds the newest trial of each request that is known.
+	// completed holds the requests that completed here.
+	completed boundedSet
+	// trials holds the newest known trial of each request.
 	trials map[fingerprint.Fingerprint]Trial
-	// due is when the own record must be written, below 0 if it need not.
+	// due is when the own record must be written, notDue if it need not be.
 	due time.Duration
 }
 
-// New returns the Book of the gateway self, which knows nothing.
+// New returns an empty Book of the gateway self.
 func New(self string) *Book {
 	return &Book{
 		self:        self,
 		records:     make(map[string]Record),
 		unconfirmed: make(map[Crash]bool),
 		merged:      newMerged(),
-		ranWell:     newMemory(mostProven),
+		completed:   newBoundedSet(maxCompleted),
 		trials:      make(map[fingerprint.Fingerprint]Trial),
-		due:         never,
+		due:         notDue,
 	}
 }
 
-// Verdict is what becomes of a request.
+// Verdict is the decision on a request.
 type Verdict struct {
-	// Crashes is under how many starts of upstreams it was.
+	// Crashes is the number of crashes of the request that count.
 	Crashes int
-	// Refused is set if it must not be sent, unless a trial is made.
+	// Refused is set if the request must not be sent, except as a trial.
 	Refused bool
-	// Unsure is set if it is refused for crashes of which some are not confirmed yet, without
-	// which it would not be.
+	// Unsure is set if the request is refused only because of crashes that are not confirmed yet.
 	Unsure bool
-	// Trial is the number of the trial that may be made now, from 1; 0 if none may.
+	// Trial is the number of the trial that may be made now, counted from 1; 0 if none may be made.
 	Trial int
-	// RetryAfter is when a refused request may be sent.
+	// RetryAfter is how long the client of a refused request should wait.
 	RetryAfter time.Duration
 }
 
-// Judge returns what becomes of a request now.
+// Judge returns the decision on a request at the time now.
 func (b *Book) Judge(request fingerprint.Fingerprint, now time.Duration) Verdict {
-	crashes := b.merged.suspects[request]
+	crashes := b.merged.byRequest[request]
 	verdict := Verdict{Crashes: len(crashes), Refused: len(crashes) >= crashLimit}
 	if !verdict.Refused {
 		return verdict
 	}
-	verdict.Unsure = len(crashes)-b.unconfirmedOf(crashes) < crashLimit
-	due, has := b.trialDue(request)
-	if !has {
-		verdict.RetryAfter = noTrial
+	verdict.Unsure = len(crashes)-b.countUnconfirmed(crashes) < crashLimit
+	due, available := b.trialDue(request)
+	if !available {
+		verdict.RetryAfter = noTrialRetryAfter
 		return verdict
 	}
-	left := due - now
-	if left <= 0 {
+	remaining := due - now
+	if remaining <= 0 {
 		verdict.Trial = b.trials[request].Number + 1
 		return verdict
 	}
-	verdict.RetryAfter = min(left, firstTrial) // a trial that is under way may clear it any time
+	verdict.RetryAfter = min(remaining, firstTrialDelay) // a trial in progress may clear the request at any time
 	return verdict
 }
 
-// IsProven tells whether a request is known to have run well before.
+// IsProven reports whether a request is known to have completed before.
 func (b *Book) IsProven(request fingerprint.Fingerprint) bool {
-	return b.merged.proven[request] > 0 || b.ranWell.has(request)
+	return b.merged.proven[request] > 0 || b.completed.contains(request)
 }
 
-// unconfirmedOf returns how many of the crashes are not confirmed yet.
-func (b *Book) unconfirmedOf(crashes []Crash) int {
+// countUnconfirmed returns how many of the crashes are not confirmed yet.
+func (b *Book) countUnconfirmed(crashes []Crash) int {
 	count := 0
 	for _, crash := range crashes {
 		if b.unconfirmed[crash] {
@@ -155,111 +159,113 @@
 
 // Settle returns how long a further attempt of a request must wait before it is judged.
 func (b *Book) Settle(request fingerprint.Fingerprint, now time.Duration) time.Duration {
-	crashes := b.merged.suspects[request]
+	crashes := b.merged.byRequest[request]
 	if len(crashes) == 0 || b.IsProven(request) {
 		return 0
 	}
-	return max(0, b.newest(crashes)+settleFor-now)
+	return max(0, b.lastLearned(crashes)+settleDelay-now)
 }
 
-// newest returns when the last of the crashes became known.
-func (b *Book) newest(crashes []Crash) time.Duration {
-	var at time.Duration
+// lastLearned returns when the last of the crashes became known to this gateway.
+func (b *Book) lastLearned(crashes []Crash) time.Duration {
+	var latest time.Duration
 	for _, crash := range crashes {
-		at = max(at, b.merged.learnedAt(crash))
+		latest = max(latest, b.merged.learnedAt(crash))
 	}
-	return at
+	return latest
 }
 
-// Suspect records that an upstream may have ended while a request ran there. It counts here
-// at once, and is published once it is confirmed.
+// Suspect records that an upstream may have ended while a request ran there. The crash counts at
+// this gateway at once, and is published once it is confirmed.
 func (b *Book) Suspect(crash Crash, now time.Duration) {
 	if b.unconfirmed[crash] || slices.Contains(b.own.Crashes, crash) {
 		return
 	}
 	b.unconfirmed[crash] = true
-	b.merged.tell(crash, 1)
-	b.changed(now, crash)
+	b.merged.countReport(crash, 1)
+	b.reevaluate(now, crash)
 }
 
 // Confirm records that the upstream of a suspected crash has ended.
 func (b *Book) Confirm(crash Crash, now time.Duration) {
 	if !b.unconfirmed[crash] {
-		return // its request has run to its end meanwhile
+		return // its request has completed meanwhile
 	}
 	delete(b.unconfirmed, crash)
 	b.own.Crashes = append(b.own.Crashes, crash)
-	touched := []Crash{crash}
-	for len(b.own.Crashes) > mostCrashes {
+	affected := []Crash{crash}
+	for len(b.own.Crashes) > maxCrashes {
 		oldest := b.own.Crashes[0]
 		b.own.Crashes = slices.Delete(b.own.Crashes, 0, 1)
-		b.merged.tell(oldest, -1)
-		touched = append(touched, oldest)
+		b.merged.countReport(oldest, -1)
+		affected = append(affected, oldest)
 	}
-	b.changed(now, touched...)
-	b.publish(now)
+	b.reevaluate(now, affected...)
+	b.scheduleWrite(now)
 }
 
-// Dismiss records that the upstream of a suspected crash goes on.
+// Dismiss records that the upstream of a suspected crash is still running.
 func (b *Book) Dismiss(crash Crash, now time.Duration) {
-	b.trust(crash)
-	b.changed(now, crash)
+	b.dropSuspicion(crash)
+	b.reevaluate(now, crash)
 }
 
-// trust drops the suspicion of a crash, if there is any.
-func (b *Book) trust(crash Crash) {
+// dropSuspicion drops an unconfirmed crash, if there is one.
+func (b *Book) dropSuspicion(crash Crash) {
 	if b.unconfirmed[crash] {
 		delete(b.unconfirmed, crash)
-		b.merged.tell(crash, -1)
+		b.merged.countReport(crash, -1)
 	}
 }
 
-// Completed records that a request has run to its end: no crash known is its doing. It returns
-// whether there was any.
+// Completed records that a request has completed, which clears it of all known crashes. It reports
+// whether there were any.
 func (b *Book) Completed(request fingerprint.Fingerprint, now time.Duration) bool {
-	b.ranWell.add(request)
-	crashes := slices.Clone(b.merged.suspects[request]) // clearing changes the list
+	b.completed.add(request)
+	crashes := slices.Clone(b.merged.byRequest[request]) // clearing changes the list
 	if len(crashes) == 0 {
 		return false
 	}
 	delete(b.trials, request)
-	b.clear(crashes, len(crashes) >= crashLimit, now)
+	b.clearCrashes(crashes, len(crashes) >= crashLimit, now)
 	return true
 }
 
-// Quiet tells whether no upstream counts as crashed.
-func (b *Book) Quiet() bool { return len(b.merged.ended) == 0 }
+// Quiet reports whether no upstream counts as crashed.
+func (b *Book) Quiet() bool { return len(b.merged.byUpstream) == 0 }
 
-// Answered records that a start of an upstream has answered a request that was sent at a time: it
-// had not ended by then. It returns whether that was believed.
+// Answered records that an incarnation of an upstream has responded to a request sent at the time
+// sent, and so had not ended by then. It reports whether this cleared any crash: crashes learned at
+// or after sent stay.
 func (b *Book) Answered(upstream string, sent, now time.Duration) bool {
-	var wrong []Crash
+	var refuted []Crash
 	refused := false
-	for _, crash := range b.merged.ended[upstream] {
+	for _, crash := range b.merged.byUpstream[upstream] {
 		if b.merged.learnedAt(crash) < sent {
-			wrong = append(wrong, crash)
-			refused = refused || len(b.merged.suspects[crash.Request]) >= crashLimit
+			refuted = append(refuted, crash)
+			refused = refused || len(b.merged.byRequest[crash.Request]) >= crashLimit
 		}
 	}
-	if len(wrong) > 0 {
-		b.clear(wrong, refused, now)
+	if len(refuted) > 0 {
+		b.clearCrashes(refuted, refused, now)
 	}
-	return len(wrong) > 0
+	return len(refuted) > 0
 }
 
-// clear takes crashes back. With urgent set a request is refused for them elsewhere.
-func (b *Book) clear(crashes []Crash, urgent bool, now time.Duration) {
+// clearCrashes marks crashes as cleared. With urgent set, other gateways refuse a request because
+// of them, and the record is written at once.
+func (b *Book) clearCrashes(crashes []Crash, urgent bool, now time.Duration) {
 	for _, crash := range crashes {
-		b.trust(crash)
+		b.dropSuspicion(crash)
 		if !slices.Contains(b.own.Cleared, crash) {
 			b.own.Cleared = append(b.own.Cleared, crash)
-			b.merged.clear(crash, 1)
+			b.merged.countCleared(crash, 1)
 		}
 	}
-	b.changed(now, crashes...)
+	b.reevaluate(now, crashes...)
 	if urgent {
-		b.publish(now)
+		b.scheduleWrite(now)
 	} else {
-		b.publish(now + tidyAfter)
+		b.scheduleWrite(now + batchDelay)
 	}
 }
