--- a/core/source/fleet_test.go
+++ b/core/source/fleet_test.go
@@ -9,23 +9,23 @@
 	"gotest.tools/v3/assert"
 )
 
-// The model: processes with a Selector each, a store that serves some of them, in steps of
+// The model: processes with a Selector each and a store that serves some of them, in steps of
 // virtual time.
 const (
 	modelStep = 25 * time.Millisecond
-	// modelTrust is for how long a proof counts, and modelStale the part after which a source
-	// is left.
-	modelTrust = 4500 * time.Millisecond
-	modelStale = 2475 * time.Millisecond
-	// modelWatch is how often the store proves something to who reads it, up to modelMargin
-	// before.
+	// modelTrustPeriod is how long a proof counts; modelStale is the age at which a source is left.
+	modelTrustPeriod = 4500 * time.Millisecond
+	modelStale       = 2475 * time.Millisecond
+	// modelWatch is the interval in which the store gives a proof to a process that reads it; the
+	// proof is for modelMargin before.
 	modelWatch  = 1500 * time.Millisecond
 	modelMargin = 500 * time.Millisecond
-	// modelFailed is the time between two calls that the store refuses.
-	modelFailed = 450 * time.Millisecond
-	// modelOpen is when a source that is silent is given up, modelSilent one that was heard.
-	modelOpen   = 800 * time.Millisecond
-	modelSilent = 1500 * time.Millisecond
+	// modelRetry is the time between two calls that the store refuses.
+	modelRetry = 450 * time.Millisecond
+	// modelDialTimeout is the timeout of a call to a process that does not respond,
+	// modelSilenceTimeout the timeout of an open connection without updates.
+	modelDialTimeout    = 800 * time.Millisecond
+	modelSilenceTimeout = 1500 * time.Millisecond
 )
 
 // node is one process of the model.
@@ -34,35 +34,35 @@
 	selector *Selector
 	plan     Plan
 	alive    bool
-	// silent is set for one that died without a word: calls to it hang.
+	// silent is set for a process that died without closing its connections: calls to it hang.
 	silent bool
-	// away is set while the store turns it away.
-	away bool
+	// rejected is set while the store rejects the process.
+	rejected bool
 
-	proved time.Duration
-	hops   int
-	known  bool
-	// failing is set while the store does not answer it.
+	proved   time.Duration
+	hops     int
+	hasProof bool
+	// failing is set while the store does not respond to the process.
 	failing bool
-	// followed is since when, and heard when last.
-	followed, heard time.Duration
-	// asked is when the store was last asked, and calls how often.
-	asked time.Duration
-	calls int
+	// followedSince is when the current member was first followed, lastReport when it last
+	// reported.
+	followedSince, lastReport time.Duration
+	// lastCall is when the process last called the store, calls how often it did.
+	lastCall time.Duration
+	calls    int
 }
 
-// fleet is the model.
+// fleet is the modelled fleet and its store.
 type fleet struct {
-	nodes []*node
-	now   time.Duration
-	down  bool
-	// watch, margin and stale are modelWatch, modelMargin and modelStale, or what a shorter
-	// time for changes asks for.
+	nodes     []*node
+	now       time.Duration
+	storeDown bool
+	// watch, margin and stale are modelWatch, modelMargin and modelStale, or shorter times for a
+	// tighter bound on changes.
 	watch, margin, stale time.Duration
 }
 
-// newFleet returns a fleet with a number of processes in each of some zones, all of which
-// know each other.
+// newFleet returns a fleet of perZone processes in each zone, all of which know each other.
 func newFleet(zones, perZone int) *fleet {
 	f := &fleet{now: 1000 * time.Second, watch: modelWatch, margin: modelMargin, stale: modelStale}
 	for i := range zones * perZone {
@@ -70,32 +70,32 @@
 		f.nodes = append(f.nodes, &node{Member: m, alive: true})
 	}
 	for _, n := range f.nodes {
-		f.begin(n)
+		f.start(n)
 	}
 	return f
 }
 
-// begin starts a process that knows the members.
-func (f *fleet) begin(n *node) {
+// start starts a process that knows the members.
+func (f *fleet) start(n *node) {
 	n.selector = New(n.Member, Settings{FollowersPerReader: 24, StaleAfter: f.stale}, f.now)
 	n.selector.SetMembers(f.others(n))
-	n.known, n.plan, n.asked = false, Plan{}, 0
+	n.hasProof, n.plan, n.lastCall = false, Plan{}, 0
 }
 
-// others returns the members but one.
-func (f *fleet) others(but *node) []Member {
+// others returns all members except one.
+func (f *fleet) others(except *node) []Member {
 	var list []Member
 	for _, n := range f.nodes {
-		if n != but {
+		if n != except {
 			list = append(list, n.Member)
 		}
 	}
 	return list
 }
 
-// play lets time pass.
-func (f *fleet) play(length time.Duration) {
-	for end := f.now + length; f.now < end; f.now += modelStep {
+// advance runs the model for a duration.
+func (f *fleet) advance(duration time.Duration) {
+	for end := f.now + duration; f.now < end; f.now += modelStep {
 		for _, n := range f.nodes {
 			if n.alive {
 				f.step(n)
@@ -104,73 +104,73 @@
 	}
 }
 
-// step lets one process do what it does in one step.
+// step runs one step of one process.
 func (f *fleet) step(n *node) {
 	before := n.plan.Follow
 	n.plan = n.selector.Next(f.now)
 	if n.plan.Follow != before {
-		n.followed, n.heard = f.now, 0
+		n.followedSince, n.lastReport = f.now, 0
 	}
 	if n.plan.Read {
-		f.read(n)
+		f.readStore(n)
 	} else {
 		n.failing = false
 	}
 	if n.plan.Follow.Name != "" {
-		f.listen(n, f.find(n.plan.Follow))
+		f.receiveReport(n, f.find(n.plan.Follow))
 	}
 }
 
-// read asks the store, if it is time.
-func (f *fleet) read(n *node) {
-	every := f.watch
-	if f.down || n.away {
-		every = modelFailed
+// readStore calls the store if it is time to.
+func (f *fleet) readStore(n *node) {
+	interval := f.watch
+	if f.storeDown || n.rejected {
+		interval = modelRetry
 	}
-	if f.now-n.asked < every && n.asked > 0 {
+	if f.now-n.lastCall < interval && n.lastCall > 0 {
 		return
 	}
-	n.asked = f.now
+	n.lastCall = f.now
 	n.calls++
-	n.failing = f.down || n.away
-	if !f.down && !n.away {
-		n.confirm(f.now-f.margin, 0)
+	n.failing = f.storeDown || n.rejected
+	if !f.storeDown && !n.rejected {
+		n.updateProof(f.now-f.margin, 0)
 		n.selector.StoreProved(f.now - f.margin)
 	}
 }
 
-// confirm takes a proof over.
-func (n *node) confirm(at time.Duration, hops int) {
-	if !n.known || at > n.proved {
-		n.proved, n.hops, n.known = at, hops, true
+// updateProof takes over a newer proof.
+func (n *node) updateProof(at time.Duration, hops int) {
+	if !n.hasProof || at > n.proved {
+		n.proved, n.hops, n.hasProof = at, hops, true
 	}
 }
 
-// listen takes the word of the followed process.
-func (f *fleet) listen(n, to *node) {
+// receiveReport delivers the report of the followed process.
+func (f *fleet) receiveReport(n, to *node) {
 	if !to.alive {
 		limit := modelStep
 		if to.silent {
-			limit = modelOpen
+			limit = modelDialTimeout
 		}
-		if n.heard > 0 && to.silent {
-			limit = n.heard - n.followed + modelSilent
+		if n.lastReport > 0 && to.silent {
+			limit = n.lastReport - n.followedSince + modelSilenceTimeout
 		}
-		if f.now-n.followed >= limit {
+		if f.now-n.followedSince >= limit {
 			n.selector.Lost(to.Incarnation, f.now)
 		}
 		return
 	}
-	if f.now-n.followed < modelStep {
+	if f.now-n.followedSince < modelStep {
 		return
 	}
-	n.heard = f.now
-	if !to.known {
+	n.lastReport = f.now
+	if !to.hasProof {
 		n.selector.Heard(Word{Incarnation: to.Incarnation, Proved: Never, Failing: to.failing}, f.now)
 		return
 	}
 	n.selector.Heard(Word{Incarnation: to.Incarnation, Proved: to.proved, Hops: to.hops, Failing: to.failing}, f.now)
-	n.confirm(to.proved, to.hops+1)
+	n.updateProof(to.proved, to.hops+1)
 }
 
 // find returns the process of a member.
@@ -183,18 +183,18 @@
 	return nil
 }
 
-// untrusting counts the living processes whose keys are no longer trusted.
-func (f *fleet) untrusting() int {
+// untrusted counts the running processes whose proof is older than modelTrustPeriod.
+func (f *fleet) untrusted() int {
 	count := 0
 	for _, n := range f.nodes {
-		if n.alive && (!n.known || f.now-n.proved >= modelTrust) {
+		if n.alive && (!n.hasProof || f.now-n.proved >= modelTrustPeriod) {
 			count++
 		}
 	}
 	return count
 }
 
-// readers returns who reads the store.
+// readers returns the processes that read the store.
 func (f *fleet) readers() []*node {
 	var list []*node
 	for _, n := range f.nodes {
@@ -205,7 +205,7 @@
 	return list
 }
 
-// calls counts the calls of all.
+// calls returns the number of calls that all processes made to the store.
 func (f *fleet) calls() int {
 	count := 0
 	for _, n := range f.nodes {
@@ -214,27 +214,27 @@
 	return count
 }
 
-// watched plays a time and returns the most processes that did not trust their keys.
-func (f *fleet) watched(length time.Duration) int {
+// maxUntrusted runs the model and returns the largest number of untrusted processes.
+func (f *fleet) maxUntrusted(duration time.Duration) int {
 	worst := 0
-	for end := f.now + length; f.now < end; {
-		f.play(100 * time.Millisecond)
-		worst = max(worst, f.untrusting())
+	for end := f.now + duration; f.now < end; {
+		f.advance(100 * time.Millisecond)
+		worst = max(worst, f.untrusted())
 	}
 	return worst
 }
 
-func TestInAnUndisturbedFleetOneOfSoManyReads(t *testing.T) {
+func TestAnUndisturbedFleetHasOneReaderPerGroupOfFollowers(t *testing.T) {
 	f := newFleet(5, 21)
-	f.play(3 * time.Second)
+	f.advance(3 * time.Second)
 	assert.Equal(t, len(f.readers()), 5)
-	assert.Equal(t, f.watched(30*time.Second), 0)
+	assert.Equal(t, f.maxUntrusted(30*time.Second), 0)
 	assert.Equal(t, len(f.readers()), 5)
 	for _, n := range f.nodes {
 		assert.Assert(t, n.hops <= 1, "%s is %d processes away from the store", n.Name, n.hops)
 	}
 	large := newFleet(11, 31)
-	large.play(3 * time.Second)
+	large.advance(3 * time.Second)
 	assert.Equal(t, len(large.readers()), 22)
 }
 
@@ -243,61 +243,62 @@
 	wide := f.nodes[7]
 	wide.LinkMbps = 200
 	for _, n := range f.nodes {
-		f.begin(n)
+		f.start(n)
 	}
-	f.play(3 * time.Second)
+	f.advance(3 * time.Second)
 	assert.Assert(t, wide.plan.Reason == Reader)
 }
 
-// TestKeysStayTrustedWhenReadersAreLost: all at once, killed or without a word.
+// TestKeysStayTrustedWhenReadersAreLost: all readers are lost at once, with or without closing
+// their connections.
 func TestKeysStayTrustedWhenReadersAreLost(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		f := newFleet(5, 21)
-		f.play(10 * time.Second)
+		f.advance(10 * time.Second)
 		for _, n := range f.readers() {
 			n.alive, n.silent = false, silent
 		}
-		assert.Equal(t, f.watched(60*time.Second), 0, "silent %t", silent)
+		assert.Equal(t, f.maxUntrusted(60*time.Second), 0, "silent %t", silent)
 	}
 }
 
-// TestKeysStayTrustedWhenTheStoreTurnsReadersAway: those of all zones but one, and a third
-// of all processes.
-func TestKeysStayTrustedWhenTheStoreTurnsReadersAway(t *testing.T) {
+// TestKeysStayTrustedWhenTheStoreRejectsReaders: the store rejects the readers of all zones but
+// one, then a random third of all processes.
+func TestKeysStayTrustedWhenTheStoreRejectsReaders(t *testing.T) {
 	f := newFleet(5, 21)
-	f.play(10 * time.Second)
+	f.advance(10 * time.Second)
 	for _, n := range f.readers()[1:] {
-		n.away = true
+		n.rejected = true
 	}
-	assert.Equal(t, f.watched(20*time.Second), 0)
+	assert.Equal(t, f.maxUntrusted(20*time.Second), 0)
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 5))
 		f := newFleet(5, 21)
-		f.play(10 * time.Second)
+		f.advance(10 * time.Second)
 		for _, n := range f.nodes {
-			n.away = random.IntN(3) == 0
+			n.rejected = random.IntN(3) == 0
 		}
-		assert.Equal(t, f.watched(20*time.Second), 0, "seed %d", seed)
+		assert.Equal(t, f.maxUntrusted(20*time.Second), 0, "seed %d", seed)
 	}
 }
 
-// within sets the times that a bound on changes asks for: the share of a watch, of what it
-// proves before its end, and of a stale proof.
-func (f *fleet) within(bound time.Duration) {
+// setBound sets the watch interval, the margin of a proof and the age of a stale proof as shares of
+// a bound on the delay of changes.
+func (f *fleet) setBound(bound time.Duration) {
 	f.watch, f.margin, f.stale = bound/4, bound/12, bound*6/10
 	for _, n := range f.nodes {
-		f.begin(n)
+		f.start(n)
 	}
 }
 
-// oldest plays a time and returns the age of the oldest proof of a process that the store
+// maxProofAge runs the model and returns the largest age of the proof of a process that the store
 // serves.
-func (f *fleet) oldest(length time.Duration) time.Duration {
+func (f *fleet) maxProofAge(duration time.Duration) time.Duration {
 	var oldest time.Duration
-	for end := f.now + length; f.now < end; {
-		f.play(modelStep)
+	for end := f.now + duration; f.now < end; {
+		f.advance(modelStep)
 		for _, n := range f.nodes {
-			if n.alive && !n.away {
+			if n.alive && !n.rejected {
 				oldest = max(oldest, f.now-n.proved)
 			}
 		}
@@ -305,64 +306,64 @@
 	return oldest
 }
 
-// TestWhoIsServedKnowsChangesInTime: where the store turns some machines away, readers among
-// them, all others have what it had accepted by the bound before, 2 s in a fleet of 5 or 23
-// and 4 s in one of 105.
-func TestWhoIsServedKnowsChangesInTime(t *testing.T) {
-	for _, one := range []struct {
+// TestServedProcessesReceiveChangesInTime: while the store rejects some machines, readers among
+// them, all others have received every change within the bound, 2 s in a fleet of 5 or 23 and 4 s
+// in one of 105.
+func TestServedProcessesReceiveChangesInTime(t *testing.T) {
+	for _, size := range []struct {
 		zones, perZone int
 		bound          time.Duration
 	}{{3, 2, 2 * time.Second}, {3, 8, 2 * time.Second}, {5, 21, 4 * time.Second}} {
 		for seed := range uint64(40) {
 			random := rand.New(rand.NewPCG(seed, 11))
-			f := newFleet(one.zones, one.perZone)
-			f.within(one.bound)
-			f.play(5*time.Second + time.Duration(random.Int64N(int64(time.Second))))
+			f := newFleet(size.zones, size.perZone)
+			f.setBound(size.bound)
+			f.advance(5*time.Second + time.Duration(random.Int64N(int64(time.Second))))
 			for _, n := range f.nodes {
-				n.away = random.IntN(10) < 4
+				n.rejected = random.IntN(10) < 4
 			}
-			oldest := f.oldest(12 * time.Second)
-			assert.Assert(t, oldest < one.bound, "%d processes, seed %d: a proof of %v", len(f.nodes), seed, oldest)
+			oldest := f.maxProofAge(12 * time.Second)
+			assert.Assert(t, oldest < size.bound, "%d processes, seed %d: a proof of %v", len(f.nodes), seed, oldest)
 		}
 	}
 }
 
-// TestAllGoOnWhenTheStoreTurnsJustTheReadersAway: the others find that out for themselves,
-// and the readers that some of the others know more, within 10 s.
-func TestAllGoOnWhenTheStoreTurnsJustTheReadersAway(t *testing.T) {
+// TestKeysStayTrustedWhenTheStoreRejectsOnlyTheReaders: within 10 s the followers query the store
+// themselves, and the readers find followers that are fresher.
+func TestKeysStayTrustedWhenTheStoreRejectsOnlyTheReaders(t *testing.T) {
 	f := newFleet(5, 21)
-	f.play(10 * time.Second)
+	f.advance(10 * time.Second)
 	for _, n := range f.readers() {
-		n.away = true
+		n.rejected = true
 	}
-	f.play(10 * time.Second)
-	assert.Equal(t, f.watched(20*time.Second), 0)
+	f.advance(10 * time.Second)
+	assert.Equal(t, f.maxUntrusted(20*time.Second), 0)
 }
 
-// TestAStoreThatIsAwayIsAskedByFew: in 14 s 105 processes make no more than a quarter of the
-// calls that cost 0.04 of a day's worth, 3,300, and more processes in proportion. Within 2 s
-// of its return all keys are trusted.
-func TestAStoreThatIsAwayIsAskedByFew(t *testing.T) {
+// TestCallsToAnUnavailableStoreAreBounded: in an outage of 14 s, 105 processes make at most a
+// quarter of the calls that cost 0.04 of a day's worth (3,300), and larger fleets in proportion.
+// Within 2 s of the store's return all keys are trusted.
+func TestCallsToAnUnavailableStoreAreBounded(t *testing.T) {
 	for _, size := range []struct{ zones, perZone, most int }{{5, 21, 825}, {11, 31, 2680}} {
 		f := newFleet(size.zones, size.perZone)
-		f.play(10 * time.Second)
+		f.advance(10 * time.Second)
 		before := f.calls()
-		f.down = true
-		f.play(14 * time.Second)
-		made := f.calls() - before
-		f.down = false
-		f.play(2 * time.Second)
-		t.Logf("%d processes: %d calls in 14 s", len(f.nodes), made)
-		assert.Assert(t, made <= size.most, "%d calls", made)
-		assert.Equal(t, f.untrusting(), 0)
+		f.storeDown = true
+		f.advance(14 * time.Second)
+		calls := f.calls() - before
+		f.storeDown = false
+		f.advance(2 * time.Second)
+		t.Logf("%d processes: %d calls in 14 s", len(f.nodes), calls)
+		assert.Assert(t, calls <= size.most, "%d calls", calls)
+		assert.Equal(t, f.untrusted(), 0)
 	}
 }
 
-// TestAFleetThatStartsAnewKnowsAllWithinASecond: all processes are lost at once and start
-// within 0.3 s, while members of before are still listed.
-func TestAFleetThatStartsAnewKnowsAllWithinASecond(t *testing.T) {
+// TestARestartedFleetIsCurrentWithinASecond: all processes are lost at once and start again within
+// 0.3 s, while the former members are still listed.
+func TestARestartedFleetIsCurrentWithinASecond(t *testing.T) {
 	f := newFleet(5, 21)
-	f.play(10 * time.Second)
+	f.advance(10 * time.Second)
 	for _, n := range f.nodes {
 		n.alive = false
 	}
@@ -371,18 +372,18 @@
 	for i, at := range order {
 		n := f.nodes[at]
 		n.alive = true
-		f.begin(n)
+		f.start(n)
 		if i%9 == 8 {
-			f.play(modelStep)
+			f.advance(modelStep)
 		}
 	}
-	f.play(700 * time.Millisecond)
-	assert.Equal(t, f.untrusting(), 0)
+	f.advance(700 * time.Millisecond)
+	assert.Equal(t, f.untrusted(), 0)
 }
 
-// TestRandomLossesLeaveNoProcessBehind: processes die, silently or not, and come back, the
-// store turns some away or is away itself; 4 s after the last of it all trust their keys.
-func TestRandomLossesLeaveNoProcessBehind(t *testing.T) {
+// TestAllProcessesRecoverFromRandomLosses: processes die, silently or not, and start again, the
+// store rejects some of them or is unavailable; 4 s after the last fault all trust their keys.
+func TestAllProcessesRecoverFromRandomLosses(t *testing.T) {
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 9))
 		f := newFleet(1+random.IntN(5), 1+random.IntN(12))
@@ -392,28 +393,28 @@
 			case 0, 1:
 				n.alive, n.silent = false, random.IntN(2) == 0
 			case 2:
-				n.away = !n.away
+				n.rejected = !n.rejected
 			case 3:
-				f.down = !f.down
+				f.storeDown = !f.storeDown
 			default:
 				if !n.alive {
 					n.alive = true
-					f.begin(n)
+					f.start(n)
 				}
 			}
-			f.play(time.Duration(random.Int64N(int64(3 * time.Second))))
+			f.advance(time.Duration(random.Int64N(int64(3 * time.Second))))
 		}
-		f.down = false
+		f.storeDown = false
 		for _, n := range f.nodes {
-			n.away = false
+			n.rejected = false
 		}
-		f.play(4 * time.Second)
-		assert.Equal(t, f.watched(20*time.Second), 0, "seed %d", seed)
+		f.advance(4 * time.Second)
+		assert.Equal(t, f.maxUntrusted(20*time.Second), 0, "seed %d", seed)
 	}
 }
 
-// TestAWordWithoutAProofIsNotFresh: also on a machine whose clock has just begun.
-func TestAWordWithoutAProofIsNotFresh(t *testing.T) {
+// TestAReportWithoutAProofIsNotFresh: this also holds on a machine whose clock has just started.
+func TestAReportWithoutAProofIsNotFresh(t *testing.T) {
 	other := Member{Name: "b", Zone: "z", Incarnation: "ib", LinkMbps: 200}
 	s := New(Member{Name: "a", Zone: "z", Incarnation: "ia", LinkMbps: 20}, Settings{FollowersPerReader: 24, StaleAfter: modelStale}, 0)
 	s.SetMembers([]Member{other})
@@ -424,10 +425,10 @@
 	assert.Equal(t, s.Next(2*time.Millisecond).Reason, Follower)
 }
 
-// BenchmarkChoice is one look at the sources in a fleet of 340.
+// BenchmarkChoice measures one choice of the source in a fleet of 340.
 func BenchmarkChoice(b *testing.B) {
 	f := newFleet(11, 31)
-	f.play(time.Second)
+	f.advance(time.Second)
 	n := f.nodes[0]
 	for b.Loop() {
 		n.plan = n.selector.Next(f.now)
--- a/core/source/follow.go
+++ b/core/source/follow.go
@@ -8,76 +8,77 @@
 
 // follow keeps the followed member or chooses another one.
 func (s *Selector) follow(now time.Duration) {
-	if s.current.Name != "" && s.keeps(now) {
+	if s.current.Name != "" && s.keepsCurrent(now) {
 		return
 	}
 	probed := s.current.probe
 	s.current = source{}
-	if best := s.reader(now); best.Name != "" {
-		s.current = source{Member: best, since: now}
+	if best := s.chooseReader(now); best.Name != "" {
+		s.current = source{Member: best, chosenAt: now}
 		return
 	}
-	if other := s.highest(s.anyone(now)); other.Name != "" && !probed {
-		s.current = source{Member: other, since: now, probe: true}
+	if other := s.highestScore(s.candidates(now)); other.Name != "" && !probed {
+		s.current = source{Member: other, chosenAt: now, probe: true}
 		return
 	}
-	s.current = source{Member: s.soonest(), since: now}
+	s.current = source{Member: s.nextAvailable(), chosenAt: now}
 }
 
-// keeps tells whether the followed member stays, and passes over one that does not for its
-// word. One whose word is not fresh is left for another after a while; one of another zone,
-// as soon as there is one in this zone.
-func (s *Selector) keeps(now time.Duration) bool {
+// keepsCurrent reports whether the followed member stays, and backs off a member that is left
+// because of its reports. A member that is not fresh is left after a while, a member of another
+// zone as soon as a reader of this zone is available.
+func (s *Selector) keepsCurrent(now time.Duration) bool {
 	switch {
-	case s.currentGood(now):
-		return s.nearest(now)
-	case s.current.heard && s.current.probe:
-		s.passOver(staleRest, false, now)
-		s.current.probe = true // the next one is a reader, not another try
+	case s.currentFresh(now):
+		return s.isNearest(now)
+	case s.current.reported && s.current.probe:
+		s.backOff(staleBackoff, false, now)
+		s.current.probe = true // the next choice is a reader, not another probe
 		return false
-	case s.current.failing && s.quick > 0 && len(s.otherReaders(now)) > 0:
-		s.quick--
-		s.passOver(staleRest, false, now)
+	case s.current.failing && s.switchesLeft > 0 && len(s.otherReaders(now)) > 0:
+		s.switchesLeft--
+		s.backOff(staleBackoff, false, now)
 		return false
-	case s.current.heard && now >= max(s.switchAt, s.current.since+staleGrace):
+	case s.current.reported && now >= max(s.switchAt, s.current.chosenAt+staleGrace):
 		s.leaveStale(now)
-		s.switchAt = now + s.switchPause
-		s.switchPause = min(2*s.switchPause, longestSwitch)
+		s.switchAt = now + s.switchInterval
+		s.switchInterval = min(2*s.switchInterval, maxSwitchInterval)
 		return false
 	default:
-		return s.nearest(now)
+		return s.isNearest(now)
 	}
 }
 
-// nearest tells whether no reader of this zone is to be followed rather.
-func (s *Selector) nearest(now time.Duration) bool {
-	return contains(s.readers(s.self.Zone, now), s.current.Member) || len(s.sources(s.self.Zone, now)) == 0
+// isNearest reports whether the followed member is a reader of this zone, or no reader of this zone
+// is available.
+func (s *Selector) isNearest(now time.Duration) bool {
+	return contains(s.readers(s.self.Zone, now), s.current.Member) || len(s.availableReaders(s.self.Zone, now)) == 0
 }
 
-// leaveStale passes over the followed member, whose word is old.
+// leaveStale backs off the followed member, whose updates are stale.
 func (s *Selector) leaveStale(now time.Duration) {
-	if now-s.current.heardAt > quietAfter {
-		s.passOver(lostRest, true, now)
+	if now-s.current.reportedAt > silentAfter {
+		s.backOff(lostBackoff, true, now)
 		return
 	}
-	s.passOver(staleRest, false, now)
+	s.backOff(staleBackoff, false, now)
 }
 
-// reader returns the reader to follow: of those of this zone, or else of the others, the one
-// with the highest score for this process, which spreads followers evenly. Without a name
-// there is none that isn't passed over.
-func (s *Selector) reader(now time.Duration) Member {
-	if best := s.highest(s.sources(s.self.Zone, now)); best.Name != "" {
+// chooseReader returns the reader to follow: of this zone's readers, or else of all, the one with
+// the highest score for this process, which spreads followers evenly. Its name is empty if all
+// readers are backed off.
+func (s *Selector) chooseReader(now time.Duration) Member {
+	if best := s.highestScore(s.availableReaders(s.self.Zone, now)); best.Name != "" {
 		return best
 	}
-	return s.highest(s.otherReaders(now))
+	return s.highestScore(s.otherReaders(now))
 }
 
-// otherReaders returns the readers that may be followed beside the followed one.
+// otherReaders returns the available readers of all zones except the followed one.
 func (s *Selector) otherReaders(now time.Duration) []Member {
 	var others []Member
 	for zone := range s.zones {
-		for _, m := range s.sources(zone, now) {
+		for _, m := range s.availableReaders(zone, now) {
 			if m != s.current.Member {
 				others = append(others, m)
 			}
@@ -86,28 +87,27 @@
 	return others
 }
 
-// soonest returns the reader that was passed over for its old word and whose rest ends
-// first, or else any such member. That is where a process waits while nobody knows more: a
-// reader hears first that the store is back, and one that has died since is found out by who
-// tries it.
-func (s *Selector) soonest() Member {
+// nextAvailable returns the reader whose backoff for being stale ends first, or else any such
+// member. A process waits there while no member is fresher: a reader learns first that the store is
+// available again, and members that have ended since are detected by the processes that try them.
+func (s *Selector) nextAvailable() Member {
 	var readers []Member
 	for _, order := range s.zones {
-		readers = append(readers, order[:min(len(order), s.wanted(len(order)))]...)
+		readers = append(readers, order[:min(len(order), s.readerCount(len(order)))]...)
 	}
-	if best := s.firstRested(readers); best.Name != "" {
+	if best := s.earliestBackoff(readers); best.Name != "" {
 		return best
 	}
-	return s.firstRested(s.members)
+	return s.earliestBackoff(s.members)
 }
 
-// firstRested returns the member whose rest ends first of those that are not lost; without a
-// name if there is none.
-func (s *Selector) firstRested(members []Member) Member {
+// earliestBackoff returns the member whose backoff ends first, without those that are lost. Its
+// name is empty if there is none.
+func (s *Selector) earliestBackoff(members []Member) Member {
 	var best Member
 	var until time.Duration
 	for _, m := range members {
-		r := s.rests[m.Incarnation]
+		r := s.backoffs[m.Incarnation]
 		if m == s.self || r.lost {
 			continue
 		}
@@ -118,28 +118,28 @@
 	return best
 }
 
-// anyone returns the members that are not passed over. Where the store turns all readers
-// away, some of the others ask it themselves and know more: one is tried now and then, and
-// left at its first word if it does not.
-func (s *Selector) anyone(now time.Duration) []Member {
+// candidates returns the members that are not backed off. When the store rejects all readers, some
+// of the other members query it themselves and are fresher: one of the candidates is probed from
+// time to time, and left at its first report if it is not fresher.
+func (s *Selector) candidates(now time.Duration) []Member {
 	var list []Member
 	for _, m := range s.members {
-		if !s.rests[m.Incarnation].covers(now) {
+		if !s.backoffs[m.Incarnation].active(now) {
 			list = append(list, m)
 		}
 	}
 	return list
 }
 
-// highest returns the member with the highest score for this process; without a name if
-// there is none.
-func (s *Selector) highest(members []Member) Member {
+// highestScore returns the member with the highest score for this process. Its name is empty if
+// there are no members.
+func (s *Selector) highestScore(members []Member) Member {
 	own := rendezvous.Hash(s.self.Name)
 	var best Member
-	var highest uint64
+	var top uint64
 	for _, m := range members {
-		if score := rendezvous.Score(own, rendezvous.Hash(m.Name)); best.Name == "" || score > highest {
-			best, highest = m, score
+		if score := rendezvous.Score(own, rendezvous.Hash(m.Name)); best.Name == "" || score > top {
+			best, top = m, score
 		}
 	}
 	return best
