--- a/core/proof/proof.go
+++ b/core/proof/proof.go
@@ -1,71 +1,70 @@
-// Package proof passes the time of a proof from one process to another. Their clocks have
-// nothing in common but that each counts every second, also those in which its machine is
-// suspended; the time of day plays no part.
+// Package proof passes the time of a proof from one process to another. A proof is the time up to
+// which a process knows of every revoked API key. The clocks of the two processes have nothing in
+// common but that each counts every second, also while its machine is suspended; the time of day
+// plays no part.
 //
-// A follower numbers its requests and notes, by its own clock, when it sends each. The
-// source notes, by its own, when it receives one, and says of a proof how long after that
-// moment it was made (or before it, then below 0). The follower takes the proof for made
-// that long after its sending.
+// A follower numbers its requests and records, by its own clock, when it sends each. The source
+// records, by its clock, when it receives one, and reports how long after that moment a proof was
+// made (negative if before it). The follower dates the proof that long after the sending of the
+// request.
 //
-// Why no proof is ever taken for younger than it is: a request is received after it was
-// sent, and the length between two moments is the same by both clocks. So what the
-// follower computes is earlier than the proof by the time that the request took, and
-// never later. It does not depend on when the word is written, sent, delayed or read, so
-// neither a frozen or slow source nor a slow network lengthens it. Passed on again, the
-// time is earlier once more. A clock that runs faster than another one would add its error over
-// the length between the two moments, some s at 100 µs/s; the margin of the time for which
-// keys are trusted (0.5 s) covers it.
+// Why the age of a proof is never underestimated: a request is received after it was sent, and the
+// duration between two moments is the same by both clocks. So the follower's result is earlier than
+// the proof by the time that the request took, and never later. It does not depend on when the
+// report is written, sent, delayed or read, so neither a frozen or slow source nor a slow network
+// makes it later. Each further process that passes the proof on makes the time earlier once more. A
+// clock that runs faster than another one would add its error over the duration between the two
+// moments, some s at 100 µs/s; the margin of the time for which keys are trusted (0.5 s) covers it.
 package proof
 
 import "time"
 
-// Word says when a proof was made, relative to the arrival of a request.
+// Word is a source's report of a proof: when it was made, relative to the arrival of a request.
 type Word struct {
-	// Number is the request's.
+	// Number is the number of the request.
 	Number uint64
-	// After is from its arrival until the proof.
+	// After is the time from the arrival of the request to the proof.
 	After time.Duration
 }
 
-// Source is the side that passes proofs on to one follower. It is not safe for concurrent
-// use.
+// Source is the side that passes proofs on to one follower. It is not safe for concurrent use.
 type Source struct {
-	number   uint64
-	received time.Duration
+	number     uint64
+	receivedAt time.Duration
 }
 
-// Received notes a request and when it came.
+// Received records when a request arrived.
 func (s *Source) Received(number uint64, at time.Duration) {
-	s.number, s.received = number, at
+	s.number, s.receivedAt = number, at
 }
 
-// Word returns the word on a proof that was made at a time by this process's clock.
+// Word returns the report of a proof that was made at a time by this process's clock.
 func (s *Source) Word(proved time.Duration) Word {
-	return Word{Number: s.number, After: proved - s.received}
+	return Word{Number: s.number, After: proved - s.receivedAt}
 }
 
-// kept is how many requests a Follower remembers: a word relates to the latest that the
-// source has read, which may be some behind the latest that was sent.
-const kept = 8
+// maxRequests is the number of requests that a Follower remembers. A report relates to the latest
+// request that the source has read, which may be several behind the latest one sent.
+const maxRequests = 8
 
-// Follower is the side that takes proofs. It is not safe for concurrent use.
+// Follower is the side that receives proofs. It is not safe for concurrent use.
 type Follower struct {
 	number uint64
-	sent   [kept]time.Duration
+	sent   [maxRequests]time.Duration
 }
 
-// Ask returns the number of a request that is sent at a time.
+// Ask records that a request is sent at a time, and returns its number.
 func (f *Follower) Ask(at time.Duration) uint64 {
 	f.number++
-	f.sent[f.number%kept] = at
+	f.sent[f.number%maxRequests] = at
 	return f.number
 }
 
-// Proved returns when a proof was made at the latest by this process's clock, given the
-// time now, and false if the word can't be placed.
+// Proved returns a lower bound, at most now, of the time of a proof by this process's clock. It
+// returns false if the Follower does not remember the request that the report relates to.
 func (f *Follower) Proved(w Word, now time.Duration) (time.Duration, bool) {
-	if w.Number == 0 || w.Number > f.number || f.number-w.Number >= kept {
+	if w.Number == 0 || w.Number > f.number || f.number-w.Number >= maxRequests {
 		return 0, false
 	}
-	return min(f.sent[w.Number%kept]+w.After, now), true
+	return min(f.sent[w.Number%maxRequests]+w.After, now), true
 }
--- a/core/proof/proof_test.go
+++ b/core/proof/proof_test.go
@@ -8,48 +8,48 @@
 	"gotest.tools/v3/assert"
 )
 
-// process is one process of the model. Its clock differs from the true time by offset;
-// freezes and steps of the time of day leave it alone, as it counts suspensions.
+// process is one process of the model. Its clock differs from the true time by offset. Freezes and
+// changes of the time of day do not affect it, as it also counts suspensions.
 type process struct {
 	offset time.Duration
-	// proved is the newest proof by its own clock, and made when that was made in truth.
+	// proved is the time of the newest proof by the process's own clock, made its true time.
 	proved, made time.Duration
-	knows        bool
+	hasProof     bool
 }
 
-// clock returns what the process's clock shows at a true time.
+// clock returns the reading of the process's clock at a true time.
 func (p *process) clock(now time.Duration) time.Duration { return now + p.offset }
 
-// edge carries words from one process to another.
+// edge carries reports from one process to another.
 type edge struct {
 	from, to *process
 	source   Source
 	follower Follower
-	// words are on the way.
-	words []carried
+	// inFlight holds the reports that have not arrived yet.
+	inFlight []report
 }
 
-// carried is a word on the way: the true time of its proof stands beside it for the check.
-type carried struct {
+// report is a report in flight. The true time of its proof is kept with it for the check.
+type report struct {
 	Word
 	made    time.Duration
 	arrives time.Duration
 }
 
-// rule computes a follower's time from a word; the real one, or one that is broken on
+// rule computes a follower's time from a report: the package's own rule, or one that is wrong on
 // purpose.
-type rule func(e *edge, w carried, now time.Duration) (time.Duration, bool)
+type rule func(e *edge, w report, now time.Duration) (time.Duration, bool)
 
-// real is what the package does.
-func real(e *edge, w carried, now time.Duration) (time.Duration, bool) {
+// actualRule is the package's own rule.
+func actualRule(e *edge, w report, now time.Duration) (time.Duration, bool) {
 	return e.follower.Proved(w.Word, e.to.clock(now))
 }
 
-// youngest plays random chains and returns by how much the most flattering proof was taken
-// for younger than it is, in truth's time; below 0 or 0 if none was.
-func youngest(seed uint64, apply rule) time.Duration {
+// maxUnderestimate runs a random chain and returns by how much the age of a proof was
+// underestimated at most, in true time; 0 or less if no age was.
+func maxUnderestimate(seed uint64, apply rule) time.Duration {
 	random := rand.New(rand.NewPCG(seed, 7))
-	within := func(most time.Duration) time.Duration { return time.Duration(random.Int64N(int64(most))) }
+	within := func(limit time.Duration) time.Duration { return time.Duration(random.Int64N(int64(limit))) }
 	processes := make([]*process, 4)
 	for i := range processes {
 		processes[i] = &process{offset: within(1000 * time.Hour)}
@@ -65,17 +65,17 @@
 		switch e := edges[random.IntN(len(edges))]; random.IntN(5) {
 		case 0: // the store proves something to the first process, which reads it later
 			processes[0].made = now
-			processes[0].proved, processes[0].knows = processes[0].clock(now), true
+			processes[0].proved, processes[0].hasProof = processes[0].clock(now), true
 			now += within(100 * time.Millisecond)
-		case 1: // a request, on its way for a while
+		case 1: // a request arrives after a delay
 			number := e.follower.Ask(e.to.clock(now))
 			now += within(300 * time.Millisecond)
 			e.source.Received(number, e.from.clock(now))
-		case 2: // a freeze of all, suspended or not: true time passes
+		case 2: // all processes freeze, suspended or not, while true time passes
 			now += within(6 * time.Second)
-		case 3: // a word, written now, that arrives much later
-			if e.from.knows && e.source.number > 0 {
-				e.words = append(e.words, carried{e.source.Word(e.from.proved), e.from.made, now + within(5*time.Second)})
+		case 3: // a report is written now and arrives much later
+			if e.from.hasProof && e.source.number > 0 {
+				e.inFlight = append(e.inFlight, report{e.source.Word(e.from.proved), e.from.made, now + within(5*time.Second)})
 			}
 		default:
 			worst = max(worst, e.deliver(now, apply))
@@ -84,13 +84,13 @@
 	return worst
 }
 
-// deliver hands the words that have arrived to their follower.
+// deliver hands the reports that have arrived to their follower.
 func (e *edge) deliver(now time.Duration, apply rule) time.Duration {
 	worst := time.Duration(-1 << 62)
-	var rest []carried
-	for _, w := range e.words {
+	var remaining []report
+	for _, w := range e.inFlight {
 		if w.arrives > now {
-			rest = append(rest, w)
+			remaining = append(remaining, w)
 			continue
 		}
 		at, known := apply(e, w, now)
@@ -98,53 +98,53 @@
 			continue
 		}
 		worst = max(worst, at-e.to.clock(w.made))
-		if !e.to.knows || at > e.to.proved {
-			e.to.proved, e.to.made, e.to.knows = at, w.made, true
+		if !e.to.hasProof || at > e.to.proved {
+			e.to.proved, e.to.made, e.to.hasProof = at, w.made, true
 		}
 	}
-	e.words = rest
+	e.inFlight = remaining
 	return worst
 }
 
-func TestNoProofIsTakenForYoungerThanItIs(t *testing.T) {
+func TestTheAgeOfAProofIsNeverUnderestimated(t *testing.T) {
 	for seed := range uint64(500) {
-		assert.Assert(t, youngest(seed, real) <= 0, "seed %d", seed)
+		assert.Assert(t, maxUnderestimate(seed, actualRule) <= 0, "seed %d", seed)
 	}
 }
 
-// TestTheModelFindsProofsThatAreTakenForYounger: rules that look right and are not, each of
-// which the model above tells from the real one.
-func TestTheModelFindsProofsThatAreTakenForYounger(t *testing.T) {
-	broken := map[string]rule{
-		"counted from the arrival of the word": func(e *edge, _ carried, now time.Duration) (time.Duration, bool) {
+// TestTheModelDetectsUnderestimatedAges: the model detects each of these rules, which look right
+// and underestimate the age of a proof.
+func TestTheModelDetectsUnderestimatedAges(t *testing.T) {
+	wrongRules := map[string]rule{
+		"counted from the arrival of the report": func(e *edge, _ report, now time.Duration) (time.Duration, bool) {
 			return e.to.clock(now), true
 		},
-		"counted from the newest request": func(e *edge, w carried, _ time.Duration) (time.Duration, bool) {
-			return e.follower.sent[e.follower.number%kept] + w.After, e.follower.number > 0
+		"counted from the newest request": func(e *edge, w report, _ time.Duration) (time.Duration, bool) {
+			return e.follower.sent[e.follower.number%maxRequests] + w.After, e.follower.number > 0
 		},
-		"the age at the source, from the arrival": func(e *edge, w carried, now time.Duration) (time.Duration, bool) {
+		"the age at the source, from the arrival": func(e *edge, w report, now time.Duration) (time.Duration, bool) {
 			age := w.arrives - w.made - 50*time.Millisecond
 			return e.to.clock(now) - min(age, 200*time.Millisecond), true
 		},
 	}
-	for name, apply := range broken {
+	for name, apply := range wrongRules {
 		found := false
 		for seed := range uint64(50) {
-			found = found || youngest(seed, apply) > 0
+			found = found || maxUnderestimate(seed, apply) > 0
 		}
 		assert.Assert(t, found, name)
 	}
 }
 
-func TestWordsThatCanNotBePlacedProveNothing(t *testing.T) {
+func TestReportsOfUnknownRequestsProveNothing(t *testing.T) {
 	var f Follower
 	_, known := f.Proved(Word{Number: 1}, time.Hour)
 	assert.Assert(t, !known, "no request was sent")
-	for range kept + 1 {
+	for range maxRequests + 1 {
 		f.Ask(time.Second)
 	}
 	_, known = f.Proved(Word{Number: 1}, time.Hour)
-	assert.Assert(t, !known, "the request is forgotten")
+	assert.Assert(t, !known, "the request is no longer remembered")
 	_, known = f.Proved(Word{Number: 2}, time.Hour)
 	assert.Assert(t, known)
 }
