--- a/core/replica/replica.go
+++ b/core/replica/replica.go
@@ -1,14 +1,13 @@
-// Package replica holds a process's copy of one kind of objects of the platform's
-// store: their newest content, the store's revision up to which it is whole, and the
-// latest changes, from which another process's copy is brought up to date. It does no I/O
-// and knows no clock.
+// Package replica holds a process's copy of one kind of objects of the platform's store: their
+// newest content, the store's revision up to which the copy is complete, and the latest changes,
+// from which the copy of another process is brought up to date. It does no I/O and uses no clock.
 //
-// Why a copy is right whatever it is fed from: a Delta holds all changes after one
-// revision up to another. Applied to a copy whose revision lies between the two, it
-// leaves each object that it names as its last change says, which is its state at the end
-// of the Delta, and those that it does not name had no change after its beginning. So
-// changes that a copy has seen may be applied again, and only a Delta that begins after
-// the copy's revision would leave a gap; Apply refuses it.
+// Why a copy is correct whichever process feeds it: a Delta holds all changes after one revision up
+// to another. Applied to a copy whose revision lies between the two, it sets each object that it
+// names to its last change, which is the object's state at the end of the Delta; objects that it
+// does not name have not changed since its beginning. So changes that a copy has already seen may
+// be applied again. Only a Delta that begins after the copy's revision would leave a gap; Apply
+// refuses it.
 package replica
 
 import (
@@ -20,24 +19,24 @@
 // Object is one object of the store.
 type Object struct {
 	Name string
-	// Revision is that of its last change.
+	// Revision is the revision of the object's last change.
 	Revision int64
 	Spec     json.RawMessage
 }
 
-// Change is one object's change.
+// Change is the change of one object.
 type Change struct {
 	Object  Object
 	Deleted bool
 }
 
-// Delta is what brings a copy from one revision to another.
+// Delta brings a copy from one revision to another.
 type Delta struct {
-	// Reset is set if Changes are all objects there are, none deleted, whatever was before.
+	// Reset is set if Changes are all existing objects, none deleted, and replace the copy.
 	Reset bool
-	// After is the revision up to which the copy must be whole; nothing with Reset.
+	// After is the revision up to which the copy must be complete; unused with Reset.
 	After int64
-	// Revision is the store's up to which the copy is whole afterwards.
+	// Revision is the store's revision up to which the copy is complete afterwards.
 	Revision int64
 	Changes  []Change
 }
@@ -47,28 +46,29 @@
 	objects  map[string]Object
 	revision int64
 	known    bool
-	// recent are the latest deltas, oldest first, each beginning where the one before ends.
+	// recent holds the latest deltas, oldest first, each beginning at the revision where the
+	// previous one ends.
 	recent []Delta
-	// recentChanges is how many changes they hold together.
+	// recentChanges is the number of changes in all recent deltas.
 	recentChanges int
 }
 
-// New returns a Replica that knows nothing.
+// New returns an empty Replica.
 func New() *Replica { return &Replica{objects: make(map[string]Object)} }
 
-// Known tells whether the copy has been whole once.
+// Known reports whether the copy has ever been complete.
 func (r *Replica) Known() bool { return r.known }
 
-// Revision returns the store's revision up to which the copy is whole; 0 before the first.
+// Revision returns the store's revision up to which the copy is complete; 0 before the first reset.
 func (r *Replica) Revision() int64 { return r.revision }
 
 // Size returns the number of objects.
 func (r *Replica) Size() int { return len(r.objects) }
 
-// Apply takes a Delta over and tells whether it was news. The error is that of a Delta
-// that begins after what the copy knows. One that ends before is passed over: a copy never
-// goes back.
-func (r *Replica) Apply(d Delta) (news bool, err error) {
+// Apply applies a Delta and reports whether the copy changed; a reset always counts as a change. It
+// returns an error if the Delta begins after the copy's revision. A Delta that ends before the
+// copy's revision is ignored: a copy never goes back.
+func (r *Replica) Apply(d Delta) (changed bool, err error) {
 	if r.known && d.Revision < r.revision {
 		return false, nil
 	}
@@ -85,12 +85,12 @@
 	for _, change := range d.Changes {
 		r.set(change)
 	}
-	r.remember(d)
+	r.retain(d)
 	r.revision = d.Revision
 	return len(d.Changes) > 0, nil
 }
 
-// reset takes over all objects. Copies of before are brought up to date by a reset too.
+// reset replaces all objects. The recent deltas are dropped: older copies need a reset too.
 func (r *Replica) reset(d Delta) {
 	r.objects = make(map[string]Object, len(d.Changes))
 	for _, change := range d.Changes {
@@ -100,7 +100,7 @@
 	r.revision, r.known = d.Revision, true
 }
 
-// set takes one change over.
+// set applies one change.
 func (r *Replica) set(change Change) {
 	if change.Deleted {
 		delete(r.objects, change.Object.Name)
@@ -109,10 +109,10 @@
 	r.objects[change.Object.Name] = change.Object
 }
 
-// remember keeps a delta for copies that follow this one. Deltas without changes only
-// move the end of the one before. When there are more changes than objects, a reset is the
-// shorter way, and the oldest deltas are dropped.
-func (r *Replica) remember(d Delta) {
+// retain keeps a delta for the copies that follow this one. A delta without changes only moves the
+// end of the previous one. Once there are more changes than objects, a reset is shorter, and the
+// oldest deltas are dropped.
+func (r *Replica) retain(d Delta) {
 	if len(d.Changes) == 0 && len(r.recent) > 0 {
 		r.recent[len(r.recent)-1].Revision = d.Revision
 		return
@@ -126,27 +126,26 @@
 	}
 }
 
-// Since returns what brings a copy of a revision up to date; a negative revision is that of
-// a copy that knows nothing. It returns false if there is nothing to tell: this copy knows
-// nothing itself, or no more than the other one.
+// Since returns the Delta that brings a copy of a revision up to date; a negative revision stands
+// for an empty copy. It returns false if this copy is empty or no newer than the other one.
 func (r *Replica) Since(revision int64) (Delta, bool) {
 	if !r.known || revision >= r.revision {
 		return Delta{}, false
 	}
 	if revision < 0 || len(r.recent) == 0 || r.recent[0].After > revision {
-		return r.all(), true
+		return r.snapshot(), true
 	}
 	d := Delta{After: revision, Revision: r.revision}
-	for _, one := range r.recent {
-		if one.Revision > revision {
-			d.Changes = append(d.Changes, one.Changes...)
+	for _, delta := range r.recent {
+		if delta.Revision > revision {
+			d.Changes = append(d.Changes, delta.Changes...)
 		}
 	}
 	return d, true
 }
 
-// all returns the whole copy.
-func (r *Replica) all() Delta {
+// snapshot returns the whole copy as a reset.
+func (r *Replica) snapshot() Delta {
 	d := Delta{Reset: true, Revision: r.revision, Changes: make([]Change, 0, len(r.objects))}
 	for _, object := range r.objects {
 		d.Changes = append(d.Changes, Change{Object: object})
--- a/core/replica/replica_test.go
+++ b/core/replica/replica_test.go
@@ -23,10 +23,10 @@
 	return r
 }
 
-func TestACopyThatKnowsNothingTellsNothing(t *testing.T) {
+func TestAnEmptyCopyReturnsNoDelta(t *testing.T) {
 	r := New()
-	_, told := r.Since(-1)
-	assert.Assert(t, !told && !r.Known())
+	_, found := r.Since(-1)
+	assert.Assert(t, !found && !r.Known())
 	_, err := r.Apply(Delta{After: 1, Revision: 2})
 	assert.ErrorContains(t, err, "do not fit")
 }
@@ -40,72 +40,72 @@
 
 func TestACopyNeverGoesBack(t *testing.T) {
 	r := filled(t)
-	news, err := r.Apply(Delta{Reset: true, Revision: 9})
+	changed, err := r.Apply(Delta{Reset: true, Revision: 9})
 	assert.NilError(t, err)
-	assert.Assert(t, !news)
+	assert.Assert(t, !changed)
 	assert.Equal(t, r.Size(), 2)
 }
 
-func TestAnEndThatMovesWithoutChangesIsNoNews(t *testing.T) {
+func TestARevisionWithoutChangesLeavesTheCopyUnchanged(t *testing.T) {
 	r := filled(t)
-	news, err := r.Apply(Delta{After: 10, Revision: 30})
+	changed, err := r.Apply(Delta{After: 10, Revision: 30})
 	assert.NilError(t, err)
-	assert.Assert(t, !news)
+	assert.Assert(t, !changed)
 	assert.Equal(t, r.Revision(), int64(30))
-	d, told := r.Since(10)
-	assert.Assert(t, told && !d.Reset && len(d.Changes) == 0 && d.Revision == 30)
+	d, found := r.Since(10)
+	assert.Assert(t, found && !d.Reset && len(d.Changes) == 0 && d.Revision == 30)
 }
 
-func TestOldCopiesGetAllObjectsOnceTheChangesAreMore(t *testing.T) {
+func TestOldCopiesGetAResetOnceChangesOutnumberObjects(t *testing.T) {
 	r := filled(t)
 	for revision := int64(11); revision < 15; revision++ {
 		_, err := r.Apply(Delta{After: revision - 1, Revision: revision, Changes: []Change{change("a", revision)}})
 		assert.NilError(t, err)
 	}
-	d, told := r.Since(13)
-	assert.Assert(t, told && !d.Reset && len(d.Changes) == 1)
-	d, told = r.Since(10)
-	assert.Assert(t, told && d.Reset && len(d.Changes) == 2)
+	d, found := r.Since(13)
+	assert.Assert(t, found && !d.Reset && len(d.Changes) == 1)
+	d, found = r.Since(10)
+	assert.Assert(t, found && d.Reset && len(d.Changes) == 2)
 }
 
-// TestCopiesThatFollowCopiesEndAlike: over random chains, with deltas that overlap, come
-// late or twice, each copy holds what the store held at its revision.
-func TestCopiesThatFollowCopiesEndAlike(t *testing.T) {
+// TestChainedCopiesMatchTheStore: over random chains, with deltas that overlap or arrive late or
+// twice, each copy holds the store's state at the copy's revision.
+func TestChainedCopiesMatchTheStore(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		store, states := New(), map[int64]map[string]Object{}
 		_, err := store.Apply(Delta{Reset: true, Revision: 1})
 		assert.NilError(t, err)
 		copies := []*Replica{store, New(), New(), New()}
-		var late []Delta
+		var sent []Delta
 		for revision := int64(2); revision < 60; revision++ {
-			one := change(fmt.Sprint("o", random.IntN(6)), revision)
-			one.Deleted = random.IntN(4) == 0
-			_, err := store.Apply(Delta{After: revision - 1, Revision: revision, Changes: []Change{one}})
+			next := change(fmt.Sprint("o", random.IntN(6)), revision)
+			next.Deleted = random.IntN(4) == 0
+			_, err := store.Apply(Delta{After: revision - 1, Revision: revision, Changes: []Change{next}})
 			assert.NilError(t, err)
-			states[revision] = copied(store.objects)
+			states[revision] = cloned(store.objects)
 			to := copies[1+random.IntN(3)]
 			from := copies[random.IntN(len(copies))]
 			at := to.revision
 			if !to.known {
 				at = -1
 			}
-			if d, told := from.Since(at); told {
-				late = append(late, d)
-				take(t, to, d, states)
+			if d, found := from.Since(at); found {
+				sent = append(sent, d)
+				applyAndCompare(t, to, d, states)
 			}
-			if len(late) > 0 && random.IntN(2) == 0 {
-				d := late[random.IntN(len(late))]
+			if len(sent) > 0 && random.IntN(2) == 0 {
+				d := sent[random.IntN(len(sent))]
 				if d.Reset || to.known && d.After <= to.revision {
-					take(t, to, d, states)
+					applyAndCompare(t, to, d, states)
 				}
 			}
 		}
 	}
 }
 
-// take applies a delta and compares the copy with what the store held.
-func take(t *testing.T, to *Replica, d Delta, states map[int64]map[string]Object) {
+// applyAndCompare applies a delta and compares the copy with the store's state at that revision.
+func applyAndCompare(t *testing.T, to *Replica, d Delta, states map[int64]map[string]Object) {
 	t.Helper()
 	_, err := to.Apply(d)
 	assert.NilError(t, err)
@@ -114,11 +114,11 @@
 	}
 }
 
-// copied returns a copy of a map.
-func copied(objects map[string]Object) map[string]Object {
-	own := make(map[string]Object, len(objects))
+// cloned returns a copy of a map.
+func cloned(objects map[string]Object) map[string]Object {
+	clone := make(map[string]Object, len(objects))
 	for name, object := range objects {
-		own[name] = object
+		clone[name] = object
 	}
-	return own
+	return clone
 }
