--- a/core/fleet/delta.go
+++ b/core/fleet/delta.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// Delta moves a process from one host list to a later one.
+// Delta brings a process from one version of the host list to a later one.
 type Delta struct {
 	Version uint64
-	// Base is the version that the delta begins at; zero if it is the whole list.
+	// Base is the version that the delta starts from; 0 if the delta is the whole list.
 	Base uint64
-	// Changed are the hosts that are new or changed; Removed names those that are gone.
+	// Changed are the hosts that are new or changed; Removed are the names of the removed ones.
 	Changed []Host
 	Removed []string
 }
 
-// Sorted returns the list with its hosts in order of name.
+// Sorted returns the list with its hosts sorted by name.
 func (l List) Sorted() List {
 	hosts := slices.Clone(l.Hosts)
 	slices.SortStableFunc(hosts, func(a, b Host) int { return cmp.Compare(a.Name, b.Name) })
@@ -31,8 +31,8 @@
 	return l.Hosts[i], true
 }
 
-// Between returns the delta that leads from one sorted list to another. A from
-// without a version leads from nothing.
+// Between returns the delta from one sorted list to another. A from list of version 0 counts as
+// empty.
 func Between(from, to List) Delta {
 	d := Delta{Version: to.Version, Base: from.Version}
 	for _, host := range to.Hosts {
@@ -48,19 +48,19 @@
 	return d
 }
 
-// Apply returns the list that the delta leads to from l, whose version must be
-// the delta's base unless the delta is the whole list.
+// Apply returns the list after the delta. The version of l must be the delta's base, unless the
+// delta is the whole list.
 func (l List) Apply(d Delta) List {
-	gone := map[string]bool{}
+	replaced := map[string]bool{}
 	for _, name := range d.Removed {
-		gone[name] = true
+		replaced[name] = true
 	}
 	for _, host := range d.Changed {
-		gone[host.Name] = true
+		replaced[host.Name] = true
 	}
 	next := List{Version: d.Version, Hosts: slices.Clone(d.Changed)}
 	for _, host := range l.Hosts {
-		if d.Base != 0 && !gone[host.Name] {
+		if d.Base != 0 && !replaced[host.Name] {
 			next.Hosts = append(next.Hosts, host)
 		}
 	}
--- a/core/fleet/delta_test.go
+++ b/core/fleet/delta_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawList draws a list out of few names, so that two lists have much in common.
+// drawList draws a list from few names, so that two lists have many hosts in common.
 func drawList(t *rapid.T, version uint64) List {
 	list := List{Version: version}
 	for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 20), 0, 15, rapid.ID).Draw(t, "hosts") {
--- a/core/fleet/host.go
+++ b/core/fleet/host.go
@@ -1,7 +1,7 @@
-// Package fleet holds what is known of the hosts: entries and upstreams.
+// Package fleet describes the hosts of a fleet: entries and upstreams.
 package fleet
 
-// Role tells what runs on a host.
+// Role is the kind of process that runs on a host.
 type Role string
 
 // The roles of hosts.
@@ -10,22 +10,22 @@
 	RoleUpstream Role = "upstream"
 )
 
-// Host is one line of the platform's host list.
+// Host is one entry of the platform's host list.
 type Host struct {
-	// Name is unique: the entry's or the upstream's name.
+	// Name is unique: the name of the entry or upstream.
 	Name string `json:"name"`
 	Role Role   `json:"role"`
 	// Service is the upstream's group; empty for entries.
 	Service string `json:"service,omitempty"`
 	Zone    string `json:"zone"`
 	Region  string `json:"region,omitempty"`
-	// Addr is the IP:port of the entry's or side's drpc listener.
+	// Addr is the IP:port of the drpc listener of the entry or of the upstream's sidecar.
 	Addr string `json:"addr"`
-	// Leaving is set while the host is about to go.
+	// Leaving is set while the host is about to be removed.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// List is the host list at one version.
+// List is one version of the host list.
 type List struct {
 	Version uint64 `json:"version"`
 	Hosts   []Host `json:"hosts"`
