--- a/core/fingerprint/fingerprint.go
+++ b/core/fingerprint/fingerprint.go
@@ -1,5 +1,5 @@
-// Package fingerprint recognises a request that is sent again under another id: attempts with
-// the same workspace, method, host, target and body have the same fingerprint.
+// Package fingerprint recognises a request that is sent again under another id: attempts with the
+// same workspace, method, host, target and body have the same fingerprint.
 package fingerprint
 
 import (
@@ -10,16 +10,16 @@
 	"acaciawinch/core/fault"
 )
 
-// size is the number of bytes of a Fingerprint: too many for a client to find a request with
-// the fingerprint of another one.
+// size is the number of bytes of a Fingerprint: enough that a client can't find a request with the
+// fingerprint of another one.
 const size = 16
 
-// Fingerprint identifies what a request asks for.
+// Fingerprint identifies a request across its attempts.
 type Fingerprint [size]byte
 
-// Request is what a Fingerprint is made of.
+// Request holds the parts of a request that its Fingerprint covers.
 type Request struct {
-	// Workspace is who holds the client's key, empty on routes without keys.
+	// Workspace is the owner of the client's key, empty on routes without keys.
 	Workspace string
 	Method    string
 	Host      string
@@ -33,7 +33,7 @@
 	hash := sha256.New()
 	var length [8]byte
 	for _, part := range [][]byte{[]byte(r.Workspace), []byte(r.Method), []byte(r.Host), []byte(r.Target), r.Body} {
-		binary.BigEndian.PutUint64(length[:], uint64(len(part))) // keeps parts of different lengths apart
+		binary.BigEndian.PutUint64(length[:], uint64(len(part))) // keeps the parts apart: "ab", "c" and "a", "bc" differ
 		_, _ = hash.Write(length[:])                             // a hash never fails to write
 		_, _ = hash.Write(part)                                  // as above
 	}
@@ -43,7 +43,7 @@
 // String returns the fingerprint in hexadecimal.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// Parse returns the fingerprint that String wrote.
+// Parse returns the fingerprint that String returned as text.
 func Parse(text string) (Fingerprint, error) {
 	content, err := hex.DecodeString(text)
 	if err != nil || len(content) != size {
--- a/core/fingerprint/fingerprint_test.go
+++ b/core/fingerprint/fingerprint_test.go
@@ -8,7 +8,7 @@
 	"acaciawinch/core/fault"
 )
 
-func TestEachPartTellsRequestsApart(t *testing.T) {
+func TestEachPartChangesTheFingerprint(t *testing.T) {
 	base := Request{Workspace: "w", Method: "POST", Host: "h", Target: "/a?b=1", Body: []byte("body")}
 	seen := map[Fingerprint]bool{Of(base): true}
 	for _, change := range []func(*Request){
@@ -28,7 +28,7 @@
 	assert.Equal(t, Of(base), Of(base))
 }
 
-func TestAFingerprintIsReadAsItIsWritten(t *testing.T) {
+func TestParseReversesString(t *testing.T) {
 	written := Of(Request{Target: "/x"})
 	read, err := Parse(written.String())
 	assert.NilError(t, err)
