--- a/core/rendezvous/rendezvous.go
+++ b/core/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous scores names for keys by highest random weight: all processes
-// compute the same order without talking, and a name that goes moves only the keys
-// that it led.
+// Package rendezvous scores names for keys by highest random weight: all processes compute the same
+// order without communication, and a name that is removed moves only the keys for which it ranked
+// first.
 package rendezvous
 
 import "hash/fnv"
