--- a/core/elapsed/elapsed.go
+++ b/core/elapsed/elapsed.go
@@ -22,7 +22,7 @@
 	// spreadFactor is the assumed distance of the shortest time of a first request below the
 	// median, as a multiple of the distance of the longest time above it. 1 would do if the times
 	// of first requests were spread evenly. But retried requests lower the median, and a first
-	// request that is taken for a retry would be let wait behind others.
+	// request that is taken for a retry would have to wait behind others.
 	spreadFactor = 1.2
 )
 
--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -19,8 +19,8 @@
 // its trials sooner and gets more of them, since upstreams that crash together break off such
 // requests at several upstreams.
 //
-// "Proven" requests are those that completed before they were suspected. An incarnation is one run
-// of an upstream.
+// A proven request is one that a gateway has seen complete before. An incarnation is one run of an
+// upstream or gateway. Trials are single sends of a refused request.
 //
 // The package does no I/O and reads no wall clock: times count from the start of the machine. It is
 // not safe for concurrent use.
