--- a/core/pool/bench_test.go
+++ b/core/pool/bench_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// BenchmarkArrivalAtABusyPool times a task that comes to a pool whose upstreams are all
-// busy, with 300 tasks of six items waiting, as in a burst on 15 upstreams.
+// BenchmarkArrivalAtABusyPool measures the arrival of a task at a pool whose upstreams are
+// all busy, with 300 tasks of six items waiting, as in a burst on 15 upstreams.
 func BenchmarkArrivalAtABusyPool(b *testing.B) {
 	p := newPool(15)
 	for ticket := Ticket(1); ticket <= 300; ticket++ {
--- a/core/pool/order.go
+++ b/core/pool/order.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// classFactor is how much less than the most valuable item of a class one may count for
-// and still be of that class: estimates are within a factor of 1.8 of what operators gave
-// (TestTheEstimateAgreesWithWhatOperatorsGave), and within that the age of a task says more.
+// classFactor is the largest ratio between the values per item of two tasks of one class.
+// Estimated values are within a factor of 1.8 of those given by operators
+// (TestEstimateAgreesWithOperatorValues); within that the due time says more.
 const classFactor = 2
 
-// sort orders the queue. Tasks that can still be on time go before those that are
-// late already: under a burst, time spent on late ones makes the others late too.
-// Among those in time the rank decides, then the class of the value, then the later due time.
+// sort orders the queue. Tasks that are in time go before late ones: in a burst, time
+// spent on late tasks makes the others late too. Tasks in time are ordered by rank, then by
+// value class, then by due time, the latest first.
 func (p *Pool) sort(now time.Time) {
 	shortest := time.Duration(float64(p.callTime(p.settings.Batch)) * p.slowdown)
 	for _, g := range p.queue {
@@ -21,37 +21,37 @@
 		}
 	}
 	p.classify()
-	sort.SliceStable(p.queue, func(i, j int) bool { return before(p.queue[i], p.queue[j]) })
+	sort.SliceStable(p.queue, func(i, j int) bool { return less(p.queue[i], p.queue[j]) })
 }
 
-// classify sorts the tasks into classes: of each rank, those that count for about the same
-// by item. Where a pool can't make all in time, its items go where they count for most
-// (TestAnOverfullPoolMakesWhatCountsForMost).
+// classify groups the tasks of each rank into classes of about the same value per item. A
+// pool that can't do all tasks in time thus does those of the highest value per item
+// (TestOverloadedPoolServesTheMostValue).
 func (p *Pool) classify() {
 	sort.SliceStable(p.queue, func(i, j int) bool {
 		a, b := p.queue[i], p.queue[j]
 		if a.Rank != b.Rank {
 			return a.Rank < b.Rank
 		}
-		return a.perItem() > b.perItem()
+		return a.valuePerItem() > b.valuePerItem()
 	})
-	class, rank, most := 0, 0, 0.0
+	class, rank, highest := 0, 0, 0.0
 	for i, g := range p.queue {
-		if i == 0 || g.Rank != rank || g.perItem()*classFactor < most {
+		if i == 0 || g.Rank != rank || g.valuePerItem()*classFactor < highest {
 			class++
-			rank, most = g.Rank, g.perItem()
+			rank, highest = g.Rank, g.valuePerItem()
 		}
 		g.class = class
 	}
 }
 
-// perItem returns what each waiting item of a task counts for.
-func (g *group) perItem() float64 { return g.Value / float64(max(1, len(g.items))) }
+// valuePerItem returns the value of the task divided by the number of its waiting items.
+func (g *group) valuePerItem() float64 { return g.Value / float64(max(1, len(g.items))) }
 
-// before tells whether a goes before b. Of two timely tasks of a class the newer one goes
-// first: with the older one first a burst leaves each task just in time at one pool and late at
-// the next (TestABurstOnAChainLeavesMostOfWhatItsPoolsTakeInTime).
-func before(a, b *group) bool {
+// less reports whether a goes before b. Of two tasks of a class that are in time, the one
+// that is due later goes first: in the opposite order a burst leaves each task just in time
+// at one pool and late at the next (TestBurstOnAChainLeavesMostOfItsCapacityInTime).
+func less(a, b *group) bool {
 	switch {
 	case a.late != b.late:
 		return b.late
--- a/core/pool/order_test.go
+++ b/core/pool/order_test.go
@@ -8,90 +8,91 @@
 	"gotest.tools/v3/assert"
 )
 
-// valued returns a task with a value.
-func valued(ticket Ticket, due time.Duration, value float64) *Task {
-	one := task(ticket, due)
-	one.Value = value
-	return one
+// taskWithValue returns a task with a value.
+func taskWithValue(ticket Ticket, due time.Duration, value float64) *Task {
+	created := task(ticket, due)
+	created.Value = value
+	return created
 }
 
-func TestTasksOfMoreValueGoFirstAndTheNewestOfAClass(t *testing.T) {
+func TestTasksOfMoreValueGoFirstThenTheLatestDue(t *testing.T) {
 	p := newPool(1)
-	for _, one := range []*Task{
-		valued(1, 3*time.Second, 1), valued(2, time.Second, 10), valued(3, 2*time.Second, 8), valued(4, 2*time.Second, 2),
+	for _, queued := range []*Task{
+		taskWithValue(1, 3*time.Second, 1), taskWithValue(2, time.Second, 10), taskWithValue(3, 2*time.Second, 8), taskWithValue(4, 2*time.Second, 2),
 	} {
-		p.Add(one, 1)
+		p.Add(queued, 1)
 	}
 	assert.DeepEqual(t, tickets(p.Next(start)), []Ticket{3, 2, 1, 4})
 }
 
 func TestTheRankGoesBeforeTheValue(t *testing.T) {
 	p := newPool(1)
-	rich := valued(1, time.Second, 100)
-	rich.Rank = 1
-	p.Add(rich, 1)
-	p.Add(valued(2, time.Second, 1), 1)
+	valuable := taskWithValue(1, time.Second, 100)
+	valuable.Rank = 1
+	p.Add(valuable, 1)
+	p.Add(taskWithValue(2, time.Second, 1), 1)
 	assert.DeepEqual(t, tickets(p.Next(start)), []Ticket{2, 1})
 }
 
-func TestTheValueIsThatOfAnItem(t *testing.T) {
+func TestTasksAreOrderedByValuePerItem(t *testing.T) {
 	p := newPool(1)
-	p.Add(valued(1, time.Second, 9), 6)
-	p.Add(valued(2, time.Second, 4), 1)
+	p.Add(taskWithValue(1, time.Second, 9), 6)
+	p.Add(taskWithValue(2, time.Second, 4), 1)
 	assert.DeepEqual(t, tickets(p.Next(start)), []Ticket{2, 1, 1, 1, 1, 1, 1})
 }
 
-func TestTasksOfMuchLessValueAreNoWait(t *testing.T) {
+func TestWaitLeavesOutTasksOfMuchLessValue(t *testing.T) {
 	p := newPool(0)
 	p.SetUpstreams(upstreams(1))
 	p.Next(start)
 	for ticket := Ticket(1); ticket <= 9; ticket++ {
-		p.Add(valued(ticket, 10*time.Second, 1), settings.Batch)
+		p.Add(taskWithValue(ticket, 10*time.Second, 1), settings.Batch)
 	}
-	assert.Equal(t, p.Wait(0, 3), p.after(0))
-	assert.Equal(t, p.Wait(0, 2), p.after(9*settings.Batch), "twice as much is of the same class")
+	assert.Equal(t, p.Wait(0, 3), p.waitBehind(0))
+	assert.Equal(t, p.Wait(0, 2), p.waitBehind(9*settings.Batch), "twice the value is in the same class")
 }
 
-// earned replays a load on one pool and returns the share of the value offered that is in
-// time. Of the tasks half have more value; they are told apart if known is set.
-func earned(site sitePool, rate float64, more float64, known bool) float64 {
-	sim := &simulation{site: site, pool: New(site.pool), random: rand.New(rand.NewPCG(1, 2)), now: start, limit: 1100 * time.Millisecond}
-	sim.pool.SetUpstreams(upstreams(site.workers))
-	worth := make(map[Ticket]float64)
-	sim.valued = func(ticket Ticket) float64 {
-		worth[ticket] = 1
+// valueInTime replays a load on one pool and returns the share of the offered value that is
+// done in time. Half of the tasks have the value higher, the others 1; the pool is given these
+// values if known is set.
+func valueInTime(load deploymentPool, rate float64, higher float64, known bool) float64 {
+	sim := &simulation{load: load, pool: New(load.pool), random: rand.New(rand.NewPCG(1, 2)), now: start, limit: 1100 * time.Millisecond}
+	sim.pool.SetUpstreams(upstreams(load.workers))
+	values := make(map[Ticket]float64)
+	sim.valueOf = func(ticket Ticket) float64 {
+		values[ticket] = 1
 		if ticket%2 == 0 {
-			worth[ticket] = more
+			values[ticket] = higher
 		}
 		if !known {
 			return 0
 		}
-		return worth[ticket]
+		return values[ticket]
 	}
-	sim.done = func(ticket Ticket) { worth[ticket] = -worth[ticket] }
-	gap := float64(site.itemsPerTask) / (site.itemsPerSecond * rate) * float64(time.Second)
+	sim.done = func(ticket Ticket) { values[ticket] = -values[ticket] }
+	gap := float64(load.itemsPerTask) / (load.itemsPerSecond * rate) * float64(time.Second)
 	for arrival := start; arrival.Before(start.Add(20 * time.Second)); arrival = arrival.Add(time.Duration(sim.random.ExpFloat64() * gap)) {
 		sim.advance(arrival)
 		sim.arrive()
 	}
 	sim.advance(start.Add(40 * time.Second))
 	var offered, inTime float64
-	for _, w := range worth {
-		if w < 0 {
-			inTime -= w
-			w = -w
+	for _, value := range values {
+		if value < 0 {
+			inTime -= value
+			value = -value
 		}
-		offered += w
+		offered += value
 	}
 	return inTime / offered
 }
 
-// TestAnOverfullPoolMakesWhatCountsForMost replays 3 times the standard rate of each
-// pool with two kinds of task of which one counts for 2.6 times as much.
-func TestAnOverfullPoolMakesWhatCountsForMost(t *testing.T) {
-	for _, site := range standardRates {
-		alike, known := earned(site, 3, 2.6, false), earned(site, 3, 2.6, true)
-		t.Logf("%s: %.3f of the value in time if all count alike, %.3f if not", site.name, alike, known)
-		assert.Assert(t, known > alike+0.1, "%s: %.3f against %.3f", site.name, known, alike)
+// TestOverloadedPoolServesTheMostValue replays 3 times the standard rate of each pool with
+// two kinds of task, of which one has 2.6 times the value of the other.
+func TestOverloadedPoolServesTheMostValue(t *testing.T) {
+	for _, load := range standardRates {
+		unknown, known := valueInTime(load, 3, 2.6, false), valueInTime(load, 3, 2.6, true)
+		t.Logf("%s: %.3f of the value in time if values are unknown, %.3f if known", load.name, unknown, known)
+		assert.Assert(t, known > unknown+0.1, "%s: %.3f against %.3f", load.name, known, unknown)
 	}
 }
--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -1,10 +1,13 @@
-// Package pool queues the items of one stage pool for all entries together and
-// closes batches. A pool's upstream spends most of a call's time whether the call
-// is full or nearly empty, so the queue is common and a batch is closed only when
-// an upstream is free to take it: the fuller the queue, the fuller the batches.
+// Package pool implements the queue of one stage pool, shared by all gateways, and
+// closes batches from it. Most of a call's time is spent whether the call is full or
+// nearly empty, so there is one queue for all callers, and a batch is closed only when
+// an upstream is free to take it: the longer the queue, the fuller the batches.
 //
-// The package does no I/O and knows no wall clock: time and observations come in
-// as arguments, calls to make come out. It is not safe for concurrent use.
+// A task is one request's stage, made of items that are needed together. A task is in
+// time while it can still be done when it is due, and late after that.
+//
+// The package does no I/O and reads no clock: time and observations are arguments, the
+// calls to make are results. It is not safe for concurrent use.
 package pool
 
 import (
@@ -13,11 +16,11 @@
 	"acaciawinch/core/routes"
 )
 
-// Ticket names one request's stage at this pool.
+// Ticket identifies a task in its pool.
 type Ticket uint64
 
-// Pull is what an item moves to or from one availability zone, in bytes: its inputs
-// lie there, or its result is needed there.
+// Pull is the number of bytes that an item transfers from or to one availability zone,
+// where its inputs are stored or its result is needed.
 type Pull struct {
 	Zone  string
 	Bytes int64
@@ -26,25 +29,25 @@
 // Task is one request's stage: a number of items that are needed together.
 type Task struct {
 	Ticket Ticket
-	// Rank orders tasks: the lowest goes first among those that are in time.
+	// Rank is the priority of the task: among those in time the lowest rank goes first.
 	Rank int
-	// Value is what the request counts for against others of its rank; 0 if unknown.
+	// Value is the value of the request relative to others of its rank; 0 if unknown.
 	Value float64
-	// Due is when the task must be done for the request to be on time.
+	// Due is when the task must be done for the request to meet its latency objective.
 	Due time.Time
-	// Last is when the request ends; no item starts after it.
+	// Last is the deadline of the request; no item starts after it.
 	Last time.Time
 	// Bytes is the approximate size of one result.
 	Bytes int64
-	// Pulls are what each item moves.
+	// Pulls are the transfers of each item.
 	Pulls []Pull
 
-	// late is set once the task can't be on time any more.
+	// late is set once the task can no longer be done when it is due.
 	late bool
 }
 
-// crossing returns how many bytes of an item cross zones if it is made in zone.
-func (t *Task) crossing(zone string) int64 {
+// crossZoneBytes returns how many bytes of an item cross zones if it runs in zone.
+func (t *Task) crossZoneBytes(zone string) int64 {
 	var bytes int64
 	for _, pull := range t.Pulls {
 		if pull.Zone != zone {
@@ -54,23 +57,22 @@
 	return bytes
 }
 
-// Item is one piece of a task.
+// Item is one unit of work of a task.
 type Item struct {
 	Task *Task
-	// Index is the item's place in its task.
+	// Index is the item's position in its task.
 	Index int
-	// tries counts the calls that the item was part of.
-	tries int
+	// attempts counts the calls that the item was part of.
+	attempts int
 }
 
 // Call is a batch for one upstream.
 type Call struct {
 	Upstream routes.Upstream
 	Items    []*Item
-	// Began is when the call was closed.
+	// Began is when the batch was closed.
 	Began time.Time
-	// Expected is how long the call takes if all is well, Patience how long it may take
-	// before it is given up.
+	// Expected is the expected duration of the call, Patience its timeout.
 	Expected, Patience time.Duration
 	bytes              int64
 }
@@ -78,73 +80,74 @@
 // Outcome is how one item of a call ended.
 type Outcome int
 
-// The outcomes of an item.
 const (
-	// Made: there is a result.
+	// Made means that the item has a result.
 	Made Outcome = iota
-	// Again: nothing was made, and another try may work.
+	// Again means that the item has no result and may be retried.
 	Again
-	// NoRoom: the upstream had no room for the result. Results that this pool does not
-	// know of lie there.
+	// NoRoom means that the upstream had no room for the result: it stores results that
+	// this pool does not know of.
 	NoRoom
-	// Ended: nothing was made, and nobody waits any more.
+	// Ended means that the item has no result and that no caller waits for it any more.
 	Ended
 )
 
-// maxTries bounds the calls of one item: a first one, one after an upstream's
-// fault, and one more for the fault of a second.
-const maxTries = 3
+// maxAttempts bounds the calls of one item: the first call and a retry after the
+// failure of each of two upstreams.
+const maxAttempts = 3
 
-// An upstream whose call failed gets no other for a while, unless all have failed:
-// first about two calls' time, after which one try tells, then twice as long up to
-// longestAvoid. Discovery forgets one that crashed after three heartbeats, 3.6 s.
+// An upstream whose call failed is avoided, unless all have failed: first for about the
+// time of two calls, after which one attempt shows whether it has recovered, then for twice
+// as long each time, up to maxAvoidTime. Discovery removes a crashed upstream after three
+// heartbeats, 3.6 s.
 const (
-	firstAvoid   = 800 * time.Millisecond
-	longestAvoid = 3200 * time.Millisecond
-	// leastRest is how long it gets none even if all have failed: a connection that is
-	// refused fails within a round trip, and would use up all tries of an item.
-	leastRest = 200 * time.Millisecond
+	initialAvoidTime = 800 * time.Millisecond
+	maxAvoidTime     = 3200 * time.Millisecond
+	// minAvoidTime is how long a failed upstream is avoided even if all have failed: a refused
+	// connection fails within a round trip, so that immediate retries would use up all
+	// attempts of an item.
+	minAvoidTime = 200 * time.Millisecond
 )
 
-// unknownFor is how long the room that an upstream turned out not to have counts as
-// taken. Results lie there some 300 ms of a busy pool's work.
-const unknownFor = 300 * time.Millisecond
+// unaccountedTTL is how long the room that an upstream turned out not to have counts as
+// used. In a busy pool results are stored for some 300 ms.
+const unaccountedTTL = 300 * time.Millisecond
 
 // Pool is the queue of one service.
 type Pool struct {
 	settings routes.Pool
 	workers  map[string]*worker
-	// queue holds the tasks with waiting items, in the order of the last sort; the later
-	// ones were added since. groups finds them by their tickets.
+	// queue holds the tasks with waiting items, in the order of the last sort, followed by
+	// those added since. groups holds the same tasks by ticket.
 	queue  []*group
 	groups map[Ticket]*group
 	// waiting counts the waiting items.
 	waiting int
-	// slowdown is a moving average of a call's time against the configured one.
+	// slowdown is a moving average of the ratio of measured to configured call time.
 	slowdown float64
-	// fullItems is a moving average of the items of calls that left others waiting; 0 before
-	// the first.
-	fullItems float64
+	// meanFullCallItems is a moving average of the number of items in calls that left other
+	// items waiting; 0 before the first such call.
+	meanFullCallItems float64
 }
 
-// worker is what the pool knows of one upstream.
+// worker is the state of one upstream.
 type worker struct {
-	upstream routes.Upstream
-	calls    int
-	room     int64
-	avoid    time.Time
-	// failed is when a call last failed.
-	failed time.Time
-	// failures counts the calls that failed since one went well.
+	upstream   routes.Upstream
+	calls      int
+	usedBytes  int64
+	avoidUntil time.Time
+	// failedAt is when a call last failed.
+	failedAt time.Time
+	// failures counts the calls that failed since the last success.
 	failures int
-	// unknown is the size of results that the pool does not know of but that must be
-	// there, as there was no room; it counts until unknownUntil.
-	unknown      int64
-	unknownUntil time.Time
-	// until is when the call that runs is expected to end.
-	until time.Time
-	// slow is a moving average of a call's time against the configured one.
-	slow float64
+	// unaccountedBytes estimates the size of stored results that the pool does not know of,
+	// inferred from lack of room; it counts until unaccountedUntil.
+	unaccountedBytes int64
+	unaccountedUntil time.Time
+	// busyUntil is when the running call is expected to end.
+	busyUntil time.Time
+	// slowdown is a moving average of the ratio of measured to configured call time.
+	slowdown float64
 }
 
 // New returns an empty Pool.
@@ -155,13 +158,13 @@
 // Configure replaces the settings.
 func (p *Pool) Configure(settings routes.Pool) { p.settings = settings }
 
-// SetUpstreams replaces the upstreams that get calls; those that take no new work get none.
+// SetUpstreams replaces the upstreams. Those that take no new work get no calls.
 func (p *Pool) SetUpstreams(list []routes.Upstream) {
 	kept := make(map[string]*worker, len(list))
 	for _, upstream := range list {
 		w := p.workers[upstream.ID]
 		if w == nil || w.upstream.Born != upstream.Born {
-			w = &worker{slow: 1} // one that has started again holds nothing of before
+			w = &worker{slowdown: 1} // a new incarnation has no calls and no results
 		}
 		w.upstream = upstream
 		kept[upstream.ID] = w
@@ -169,8 +172,8 @@
 	p.workers = kept
 }
 
-// Evacuated tells whether all upstreams are in zones that are to be emptied: nothing can be
-// made until one is taken back.
+// Evacuated reports whether the pool has upstreams and all of them are in evacuated zones:
+// no item can run until the evacuation of a zone ends.
 func (p *Pool) Evacuated() bool {
 	for _, w := range p.workers {
 		if !w.upstream.Evacuated {
@@ -180,7 +183,7 @@
 	return len(p.workers) > 0
 }
 
-// CallsIn returns how many calls run at the upstreams of a zone.
+// CallsIn returns how many calls are in flight to the upstreams of a zone.
 func (p *Pool) CallsIn(zone string) int {
 	calls := 0
 	for _, w := range p.workers {
@@ -192,8 +195,9 @@
 }
 
 // Finish records that a call ended with an outcome for each of its items, in their
-// order, and returns the items that nobody will try again. Those with outcome
-// Again are queued unless they were tried often enough; want of room is no try.
+// order, and returns the items that will not be retried. Items without a result are
+// queued again unless their outcome is Ended or they have had maxAttempts; NoRoom does
+// not count as an attempt.
 func (p *Pool) Finish(call *Call, outcomes []Outcome, now time.Time) (failed []*Item) {
 	w := p.worker(call.Upstream)
 	for i, item := range call.Items {
@@ -201,13 +205,13 @@
 			continue
 		}
 		if w != nil {
-			w.room -= item.Task.Bytes
+			w.usedBytes -= item.Task.Bytes
 		}
 		if outcomes[i] == NoRoom {
-			item.tries--
-			w.foundFull(item.Task.Bytes, now)
+			item.attempts--
+			w.recordNoRoom(item.Task.Bytes, now)
 		}
-		if outcomes[i] == Ended || item.tries >= maxTries {
+		if outcomes[i] == Ended || item.attempts >= maxAttempts {
 			failed = append(failed, item)
 			continue
 		}
@@ -219,64 +223,63 @@
 	return failed
 }
 
-// Succeed records that an upstream answered a call.
+// Succeed records that an upstream responded to a call.
 func (p *Pool) Succeed(call *Call, now time.Time) {
 	if w := p.worker(call.Upstream); w != nil {
 		w.failures = 0
-		p.learn(w, call, now)
+		p.updateSlowdown(w, call, now)
 	}
 }
 
-// foundFull records that there was no room for a result.
-func (w *worker) foundFull(bytes int64, now time.Time) {
+// recordNoRoom records that there was no room for a result.
+func (w *worker) recordNoRoom(bytes int64, now time.Time) {
 	if w == nil {
 		return
 	}
-	if now.After(w.unknownUntil) {
-		w.unknown = 0
+	if now.After(w.unaccountedUntil) {
+		w.unaccountedBytes = 0
 	}
-	w.unknown += bytes
-	w.unknownUntil = now.Add(unknownFor)
+	w.unaccountedBytes += bytes
+	w.unaccountedUntil = now.Add(unaccountedTTL)
 }
 
-// roomLeft returns how many bytes of results an upstream can still take. All of its room
-// is used: to keep some for results above the configured size costs more items a call than the
-// few that find no room and are tried again.
-func (p *Pool) roomLeft(w *worker, now time.Time) int64 {
-	left := p.settings.RoomBytes - w.room
-	if now.Before(w.unknownUntil) {
-		left -= w.unknown
+// availableBytes returns how many bytes of results an upstream can still store. No room is
+// held back for results above the configured size: that would cost more items per call than
+// the few that find no room and are retried.
+func (p *Pool) availableBytes(w *worker, now time.Time) int64 {
+	available := p.settings.RoomBytes - w.usedBytes
+	if now.Before(w.unaccountedUntil) {
+		available -= w.unaccountedBytes
 	}
-	return left
+	return available
 }
 
-// Fail records that an upstream's call failed as a whole, so that it is left alone
-// for a while.
+// Fail records that a call failed as a whole, so that its upstream is avoided for a while.
 func (p *Pool) Fail(call *Call, now time.Time) {
 	w := p.worker(call.Upstream)
 	if w == nil {
 		return
 	}
-	w.failed = now
-	w.avoid = now.Add(min(firstAvoid<<w.failures, longestAvoid))
+	w.failedAt = now
+	w.avoidUntil = now.Add(min(initialAvoidTime<<w.failures, maxAvoidTime))
 	w.failures = min(w.failures+1, 8)
-	if now.After(w.until) {
-		p.learn(w, call, now) // it took longer than it should: it is slow, or silent
+	if now.After(w.busyUntil) {
+		p.updateSlowdown(w, call, now) // the call overran: the upstream is slow or unresponsive
 	}
 }
 
-// Alone tells whether an upstream answers calls as soon as one that only this pool
-// calls and that is not slow.
+// Alone reports whether an upstream responds as fast as one that is not slow and gets calls
+// from this owner only.
 func (p *Pool) Alone(id string) bool {
 	w := p.workers[id]
-	return w != nil && w.slow < aloneSlow
+	return w != nil && w.slowdown < soleCallerSlowdown
 }
 
-// aloneSlow is how much longer than configured the calls to an upstream may take on
-// average that this pool alone calls. One that two owners call takes twice as long.
-const aloneSlow = 1.25
+// soleCallerSlowdown is the mean slowdown below which an upstream is taken to get calls from
+// this owner only. Calls to an upstream that two owners call take twice as long.
+const soleCallerSlowdown = 1.25
 
-// worker returns what is known of one start of an upstream, nil if it is gone.
+// worker returns the state of one incarnation of an upstream, or nil if it is gone.
 func (p *Pool) worker(upstream routes.Upstream) *worker {
 	w := p.workers[upstream.ID]
 	if w == nil || w.upstream.Born != upstream.Born {
@@ -285,9 +288,9 @@
 	return w
 }
 
-// Free records that results of an upstream, of a total size, are gone.
+// Free records that an upstream has freed results of the given total size.
 func (p *Pool) Free(upstream routes.Upstream, bytes int64) {
 	if w := p.worker(upstream); w != nil {
-		w.room = max(0, w.room-bytes)
+		w.usedBytes = max(0, w.usedBytes-bytes)
 	}
 }
--- a/core/pool/pool_test.go
+++ b/core/pool/pool_test.go
@@ -9,13 +9,13 @@
 	"acaciawinch/core/routes"
 )
 
-// settings are those of a pool with calls of 200 ms and 20 ms an item.
+// settings are the settings of a pool whose calls take 200 ms and 20 ms per item.
 var settings = routes.Pool{Slots: 1, Queue: 2, Batch: 8, CallTime: 200 * time.Millisecond, ItemTime: 20 * time.Millisecond, RoomBytes: 1 << 30}
 
-// start is the time at which the tests begin.
+// start is the start time of the tests.
 var start = time.Unix(1000, 0)
 
-// upstreams returns n upstreams, a zone each.
+// upstreams returns n upstreams, each in its own zone.
 func upstreams(n int) []routes.Upstream {
 	list := make([]routes.Upstream, n)
 	for i := range list {
@@ -41,7 +41,7 @@
 	return p
 }
 
-// task returns a task that is due in a time.
+// task returns a task that is due after the given time.
 func task(ticket Ticket, due time.Duration) *Task {
 	return &Task{Ticket: ticket, Due: start.Add(due), Last: start.Add(10 * time.Second), Bytes: 1000}
 }
@@ -55,8 +55,8 @@
 	return list
 }
 
-// all returns the same outcome for each item of a call.
-func all(call *Call, outcome Outcome) []Outcome {
+// sameOutcomes returns the same outcome for each item of a call.
+func sameOutcomes(call *Call, outcome Outcome) []Outcome {
 	list := make([]Outcome, len(call.Items))
 	for i := range list {
 		list[i] = outcome
@@ -94,8 +94,8 @@
 	soon.Rank, urgent.Rank = 1, 0
 	later := task(4, time.Second)
 	later.Rank = 1
-	for _, one := range []*Task{late, later, soon, urgent} {
-		p.Add(one, 1)
+	for _, queued := range []*Task{late, later, soon, urgent} {
+		p.Add(queued, 1)
 	}
 	assert.DeepEqual(t, tickets(p.Next(start)), []Ticket{3, 4, 2, 1})
 }
@@ -107,14 +107,14 @@
 	assert.DeepEqual(t, tickets(p.Next(start)), []Ticket{2, 1})
 }
 
-// TestLateTasksWithTooManyAheadAreRefusedAtOnce: a late task is not held until its
-// request ends when the queue leaves it no time.
+// TestLateTasksWithTooManyAheadAreRefusedAtOnce checks that a late task does not wait until
+// its request times out if the tasks ahead of it leave too little time.
 func TestLateTasksWithTooManyAheadAreRefusedAtOnce(t *testing.T) {
 	p := newPool(1)
 	for ticket := Ticket(1); ticket <= 30; ticket++ {
-		one := task(ticket, 0)
-		one.Last = start.Add(4 * time.Second)
-		p.Add(one, settings.Batch)
+		late := task(ticket, 0)
+		late.Last = start.Add(4 * time.Second)
+		p.Add(late, settings.Batch)
 	}
 	refused := map[Ticket]bool{}
 	for _, item := range p.Expire(start) {
@@ -130,7 +130,7 @@
 	assert.Equal(t, len(timely.Expire(start)), 0, "tasks that can be in time stay")
 }
 
-func TestTasksThatCanNotEndAreNotSent(t *testing.T) {
+func TestTasksThatCannotEndBeforeTheirDeadlineAreNotSent(t *testing.T) {
 	p := newPool(1)
 	short := task(1, 10*time.Millisecond)
 	short.Last = start.Add(100 * time.Millisecond)
@@ -165,71 +165,71 @@
 	first.Bytes = 3000
 	p.Add(first, 4)
 	call := p.Next(start)
-	assert.Equal(t, len(call.Items), 3, "10,000 bytes take three results")
+	assert.Equal(t, len(call.Items), 3, "10,000 bytes hold three results")
 
-	p.Finish(call, all(call, Made), start)
+	p.Finish(call, sameOutcomes(call, Made), start)
 	p.Succeed(call, start)
-	assert.Assert(t, p.Next(start) == nil, "the results still lie there")
+	assert.Assert(t, p.Next(start) == nil, "the results are still stored")
 	p.Free(call.Upstream, 3000)
 	assert.Equal(t, len(p.Next(start).Items), 1)
 }
 
-func TestWantOfRoomIsNoTryAndBlocksThatMuchForAWhile(t *testing.T) {
+func TestLackOfRoomIsNoAttemptAndReservesRoomForAWhile(t *testing.T) {
 	p := newPoolWithRoom(10_000)
-	one := task(1, 5*time.Second)
-	one.Bytes = 6000
-	p.Add(one, 1)
+	large := task(1, 5*time.Second)
+	large.Bytes = 6000
+	p.Add(large, 1)
 	now := start
-	for range maxTries + 2 {
+	for range maxAttempts + 2 {
 		call := p.Next(now)
 		assert.Assert(t, call != nil)
-		assert.Equal(t, len(p.Finish(call, all(call, NoRoom), now)), 0)
+		assert.Equal(t, len(p.Finish(call, sameOutcomes(call, NoRoom), now)), 0)
 		assert.Assert(t, p.Next(now) == nil, "there is no room yet")
-		now = now.Add(unknownFor)
+		now = now.Add(unaccountedTTL)
 	}
 }
 
-func TestAFailedUpstreamRestsWhileOthersAreBusy(t *testing.T) {
+func TestFailedUpstreamIsAvoidedWhileOthersAreBusy(t *testing.T) {
 	p := newPool(2)
 	p.Add(task(1, time.Second), 8)
 	p.Add(task(2, time.Second), 8)
 	first, second := p.Next(start), p.Next(start)
 	assert.Assert(t, first != nil && second != nil)
 
-	failed := p.Finish(first, all(first, Again), start)
+	failed := p.Finish(first, sameOutcomes(first, Again), start)
 	p.Fail(first, start)
 	assert.Equal(t, len(failed), 0)
-	assert.Assert(t, p.Next(start.Add(leastRest)) == nil, "the other is only busy")
+	assert.Assert(t, p.Next(start.Add(minAvoidTime)) == nil, "the other upstream is only busy")
 
-	p.Finish(second, all(second, Made), start)
+	p.Finish(second, sameOutcomes(second, Made), start)
 	p.Succeed(second, start)
 	again := p.Next(start)
 	assert.Equal(t, again.Upstream.ID, second.Upstream.ID)
 }
 
-func TestUpstreamsThatAllFailedAreTriedAfterARest(t *testing.T) {
+func TestUpstreamsThatAllFailedAreRetriedAfterADelay(t *testing.T) {
 	p := newPool(1)
 	p.Add(task(1, time.Second), 1)
 	call := p.Next(start)
-	p.Finish(call, all(call, Again), start)
+	p.Finish(call, sameOutcomes(call, Again), start)
 	p.Fail(call, start)
-	assert.Assert(t, p.Next(start.Add(leastRest-1)) == nil)
-	assert.Assert(t, p.Next(start.Add(leastRest)) != nil)
+	assert.Assert(t, p.Next(start.Add(minAvoidTime-1)) == nil)
+	assert.Assert(t, p.Next(start.Add(minAvoidTime)) != nil)
 }
 
-func TestAnItemIsTriedSoOftenOnly(t *testing.T) {
+func TestAttemptsOfAnItemAreBounded(t *testing.T) {
 	p := newPool(1)
 	p.Add(task(1, time.Second), 1)
 	now := start
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		call := p.Next(now)
-		failed := p.Finish(call, all(call, Again), now)
+		failed := p.Finish(call, sameOutcomes(call, Again), now)
 		p.Fail(call, now)
 		if len(failed) > 0 {
-			assert.Equal(t, try, maxTries)
+			assert.Equal(t, attempt, maxAttempts)
 			return
 		}
-		now = now.Add(leastRest)
+		now = now.Add(minAvoidTime)
 	}
 }
 
@@ -242,7 +242,7 @@
 	near := task(1, 5*time.Second)
 	near.Pulls = []Pull{{Zone: "zone-a", Bytes: 1 << 20}}
 	p.Add(near, 1)
-	assert.Assert(t, p.Next(start) == nil, "b is free, but a will be in time")
+	assert.Assert(t, p.Next(start) == nil, "b is free, but a will still finish in time")
 
 	hurried := task(2, 400*time.Millisecond)
 	hurried.Pulls = near.Pulls
@@ -272,9 +272,9 @@
 	assert.Equal(t, p.Waiting(), 1)
 }
 
-// TestAnUpstreamThatStartedAgainHoldsNothingOfBefore: its room is empty, and the end of a
-// call to the one before says nothing of it.
-func TestAnUpstreamThatStartedAgainHoldsNothingOfBefore(t *testing.T) {
+// TestNewIncarnationHasNoStateOfTheLastOne checks that a restarted upstream has all of its
+// room, and that the end of a call to its last incarnation does not change its state.
+func TestNewIncarnationHasNoStateOfTheLastOne(t *testing.T) {
 	p := newPoolWithRoom(8000)
 	first := task(1, time.Second)
 	first.Bytes = 1000
@@ -289,13 +289,13 @@
 	second.Bytes = 1000
 	p.Add(second, 8)
 	again := p.Next(start)
-	assert.Assert(t, again != nil, "it is idle")
+	assert.Assert(t, again != nil, "the new incarnation is idle")
 	assert.Equal(t, len(again.Items), 8, "all of its room is free")
 
-	p.Finish(call, all(call, Again), start)
+	p.Finish(call, sameOutcomes(call, Again), start)
 	p.Fail(call, start)
 	p.Free(call.Upstream, 8000)
-	assert.Equal(t, p.workers["a"].calls, 1, "the call to the new one still runs")
-	assert.Equal(t, p.workers["a"].room, int64(8000))
-	assert.Assert(t, !start.Before(p.workers["a"].avoid), "the failure was that of the one before")
+	assert.Equal(t, p.workers["a"].calls, 1, "the call to the new incarnation is still in flight")
+	assert.Equal(t, p.workers["a"].usedBytes, int64(8000))
+	assert.Assert(t, !start.Before(p.workers["a"].avoidUntil), "the failure was that of the last incarnation")
 }
--- a/core/pool/queue.go
+++ b/core/pool/queue.go
@@ -6,11 +6,12 @@
 	"acaciawinch/core/routes"
 )
 
-// group is the waiting items of one task. They stay together, as none is of use alone.
+// group holds the waiting items of one task. They stay together, because a request needs
+// all of them.
 type group struct {
 	*Task
 	items []*Item
-	// class is the place of its class among those of the queue, as sort left it.
+	// class is the number of the task's value class, set by classify; the lowest goes first.
 	class int
 }
 
@@ -36,23 +37,23 @@
 // Cancel drops the waiting items of a task.
 func (p *Pool) Cancel(ticket Ticket) {
 	if p.groups[ticket] != nil {
-		p.drop(func(g *group) bool { return g.Ticket == ticket })
+		p.removeMatching(func(g *group) bool { return g.Ticket == ticket })
 	}
 }
 
-// Expire drops and returns the waiting items that can't be made before their request
-// ends: those for which no time is left, and late ones with too many others ahead of
-// them. The latter are told at once, while their clients can still come back in time. An
-// evacuated pool makes none.
+// Expire drops and returns the waiting items that can't be done before the deadline of their
+// request: those with too little time remaining, and late ones with too many others ahead of
+// them. Late ones fail at once, while their clients can still retry in time. An evacuated
+// pool drops all items.
 func (p *Pool) Expire(now time.Time) []*Item {
 	if p.Evacuated() {
-		return p.drop(func(*group) bool { return true })
+		return p.removeMatching(func(*group) bool { return true })
 	}
 	p.sort(now)
-	opens := p.opens(now)
+	available := p.availableAt(now)
 	ahead := 0
-	return p.drop(func(g *group) bool {
-		if !p.endsInTime(g.Task, opens) || g.late && g.Last.Sub(now) < time.Duration(Doubt*float64(p.after(ahead))) {
+	return p.removeMatching(func(g *group) bool {
+		if !p.canFinish(g.Task, available) || g.late && g.Last.Sub(now) < time.Duration(Doubt*float64(p.waitBehind(ahead))) {
 			return true
 		}
 		ahead += len(g.items)
@@ -60,18 +61,19 @@
 	})
 }
 
-// CanEnd tells whether a call that begins as soon as an upstream takes one would end before the
-// task's request does.
-func (p *Pool) CanEnd(task *Task, now time.Time) bool { return p.endsInTime(task, p.opens(now)) }
+// CanEnd reports whether a call of a task ends before the deadline of its request if it
+// starts as soon as an upstream accepts calls.
+func (p *Pool) CanEnd(task *Task, now time.Time) bool { return p.canFinish(task, p.availableAt(now)) }
 
-// endsInTime tells whether a call that begins at a time would end before the task's request does.
-func (p *Pool) endsInTime(task *Task, begins time.Time) bool {
-	return !begins.Add(p.settings.CallTime + p.settings.ItemTime).After(task.Last)
+// canFinish reports whether a call that starts at the given time ends before the
+// deadline of the task's request.
+func (p *Pool) canFinish(task *Task, starts time.Time) bool {
+	return !starts.Add(p.settings.CallTime + p.settings.ItemTime).After(task.Last)
 }
 
-// opens returns when the first upstream takes a call, which is now unless all that stay have asked
-// for a pause.
-func (p *Pool) opens(now time.Time) time.Time {
+// availableAt returns when the first upstream accepts calls: now, unless all eligible
+// upstreams are backed off.
+func (p *Pool) availableAt(now time.Time) time.Time {
 	return routes.Opens(func(yield func(routes.Upstream) bool) {
 		for _, w := range p.workers {
 			if !yield(w.upstream) {
@@ -81,42 +83,42 @@
 	}, now)
 }
 
-// Doubt is how many times the wait that the queue gives must be left to a late task:
-// those that are in time come in ahead of it. With less, what is held until it fails costs
-// clients more than the few gain that are served late.
+// Doubt is how many times the estimated wait a late task must have remaining to stay in the
+// queue, because tasks that are in time are still queued ahead of it. With a lower factor,
+// tasks that wait and then fail cost clients more than the few gain that are served late.
 const Doubt = 4
 
-// drop removes the tasks that match, or that have no items left, and returns their items.
-func (p *Pool) drop(match func(*group) bool) []*Item {
-	var dropped []*Item
+// removeMatching removes the tasks that match or have no items left, and returns their items.
+func (p *Pool) removeMatching(match func(*group) bool) []*Item {
+	var removed []*Item
 	kept := p.queue[:0]
 	for _, g := range p.queue {
 		if len(g.items) > 0 && !match(g) {
 			kept = append(kept, g)
 			continue
 		}
-		dropped = append(dropped, g.items...)
+		removed = append(removed, g.items...)
 		delete(p.groups, g.Ticket)
 	}
 	clear(p.queue[len(kept):])
 	p.queue = kept
-	p.waiting -= len(dropped)
-	return dropped
+	p.waiting -= len(removed)
+	return removed
 }
 
-// take removes and returns the first items of a group, which drop forgets once it is
-// empty.
-func (p *Pool) take(g *group, count int) []*Item {
-	taken := g.items[:count]
+// dequeue removes and returns the first items of a group. removeMatching removes the group
+// itself once it is empty.
+func (p *Pool) dequeue(g *group, count int) []*Item {
+	first := g.items[:count]
 	g.items = g.items[count:]
 	p.waiting -= count
-	return taken
+	return first
 }
 
-// Waiting returns how many items wait.
+// Waiting returns how many items are waiting.
 func (p *Pool) Waiting() int { return p.waiting }
 
-// WaitingOf returns how many items of a task wait.
+// WaitingOf returns how many items of a task are waiting.
 func (p *Pool) WaitingOf(ticket Ticket) int {
 	if g := p.groups[ticket]; g != nil {
 		return len(g.items)
