--- a/core/value/value_test.go
+++ b/core/value/value_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestUrgentAndLargeRequestsCountForMore(t *testing.T) {
+func TestUrgentAndLargeRequestsHaveAHigherValue(t *testing.T) {
 	base := Of(Request{Priority: 1, PromptTokens: 1000, OutputTokens: 100})
 	assert.Equal(t, Of(Request{Priority: 0, PromptTokens: 1000, OutputTokens: 100}), 2*base)
 	assert.Equal(t, Of(Request{Priority: 1, PromptTokens: 4000, OutputTokens: 400}), 2*base, "four times the size")
@@ -15,11 +15,11 @@
 	assert.Equal(t, Of(Request{Priority: -1}), Of(Request{}))
 }
 
-// TestTheEstimateAgreesWithWhatOperatorsGave: worths of the kinds of request of three
-// deployments, with their mean sizes.
-func TestTheEstimateAgreesWithWhatOperatorsGave(t *testing.T) {
+// TestEstimateAgreesWithOperatorValues compares the estimate with the values that the
+// operators of three deployments give to their kinds of request, at the mean size of each.
+func TestEstimateAgreesWithOperatorValues(t *testing.T) {
 	type kind struct {
-		worth   float64
+		value   float64
 		request Request
 	}
 	for _, kinds := range [][]kind{
@@ -27,10 +27,10 @@
 		{{2, Request{0, 2368, 24}}, {3.4, Request{1, 9190, 52}}, {0.65, Request{2, 715, 280}}},
 		{{2, Request{0, 2368, 24}}, {3.4, Request{1, 9190, 51}}, {0.65, Request{2, 715, 279}}},
 	} {
-		scale := kinds[0].worth / Of(kinds[0].request)
+		scale := kinds[0].value / Of(kinds[0].request)
 		for _, k := range kinds {
-			ratio := scale * Of(k.request) / k.worth
-			assert.Assert(t, ratio > 1/1.8 && ratio < 1.8, "%+v: %.2f of its worth", k, ratio)
+			ratio := scale * Of(k.request) / k.value
+			assert.Assert(t, ratio > 1/1.8 && ratio < 1.8, "%+v: %.2f of the operator's value", k, ratio)
 		}
 	}
 }
