--- a/core/stages/progress.go
+++ b/core/stages/progress.go
@@ -1,6 +1,6 @@
-// Package stages follows one request through the graph of its stages: which
-// stage can start, with which inputs, and which results may be freed. It does no
-// I/O and is not safe for concurrent use.
+// Package stages tracks one request through the graph of its stages: which stage can
+// start, with which inputs, and which results may be freed. It does no I/O and is not
+// safe for concurrent use.
 package stages
 
 import (
@@ -9,34 +9,34 @@
 	"acaciawinch/core/routes"
 )
 
-// Progress is where one request stands in its stages.
+// Progress is the state of one request's stages. All slices are indexed by stage.
 type Progress struct {
 	graph   []routes.Stage
-	pieces  []int
+	items   []int
 	started []bool
 	results [][]string
 	done    []bool
-	// taken is set for stages that have read their inputs.
-	taken []bool
-	freed []bool
+	// inputsRead is set for stages that no longer need their inputs.
+	inputsRead []bool
+	freed      []bool
 }
 
-// New returns the progress of a request that asks for a number of pieces of each
-// stage; a stage without pieces is left out.
-func New(graph []routes.Stage, pieces []int) *Progress {
+// New returns the progress of a request that has the given number of items in each stage; a
+// stage without items is skipped.
+func New(graph []routes.Stage, items []int) *Progress {
 	p := &Progress{
-		graph:   graph,
-		pieces:  pieces,
-		started: make([]bool, len(graph)),
-		results: make([][]string, len(graph)),
-		done:    make([]bool, len(graph)),
-		taken:   make([]bool, len(graph)),
-		freed:   make([]bool, len(graph)),
+		graph:      graph,
+		items:      items,
+		started:    make([]bool, len(graph)),
+		results:    make([][]string, len(graph)),
+		done:       make([]bool, len(graph)),
+		inputsRead: make([]bool, len(graph)),
+		freed:      make([]bool, len(graph)),
 	}
 	for stage := range graph {
-		p.done[stage] = pieces[stage] == 0
+		p.done[stage] = items[stage] == 0
 		p.started[stage] = p.done[stage]
-		p.taken[stage] = p.done[stage]
+		p.inputsRead[stage] = p.done[stage]
 	}
 	return p
 }
@@ -54,7 +54,7 @@
 	return ready
 }
 
-// inputsDone tells whether all stages that a stage needs are done.
+// inputsDone reports whether all stages that a stage depends on are done.
 func (p *Progress) inputsDone(stage int) bool {
 	for _, before := range p.graph[stage].After {
 		if !p.done[before] {
@@ -74,16 +74,16 @@
 }
 
 // Take records that a stage has read its inputs.
-func (p *Progress) Take(stage int) { p.taken[stage] = true }
+func (p *Progress) Take(stage int) { p.inputsRead[stage] = true }
 
 // Finish records the results of a stage.
 func (p *Progress) Finish(stage int, results []string) {
 	p.results[stage] = results
 	p.done[stage] = true
-	p.taken[stage] = true
+	p.inputsRead[stage] = true
 }
 
-// Done tells whether all stages are done.
+// Done reports whether all stages are done.
 func (p *Progress) Done() bool {
 	for _, done := range p.done {
 		if !done {
@@ -93,8 +93,8 @@
 	return true
 }
 
-// Final returns the results that the request itself takes: those of the stages
-// that no other stage follows.
+// Final returns the results that the request itself uses: those of the stages on which no
+// other stage depends.
 func (p *Progress) Final() []string {
 	var final []string
 	for stage := range p.graph {
@@ -118,8 +118,9 @@
 	return found
 }
 
-// Spent returns the stages whose results nobody needs any more, each once: all
-// their followers have read them, or with last set the request itself has taken them.
+// Spent returns the stages whose results are no longer needed, and returns each stage only
+// once. The results of a stage are needed until all its followers have read them, or until
+// the caller sets last because the request itself no longer needs any results.
 func (p *Progress) Spent(last bool) []int {
 	var spent []int
 	for stage := range p.graph {
@@ -132,14 +133,14 @@
 	return spent
 }
 
-// consumed tells whether a stage's results were used by all that need them.
+// consumed reports whether a stage's results have been read by all that need them.
 func (p *Progress) consumed(stage int, last bool) bool {
 	if last {
 		return true
 	}
 	followers := p.followers(stage)
 	for _, later := range followers {
-		if !p.taken[later] {
+		if !p.inputsRead[later] {
 			return false
 		}
 	}
@@ -149,16 +150,16 @@
 // Results returns the results of a stage.
 func (p *Progress) Results(stage int) []string { return p.results[stage] }
 
-// Length returns the longest time from the start of a stage to the end of the last
-// one that follows it, if a stage takes as long as estimate says.
+// Length returns the duration of the longest path from the start of a stage to the end of
+// the request's stages, given the estimated duration of each stage.
 func (p *Progress) Length(stage int, estimate func(stage int) time.Duration) time.Duration {
-	if p.pieces[stage] == 0 {
+	if p.items[stage] == 0 {
 		return 0
 	}
 	return estimate(stage) + p.Tail(stage, estimate)
 }
 
-// Tail is Length without the stage itself.
+// Tail returns the same as Length without the duration of the stage itself.
 func (p *Progress) Tail(stage int, estimate func(stage int) time.Duration) time.Duration {
 	var longest time.Duration
 	for _, later := range p.followers(stage) {
@@ -167,8 +168,8 @@
 	return longest
 }
 
-// Left returns the longest time until all stages are done, counted from now for those
-// that have not started and as a whole for those that run.
+// Left returns the longest remaining time until all stages are done. A running stage counts
+// with its whole estimated duration.
 func (p *Progress) Left(estimate func(stage int) time.Duration) time.Duration {
 	var longest time.Duration
 	for stage := range p.graph {
@@ -179,5 +180,5 @@
 	return longest
 }
 
-// IsLast tells whether no other stage follows a stage.
+// IsLast reports whether no other stage depends on a stage.
 func (p *Progress) IsLast(stage int) bool { return len(p.followers(stage)) == 0 }
--- a/core/stages/progress_test.go
+++ b/core/stages/progress_test.go
@@ -9,7 +9,7 @@
 	"acaciawinch/core/routes"
 )
 
-// graph is a short branch beside a chain of three.
+// graph has one stage beside a chain of three stages.
 var graph = []routes.Stage{{Service: "a"}, {Service: "a"}, {Service: "b", After: []int{1}}, {Service: "c", After: []int{2}}}
 
 func TestStagesStartWhenTheirInputsAreDone(t *testing.T) {
@@ -29,7 +29,7 @@
 	assert.DeepEqual(t, p.Final(), []string{"r0", "r4"})
 }
 
-func TestStagesWithoutPiecesAreLeftOut(t *testing.T) {
+func TestStagesWithoutItemsAreSkipped(t *testing.T) {
 	p := New(graph, []int{0, 1, 0, 1})
 	assert.DeepEqual(t, p.Start(), []int{1, 3})
 	p.Finish(1, []string{"r1"})
@@ -37,7 +37,7 @@
 	assert.DeepEqual(t, p.Final(), []string{"r3"})
 }
 
-func TestResultsAreSpentOnceAndOnlyWhenRead(t *testing.T) {
+func TestResultsAreReturnedAsSpentOnceAndOnlyWhenRead(t *testing.T) {
 	p := New(graph, []int{1, 1, 1, 1})
 	p.Start()
 	p.Finish(1, []string{"r1"})
@@ -46,7 +46,7 @@
 	assert.DeepEqual(t, p.Spent(false), []int{1})
 	assert.Assert(t, p.Spent(false) == nil)
 	p.Finish(0, []string{"r0"})
-	assert.Assert(t, p.Spent(false) == nil, "the request itself takes it")
+	assert.Assert(t, p.Spent(false) == nil, "the request itself needs the final results")
 	assert.DeepEqual(t, p.Spent(true), []int{0})
 }
 
