--- a/core/selection/bench_test.go
+++ b/core/selection/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkChoose measures the choice of an engine: 49 of the deployments known, 400 of the
-// size that is planned for.
+// BenchmarkChoose measures the choice among 49 engines, as in known deployments, and among
+// 400, the size planned for.
 func BenchmarkChoose(b *testing.B) {
 	for _, count := range []int{49, 400} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
--- a/core/selection/chooser.go
+++ b/core/selection/chooser.go
@@ -1,8 +1,9 @@
-// Package selection chooses the upstream for a request. Requests that share a part
-// of their prompt go to the same model engine as far as its load allows, so that the
-// part is read once: all processes compute the same order by rendezvous hash,
-// without talking. Requests of plain services go to the upstream with most room.
-// The package does no I/O and is not safe for concurrent use.
+// Package selection chooses the upstream for a request. Requests that share a prefix of
+// their prompt go to the same model engine as far as its load allows, so that the prefix is
+// computed once and then cached there: all processes compute the same order of engines by
+// rendezvous hash, without communication. Requests of plain services go to the upstream with
+// the smallest share of its slots in use. The package does no I/O and is not safe for
+// concurrent use.
 package selection
 
 import (
@@ -13,71 +14,70 @@
 	"acaciawinch/core/routes"
 )
 
-// Load is what an engine said of itself, and when.
+// Load is an upstream's last report of its own load, and when it was received.
 type Load struct {
 	Running, Waiting, Slots int
 	At                      time.Time
 }
 
-// Limits of the choice.
 const (
-	// boundedLoad is how far above the mean an engine's load may be before a
+	// loadBoundFactor is how far above the mean an engine's load may be before a
 	// request goes to the next in the order of its key.
-	boundedLoad = 1.25
-	// loadSlack is added to the bound, so that an idle fleet keeps to its caches. Engines
-	// have 64 slots and some three to six requests each in a burst: with 4 a tenth of the
-	// requests left their caches for nothing, and shared parts read again cost 0.020 and
-	// 0.022 of worth on two deployments, with 8 0.014 and 0.016.
+	loadBoundFactor = 1.25
+	// loadSlack is added to the bound, so that requests to an idle fleet stay with their caches.
+	// Engines have 64 slots and three to six requests each in a burst. With a slack of 4, a
+	// tenth of the requests left their caches without need, and computing shared prefixes again
+	// cost 0.020 and 0.022 of the total value on two deployments; with 8 it cost 0.014 and 0.016.
 	loadSlack = 8.0
-	// loadLife is how long an engine's word counts in full; streams last seconds,
-	// so older words say little.
-	loadLife = 2 * time.Second
-	// avoidAfterFailure is how long an engine that failed a request is passed over
-	// while others can be had.
-	avoidAfterFailure = 2 * time.Second
+	// loadTTL is how long an upstream's load report is used. Streams last seconds, so that
+	// older reports say little.
+	loadTTL = 2 * time.Second
+	// avoidTime is how long an upstream that failed a request is avoided while others
+	// are available.
+	avoidTime = 2 * time.Second
 )
 
-// Chooser holds what this process knows of the upstreams.
+// Chooser holds this process's view of the load and failures of upstreams.
 type Chooser struct {
-	engines map[string]*state
-	// parts holds where shared parts last went, by their keys.
-	parts map[string]sentPart
-	// born holds the last start known of each upstream.
-	born map[string]int64
+	states map[string]*upstreamState
+	// prefixes holds the engine to which each shared prefix was last sent, by the prefix's key.
+	prefixes map[string]sentPrefix
+	// incarnations holds the incarnation number of each upstream in the last call of Keep.
+	incarnations map[string]int64
 }
 
-// state is what is known of one engine.
-type state struct {
-	load Load
-	own  int
-	// sent counts all requests of this process.
-	sent  uint64
-	avoid time.Time
-	// ownAtLoad is how many of this process's requests ran when load came in.
-	ownAtLoad int
+// upstreamState is the state of one upstream.
+type upstreamState struct {
+	load    Load
+	ownOpen int
+	// sent counts all requests that this process has sent to it.
+	sent       uint64
+	avoidUntil time.Time
+	// ownOpenAtLoad is the value of ownOpen when load was received.
+	ownOpenAtLoad int
 }
 
-// New returns a Chooser that knows nothing.
+// New returns a Chooser without any state of upstreams.
 func New() *Chooser {
-	return &Chooser{engines: make(map[string]*state), parts: make(map[string]sentPart), born: make(map[string]int64)}
+	return &Chooser{states: make(map[string]*upstreamState), prefixes: make(map[string]sentPrefix), incarnations: make(map[string]int64)}
 }
 
-// Choice is an engine and why it was taken.
+// Choice is an upstream and the reason for its choice.
 type Choice struct {
 	Upstream routes.Upstream
 	// Reason is "prefix", "load" or "only".
 	Reason string
-	// Load is the estimate of the requests at the engine.
+	// Load is the estimated number of requests at the upstream.
 	Load float64
-	// Idle is set if the upstream is known to have slots to spare.
+	// Idle is set if the upstream is known to have free slots.
 	Idle bool
-	// CopyFrom is the address of an engine that may keep more of the prompt, empty if none
-	// is known.
+	// CopyFrom is the address of an engine that may have cached more of the prompt, empty if
+	// none is known.
 	CopyFrom string
 }
 
-// Choose returns the engine for a request whose shared part has a key, or false if
-// there is none. Engines in tried are left out.
+// Choose returns the engine for a request with the key of its shared prefix, or false if
+// there is none. Engines in tried are skipped.
 func (c *Chooser) Choose(list []routes.Upstream, key string, tried []string, now time.Time) (Choice, bool) {
 	candidates := c.candidates(list, tried, now)
 	if len(candidates) == 0 {
@@ -87,10 +87,10 @@
 	for _, u := range candidates {
 		total += c.estimate(u, now)
 	}
-	bound := boundedLoad*total/float64(len(candidates)) + loadSlack
+	bound := loadBoundFactor*total/float64(len(candidates)) + loadSlack
 	hashed := rendezvous.Hash(key)
-	first := firstOf(candidates, hashed, func(routes.Upstream) bool { return true })
-	within := firstOf(candidates, hashed, func(u routes.Upstream) bool { return c.estimate(u, now) <= bound })
+	first := highestScored(candidates, hashed, func(routes.Upstream) bool { return true })
+	within := highestScored(candidates, hashed, func(u routes.Upstream) bool { return c.estimate(u, now) <= bound })
 	chosen, reason := within, "prefix"
 	switch {
 	case within < 0:
@@ -99,12 +99,12 @@
 		reason = "load"
 	}
 	u := candidates[chosen]
-	return Choice{Upstream: u, Reason: reason, Load: c.estimate(u, now), Idle: within >= 0 && c.idle(u, list, now), CopyFrom: c.keeper(candidates, key, u, now)}, true
+	return Choice{Upstream: u, Reason: reason, Load: c.estimate(u, now), Idle: within >= 0 && c.idle(u, list, now), CopyFrom: c.copySource(candidates, key, u, now)}, true
 }
 
-// firstOf returns the place of the engine with the highest score for a key among those that
-// match, -1 if none does. Of equal scores the one that stands first counts.
-func firstOf(list []routes.Upstream, key uint64, match func(routes.Upstream) bool) int {
+// highestScored returns the index of the engine with the highest score for a hashed key among
+// those that match, or -1 if none does. Of engines with equal scores it returns the first.
+func highestScored(list []routes.Upstream, key uint64, match func(routes.Upstream) bool) int {
 	best, highest := -1, uint64(0)
 	for i, u := range list {
 		score := rendezvous.Score(key, rendezvous.Hash(u.ID))
@@ -115,47 +115,47 @@
 	return best
 }
 
-// idleShare is the part of its slots up to which an engine takes a request at once.
-const idleShare = 0.6
+// idleUtilization is the share of slots in use below which an engine starts a request at once.
+const idleUtilization = 0.6
 
-// fewestWords is how many other engines' words are needed to say something of one that
-// has said nothing lately.
-const fewestWords = 4
+// minFreshReports is how many fresh reports of other engines are needed to infer that an
+// engine without a fresh report is idle.
+const minFreshReports = 4
 
-// idle tells whether an engine has slots to spare: by its own word, or, where there is
-// none of late, if by the words of all others that spoke lately they have. A process of
-// a large fleet hears from each engine only every few seconds.
+// idle reports whether an engine has free slots according to its own report or, if that is
+// stale, because all engines with fresh reports have free slots. In a large fleet a process
+// gets a report of each engine only every few seconds.
 func (c *Chooser) idle(u routes.Upstream, list []routes.Upstream, now time.Time) bool {
-	if fresh, idle := c.saidIdle(u, now); fresh {
+	if fresh, idle := c.reportedIdle(u, now); fresh {
 		return idle
 	}
-	words := 0
+	reports := 0
 	for _, other := range list {
-		fresh, idle := c.saidIdle(other, now)
+		fresh, idle := c.reportedIdle(other, now)
 		if fresh && !idle {
 			return false
 		}
 		if fresh {
-			words++
+			reports++
 		}
 	}
-	return words >= fewestWords
+	return reports >= minFreshReports
 }
 
-// saidIdle tells whether an engine's last word is fresh, and whether by it the engine has
-// slots to spare. Requests whose prompts are not read yet count as waiting, also where
-// they have a slot: an engine at which some wait may still be idle.
-func (c *Chooser) saidIdle(u routes.Upstream, now time.Time) (fresh, idle bool) {
-	s := c.engines[u.ID]
-	if s == nil || s.load.At.IsZero() || now.Sub(s.load.At) >= loadLife {
+// reportedIdle reports whether an engine's last report is fresh, and whether the engine has
+// free slots according to it. Engines count requests as waiting until their prompts are
+// processed, even if they have a slot: an engine with waiting requests may still be idle.
+func (c *Chooser) reportedIdle(u routes.Upstream, now time.Time) (fresh, idle bool) {
+	s := c.states[u.ID]
+	if s == nil || s.load.At.IsZero() || now.Sub(s.load.At) >= loadTTL {
 		return false, false
 	}
-	return true, c.estimate(u, now) < idleShare*float64(s.load.Slots)
+	return true, c.estimate(u, now) < idleUtilization*float64(s.load.Slots)
 }
 
-// Least returns the upstream with the smallest share of its slots in use, or false
-// if there is none. Among equals one of the zone near goes first, then the one that
-// had the fewest requests of this process.
+// Least returns the upstream with the smallest share of its slots in use, or false if there is
+// none. Among equals, upstreams in the zone near go first, then the one to which this process
+// has sent the fewest requests. Upstreams in tried are skipped.
 func (c *Chooser) Least(list []routes.Upstream, near string, tried []string, now time.Time) (Choice, bool) {
 	candidates := c.candidates(list, tried, now)
 	if len(candidates) == 0 {
@@ -163,15 +163,15 @@
 	}
 	best := candidates[0]
 	for _, u := range candidates[1:] {
-		if c.lighter(u, best, near, now) {
+		if c.lessLoaded(u, best, near, now) {
 			best = u
 		}
 	}
 	return Choice{Upstream: best, Reason: "load", Load: c.estimate(best, now)}, true
 }
 
-// lighter tells whether a is to be used before b.
-func (c *Chooser) lighter(a, b routes.Upstream, near string, now time.Time) bool {
+// lessLoaded reports whether Least prefers a to b.
+func (c *Chooser) lessLoaded(a, b routes.Upstream, near string, now time.Time) bool {
 	useA := c.estimate(a, now) / float64(max(1, a.Slots))
 	useB := c.estimate(b, now) / float64(max(1, b.Slots))
 	if useA != useB {
@@ -180,16 +180,16 @@
 	if nearA, nearB := a.Zone == near, b.Zone == near; nearA != nearB {
 		return nearA
 	}
-	return c.of(a.ID).sent < c.of(b.ID).sent
+	return c.stateOf(a.ID).sent < c.stateOf(b.ID).sent
 }
 
-// candidates returns the engines that may get a request: the untried ones, without
-// those that failed lately if any others are left.
+// candidates returns the upstreams that take work and have not been tried, without those that
+// failed recently if any others remain.
 func (c *Chooser) candidates(list []routes.Upstream, tried []string, now time.Time) []routes.Upstream {
 	usable := filtered(list, func(u routes.Upstream) bool { return u.TakesWork(now) && !slices.Contains(tried, u.ID) })
 	good := filtered(usable, func(u routes.Upstream) bool {
-		s := c.engines[u.ID]
-		return s == nil || !now.Before(s.avoid)
+		s := c.states[u.ID]
+		return s == nil || !now.Before(s.avoidUntil)
 	})
 	if len(good) == 0 {
 		return usable
@@ -197,7 +197,8 @@
 	return good
 }
 
-// filtered returns those of a list that match; the list itself, uncopied, if all do.
+// filtered returns the upstreams of a list that match. If all match, it returns the list itself
+// without a copy.
 func filtered(list []routes.Upstream, match func(routes.Upstream) bool) []routes.Upstream {
 	if !slices.ContainsFunc(list, func(u routes.Upstream) bool { return !match(u) }) {
 		return list
@@ -211,88 +212,88 @@
 	return matching
 }
 
-// estimate returns how many requests an engine has: what it last said, changed by
-// what this process has sent and seen end since. An old word fades into this
-// process's own count.
+// estimate returns the estimated number of requests at an upstream: its last report, corrected
+// by the requests that this process has sent and finished since, or this process's own open
+// requests if the report is stale.
 func (c *Chooser) estimate(u routes.Upstream, now time.Time) float64 {
-	s := c.engines[u.ID]
+	s := c.states[u.ID]
 	if s == nil {
 		return 0
 	}
 	age := now.Sub(s.load.At)
-	if s.load.At.IsZero() || age >= loadLife {
-		return float64(s.own)
+	if s.load.At.IsZero() || age >= loadTTL {
+		return float64(s.ownOpen)
 	}
-	said := float64(s.load.Running + 2*s.load.Waiting)
-	since := float64(s.own - s.ownAtLoad)
-	return max(float64(s.own), said+since)
+	reported := float64(s.load.Running + 2*s.load.Waiting)
+	since := float64(s.ownOpen - s.ownOpenAtLoad)
+	return max(float64(s.ownOpen), reported+since)
 }
 
-// Started records a request sent to an engine.
+// Started records a request sent to an upstream.
 func (c *Chooser) Started(id string) {
-	s := c.of(id)
-	s.own++
+	s := c.stateOf(id)
+	s.ownOpen++
 	s.sent++
 }
 
-// Ended records the end of a request at an engine. One that began before the engine
-// started again is no longer counted.
+// Ended records the end of a request at an upstream. The count stays at 0 if the request was
+// sent to an earlier incarnation, whose requests are no longer counted.
 func (c *Chooser) Ended(id string) {
-	s := c.of(id)
-	s.own = max(0, s.own-1)
+	s := c.stateOf(id)
+	s.ownOpen = max(0, s.ownOpen-1)
 }
 
-// Open returns how many requests of this process are open at an engine.
+// Open returns how many requests of this process are in flight at an upstream.
 func (c *Chooser) Open(id string) int {
-	if s := c.engines[id]; s != nil {
-		return s.own
+	if s := c.states[id]; s != nil {
+		return s.ownOpen
 	}
 	return 0
 }
 
-// Heard records what an engine said of its load.
+// Heard records an upstream's load report.
 func (c *Chooser) Heard(id string, load Load) {
-	s := c.of(id)
+	s := c.stateOf(id)
 	s.load = load
-	s.ownAtLoad = s.own
+	s.ownOpenAtLoad = s.ownOpen
 }
 
-// Failed records that an engine failed a request.
-func (c *Chooser) Failed(id string, now time.Time) { c.of(id).avoid = now.Add(avoidAfterFailure) }
+// Failed records that an upstream failed a request.
+func (c *Chooser) Failed(id string, now time.Time) { c.stateOf(id).avoidUntil = now.Add(avoidTime) }
 
-// of returns the state of an engine.
-func (c *Chooser) of(id string) *state {
-	s := c.engines[id]
+// stateOf returns the state of an upstream and creates it if there is none.
+func (c *Chooser) stateOf(id string) *upstreamState {
+	s := c.states[id]
 	if s == nil {
-		s = &state{}
-		c.engines[id] = s
+		s = &upstreamState{}
+		c.states[id] = s
 	}
 	return s
 }
 
-// Keep forgets all engines but those in list, and what was known of those that started
-// again: they hold no parts and no requests of before.
+// Keep removes the state of upstreams that are not in list and have no open requests, and of
+// those with a new incarnation, which has neither cached prefixes nor requests of the last one.
 func (c *Chooser) Keep(list *routes.Upstreams) {
-	for id, s := range c.engines {
-		if s.own == 0 && !list.Knows(id) {
-			delete(c.engines, id)
+	for id, s := range c.states {
+		if s.ownOpen == 0 && !list.Knows(id) {
+			delete(c.states, id)
 		}
 	}
-	for id, born := range c.born {
+	for id, born := range c.incarnations {
 		if upstream, known := list.Find(id); known && upstream.Born != born {
-			c.startedAgain(id)
+			c.forgetIncarnation(id)
 		}
 	}
-	clear(c.born)
-	list.Each(func(upstream routes.Upstream) { c.born[upstream.ID] = upstream.Born })
+	clear(c.incarnations)
+	list.Each(func(upstream routes.Upstream) { c.incarnations[upstream.ID] = upstream.Born })
 }
 
-// startedAgain forgets what is known of an engine.
-func (c *Chooser) startedAgain(id string) {
-	delete(c.engines, id)
-	for key, part := range c.parts {
-		if part.engine == id {
-			delete(c.parts, key)
+// forgetIncarnation removes the state of an upstream's last incarnation.
+func (c *Chooser) forgetIncarnation(id string) {
+	delete(c.states, id)
+	for key, sent := range c.prefixes {
+		if sent.engine == id {
+			delete(c.prefixes, key)
 		}
 	}
 }
--- a/core/selection/chooser_test.go
+++ b/core/selection/chooser_test.go
@@ -21,7 +21,7 @@
 	return list
 }
 
-func TestRequestsOfOnePartGoToOneEngineInAllProcesses(t *testing.T) {
+func TestRequestsOfOnePrefixGoToOneEngineInAllProcesses(t *testing.T) {
 	list := engines(9)
 	first, found := New().Choose(list, "part", nil, now)
 	assert.Assert(t, found)
@@ -30,7 +30,7 @@
 	assert.Equal(t, first.Reason, "prefix")
 }
 
-func TestPartsAreSpreadOverTheEngines(t *testing.T) {
+func TestPrefixesAreSpreadOverTheEngines(t *testing.T) {
 	c, counts := New(), map[string]int{}
 	for i := range 900 {
 		choice, _ := c.Choose(engines(9), fmt.Sprintf("part %d", i), nil, now)
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestAHotPartIsSpreadByLoad replays a load of one part alone: no engine gets more
-// than the bound over the mean.
-func TestAHotPartIsSpreadByLoad(t *testing.T) {
+// TestHotPrefixIsSpreadByLoad replays a load of a single prefix: no engine gets more than the
+// bound over the mean.
+func TestHotPrefixIsSpreadByLoad(t *testing.T) {
 	c, counts := New(), map[string]int{}
 	for range 180 {
 		choice, _ := c.Choose(engines(9), "hot", nil, now)
@@ -51,11 +51,11 @@
 		counts[choice.Upstream.ID]++
 	}
 	for id, count := range counts {
-		assert.Assert(t, float64(count) <= boundedLoad*180/9+loadSlack+1, "%s has %d of 180", id, count)
+		assert.Assert(t, float64(count) <= loadBoundFactor*180/9+loadSlack+1, "%s has %d of 180", id, count)
 	}
 }
 
-func TestFailedLeavingAndTriedEnginesArePassedOver(t *testing.T) {
+func TestFailedLeavingAndTriedEnginesAreAvoided(t *testing.T) {
 	c, list := New(), engines(3)
 	first, _ := c.Choose(list, "p", nil, now)
 	c.Failed(first.Upstream.ID, now)
@@ -63,7 +63,7 @@
 	assert.Assert(t, second.Upstream.ID != first.Upstream.ID)
 	third, found := c.Choose(list, "p", []string{second.Upstream.ID}, now)
 	assert.Assert(t, found && third.Upstream.ID != second.Upstream.ID && third.Upstream.ID != first.Upstream.ID)
-	back, _ := c.Choose(list, "p", nil, now.Add(avoidAfterFailure))
+	back, _ := c.Choose(list, "p", nil, now.Add(avoidTime))
 	assert.Equal(t, back.Upstream.ID, first.Upstream.ID)
 
 	for i := range list {
@@ -73,59 +73,59 @@
 	assert.Assert(t, !found)
 }
 
-func TestAnEngineThatAllFailedIsBetterThanNone(t *testing.T) {
+func TestFailedEngineIsUsedIfThereIsNoOther(t *testing.T) {
 	c, list := New(), engines(1)
 	c.Failed("e0", now)
 	_, found := c.Choose(list, "p", nil, now)
 	assert.Assert(t, found)
 }
 
-func TestPlainServicesGoByTheShareOfSlotsInUse(t *testing.T) {
+func TestLeastPrefersTheSmallestShareOfSlotsInUse(t *testing.T) {
 	c := New()
 	list := []routes.Upstream{{ID: "a", Slots: 2, Zone: "z"}, {ID: "b", Slots: 8, Zone: "y"}}
 	c.Heard("a", Load{Running: 1, Slots: 2, At: now})
 	c.Heard("b", Load{Running: 2, Slots: 8, At: now})
 	choice, _ := c.Least(list, "z", nil, now)
 	assert.Equal(t, choice.Upstream.ID, "b")
-	choice, _ = c.Least(list, "z", nil, now.Add(loadLife))
-	assert.Equal(t, choice.Upstream.ID, "a", "an old word says nothing; the own zone goes first")
+	choice, _ = c.Least(list, "z", nil, now.Add(loadTTL))
+	assert.Equal(t, choice.Upstream.ID, "a", "stale reports don't count; the local zone goes first")
 }
 
-func TestOldWordsFadeIntoTheOwnCount(t *testing.T) {
+func TestStaleReportsAreReplacedByOwnOpenRequests(t *testing.T) {
 	c, u := New(), engines(1)[0]
 	c.Started("e0")
 	c.Heard("e0", Load{Running: 10, Waiting: 1, Slots: 64, At: now})
 	c.Started("e0")
 	assert.Equal(t, c.estimate(u, now), 13.0)
-	assert.Equal(t, c.estimate(u, now.Add(loadLife)), 2.0)
+	assert.Equal(t, c.estimate(u, now.Add(loadTTL)), 2.0)
 }
 
-func TestForgottenEnginesKeepTheirOpenRequests(t *testing.T) {
+func TestRemovedEnginesKeepTheirOpenRequests(t *testing.T) {
 	c := New()
 	c.Started("e0")
 	c.Failed("e1", now)
 	c.Keep(routes.NewUpstreams(nil))
-	assert.Equal(t, len(c.engines), 1)
+	assert.Equal(t, len(c.states), 1)
 	c.Ended("e0")
 	c.Keep(routes.NewUpstreams(nil))
-	assert.Equal(t, len(c.engines), 0)
+	assert.Equal(t, len(c.states), 0)
 }
 
-// TestAnEngineThatSaidNothingIsTakenForIdleIfAllOthersAre: with many engines most have
-// not said anything of late to one process.
-func TestAnEngineThatSaidNothingIsTakenForIdleIfAllOthersAre(t *testing.T) {
+// TestEngineWithoutAFreshReportIsIdleIfAllOthersAre covers large fleets, in which one process
+// has no fresh report of most engines.
+func TestEngineWithoutAFreshReportIsIdleIfAllOthersAre(t *testing.T) {
 	list := engines(9)
 	c := New()
-	only := func() bool {
+	idle := func() bool {
 		tried := []string{"e1", "e2", "e3", "e4", "e5", "e6", "e7", "e8"}
 		choice, _ := c.Choose(list, "part", tried, now)
 		return choice.Idle
 	}
-	assert.Assert(t, !only(), "nothing is known")
+	assert.Assert(t, !idle(), "there are no reports")
 	for i := 1; i <= 4; i++ {
 		c.Heard(fmt.Sprintf("e%d", i), Load{Running: 3, Slots: 64, At: now})
 	}
-	assert.Assert(t, only(), "four others are idle")
+	assert.Assert(t, idle(), "four others are idle")
 	c.Heard("e5", Load{Running: 64, Waiting: 2, Slots: 64, At: now})
-	assert.Assert(t, !only(), "requests wait at one of the others")
+	assert.Assert(t, !idle(), "requests wait at one of the others")
 }
--- a/core/selection/order_test.go
+++ b/core/selection/order_test.go
@@ -12,9 +12,10 @@
 	"acaciawinch/core/routes"
 )
 
-// TestTheChoiceIsTheFirstInTheOrderOfTheKeyWithinTheBound: the whole order, sorted, gives the
-// same engine, reason and source of copies, over random loads, failures and tries.
-func TestTheChoiceIsTheFirstInTheOrderOfTheKeyWithinTheBound(t *testing.T) {
+// TestChoiceIsTheFirstInKeyOrderWithinTheBound compares Choose with a sort of all engines over
+// random loads, failures and tried engines: both must give the same engine, reason and copy
+// source.
+func TestChoiceIsTheFirstInKeyOrderWithinTheBound(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 5))
 		c, list := New(), engines(2+random.IntN(20))
@@ -36,15 +37,15 @@
 		if random.IntN(2) == 0 {
 			c.SentPart(key, list[random.IntN(len(list))].ID, now)
 		}
-		want, wanted := inOrder(c, list, key, tried)
+		want, wanted := chooseBySorting(c, list, key, tried)
 		got, found := c.Choose(list, key, tried, now)
 		assert.Equal(t, found, wanted, "seed %d", seed)
 		assert.DeepEqual(t, got, want)
 	}
 }
 
-// inOrder chooses by sorting all engines that may get the request.
-func inOrder(c *Chooser, list []routes.Upstream, key string, tried []string) (Choice, bool) {
+// chooseBySorting chooses by sorting all engines that may get the request.
+func chooseBySorting(c *Chooser, list []routes.Upstream, key string, tried []string) (Choice, bool) {
 	ordered := slices.Clone(c.candidates(list, tried, now))
 	if len(ordered) == 0 {
 		return Choice{}, false
@@ -60,7 +61,7 @@
 	for _, u := range ordered {
 		total += c.estimate(u, now)
 	}
-	bound := boundedLoad*total/float64(len(ordered)) + loadSlack
+	bound := loadBoundFactor*total/float64(len(ordered)) + loadSlack
 	chosen := slices.IndexFunc(ordered, func(u routes.Upstream) bool { return c.estimate(u, now) <= bound })
 	choice := Choice{Upstream: ordered[max(0, chosen)], Reason: "load"}
 	switch chosen {
@@ -71,19 +72,19 @@
 	}
 	choice.Load = c.estimate(choice.Upstream, now)
 	choice.Idle = chosen >= 0 && c.idle(choice.Upstream, list, now)
-	choice.CopyFrom = copyInOrder(c, ordered, key, choice.Upstream)
+	choice.CopyFrom = copySourceBySorting(c, ordered, key, choice.Upstream)
 	return choice, true
 }
 
-// copyInOrder returns from where the chosen engine copies: where the part last went, or the
-// first other in the order.
-func copyInOrder(c *Chooser, ordered []routes.Upstream, key string, chosen routes.Upstream) string {
-	part, known := c.parts[key]
-	if known && part.engine == chosen.ID {
+// copySourceBySorting returns the engine from which the chosen one copies a prefix: the one to
+// which it was last sent, or the first other in the order.
+func copySourceBySorting(c *Chooser, ordered []routes.Upstream, key string, chosen routes.Upstream) string {
+	sent, known := c.prefixes[key]
+	if known && sent.engine == chosen.ID {
 		return ""
 	}
 	for _, u := range ordered {
-		if known && u.ID == part.engine {
+		if known && u.ID == sent.engine {
 			return u.Address
 		}
 	}
--- a/core/selection/parts_test.go
+++ b/core/selection/parts_test.go
@@ -9,9 +9,9 @@
 	"acaciawinch/core/routes"
 )
 
-// TestAnEngineCopiesAPartFromWhereItLastWent: a request that load sends elsewhere copies
-// its shared part from the engine that read it.
-func TestAnEngineCopiesAPartFromWhereItLastWent(t *testing.T) {
+// TestPrefixIsCopiedFromTheEngineItWasLastSentTo checks that a request that goes to another
+// engine because of load copies its shared prefix from the engine that computed it.
+func TestPrefixIsCopiedFromTheEngineItWasLastSentTo(t *testing.T) {
 	c, list := New(), engines(9)
 	for i := range list {
 		list[i].Address = fmt.Sprintf("10.0.0.%d:1", i)
@@ -19,19 +19,19 @@
 	home, _ := c.Choose(list, "part", nil, now)
 	c.SentPart("part", home.Upstream.ID, now)
 	again, _ := c.Choose(list, "part", nil, now)
-	assert.Equal(t, again.CopyFrom, "", "it went there a moment ago")
+	assert.Equal(t, again.CopyFrom, "", "the prefix was just sent to the chosen engine")
 
 	other, _ := c.Choose(list, "part", []string{home.Upstream.ID}, now)
 	assert.Assert(t, other.Upstream.ID != home.Upstream.ID)
 	c.SentPart("part", other.Upstream.ID, now)
 	back, _ := c.Choose(list, "part", nil, now)
 	assert.Equal(t, back.Upstream.ID, home.Upstream.ID)
-	assert.Equal(t, back.CopyFrom, other.Upstream.Address, "the newest request went to the other")
+	assert.Equal(t, back.CopyFrom, other.Upstream.Address, "the newest request went to the other engine")
 }
 
-// TestAPartThatThisProcessNeverSentIsCopiedFromTheNextInItsOrder: other processes may have
-// sent it there before the fleet changed.
-func TestAPartThatThisProcessNeverSentIsCopiedFromTheNextInItsOrder(t *testing.T) {
+// TestUnsentPrefixIsCopiedFromTheNextEngineInItsOrder checks the source of a prefix that this
+// process never sent: other processes may have sent it there before the fleet changed.
+func TestUnsentPrefixIsCopiedFromTheNextEngineInItsOrder(t *testing.T) {
 	c, list := New(), engines(9)
 	for i := range list {
 		list[i].Address = fmt.Sprintf("10.0.0.%d:1", i)
@@ -44,24 +44,25 @@
 	assert.Assert(t, without.CopyFrom != second.Upstream.Address, "nothing is copied from an engine that failed")
 }
 
-func TestPartsAreForgotten(t *testing.T) {
+func TestPrefixesAreEvicted(t *testing.T) {
 	c := New()
-	for i := range mostParts {
+	for i := range maxPrefixes {
 		c.SentPart(fmt.Sprint(i), "e0", now)
 	}
-	c.SentPart("new", "e0", now.Add(partLife))
-	assert.Equal(t, len(c.parts), 1)
-	for i := range mostParts + 1 {
-		c.SentPart(fmt.Sprint("x", i), "e0", now.Add(partLife))
+	c.SentPart("new", "e0", now.Add(prefixTTL))
+	assert.Equal(t, len(c.prefixes), 1)
+	for i := range maxPrefixes + 1 {
+		c.SentPart(fmt.Sprint("x", i), "e0", now.Add(prefixTTL))
 	}
-	assert.Assert(t, len(c.parts) <= mostParts)
+	assert.Assert(t, len(c.prefixes) <= maxPrefixes)
 	c.SentPart("", "e0", now)
-	_, known := c.parts[""]
-	assert.Assert(t, !known, "a request without a shared part says nothing")
+	_, known := c.prefixes[""]
+	assert.Assert(t, !known, "a request without a shared prefix is not recorded")
 }
 
-// TestAnEngineThatStartedAgainHoldsNothing: neither load nor parts of before count.
-func TestAnEngineThatStartedAgainHoldsNothing(t *testing.T) {
+// TestNewIncarnationHasNoStateOfTheLastOne checks that the load, the failure and the cached
+// prefixes of an engine's last incarnation are forgotten.
+func TestNewIncarnationHasNoStateOfTheLastOne(t *testing.T) {
 	c, list := New(), engines(3)
 	c.Keep(routes.NewUpstreams(list))
 	home, _ := c.Choose(list, "part", nil, now)
@@ -75,9 +76,9 @@
 	}
 	c.Keep(routes.NewUpstreams(list))
 	again, _ := c.Choose(list, "part", nil, now)
-	assert.Equal(t, again.Upstream.ID, home.Upstream.ID, "its failure is that of the one before")
+	assert.Equal(t, again.Upstream.ID, home.Upstream.ID, "the failure was that of the last incarnation")
 	assert.Equal(t, again.Load, 0.0)
-	_, known := c.parts["part"]
+	_, known := c.prefixes["part"]
 	assert.Assert(t, !known)
 	c.Ended(home.Upstream.ID)
 	assert.Equal(t, c.estimate(again.Upstream, now), 0.0, "the end of a request of before")
