--- a/core/slowstart/slowstart.go
+++ b/core/slowstart/slowstart.go
@@ -1,22 +1,23 @@
-// Package slowstart bounds what reaches an upstream that has just started and takes few
-// requests a second until it is warm: one that gets many more crashes. Many processes send to
-// it, and they do not agree on anything.
+// Package slowstart bounds the requests that reach a cold upstream: one that has just started
+// and takes few requests a second until it is warm. If it gets many more, it crashes. Many
+// processes send to it without coordination.
 //
-// Only some of the processes, the first of the members by rendezvous score for the upstream,
-// may send to it while it is cold, and each of these at most one request in each Spacing.
+// Only the members with the highest rendezvous scores for the upstream may send to it while it
+// is cold, and each of them at most one request per Spacing.
 //
-// Why the bound holds in every second, whatever the processes know of each other as long as
-// none lacks more members than half of the bound: let half the bound be K, and let the process
-// of the lowest score that sends lack u of the members. It knows fewer than K of a higher score
-// than its own, so that there are fewer than K + u of them, and all that send are these and
-// itself: at most K + u. Each sends at most one in a second, as Spacing is longer than a second
-// and than what a request may be held up between its choice and its sending together. So with u
-// at most K no more than 2 K, the bound, arrive. A process that knows no members, or whose
-// knowledge is old, sends nothing: its u is not known.
+// The bound holds in every second, whatever members each process knows, as long as none lacks
+// more of the members than half of the bound. Let K be half of the bound, and let the sender
+// with the lowest score lack u of the members. It knows fewer than K members with a higher score
+// than its own, so that there are fewer than K + u such members. All senders are among these and
+// the process itself: at most K + u. Each sends at most one request a second, as Spacing is
+// longer than one second plus the longest delay between the choice of an upstream and the
+// sending of the request. So if u is at most K, no more than 2 K requests, the bound, arrive. A
+// process that knows no members, or whose membership is stale, sends nothing, as its u is
+// unknown.
 //
-// Load that it answers: a zone's engines come back together while a burst or one hot part of
-// a prompt, of which all processes compute the same order, would send dozens a second to the
-// first of them.
+// The load that made this necessary: all engines of a zone start at the same time during a
+// burst, or a single hot prompt prefix, for which all processes compute the same order of
+// engines, sends dozens of requests a second to the first engine.
 package slowstart
 
 import (
@@ -25,66 +26,67 @@
 	"acaciawinch/core/rendezvous"
 )
 
-// Spacing is the least time between two requests of one process to a cold upstream: the second
-// for which the bound holds, and 0.8 s for one that waits for its connection to open.
+// Spacing is the minimum time between two requests of one process to a cold upstream: the
+// second for which the bound holds, and 0.8 s for a request that waits for its connection to open.
 const Spacing = 1800 * time.Millisecond
 
-// unaware is by which factor more processes may send than are meant to, as some do not know of
-// each other.
-const unaware = 2
+// divergenceFactor is the ratio between the processes that may send and those that are meant to:
+// more may send because some do not know of each other.
+const divergenceFactor = 2
 
-// mostRanks bounds the upstreams of which the rank is kept: above the number of upstreams that
-// is planned for.
-const mostRanks = 4096
+// maxCachedRanks bounds the number of upstreams whose rank is cached. It is above the number of
+// upstreams planned for.
+const maxCachedRanks = 4096
 
-// Bound is what a cold upstream may get.
+// Bound is the limit on the requests that a cold upstream gets.
 type Bound struct {
-	// PerSecond is what it takes, in requests a second, 0 if it takes any number.
+	// PerSecond is how many requests a second the upstream takes; 0 if it takes any number.
 	PerSecond float64
-	// Overrun and Slack say how much more may come: PerSecond × Overrun + Slack in any second.
+	// Overrun and Slack raise the limit to PerSecond × Overrun + Slack requests in any second.
 	Overrun, Slack float64
 }
 
-// senders returns how many processes are meant to send to a cold upstream: none if fewer than
-// two requests a second may come.
-func (b Bound) senders() int { return int((b.PerSecond*b.Overrun + b.Slack) / unaware) }
+// senders returns how many processes are meant to send to a cold upstream. It is 0 if the limit
+// is below two requests a second.
+func (b Bound) senders() int { return int((b.PerSecond*b.Overrun + b.Slack) / divergenceFactor) }
 
-// Limiter is one process's part of the bound. It is not safe for concurrent use.
+// Limiter enforces one process's share of the bound. It is not safe for concurrent use.
 type Limiter struct {
-	self    string
-	members []string
-	known   bool
-	sent    map[string]time.Time
-	// ranks holds how many members have a higher score for an upstream than this process.
+	self         string
+	members      []string
+	membersKnown bool
+	lastSent     map[string]time.Time
+	// ranks caches how many members have a higher score for an upstream than this process.
 	ranks map[string]int
 }
 
-// New returns the Limiter of the process self, which knows no members yet.
+// New returns the Limiter of the process self. It allows no requests to cold upstreams until
+// SetMembers is called.
 func New(self string) *Limiter {
-	return &Limiter{self: self, sent: make(map[string]time.Time), ranks: make(map[string]int)}
+	return &Limiter{self: self, lastSent: make(map[string]time.Time), ranks: make(map[string]int)}
 }
 
-// SetMembers takes over the names of the other processes. The slice must not be changed
+// SetMembers replaces the names of the other processes. The caller must not change the slice
 // afterwards.
 func (l *Limiter) SetMembers(others []string) {
-	l.members, l.known = others, true
+	l.members, l.membersKnown = others, true
 	clear(l.ranks)
 }
 
-// Allows tells whether this process may send a request to a cold upstream now.
+// Allows reports whether this process may send a request to a cold upstream now.
 func (l *Limiter) Allows(upstream string, bound Bound, now time.Time) bool {
 	if bound.PerSecond <= 0 {
 		return true
 	}
-	if last, sent := l.sent[upstream]; sent && now.Sub(last) < Spacing {
+	if last, sent := l.lastSent[upstream]; sent && now.Sub(last) < Spacing {
 		return false
 	}
-	return l.known && l.rank(upstream) < bound.senders()
+	return l.membersKnown && l.rank(upstream) < bound.senders()
 }
 
 // rank returns how many other processes have a higher score for an upstream.
 func (l *Limiter) rank(upstream string) int {
-	if rank, known := l.ranks[upstream]; known {
+	if rank, cached := l.ranks[upstream]; cached {
 		return rank
 	}
 	key := rendezvous.Hash(upstream)
@@ -95,7 +97,7 @@
 			higher++
 		}
 	}
-	if len(l.ranks) >= mostRanks {
+	if len(l.ranks) >= maxCachedRanks {
 		clear(l.ranks)
 	}
 	l.ranks[upstream] = higher
@@ -104,10 +106,10 @@
 
 // Sent records a request to a cold upstream.
 func (l *Limiter) Sent(upstream string, now time.Time) {
-	for id, at := range l.sent {
+	for id, at := range l.lastSent {
 		if now.Sub(at) >= Spacing {
-			delete(l.sent, id)
+			delete(l.lastSent, id)
 		}
 	}
-	l.sent[upstream] = now
+	l.lastSent[upstream] = now
 }
--- a/core/slowstart/slowstart_test.go
+++ b/core/slowstart/slowstart_test.go
@@ -11,20 +11,20 @@
 
 var start = time.Unix(1000, 0)
 
-// longestHold is the most that a request of the model is held up between its choice and its
-// arrival; the opening of a connection is given up before.
-const longestHold = 800 * time.Millisecond
+// maxDelay is the longest delay in the model between the choice of the upstream and the arrival
+// of a request; the timeout for opening a connection is shorter.
+const maxDelay = 800 * time.Millisecond
 
-// world is a fleet before one cold upstream, of which each process knows a part.
-type world struct {
+// fleet is a set of processes that send to one cold upstream and each know some of the others.
+type fleet struct {
 	limiters []*Limiter
 	bound    Bound
 }
 
-// newWorld returns a fleet in which no process lacks more than missing of the others, and
-// some know others that are gone.
-func newWorld(random *rand.Rand, processes, missing int, bound Bound) *world {
-	w := &world{bound: bound}
+// newFleet returns a fleet in which no process lacks more than missing of the others, and some
+// still know processes that have ended.
+func newFleet(random *rand.Rand, processes, missing int, bound Bound) *fleet {
+	f := &fleet{bound: bound}
 	for i := range processes {
 		limiter := New(fmt.Sprint("g", i))
 		var others []string
@@ -37,29 +37,29 @@
 			others = append(others, fmt.Sprint("gone", j))
 		}
 		limiter.SetMembers(others)
-		w.limiters = append(w.limiters, limiter)
+		f.limiters = append(f.limiters, limiter)
 	}
-	return w
+	return f
 }
 
-// rule decides whether a process sends; the real one, or one that is broken on purpose.
-type rule func(l *Limiter, upstream string, bound Bound, now time.Time) bool
+// admissionRule reports whether a process may send: Limiter.Allows or a deliberately broken rule.
+type admissionRule func(l *Limiter, upstream string, bound Bound, now time.Time) bool
 
-// most lets every process try every few ms, and returns how many requests arrived in the
-// fullest second.
-func (w *world) most(random *rand.Rand, allows rule) int {
+// peakPerSecond lets every process try to send every few ms and returns the largest number
+// of requests that arrived within one second.
+func (f *fleet) peakPerSecond(random *rand.Rand, allows admissionRule) int {
 	var arrived []time.Time
 	for at := time.Duration(0); at < 6*time.Second; at += 5 * time.Millisecond {
 		now := start.Add(at)
-		for _, limiter := range w.limiters {
-			if random.IntN(4) == 0 || !allows(limiter, "u", w.bound, now) {
+		for _, limiter := range f.limiters {
+			if random.IntN(4) == 0 || !allows(limiter, "u", f.bound, now) {
 				continue
 			}
 			limiter.Sent("u", now)
-			arrived = append(arrived, now.Add(time.Duration(random.Int64N(int64(longestHold)))))
+			arrived = append(arrived, now.Add(time.Duration(random.Int64N(int64(maxDelay)))))
 		}
 	}
-	fullest := 0
+	peak := 0
 	for _, from := range arrived {
 		count := 0
 		for _, at := range arrived {
@@ -67,12 +67,12 @@
 				count++
 			}
 		}
-		fullest = max(fullest, count)
+		peak = max(peak, count)
 	}
-	return fullest
+	return peak
 }
 
-// bounds are those of deployments that may come: what a cold upstream takes, and the fleet.
+// bounds holds the bounds and fleet sizes of possible deployments.
 var bounds = []struct {
 	Bound
 	processes int
@@ -85,35 +85,36 @@
 	{Bound{PerSecond: 50, Overrun: 1.5, Slack: 5}, 4},
 }
 
-// TestNoSecondBringsMoreThanTheBound: whatever processes know of each other, as long as none
-// lacks more of the others than half of the bound.
-func TestNoSecondBringsMoreThanTheBound(t *testing.T) {
+// TestArrivalsStayWithinTheBoundInEverySecond checks the bound for random memberships in which
+// no process lacks more of the others than half of the bound.
+func TestArrivalsStayWithinTheBoundInEverySecond(t *testing.T) {
 	for seed := range uint64(12) {
-		for _, one := range bounds {
+		for _, deployment := range bounds {
 			random := rand.New(rand.NewPCG(seed, 3))
-			w := newWorld(random, one.processes, min(one.processes-1, one.senders()), one.Bound)
-			fullest := w.most(random, (*Limiter).Allows)
-			limit := one.PerSecond*one.Overrun + one.Slack
-			assert.Assert(t, float64(fullest) <= limit, "seed %d, %d processes: %d of %.1f", seed, one.processes, fullest, limit)
+			f := newFleet(random, deployment.processes, min(deployment.processes-1, deployment.senders()), deployment.Bound)
+			peak := f.peakPerSecond(random, (*Limiter).Allows)
+			limit := deployment.PerSecond*deployment.Overrun + deployment.Slack
+			assert.Assert(t, float64(peak) <= limit, "seed %d, %d processes: peak of %d, limit %.1f", seed, deployment.processes, peak, limit)
 		}
 	}
 }
 
-// TestTheModelFindsBoundsThatBreak: rules that look right and are not.
-func TestTheModelFindsBoundsThatBreak(t *testing.T) {
+// TestModelDetectsBrokenRules checks that the model exceeds the bound under rules that look
+// right and are wrong.
+func TestModelDetectsBrokenRules(t *testing.T) {
 	spaced := func(l *Limiter, upstream string, now time.Time, spacing time.Duration) bool {
-		last, sent := l.sent[upstream]
+		last, sent := l.lastSent[upstream]
 		return !sent || now.Sub(last) >= spacing
 	}
-	broken := map[string]rule{
-		"each process its part of the rate": func(l *Limiter, upstream string, bound Bound, now time.Time) bool {
+	broken := map[string]admissionRule{
+		"an equal share of the rate for each process": func(l *Limiter, upstream string, bound Bound, now time.Time) bool {
 			rate := (bound.PerSecond*bound.Overrun + bound.Slack) / float64(len(l.members)+1)
 			return spaced(l, upstream, now, time.Duration(float64(time.Second)/rate))
 		},
 		"as many senders as the bound": func(l *Limiter, upstream string, bound Bound, now time.Time) bool {
-			return spaced(l, upstream, now, Spacing) && l.rank(upstream) < unaware*bound.senders()
+			return spaced(l, upstream, now, Spacing) && l.rank(upstream) < divergenceFactor*bound.senders()
 		},
-		"a second between two": func(l *Limiter, upstream string, bound Bound, now time.Time) bool {
+		"half a second between two requests": func(l *Limiter, upstream string, bound Bound, now time.Time) bool {
 			return spaced(l, upstream, now, time.Second/2) && l.rank(upstream) < bound.senders()
 		},
 	}
@@ -122,27 +123,27 @@
 		bound := Bound{PerSecond: 13, Overrun: 1.5, Slack: 5}
 		for seed := range uint64(12) {
 			random := rand.New(rand.NewPCG(seed, 3))
-			worst = max(worst, newWorld(random, 27, 12, bound).most(random, allows))
+			worst = max(worst, newFleet(random, 27, 12, bound).peakPerSecond(random, allows))
 		}
 		assert.Assert(t, worst > 24, "%s: %d", name, worst)
 	}
 }
 
-// TestWhoKnowsNobodySendsNothing: it may be one of many that know nobody.
-func TestWhoKnowsNobodySendsNothing(t *testing.T) {
+// TestProcessWithoutMembershipSendsNothing checks that a process sends nothing before it knows
+// the membership: many other processes may know no members either.
+func TestProcessWithoutMembershipSendsNothing(t *testing.T) {
 	bound := Bound{PerSecond: 13, Overrun: 1.5, Slack: 5}
 	l := New("g1")
 	assert.Assert(t, !l.Allows("u", bound, start))
 	l.SetMembers(nil)
-	assert.Assert(t, l.Allows("u", bound, start), "it is alone")
+	assert.Assert(t, l.Allows("u", bound, start), "there are no other members")
 	l.Sent("u", start)
 	assert.Assert(t, !l.Allows("u", bound, start.Add(time.Second)))
 	assert.Assert(t, l.Allows("other", bound, start.Add(time.Second)))
 	assert.Assert(t, l.Allows("u", bound, start.Add(Spacing)))
 }
 
-// TestUpstreamsWithoutABoundTakeAny.
-func TestUpstreamsWithoutABoundTakeAny(t *testing.T) {
+func TestUpstreamsWithoutABoundTakeAnyNumberOfRequests(t *testing.T) {
 	l := New("g1")
 	for range 100 {
 		assert.Assert(t, l.Allows("u", Bound{Overrun: 1.5, Slack: 5}, start))
@@ -150,13 +151,14 @@
 	}
 }
 
-// TestEachColdUpstreamHasSenders: of a fleet that knows itself, so many as are meant to.
+// TestEachColdUpstreamHasSenders checks that in a fleet in which all processes know each other,
+// each cold upstream has about as many senders as it is meant to have.
 func TestEachColdUpstreamHasSenders(t *testing.T) {
 	bound := Bound{PerSecond: 13, Overrun: 1.5, Slack: 5}
-	w := newWorld(rand.New(rand.NewPCG(1, 1)), 27, 0, bound)
+	f := newFleet(rand.New(rand.NewPCG(1, 1)), 27, 0, bound)
 	for i := range 49 {
 		senders := 0
-		for _, l := range w.limiters {
+		for _, l := range f.limiters {
 			if l.Allows(fmt.Sprint("u", i), bound, start) {
 				senders++
 			}
