--- a/core/budget/budget.go
+++ b/core/budget/budget.go
@@ -1,5 +1,5 @@
-// Package budget bounds retries and hedges by a ratio of ordinary calls, so that
-// a brown-out of the upstreams cannot multiply its own load.
+// Package budget limits retries and hedges to a ratio of ordinary calls, so that
+// overloaded upstreams don't get a multiple of their load.
 package budget
 
 import "time"
@@ -9,16 +9,16 @@
 	// Ratio is how many tokens each ordinary call adds; 0.02 allows two extra
 	// calls in a hundred.
 	Ratio float64
-	// FloorPerSecond is how many tokens time alone adds, so that an entry with
-	// few calls may retry at all.
+	// FloorPerSecond is how many tokens are added per second without any calls, so
+	// that a process with few calls can retry at all.
 	FloorPerSecond float64
-	// Burst is the most tokens that are kept, and what a new Budget holds.
+	// Burst is the capacity of the bucket. A new Budget is full.
 	Burst float64
 }
 
-// Limits that an entry uses unless its settings say otherwise. The floors are
-// small because every entry has its own: 340 entries with a floor of 0.02 allow
-// 6.8 hedges a second beside the ratio.
+// The default limits of an entry process. The floors are small because every process
+// has its own budget: 340 entries with a floor of 0.02 allow 6.8 hedges a second in
+// addition to the ratio.
 var (
 	DefaultRetry = Limits{Ratio: 0.10, FloorPerSecond: 0.2, Burst: 5}
 	DefaultHedge = Limits{Ratio: 0.02, FloorPerSecond: 0.02, Burst: 2}
@@ -33,7 +33,7 @@
 	last   time.Time
 }
 
-// New returns a full Budget whose time begins at now.
+// New returns a full Budget that starts at now.
 func New(limits Limits, now time.Time) *Budget {
 	return &Budget{limits: limits, tokens: limits.Burst, last: now}
 }
@@ -44,7 +44,8 @@
 	b.add(b.limits.Ratio)
 }
 
-// Withdraw takes one token for an extra call, or returns false and takes none.
+// Withdraw takes one token for an extra call and returns true, or returns false if there is
+// none.
 func (b *Budget) Withdraw(now time.Time) bool {
 	b.advance(now)
 	if b.tokens < 1 {
@@ -54,10 +55,10 @@
 	return true
 }
 
-// Tokens returns how many extra calls are allowed at the last recorded time.
+// Tokens returns the number of tokens at the time of the last call of Deposit or Withdraw.
 func (b *Budget) Tokens() float64 { return b.tokens }
 
-// advance adds what time has brought. A clock that goes back adds nothing.
+// advance adds the tokens for the time since the last call. A clock that goes back adds none.
 func (b *Budget) advance(now time.Time) {
 	elapsed := now.Sub(b.last)
 	if elapsed <= 0 {
@@ -67,7 +68,7 @@
 	b.add(b.limits.FloorPerSecond * elapsed.Seconds())
 }
 
-// add puts tokens into the bucket up to its burst.
+// add adds tokens up to the capacity of the bucket.
 func (b *Budget) add(tokens float64) {
 	b.tokens = min(b.tokens+tokens, b.limits.Burst)
 }
--- a/core/budget/budget_test.go
+++ b/core/budget/budget_test.go
@@ -10,10 +10,10 @@
 	"acaciawinch/core/budget"
 )
 
-// epoch is when the tests' time begins.
+// epoch is the start time of the tests.
 var epoch = time.Unix(0, 0)
 
-// rounding is the error of summed floating-point tokens.
+// rounding bounds the rounding error of the sum of floating-point tokens.
 const rounding = 1e-6
 
 // later returns the later of two times.
@@ -24,7 +24,7 @@
 	return b
 }
 
-// TestNeverExceedsItsRatio draws any interleaving of calls, extra calls and time.
+// TestNeverExceedsItsRatio draws random sequences of calls, extra calls and clock steps.
 func TestNeverExceedsItsRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := budget.Limits{
@@ -52,7 +52,7 @@
 	})
 }
 
-// TestRatioWithoutTime shows the exact count when no time passes.
+// TestRatioWithoutTime checks the exact count of extra calls when no time passes.
 func TestRatioWithoutTime(t *testing.T) {
 	b := budget.New(budget.Limits{Ratio: 0.02, FloorPerSecond: 1, Burst: 2}, epoch)
 	taken := 0
@@ -62,11 +62,11 @@
 			taken++
 		}
 	}
-	// 2 from the burst and 0.02 × 1000; the bucket was full at the first deposit.
+	// 2 from the burst and 0.02 × 1000, less the first deposit, which finds the bucket full.
 	assert.Equal(t, taken, 21)
 }
 
-// TestFloorLetsAnIdleEntryRetry shows that time alone refills, up to the burst.
+// TestFloorLetsAnIdleEntryRetry checks that time alone refills the bucket, up to the burst.
 func TestFloorLetsAnIdleEntryRetry(t *testing.T) {
 	b := budget.New(budget.Limits{FloorPerSecond: 0.2, Burst: 1}, epoch)
 	assert.Assert(t, b.Withdraw(epoch))
@@ -77,7 +77,7 @@
 	assert.Assert(t, !b.Withdraw(epoch.Add(time.Hour)))
 }
 
-// TestClockGoingBackTakesNothing shows that tokens survive a step back.
+// TestClockGoingBackTakesNothing checks that a clock that goes back removes no tokens.
 func TestClockGoingBackTakesNothing(t *testing.T) {
 	b := budget.New(budget.Limits{FloorPerSecond: 1, Burst: 1}, epoch)
 	assert.Assert(t, b.Withdraw(epoch.Add(-time.Hour)))
