--- a/core/fault/fault.go
+++ b/core/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault holds the error type of acaciawinch: every error that crosses a
-// module carries the step and the peer at which it arose.
+// Package fault defines the error type of acaciawinch: every error that leaves a module
+// carries a code, the step that failed and the peer it failed with.
 package fault
 
 import (
@@ -7,41 +7,40 @@
 	"fmt"
 )
 
-// Code classifies an error for decisions. Text is for people only.
+// Code is the class of an error. Decisions depend on it, never on the text of an error.
 type Code string
 
-// The classes of errors.
 const (
-	// Invalid: the input breaks a rule; a retry of the same input fails again.
+	// Invalid means that the input is invalid; a retry with the same input fails again.
 	Invalid Code = "invalid"
-	// NotFound: the named thing does not exist.
+	// NotFound means that the requested object does not exist.
 	NotFound Code = "not_found"
-	// Conflict: the thing changed under the caller.
+	// Conflict means that the object was changed concurrently.
 	Conflict Code = "conflict"
-	// Refused: the peer proved that it did not and will not act.
+	// Refused means that the peer is known not to have acted on the request, and never will.
 	Refused Code = "refused"
-	// Unavailable: the peer could not be reached, or gave up before it acted.
+	// Unavailable means that the peer could not be reached, or failed before it acted.
 	Unavailable Code = "unavailable"
-	// Ambiguous: the peer may or may not have acted.
+	// Ambiguous means that the peer may or may not have acted.
 	Ambiguous Code = "ambiguous"
-	// DeadlineExceeded: the time allowed ran out.
+	// DeadlineExceeded means that the deadline passed.
 	DeadlineExceeded Code = "deadline_exceeded"
-	// Cancelled: the caller gave up.
+	// Cancelled means that the caller cancelled the operation.
 	Cancelled Code = "cancelled"
-	// Internal: a rule of the code itself was broken.
+	// Internal means that an invariant of the code was violated.
 	Internal Code = "internal"
 )
 
-// Error is an error with the step and the peer at which it arose.
+// Error is an error with its code, the step that failed and the peer it failed with.
 type Error struct {
 	Code Code
-	// Step names what was being done, such as "claim.create".
+	// Step is the operation that failed, such as "claim.create".
 	Step string
-	// Peer names the other side: an upstream, a process or a service; empty if none.
+	// Peer is the other side: an upstream, a process or a service; empty if there is none.
 	Peer string
-	// Detail says what went wrong, for people.
+	// Detail describes the failure in a human-readable form.
 	Detail string
-	// Err is the cause, if another error is.
+	// Err is the underlying error, nil if there is none.
 	Err error
 }
 
@@ -50,8 +49,8 @@
 	return &Error{Code: code, Step: step, Peer: peer, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Wrap returns an error caused by err, or nil if err is nil. An err that already
-// is an Error with a step keeps its own step and peer and is returned as it is.
+// Wrap returns an Error that wraps err, or nil if err is nil. If err already is or wraps an
+// Error, Wrap returns err unchanged, with its own code, step and peer.
 func Wrap(code Code, step, peer string, err error) error {
 	if err == nil {
 		return nil
@@ -63,7 +62,7 @@
 	return &Error{Code: code, Step: step, Peer: peer, Err: err}
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *Error) Error() string {
 	text := string(e.Code) + " at " + e.Step
 	if e.Peer != "" {
@@ -78,10 +77,10 @@
 	return text
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *Error) Unwrap() error { return e.Err }
 
-// CodeOf returns the class of err, Internal if it has none, and "" for nil.
+// CodeOf returns the code of err, Internal if err has none, and "" if err is nil.
 func CodeOf(err error) Code {
 	if err == nil {
 		return ""
@@ -93,5 +92,5 @@
 	return Internal
 }
 
-// Is tells whether err has the class code.
+// Is reports whether err has the given code.
 func Is(err error, code Code) bool { return err != nil && CodeOf(err) == code }
