--- a/core/pool/estimate.go
+++ b/core/pool/estimate.go
@@ -66,7 +66,7 @@
 func (p *Pool) waitBehind(ahead int) time.Duration {
 	usable := 0
 	for _, w := range p.workers {
-		if w.upstream.Stays() {
+		if w.upstream.Eligible() {
 			usable++
 		}
 	}
--- a/core/routes/route.go
+++ b/core/routes/route.go
@@ -1,7 +1,6 @@
-// Package routes holds the configuration that requests are served under: which
-// route a request takes, what may be repeated, who may call, and the services
-// behind. A Table is immutable and safe for concurrent use; a new configuration
-// is a new Table.
+// Package routes holds the configuration of the gateways: the route of a request, what may
+// be retried, who may call, and the services and their upstreams. A Table is immutable and
+// safe for concurrent use; a new configuration is a new Table.
 package routes
 
 import (
@@ -9,23 +8,24 @@
 	"time"
 )
 
-// Repeat says what may be done again when an answer is lost.
+// Repeat is the retry policy for requests whose response was lost. The zero value is the
+// strictest.
 type Repeat int
 
-// The kinds of repetition. The zero value is the strictest.
 const (
-	// AtMostOnce: a request that may have run is never sent again.
+	// AtMostOnce means that a request that may have run is never sent again.
 	AtMostOnce Repeat = iota
-	// Idempotent: a request may run more than once.
+	// Idempotent means that a request may run more than once.
 	Idempotent
-	// Resumable: an event stream may go on at another upstream after its last event.
+	// Resumable means that an event stream may be resumed at another upstream after its last
+	// event.
 	Resumable
 )
 
-// Regions are the regions that may process something; without any, all may.
+// Regions is a list of the regions that may process a request; an empty list allows all.
 type Regions []string
 
-// Allow tells whether a region is among them.
+// Allow reports whether a region is allowed.
 func (r Regions) Allow(region string) bool {
 	return len(r) == 0 || slices.Contains(r, region)
 }
@@ -37,17 +37,17 @@
 	Weight int
 }
 
-// Stage is work that must be done before a request itself can run.
+// Stage is a step of work that must be done before the request itself can run.
 type Stage struct {
 	// Service is the pool whose upstreams do the work.
 	Service string
-	// After lists the stages whose results are this one's inputs, by index.
+	// After lists the indexes of the stages whose results are the inputs of this stage.
 	After []int
 	// ResultBytes is the approximate size of one result.
 	ResultBytes int64
 }
 
-// Route is how requests of one host and path prefix are served.
+// Route configures how requests of one host and path prefix are served.
 type Route struct {
 	Name string
 	// Host is in lower case, without a port.
@@ -55,67 +55,66 @@
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Repeat Repeat
-	// Stream is set if the answer is a series of events.
+	// Stream is set if the response is a stream of events.
 	Stream bool
 	// Timeout bounds the whole request.
 	Timeout time.Duration
-	// Objective is the time until the answer, or a stream's first event, that
-	// counts as on time.
+	// Objective is the latency objective for the response, or for the first event of a stream.
 	Objective time.Duration
 	// StartWithin is how long clients wait for a stream's first event; 0 on other routes.
 	StartWithin time.Duration
-	// GapObjective is the longest pause between two events that counts as on time.
+	// GapObjective is the latency objective for the time between two events of a stream.
 	GapObjective time.Duration
-	// Priority is the rank of the route; 0 goes first.
+	// Priority is the priority of the route; 0 is the most urgent.
 	Priority int
 	Targets  []Target
 	// MaxAttempts bounds the upstreams to which one request may be sent.
 	MaxAttempts int
 	Stages      []Stage
-	// Anonymous routes need no key.
+	// Anonymous routes need no API key.
 	Anonymous bool
-	// Regions are those whose upstreams may run the route's requests.
+	// Regions are the regions whose upstreams may run the route's requests.
 	Regions Regions
 }
 
-// Pool is how the upstreams of a stage service work.
+// Pool describes the upstreams of a stage service.
 type Pool struct {
-	// Slots is how many calls an upstream works on at once, Queue how many wait.
+	// Slots is how many calls an upstream runs at once, Queue how many can wait there.
 	Slots, Queue int
-	// Batch is the most items of one call.
+	// Batch is the maximum number of items in a call.
 	Batch int
-	// CallTime and ItemTime are the approximate times of a call and of an item in it.
+	// CallTime is the approximate fixed time of a call, ItemTime the additional time per item.
 	CallTime, ItemTime time.Duration
-	// RoomBytes is an upstream's room for results that were not yet freed.
+	// RoomBytes is an upstream's capacity for results that are not freed yet.
 	RoomBytes int64
-	// KeepTime is how long a result is kept after its call if nobody frees it.
+	// KeepTime is how long a result is stored after its call unless it is freed earlier.
 	KeepTime time.Duration
 }
 
 // Service is a group of upstreams that do the same work.
 type Service struct {
 	Name string
-	// MaxConnections is what an upstream accepts from all processes together.
+	// MaxConnections is how many connections an upstream accepts from all processes together.
 	MaxConnections int
 	// ColdStart is how long an upstream is cold after its start, and ColdPerSecond how many
-	// requests a second it takes while it is; 0 if it takes any number.
+	// requests a second a cold upstream takes; 0 if it takes any number.
 	ColdStart     time.Duration
 	ColdPerSecond float64
-	// Pool is set for services that do stages.
+	// Pool is set for services whose upstreams run stages.
 	Pool *Pool
-	// Engine is set for services that generate.
+	// Engine is set for services whose upstreams are model engines.
 	Engine *Engine
 }
 
-// Engine is how a service's model engines work.
+// Engine describes the model engines of a service.
 type Engine struct {
 	// Slots is how many requests run at once.
 	Slots int
-	// CacheTokens is the memory for running requests and cached prompt parts.
+	// CacheTokens is the memory, in tokens, for running requests and cached prompt prefixes.
 	CacheTokens int64
 }
 
-// Limits bound what a client may send.
+// Limits bounds the requests of clients.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -123,13 +122,14 @@
 	IdleTimeout   time.Duration
 }
 
-// Workspace is a customer with its keys.
+// Workspace is a customer with its API keys.
 type Workspace struct {
 	Name string
-	// Priority replaces the route's if HasPriority is set.
+	// Priority replaces the route's priority if HasPriority is set.
 	Priority    int
 	HasPriority bool
 	Keys        []string
-	// Regions are those whose upstreams may run the workspace's requests, beside the route's.
+	// Regions are the regions whose upstreams may run the workspace's requests. The regions of
+	// the route apply as well.
 	Regions Regions
 }
--- a/core/routes/table.go
+++ b/core/routes/table.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// Table is one whole configuration.
+// Table is one complete version of the configuration.
 type Table struct {
-	// Version is the operator's number of the configuration; it only rises.
+	// Version is the version number that the operator gives to the configuration; it only rises.
 	Version int64
 	Limits  Limits
 
@@ -18,7 +18,7 @@
 	workspaces bool
 }
 
-// NewTable returns the Table of a checked configuration.
+// NewTable returns the Table of a validated configuration.
 func NewTable(version int64, limits Limits, list []*Route, services []*Service, workspaces []*Workspace) *Table {
 	t := &Table{
 		Version:    version,
@@ -45,8 +45,8 @@
 	return t
 }
 
-// Find returns the route with the longest prefix of path among those of a Host
-// header's host, or nil. The path is taken as the client sent it.
+// Find returns the route with the longest prefix of path among those of the host in a Host
+// header, or nil if there is none. The path is matched as the client sent it.
 func (t *Table) Find(hostHeader, path string) *Route {
 	for _, route := range t.hosts[HostName(hostHeader)] {
 		if strings.HasPrefix(path, route.Prefix) {
@@ -65,14 +65,14 @@
 	return strings.ToLower(host)
 }
 
-// Service returns a service, or nil.
+// Service returns the service with a name, or nil if there is none.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// HasWorkspaces tells whether there are workspaces, whose keys routes may need.
+// HasWorkspaces reports whether the configuration has workspaces, whose API keys routes may need.
 func (t *Table) HasWorkspaces() bool { return t.workspaces }
 
-// NeedsKey tells whether requests of a route must bring a key.
+// NeedsKey reports whether requests of a route need an API key.
 func (t *Table) NeedsKey(route *Route) bool { return t.workspaces && !route.Anonymous }
 
-// Workspace returns who holds a key, or nil.
+// Workspace returns the workspace to which an API key belongs, or nil if there is none.
 func (t *Table) Workspace(key string) *Workspace { return t.keys[key] }
--- a/core/routes/upstream.go
+++ b/core/routes/upstream.go
@@ -7,56 +7,58 @@
 	"time"
 )
 
-// Upstream is one running back end as discovery last told of it.
+// Upstream is one running upstream, as discovery last reported it.
 type Upstream struct {
-	// ID names the upstream; it is sent along so that whoever has the address later does
-	// not run the request.
+	// ID identifies the upstream. It is sent with each request, so that a process that takes
+	// over the address does not run requests meant for this upstream.
 	ID      string
 	Service string
 	// Address is IP:port.
 	Address string
 	Zone    string
-	// Region is that of its zone, empty if it isn't known.
+	// Region is the region of its zone, empty if unknown.
 	Region string
 	Slots  int
-	// Leaving upstreams get no new work.
+	// Leaving is set while the upstream shuts down: it gets no new work.
 	Leaving bool
-	// PausedUntil is until when the upstream, which turned a request away, wants nothing from
-	// this process; the zero time if it did not ask for that.
+	// PausedUntil is until when this process is backed off from the upstream, which rejected
+	// a request and asked for the backoff; the zero time if it did not.
 	PausedUntil time.Time
-	// Evacuated upstreams get no new work either: their availability zone is to be emptied.
+	// Evacuated is set while its availability zone is evacuated: it gets no new work.
 	Evacuated bool
-	// Born tells two starts under one ID apart: the later one has the higher number. It
-	// is the Unix millisecond of the start, 0 if that isn't known.
+	// Born is the number of the incarnation, which distinguishes the runs of an upstream with
+	// one ID: a later run has a higher number. It is the start time in Unix milliseconds, 0 if
+	// unknown.
 	Born int64
-	// Cold is how much longer the upstream said it is cold after its start: it takes few
-	// requests a second then.
+	// Cold is the remaining time for which the upstream reported itself cold after its start. A
+	// cold upstream takes only a few requests a second.
 	Cold time.Duration
-	// ColdUntil is when it is warm by that, by this process's clock.
+	// ColdUntil is the time, by this process's clock, at which Cold has passed.
 	ColdUntil time.Time
 	// TakenBack is when the last evacuation of its zone ended; the zero time if there was none.
 	TakenBack time.Time
 }
 
-// wordDelay is how long after a zone's evacuation its upstreams may be cold without this
-// process having heard of it: a heartbeat of theirs, a call of the store and the ways.
-const wordDelay = 2500 * time.Millisecond
+// reportDelay is how long after the end of a zone's evacuation this process may not yet know
+// that an upstream there is cold: the time of a heartbeat of the upstream, a call of the store
+// and the network delays.
+const reportDelay = 2500 * time.Millisecond
 
-// IsCold tells whether an upstream must be taken for cold, given how long those of its
-// service are after a start. In a zone that was just taken back it may have become cold
-// unheard.
+// IsCold reports whether an upstream must be assumed to be cold, where start is how long the
+// upstreams of its service are cold after a start. An upstream in a zone whose evacuation just
+// ended may be cold before this process receives a report of it.
 func (u Upstream) IsCold(start time.Duration, now time.Time) bool {
 	if now.Before(u.ColdUntil) {
 		return true
 	}
-	return !u.TakenBack.IsZero() && now.Before(u.TakenBack.Add(start+wordDelay))
+	return !u.TakenBack.IsZero() && now.Before(u.TakenBack.Add(start+reportDelay))
 }
 
-// Stays tells whether an upstream gets new work at some time.
-func (u Upstream) Stays() bool { return !u.Leaving && !u.Evacuated }
+// Eligible reports whether an upstream takes new work, now or once its backoff has ended.
+func (u Upstream) Eligible() bool { return !u.Leaving && !u.Evacuated }
 
-// TakesWork tells whether an upstream may get new work now.
-func (u Upstream) TakesWork(now time.Time) bool { return u.Stays() && !now.Before(u.PausedUntil) }
+// TakesWork reports whether an upstream takes new work now.
+func (u Upstream) TakesWork(now time.Time) bool { return u.Eligible() && !now.Before(u.PausedUntil) }
 
 // Upstreams is an immutable snapshot of all upstreams.
 type Upstreams struct {
@@ -84,8 +86,8 @@
 // not change the slice.
 func (u *Upstreams) Of(service string) []Upstream { return u.byService[service] }
 
-// Evacuated tells whether all upstreams of a service are in zones that are to be emptied, so
-// that its work can be done nowhere until one is taken back.
+// Evacuated reports whether a service has upstreams and all of them are in evacuated zones, so
+// that its work can't be done until the evacuation of a zone ends.
 func (u *Upstreams) Evacuated(service string) bool {
 	list := u.byService[service]
 	for _, upstream := range list {
@@ -96,28 +98,28 @@
 	return len(list) > 0
 }
 
-// Opens returns when the first upstream of a service takes work, which is now unless all that
-// stay have asked for a pause.
+// Opens returns when the first upstream of a service takes work: now, unless all eligible
+// upstreams are backed off.
 func (u *Upstreams) Opens(service string, now time.Time) time.Time {
 	return Opens(slices.Values(u.byService[service]), now)
 }
 
-// Opens returns when the first of some upstreams takes work, which is now unless all that stay have
-// asked for a pause.
+// Opens returns when the first of some upstreams takes work: now, unless all eligible upstreams
+// are backed off.
 func Opens(upstreams iter.Seq[Upstream], now time.Time) time.Time {
 	first := now
 	for upstream := range upstreams {
 		switch {
 		case upstream.TakesWork(now):
 			return now
-		case upstream.Stays() && (first.Equal(now) || upstream.PausedUntil.Before(first)):
+		case upstream.Eligible() && (first.Equal(now) || upstream.PausedUntil.Before(first)):
 			first = upstream.PausedUntil
 		}
 	}
 	return first
 }
 
-// Knows tells whether there is an upstream with an ID.
+// Knows reports whether there is an upstream with an ID.
 func (u *Upstreams) Knows(id string) bool {
 	_, known := u.byID[id]
 	return known
--- a/core/routes/upstream_test.go
+++ b/core/routes/upstream_test.go
@@ -10,28 +10,29 @@
 
 var now = time.Unix(1000, 0)
 
-// TestColdIsWhatAnEntrySaidAndWhatAZoneMayHide: for a start's time, and as long as a word takes,
-// after a zone was taken back.
-func TestColdIsWhatAnEntrySaidAndWhatAZoneMayHide(t *testing.T) {
+// TestUpstreamIsColdIfReportedOrIfItsZoneJustReturned checks that an upstream counts as cold while
+// it reports so and, after the evacuation of its zone ended, for the time of a cold start and
+// the delay of a report.
+func TestUpstreamIsColdIfReportedOrIfItsZoneJustReturned(t *testing.T) {
 	const start = 3 * time.Second
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		upstream Upstream
 		cold     bool
 	}{
-		"nothing said":          {Upstream{}, false},
-		"said":                  {Upstream{ColdUntil: now.Add(time.Millisecond)}, true},
-		"said long ago":         {Upstream{ColdUntil: now}, false},
-		"zone just taken back":  {Upstream{TakenBack: now}, true},
-		"its word may be late":  {Upstream{TakenBack: now.Add(-start - wordDelay + time.Millisecond)}, true},
-		"taken back a while":    {Upstream{TakenBack: now.Add(-start - wordDelay)}, false},
-		"said, and a zone back": {Upstream{ColdUntil: now.Add(time.Second), TakenBack: now.Add(-time.Minute)}, true},
+		"no report":                  {Upstream{}, false},
+		"reported":                   {Upstream{ColdUntil: now.Add(time.Millisecond)}, true},
+		"reported time passed":       {Upstream{ColdUntil: now}, false},
+		"evacuation just ended":      {Upstream{TakenBack: now}, true},
+		"report may still be late":   {Upstream{TakenBack: now.Add(-start - reportDelay + time.Millisecond)}, true},
+		"evacuation ended earlier":   {Upstream{TakenBack: now.Add(-start - reportDelay)}, false},
+		"reported, evacuation ended": {Upstream{ColdUntil: now.Add(time.Second), TakenBack: now.Add(-time.Minute)}, true},
 	} {
-		assert.Equal(t, one.upstream.IsCold(start, now), one.cold, name)
+		assert.Equal(t, test.upstream.IsCold(start, now), test.cold, name)
 	}
 }
 
-// TestAServiceIsEvacuatedOnlyIfAllItsUpstreamsAre: leaving ones are no reason to say so, and
-// neither is a service without any.
+// TestAServiceIsEvacuatedOnlyIfAllItsUpstreamsAre checks that leaving upstreams do not count as
+// evacuated, and that a service without upstreams is not evacuated.
 func TestAServiceIsEvacuatedOnlyIfAllItsUpstreamsAre(t *testing.T) {
 	u := NewUpstreams([]Upstream{
 		{ID: "a", Service: "all", Evacuated: true}, {ID: "b", Service: "all", Evacuated: true},
@@ -42,16 +43,17 @@
 	assert.Assert(t, !u.Evacuated("none"))
 }
 
-func TestWhoLeavesOrIsEvacuatedTakesNoWork(t *testing.T) {
+func TestLeavingAndEvacuatedUpstreamsTakeNoWork(t *testing.T) {
 	assert.Assert(t, Upstream{}.TakesWork(now))
 	assert.Assert(t, !Upstream{Leaving: true}.TakesWork(now))
 	assert.Assert(t, !Upstream{Evacuated: true}.TakesWork(now))
 }
 
-// TestAPauseEndsByItself: and an upstream that leaves takes nothing after it either.
-func TestAPauseEndsByItself(t *testing.T) {
+// TestBackoffEndsByItself checks that an upstream takes work again after its backoff, and that
+// Opens returns the earliest end of a backoff and skips upstreams that leave.
+func TestBackoffEndsByItself(t *testing.T) {
 	paused := Upstream{Service: "s", PausedUntil: now.Add(time.Second)}
-	assert.Assert(t, !paused.TakesWork(now) && paused.Stays())
+	assert.Assert(t, !paused.TakesWork(now) && paused.Eligible())
 	assert.Assert(t, paused.TakesWork(now.Add(time.Second)))
 	longer := Upstream{Service: "s", PausedUntil: now.Add(time.Minute)}
 	gone := Upstream{Service: "s", Leaving: true}
@@ -65,5 +67,5 @@
 	assert.Assert(t, Regions(nil).Allow(""))
 	assert.Assert(t, Regions{"r1", "r2"}.Allow("r2"))
 	assert.Assert(t, !Regions{"r1"}.Allow("r2"))
-	assert.Assert(t, !Regions{"r1"}.Allow(""), "a zone of no known region")
+	assert.Assert(t, !Regions{"r1"}.Allow(""), "the region of the zone is unknown")
 }
