--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -1,6 +1,6 @@
 // Package pool implements the queue of one stage pool, shared by all gateways, and
-// closes batches from it. Most of a call's time is spent whether the call is full or
-// nearly empty, so there is one queue for all callers, and a batch is closed only when
+// closes batches from it. Most of the time of a call is fixed, whether the call is full
+// or nearly empty, so there is one queue for all callers, and a batch is closed only when
 // an upstream is free to take it: the longer the queue, the fuller the batches.
 //
 // A task is one request's stage, made of items that are needed together. A task is in
--- a/core/routes/upstream.go
+++ b/core/routes/upstream.go
@@ -19,7 +19,7 @@
 	// Region is the region of its zone, empty if unknown.
 	Region string
 	Slots  int
-	// Leaving is set while the upstream shuts down: it gets no new work.
+	// Leaving is set while the upstream reports that it leaves: it gets no new work.
 	Leaving bool
 	// PausedUntil is until when this process is backed off from the upstream, which rejected
 	// a request and asked for the backoff; the zero time if it did not.
--- a/core/slowstart/slowstart.go
+++ b/core/slowstart/slowstart.go
@@ -15,9 +15,9 @@
 // process that knows no members, or whose membership is stale, sends nothing, as its u is
 // unknown.
 //
-// The load that made this necessary: all engines of a zone start at the same time during a
-// burst, or a single hot prompt prefix, for which all processes compute the same order of
-// engines, sends dozens of requests a second to the first engine.
+// Without the bound, when all engines of a zone start at the same time, a burst or a single hot
+// prompt prefix, for which all processes compute the same order of engines, sends dozens of
+// requests a second to the first of them.
 package slowstart
 
 import (
