--- a/gateway/pools/asker.go
+++ b/gateway/pools/asker.go
@@ -13,64 +13,64 @@
 	"acaciawinch/wire/link"
 )
 
-// suspectFor is how long an owner that fell silent is passed over: long enough that
-// a dead one costs one wait in many tasks, short enough that one that is back owns
-// its pools again soon.
+// suspectFor is how long an owner is skipped after it has stopped responding: long enough that
+// a dead owner delays only one in many tasks, short enough that a recovered one soon owns its
+// pools again.
 const suspectFor = 3 * time.Second
 
-// Asker gives tasks to the owners of pools. It may be used by many goroutines.
+// Asker submits tasks to the owners of pools. It is safe for concurrent use.
 type Asker struct {
-	view   *view.View
-	self   view.Member
-	dialer *link.Dialer
-	logger *observe.Logger
-	local  *Session
-	life   context.Context
+	view     *view.View
+	self     view.Member
+	dialer   *link.Dialer
+	logger   *observe.Logger
+	local    *Session
+	lifetime context.Context
 
 	mu    sync.Mutex
 	links map[string]*ownerLink
-	// suspects holds until when an owner is passed over, by its incarnation.
+	// suspects holds the time until which an owner is skipped, by its incarnation.
 	suspects map[string]time.Time
-	// leaving is set at a planned stop: others own the pools then.
-	leaving bool
-	waits   *waits
-	number  uint64
+	// leaving is set on a planned stop: from then on other gateways are the owners.
+	leaving    bool
+	waits      *waits
+	lastNumber uint64
 }
 
-// NewAsker returns an Asker of the process self, whose own Owner is owner. Its links end
-// with life.
-func NewAsker(life context.Context, v *view.View, self view.Member, owner *Owner, dialer *link.Dialer, logger *observe.Logger) *Asker {
+// NewAsker returns an Asker for the process self, whose local Owner is owner. Its links to
+// other owners close when lifetime ends.
+func NewAsker(lifetime context.Context, v *view.View, self view.Member, owner *Owner, dialer *link.Dialer, logger *observe.Logger) *Asker {
 	return &Asker{
 		view:     v,
 		self:     self,
 		dialer:   dialer,
 		logger:   logger,
 		local:    owner.Session(true),
-		life:     life,
+		lifetime: lifetime,
 		links:    make(map[string]*ownerLink),
 		suspects: make(map[string]time.Time),
 		waits:    newWaits(),
 	}
 }
 
-// maxOwners bounds the owners that one task is given to.
-const maxOwners = 3
+// maxOwnerTries bounds the number of owners that one task is submitted to.
+const maxOwnerTries = 3
 
-// Do gives a task to the owner of its pool and waits for its end. When the owner
-// falls silent the task goes to the next one. Begun is called when the task's inputs
-// have been read, and must return at once. Do returns who answered; the error is that
-// of ctx.
+// Do submits a task to the owner of its pool and waits for the result. If the owner stops
+// responding or hands the task back, the next owner gets it. Do calls begun when the task's
+// inputs have been read; begun must return at once. It returns the name of the last owner
+// tried; the error is that of ctx.
 func (a *Asker) Do(ctx context.Context, task Task, begun func()) (Result, string, error) {
-	began := time.Now()
-	task.Part = a.part(task)
-	whole := task
+	start := time.Now()
+	task.Part = a.choosePart(task)
+	original := task
 	var result Result
 	var owner string
-	for range maxOwners {
-		passed := time.Since(began)
-		task.Remaining, task.Due = whole.Remaining-passed, whole.Due-passed
+	for range maxOwnerTries {
+		elapsed := time.Since(start)
+		task.Remaining, task.Due = original.Remaining-elapsed, original.Due-elapsed
 		var err error
-		result, owner, err = a.once(ctx, task, begun)
+		result, owner, err = a.tryOwner(ctx, task, begun)
 		if err != nil || result.Failure != OwnerLost && result.Failure != OwnerLeft {
 			return result, owner, err
 		}
@@ -78,18 +78,19 @@
 	return result, owner, nil
 }
 
-// Leave gives this process's tasks to other owners from now on, if there are any.
+// Leave makes other gateways, if there are any, the owners for this process's tasks from now
+// on.
 func (a *Asker) Leave() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.leaving = true
 }
 
-// once gives a task to the owner as it is known now.
-func (a *Asker) once(ctx context.Context, task Task, begun func()) (Result, string, error) {
+// tryOwner submits a task to the current owner of its part and waits for the result.
+func (a *Asker) tryOwner(ctx context.Context, task Task, begun func()) (Result, string, error) {
 	owner := a.owner(task.Part, time.Now())
 	results := make(chan Result, 1)
-	number := a.next()
+	number := a.nextNumber()
 	notify := Notify{Begun: begun, Done: func(r Result) { results <- r }}
 	var cancel func()
 	if owner.Name == a.self.Name {
@@ -102,7 +103,7 @@
 	}
 	select {
 	case result := <-results:
-		a.learn(task, result)
+		a.recordEstimates(task, result)
 		if result.Failure == OwnerLeft {
 			a.suspect(owner)
 		}
@@ -113,7 +114,7 @@
 	}
 }
 
-// Free gives results of a service back to their owners.
+// Free releases results of a service at their owners.
 func (a *Asker) Free(service string, handles []string) {
 	if len(handles) == 0 {
 		return
@@ -128,9 +129,9 @@
 	}
 }
 
-// part returns the part of a pool that is to do a task: of two that the request's id
-// gives, the one with the shorter wait.
-func (a *Asker) part(task Task) Part {
+// choosePart returns the part of the pool that runs a task: of the two that the hashes of the
+// request's id select, the one with the shorter backlog.
+func (a *Asker) choosePart(task Task) Part {
 	first := Part{Service: task.Service, Count: partsOf(len(a.view.Upstreams().Of(task.Service)))}
 	if first.Count == 1 {
 		return first
@@ -147,24 +148,24 @@
 	return first
 }
 
-// learn records an owner's estimates of the waits at a part of a pool.
-func (a *Asker) learn(task Task, result Result) {
+// recordEstimates records an owner's estimates of the waits at a part of a pool.
+func (a *Asker) recordEstimates(task Task, result Result) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.waits.learn(task.Part, task.Class, result, time.Now())
+	a.waits.record(task.Part, task.Class, result, time.Now())
 }
 
-// Wait returns the estimate of the time that a stage of a request of a class takes at a
-// service while it can be in time; 0 if there is none.
+// Wait estimates how long a stage of a request of a class takes at a service while the request
+// can still be on time; 0 if there is no estimate.
 func (a *Asker) Wait(service string, class Class) time.Duration {
 	return a.slowestPart(service, func(part Part, now time.Time) time.Duration { return a.waits.timely(part, class, now) })
 }
 
-// Backlog returns the estimate of the time that a stage takes at a service behind all
-// that waits there; 0 if there is none.
+// Backlog estimates how long a stage takes at a service if it is queued behind the whole
+// backlog; 0 if there is no estimate.
 func (a *Asker) Backlog(service string) time.Duration { return a.slowestPart(service, a.waits.backlog) }
 
-// slowestPart returns the longest wait of the parts of a service's pool.
+// slowestPart returns the longest wait among the parts of a service's pool.
 func (a *Asker) slowestPart(service string, wait func(Part, time.Time) time.Duration) time.Duration {
 	count := partsOf(len(a.view.Upstreams().Of(service)))
 	now := time.Now()
@@ -177,17 +178,17 @@
 	return longest
 }
 
-// next returns a new number for a task.
-func (a *Asker) next() uint64 {
+// nextNumber returns a new task number.
+func (a *Asker) nextNumber() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.number++
-	return a.number
+	a.lastNumber++
+	return a.lastNumber
 }
 
-// owner returns the owner of a part of a pool: of the members that are not under
-// suspicion, this process among them, one with the most of a processor, and of these the
-// one with the highest score. This process is taken if there is no other.
+// owner returns the owner of a part of a pool: among this process and the members that are not
+// suspected, the one with the most CPU cores; ties are broken by the rendezvous score. If there
+// is no other candidate, it returns this process.
 func (a *Asker) owner(part Part, now time.Time) view.Member {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -200,16 +201,17 @@
 		if now.Before(a.suspects[member.Incarnation]) {
 			continue
 		}
-		if ownsBefore(key, member, best) {
+		if preferredOwner(key, member, best) {
 			best = member
 		}
 	}
 	return best
 }
 
-// ownsBefore tells whether a is to own what has a key rather than b. A queue for 43 upstreams
-// takes some hundredths of a core, a good part of what the smallest machines have.
-func ownsBefore(key uint64, a, b view.Member) bool {
+// preferredOwner reports whether a is preferred to b as the owner for a key. More cores win
+// because a queue for 43 upstreams takes some hundredths of a core, a large share of what the
+// smallest machines have.
+func preferredOwner(key uint64, a, b view.Member) bool {
 	if a.Cores != b.Cores {
 		return a.Cores > b.Cores
 	}
@@ -225,11 +227,11 @@
 	}
 	l := newOwnerLink(a, owner)
 	a.links[owner.Name] = l
-	go l.run(a.life)
+	go l.run(a.lifetime)
 	return l
 }
 
-// suspect passes over an owner for a while.
+// suspect makes an owner be skipped for suspectFor.
 func (a *Asker) suspect(owner view.Member) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -242,8 +244,8 @@
 	a.suspects[owner.Incarnation] = now.Add(suspectFor)
 }
 
-// lost removes a link that broke and passes over its owner for a while.
-func (a *Asker) lost(l *ownerLink, tasks int, err error) {
+// linkLost removes a broken link and suspects its owner.
+func (a *Asker) linkLost(l *ownerLink, tasks int, err error) {
 	a.mu.Lock()
 	if a.links[l.owner.Name] == l {
 		delete(a.links, l.owner.Name)
--- a/gateway/pools/call.go
+++ b/gateway/pools/call.go
@@ -18,12 +18,12 @@
 	"acaciawinch/platform/stagecall"
 )
 
-// maxResultBytes bounds what is read of a call's answer: a full batch of handles.
+// maxResultBytes bounds how much of a response is read; it holds a full batch of handles.
 const maxResultBytes = 1 << 20
 
-// call makes one call and records its end.
-func (o *Owner) call(p *owned, call *pool.Call, items []stagecall.Item, longest time.Duration) {
-	results, err := o.run(call, items, longest)
+// call makes one call and records its outcome.
+func (o *Owner) call(p *ownedPart, call *pool.Call, items []stagecall.Item, maxRemaining time.Duration) {
+	results, err := o.run(call, items, maxRemaining)
 	now := time.Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -31,7 +31,7 @@
 	if err != nil {
 		o.logger.Warn(event.PoolCallFailed, observe.Fields{"service": p.Service, "upstream": call.Upstream.ID,
 			"items": len(items), "error": err.Error(), "duration_us": took.Microseconds()})
-		if !cutByDeadline(took, longest, call.Expected) {
+		if !cutByDeadline(took, maxRemaining, call.Expected) {
 			p.queue.Fail(call, now)
 		}
 		results = nil
@@ -42,64 +42,64 @@
 		o.logger.Event(event.PoolCall, observe.Fields{"service": p.Service, "upstream": call.Upstream.ID,
 			"items": len(items), "made": made, "waiting": p.queue.Waiting(), "duration_us": took.Microseconds()})
 	}
-	o.pump(p, now)
+	o.sendCalls(p, now)
 }
 
-// deadlineSlack is how long before the end of its longest request a call counts as cut
-// by that: an upstream stops then too, and its word takes some ms.
+// deadlineSlack is how long before the latest deadline of its requests a call counts as cut off
+// by that deadline: the upstream stops then too, and its response takes some ms.
 const deadlineSlack = 50 * time.Millisecond
 
-// cutByDeadline tells whether a call without results ended because no request waits any
-// more, before it could be expected to end. That is no fault of its upstream: to pass over
-// it took sound upstreams away for 0.8 to 3.2 s in bursts, when late tasks are sent with
-// little time left.
-func cutByDeadline(took, longest, expected time.Duration) bool {
-	return took >= longest-deadlineSlack && took < expected
+// cutByDeadline reports whether a call without results ended at the latest deadline of its
+// requests, before it could be expected to end. Such a call is not counted as a fault of the
+// upstream: counting it took healthy upstreams out of use for 0.8 to 3.2 s during bursts, when
+// late tasks are sent with little time left.
+func cutByDeadline(took, maxRemaining, expected time.Duration) bool {
+	return took >= maxRemaining-deadlineSlack && took < expected
 }
 
 // run sends a batch and returns its results.
-func (o *Owner) run(call *pool.Call, items []stagecall.Item, longest time.Duration) ([]stagecall.Result, error) {
-	ctx, cancel := context.WithTimeout(o.life, min(call.Patience, longest))
+func (o *Owner) run(call *pool.Call, items []stagecall.Item, maxRemaining time.Duration) ([]stagecall.Result, error) {
+	ctx, cancel := context.WithTimeout(o.lifetime, min(call.Patience, maxRemaining))
 	defer cancel()
 	body, err := stagecall.RunBody(items)
 	if err != nil {
 		return nil, fault.Wrap(fault.Internal, "stage.encode", call.Upstream.ID, err)
 	}
-	content, err := o.post(ctx, call.Upstream, stagecall.RunPath, body, longest)
+	content, err := o.post(ctx, call.Upstream, stagecall.RunPath, body, maxRemaining)
 	if err != nil {
 		return nil, err
 	}
 	return stagecall.Results(content, len(items))
 }
 
-// post sends one call to an upstream of a pool and returns the body of its answer.
-func (o *Owner) post(ctx context.Context, to routes.Upstream, path string, body []byte, left time.Duration) ([]byte, error) {
-	answer, err := o.client.Do(ctx, to.Address, httpconn.Request{
+// post sends one request to an upstream of a pool and returns the response body.
+func (o *Owner) post(ctx context.Context, to routes.Upstream, path string, body []byte, remaining time.Duration) ([]byte, error) {
+	response, err := o.client.Do(ctx, to.Address, httpconn.Request{
 		Method: http.MethodPost,
 		Target: path,
 		Host:   to.Address,
-		Header: stagecall.Headers(to.ID, left.Milliseconds()),
+		Header: stagecall.Headers(to.ID, remaining.Milliseconds()),
 		Body:   body,
 	})
 	if err != nil {
 		return nil, err
 	}
-	defer answer.Close()
-	content, err := io.ReadAll(io.LimitReader(answer.Body, maxResultBytes))
+	defer response.Close()
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxResultBytes))
 	if err != nil {
 		return nil, fault.Wrap(fault.Ambiguous, "stage.read", to.ID, err)
 	}
-	said := header.ReadAnswer(answer.Status, answer.Header)
-	o.fleet.UpstreamAsked(view.Asked{Upstream: to, Leaving: said.Leaving, Pause: said.RetryAfter})
-	if answer.Status != http.StatusOK {
-		return nil, fault.New(fault.Refused, "stage.call", to.ID, "status %d, not run %t", answer.Status, said.NotRun)
+	hints := header.ReadAnswer(response.Status, response.Header)
+	o.fleet.UpstreamAsked(view.Asked{Upstream: to, Leaving: hints.Leaving, Pause: hints.RetryAfter})
+	if response.Status != http.StatusOK {
+		return nil, fault.New(fault.Refused, "stage.call", to.ID, "status %d, not run %t", response.Status, hints.NotRun)
 	}
 	return content, nil
 }
 
-// finish records the results of a call, none if it failed, and returns how many
-// were made.
-func (o *Owner) finish(p *owned, call *pool.Call, results []stagecall.Result, now time.Time) int {
+// finish records the results of a call, nil if it failed, and returns how many items have a
+// result.
+func (o *Owner) finish(p *ownedPart, call *pool.Call, results []stagecall.Result, now time.Time) int {
 	outcomes := make([]pool.Outcome, len(call.Items))
 	reasons := make(map[*pool.Item]Failure)
 	made := 0
@@ -111,7 +111,7 @@
 		if result.Handle != "" {
 			outcomes[i] = pool.Made
 			made++
-			o.made(p, call, item, result.Handle, now)
+			o.recordResult(p, call, item, result.Handle, now)
 			continue
 		}
 		outcomes[i], reasons[item] = p.outcome(item, result.Reason)
@@ -122,9 +122,9 @@
 	return made
 }
 
-// outcome returns what becomes of an item without a result, and how its task ends if
-// there is no other try. An item whose task has ended is not tried again.
-func (p *owned) outcome(item *pool.Item, reason stagecall.Reason) (pool.Outcome, Failure) {
+// outcome returns the outcome of an item without a result, and the failure of its task if the
+// item is not retried. An item whose task has ended is not retried.
+func (p *ownedPart) outcome(item *pool.Item, reason stagecall.Reason) (pool.Outcome, Failure) {
 	if p.tasks[item.Task.Ticket] == nil {
 		return pool.Ended, Failed
 	}
@@ -140,79 +140,80 @@
 	}
 }
 
-// made records one result. The last one of a task ends it; a result that nobody
-// waits for is freed.
-func (o *Owner) made(p *owned, call *pool.Call, item *pool.Item, handle string, now time.Time) {
-	p.results[handle] = kept{upstream: call.Upstream, bytes: item.Task.Bytes, until: now.Add(p.keep)}
+// recordResult records one result. The last result of a task ends the task; a result whose task
+// has already ended is freed.
+func (o *Owner) recordResult(p *ownedPart, call *pool.Call, item *pool.Item, handle string, now time.Time) {
+	p.results[handle] = keptResult{upstream: call.Upstream, bytes: item.Task.Bytes, until: now.Add(p.keepTime)}
 	task := p.tasks[item.Task.Ticket]
 	if task == nil {
 		p.free([]string{handle})
 		return
 	}
 	task.handles[item.Index] = handle
-	task.left--
-	if task.left == 0 {
+	task.pending--
+	if task.pending == 0 {
 		p.end(item.Task.Ticket)
 		task.notify.Done(Result{Handles: task.handles, Wait: p.queue.Wait(task.Class.Rank, task.Value), Backlog: p.queue.Backlog()})
 	}
 }
 
-// free marks results as to be freed. Those that an earlier owner had made are freed
-// too: a handle tells where its result lies.
-func (p *owned) free(handles []string) {
+// free marks results as to be freed. This includes results of an earlier owner's calls, because
+// a handle names the upstream that holds the result.
+func (p *ownedPart) free(handles []string) {
 	for _, handle := range handles {
 		if handle == "" {
 			continue
 		}
 		address, _, _ := strings.Cut(handle, "/")
-		at := p.freeing[address]
-		if at == nil {
-			at = &freeing{}
-			p.freeing[address] = at
+		pending := p.pendingFrees[address]
+		if pending == nil {
+			pending = &pendingFree{}
+			p.pendingFrees[address] = pending
 		}
-		at.handles = append(at.handles, handle)
+		pending.handles = append(pending.handles, handle)
 		if result, known := p.results[handle]; known {
 			delete(p.results, handle)
-			at.bytes += result.bytes
+			pending.bytes += result.bytes
 		}
 	}
 }
 
-// sendFrees tells the upstreams of a pool which results to drop, those that have asked for a pause
-// after it. What lies at others is gone with them.
-func (o *Owner) sendFrees(p *owned, now time.Time) {
-	if len(p.freeing) == 0 {
+// sendFrees tells the upstreams of a pool which results to drop. Upstreams in backoff are told
+// when it ends. Results of upstreams that are no longer listed are gone with them.
+func (o *Owner) sendFrees(p *ownedPart, now time.Time) {
+	if len(p.pendingFrees) == 0 {
 		return
 	}
-	later := make(map[string]*freeing)
+	later := make(map[string]*pendingFree)
 	for _, upstream := range o.fleet.Upstreams().Of(p.Service) {
-		switch at := p.freeing[upstream.Address]; {
-		case at == nil:
+		switch pending := p.pendingFrees[upstream.Address]; {
+		case pending == nil:
 		case now.Before(upstream.PausedUntil):
-			later[upstream.Address] = at
+			later[upstream.Address] = pending
 		default:
-			go o.sendFree(p, upstream, at)
+			go o.sendFree(p, upstream, pending)
 		}
 	}
-	p.freeing = later
+	p.pendingFrees = later
 }
 
 // freeTimeout bounds a call that frees results.
 const freeTimeout = time.Second
 
-// sendFree tells one upstream, and counts its room as free only then.
-func (o *Owner) sendFree(p *owned, upstream routes.Upstream, at *freeing) {
-	ctx, cancel := context.WithTimeout(o.life, freeTimeout)
+// sendFree tells one upstream which results to drop. Their space counts as free only after the
+// call.
+func (o *Owner) sendFree(p *ownedPart, upstream routes.Upstream, pending *pendingFree) {
+	ctx, cancel := context.WithTimeout(o.lifetime, freeTimeout)
 	defer cancel()
-	body, err := stagecall.FreeBody(at.handles)
+	body, err := stagecall.FreeBody(pending.handles)
 	if err == nil {
 		_, err = o.post(ctx, upstream, stagecall.FreePath, body, freeTimeout)
 	}
 	if err != nil {
-		o.logger.Warn(event.PoolFreeFailed, observe.Fields{"upstream": upstream.ID, "handles": len(at.handles), "error": err.Error()})
+		o.logger.Warn(event.PoolFreeFailed, observe.Fields{"upstream": upstream.ID, "handles": len(pending.handles), "error": err.Error()})
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	p.queue.Free(upstream, at.bytes)
-	o.pump(p, time.Now())
+	p.queue.Free(upstream, pending.bytes)
+	o.sendCalls(p, time.Now())
 }
--- a/gateway/pools/early.go
+++ b/gateway/pools/early.go
@@ -8,79 +8,81 @@
 	"acaciawinch/observe/event"
 )
 
-// earlyTask is a task that waits for the owner to know what to do with it.
+// earlyTask is a task that arrived before the configuration and the upstreams were known.
 type earlyTask struct {
 	session *Session
 	number  uint64
 	task    Task
 	notify  Notify
-	came    time.Time
+	arrived time.Time
 }
 
-// earlyFree is what is to be freed of a part.
+// earlyFree holds the results to free of one part, received before the configuration was known.
 type earlyFree struct {
 	part    Part
 	handles []string
 }
 
-// maxEarly bounds the tasks and the wishes to free, each for itself: at 800 tasks a second, and
-// a third of a second until a process that starts knows what it needs, some 270 come.
+// maxEarly bounds the early tasks and, separately, the early requests to free results. At 800
+// tasks a second, some 270 arrive in the third of a second until a starting process knows what
+// it needs.
 const maxEarly = 1024
 
-// knows tells whether the configuration and the upstreams are known.
-func (o *Owner) knows() bool { return o.fleet.Table() != nil && o.fleet.Upstreams() != nil }
+// configKnown reports whether the configuration and the upstreams are known.
+func (o *Owner) configKnown() bool { return o.fleet.Table() != nil && o.fleet.Upstreams() != nil }
 
-// keepEarly keeps a task until the configuration is known, and tells whether it did. When
-// all gateways are lost at once, those that start first give their tasks to an owner that
-// does not know its pools yet, and a third of what it refused at once could have been served.
-func (o *Owner) keepEarly(session *Session, number uint64, task Task, notify Notify) bool {
-	if o.knows() || o.leaving || len(o.early) >= maxEarly {
+// holdEarlyTask holds a task until the configuration is known, and reports whether it did. When
+// all gateways are lost at once, the first to restart submit tasks to an owner that does not
+// know its pools yet; a third of the tasks that such an owner refused at once could have been
+// served. The lock is held.
+func (o *Owner) holdEarlyTask(session *Session, number uint64, task Task, notify Notify) bool {
+	if o.configKnown() || o.leaving || len(o.earlyTasks) >= maxEarly {
 		return false
 	}
-	o.early = append(o.early, earlyTask{session: session, number: number, task: task, notify: notify, came: time.Now()})
+	o.earlyTasks = append(o.earlyTasks, earlyTask{session: session, number: number, task: task, notify: notify, arrived: time.Now()})
 	return true
 }
 
-// keepEarlyFree keeps a wish to free results until the configuration is known. The lock is held.
-func (o *Owner) keepEarlyFree(part Part, handles []string) {
+// holdEarlyFree holds a request to free results until the configuration is known. The lock is
+// held.
+func (o *Owner) holdEarlyFree(part Part, handles []string) {
 	if len(o.earlyFrees) >= maxEarly {
-		o.logger.Warn(event.PoolFreeFailed, observe.Fields{"upstream": "", "handles": len(handles), "error": "too many wait for the configuration"})
+		o.logger.Warn(event.PoolFreeFailed, observe.Fields{"upstream": "", "handles": len(handles), "error": "too many requests are waiting for the configuration"})
 		return
 	}
 	o.earlyFrees = append(o.earlyFrees, earlyFree{part: part, handles: handles})
 }
 
-// submitEarly frees what was to be freed, and queues the tasks that waited, once the
-// configuration is known. The lock is held.
-func (o *Owner) submitEarly() {
-	if !o.knows() {
+// processEarly frees the results and queues the tasks that were held, once the configuration is
+// known. The lock is held.
+func (o *Owner) processEarly() {
+	if !o.configKnown() {
 		return
 	}
 	frees := o.earlyFrees
 	o.earlyFrees = nil
-	for _, one := range frees {
-		o.free(one.part, one.handles)
+	for _, free := range frees {
+		o.free(free.part, free.handles)
 	}
-	if len(o.early) > 0 {
-		o.submitAll()
+	if len(o.earlyTasks) > 0 {
+		o.submitEarlyTasks()
 	}
 }
 
-// submitAll submits them whatever is known: an owner that stops hands them back so. The lock
-// is held.
-func (o *Owner) submitAll() {
-	early := o.early
-	o.early = nil
-	for _, one := range early {
-		waited := time.Since(one.came)
-		one.task.Remaining -= waited
-		one.task.Due -= waited
-		one.session.submit(one.number, one.task, one.notify)
+// submitEarlyTasks submits the held tasks even if the configuration is still unknown: a
+// stopping owner hands them back this way. The lock is held.
+func (o *Owner) submitEarlyTasks() {
+	early := o.earlyTasks
+	o.earlyTasks = nil
+	for _, held := range early {
+		waited := time.Since(held.arrived)
+		held.task.Remaining -= waited
+		held.task.Due -= waited
+		held.session.submit(held.number, held.task, held.notify)
 	}
 }
 
-// forgetEarly drops a session's task of a number that waits for the configuration. The lock is
-// held.
-func (o *Owner) forgetEarly(s *Session, number uint64) {
-	o.early = slices.DeleteFunc(o.early, func(one earlyTask) bool { return one.session == s && one.number == number })
+// dropEarlyTask drops a session's held task. The lock is held.
+func (o *Owner) dropEarlyTask(s *Session, number uint64) {
+	o.earlyTasks = slices.DeleteFunc(o.earlyTasks, func(held earlyTask) bool { return held.session == s && held.number == number })
 }
--- a/gateway/pools/handover.go
+++ b/gateway/pools/handover.go
@@ -9,33 +9,33 @@
 	"acaciawinch/observe/event"
 )
 
-// Timing of handing parts of pools over.
+// Timing of the handover of parts.
 const (
-	// handOverAfter is how long another process must have been the owner before this one
-	// hands it what waits here: by then the others know of it too. That takes them 0.2 s
-	// and a call of the store.
-	handOverAfter = 500 * time.Millisecond
-	// handOverEvery is how often that is looked at.
-	handOverEvery = 200 * time.Millisecond
+	// handoverDelay is how long another process must have been the owner before this one hands
+	// its queued tasks over. The other gateways know of the new owner by then, which takes them
+	// 0.2 s and one call to the store.
+	handoverDelay = 500 * time.Millisecond
+	// handoverInterval is how often ownership is checked.
+	handoverInterval = 200 * time.Millisecond
 )
 
-// handover holds since when other processes own parts that this one works on.
+// handover records since when other processes own parts that this one works on.
 type handover struct {
 	since map[Part]time.Time
 }
 
-// due tells whether what waits for a part is to be handed over now, given whether this
-// process is its owner. It is true once for each handOverAfter that it is not.
-func (h *handover) due(part Part, mine bool, now time.Time) bool {
+// due reports whether the queued tasks of a part are to be handed over now. While this process
+// is not the owner, it returns true once every handoverDelay.
+func (h *handover) due(part Part, isOwner bool, now time.Time) bool {
 	since, known := h.since[part]
 	switch {
-	case mine:
+	case isOwner:
 		delete(h.since, part)
 		return false
 	case !known:
 		h.since[part] = now
 		return false
-	case now.Sub(since) < handOverAfter:
+	case now.Sub(since) < handoverDelay:
 		return false
 	default:
 		h.since[part] = now
@@ -43,11 +43,11 @@
 	}
 }
 
-// Run hands parts over that other processes own, until ctx ends. After a crash of many
-// processes two owners of a pool, each with seconds of work waiting, would keep its upstreams
-// waiting for each other, and take the room that the other's results need for their own.
+// Run hands over parts that other processes own, until ctx ends. Without it, after a crash of
+// many processes a pool could have two owners, each with seconds of queued work. Their calls
+// would make each other wait at the upstreams, and their results would take each other's space.
 func (a *Asker) Run(ctx context.Context) error {
-	ticker := time.NewTicker(handOverEvery)
+	ticker := time.NewTicker(handoverInterval)
 	defer ticker.Stop()
 	h := &handover{since: make(map[Part]time.Time)}
 	for {
@@ -60,18 +60,18 @@
 	}
 }
 
-// handOver hands over what is due.
+// handOver hands over the parts that are due.
 func (a *Asker) handOver(h *handover, now time.Time) {
 	for _, part := range a.local.owner.busyParts() {
 		owner := a.owner(part, now)
 		if h.due(part, owner.Name == a.self.Name, now) {
-			a.giveTo(owner, part)
+			a.handOverTo(owner, part)
 		}
 	}
 }
 
-// giveTo hands a part of a pool to its owner.
-func (a *Asker) giveTo(owner view.Member, part Part) {
+// handOverTo hands a part of a pool to its owner.
+func (a *Asker) handOverTo(owner view.Member, part Part) {
 	if tasks := a.local.owner.HandBack(part); tasks > 0 {
 		a.logger.Event(event.PoolHandedOver, observe.Fields{"service": part.Service, "part": part.Index, "owner": owner.Name, "tasks": tasks})
 	}
--- a/gateway/pools/link.go
+++ b/gateway/pools/link.go
@@ -14,23 +14,23 @@
 
 // Timing of a link to an owner.
 const (
-	// pingEvery is how often an owner with open tasks is asked for a sign of life, and
-	// silentAfter when one without an answer is given up: all that waits for its pools stands
-	// still until then. An owner answers within a few ms unless it is frozen or cut off; a busy
-	// one on a small machine may take some hundred.
-	pingEvery   = 200 * time.Millisecond
-	silentAfter = 600 * time.Millisecond
-	// heldUp is how long after the last ping this process counts as held up itself: what the
-	// owner said meanwhile may wait to be read.
-	heldUp = 2 * pingEvery
-	// openTimeout bounds the opening of the link.
+	// pingInterval is how often an owner with open tasks is pinged. silenceTimeout is when an
+	// owner that sends nothing is given up; until then all tasks for its pools are stalled. An
+	// owner replies within a few ms unless it is frozen or cut off; a busy one on a small
+	// machine may take some hundred ms.
+	pingInterval   = 200 * time.Millisecond
+	silenceTimeout = 600 * time.Millisecond
+	// stallThreshold is the time since the last ping after which this process counts as stalled
+	// itself: the owner's replies may still be waiting to be read.
+	stallThreshold = 2 * pingInterval
+	// openTimeout bounds opening the link.
 	openTimeout = time.Second
 )
 
-// requestQueue bounds the messages that wait for a slow owner.
-const requestQueue = 4096
+// requestQueueSize bounds the messages queued for a slow owner.
+const requestQueueSize = 4096
 
-// ownerLink is the stream to one owner. It ends for good when it breaks.
+// ownerLink is the stream to one owner. A broken link is not reopened.
 type ownerLink struct {
 	asker       *Asker
 	owner       view.Member
@@ -39,20 +39,20 @@
 
 	mu    sync.Mutex
 	tasks map[uint64]Notify
-	// heard is when the owner last said something, pinged when it was last asked to.
-	heard, pinged time.Time
-	broken        bool
+	// lastReceived is when the owner last sent a message, lastPing when the last ping was due.
+	lastReceived, lastPing time.Time
+	broken                 bool
 }
 
-// newOwnerLink returns a link whose run must be called.
+// newOwnerLink returns a link; the caller must call run.
 func newOwnerLink(a *Asker, owner view.Member) *ownerLink {
 	return &ownerLink{
-		asker:       a,
-		owner:       owner,
-		incarnation: owner.Incarnation,
-		send:        make(chan *wirepb.PoolRequest, requestQueue),
-		tasks:       make(map[uint64]Notify),
-		heard:       time.Now(),
+		asker:        a,
+		owner:        owner,
+		incarnation:  owner.Incarnation,
+		send:         make(chan *wirepb.PoolRequest, requestQueueSize),
+		tasks:        make(map[uint64]Notify),
+		lastReceived: time.Now(),
 	}
 }
 
@@ -60,18 +60,18 @@
 func (l *ownerLink) submit(number uint64, task Task, notify Notify) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.broken || !l.push(&wirepb.PoolRequest{Kind: &wirepb.PoolRequest_Task{Task: taskMessage(number, task)}}) {
+	if l.broken || !l.enqueue(&wirepb.PoolRequest{Kind: &wirepb.PoolRequest_Task{Task: taskMessage(number, task)}}) {
 		notify.Done(Result{Failure: OwnerLost})
 		return
 	}
 	if len(l.tasks) == 0 {
-		l.heard = time.Now()
+		l.lastReceived = time.Now()
 	}
 	l.tasks[number] = notify
 }
 
-// push queues a message, or returns false if the owner is too slow.
-func (l *ownerLink) push(m *wirepb.PoolRequest) bool {
+// enqueue queues a message, or returns false if the queue is full.
+func (l *ownerLink) enqueue(m *wirepb.PoolRequest) bool {
 	select {
 	case l.send <- m:
 		return true
@@ -86,14 +86,14 @@
 	defer l.mu.Unlock()
 	delete(l.tasks, number)
 	if !l.broken {
-		l.push(&wirepb.PoolRequest{Kind: &wirepb.PoolRequest_Cancel{Cancel: number}})
+		l.enqueue(&wirepb.PoolRequest{Kind: &wirepb.PoolRequest_Cancel{Cancel: number}})
 	}
 }
 
-// free gives results back. If the owner does not get to know, their makers drop them
-// after a while.
+// free releases results. If the request does not reach the owner, the upstreams that hold the
+// results drop them after their keep time.
 func (l *ownerLink) free(part Part, handles []string) {
-	l.push(&wirepb.PoolRequest{Kind: &wirepb.PoolRequest_Free{Free: &wirepb.PoolFree{
+	l.enqueue(&wirepb.PoolRequest{Kind: &wirepb.PoolRequest_Free{Free: &wirepb.PoolFree{
 		Service: part.Service,
 		Part:    uint32(part.Index),
 		Parts:   uint32(part.Count),
@@ -101,9 +101,9 @@
 	}}})
 }
 
-// run carries messages until the link breaks, and then ends its open tasks.
-func (l *ownerLink) run(life context.Context) {
-	ctx, cancel := context.WithCancelCause(life)
+// run carries messages until the link breaks, and then fails the open tasks.
+func (l *ownerLink) run(lifetime context.Context) {
+	ctx, cancel := context.WithCancelCause(lifetime)
 	defer cancel(nil)
 	err := l.serve(ctx, cancel)
 	if cause := context.Cause(ctx); cause != nil {
@@ -117,7 +117,7 @@
 	for _, notify := range open {
 		notify.Done(Result{Failure: OwnerLost})
 	}
-	l.asker.lost(l, len(open), err)
+	l.asker.linkLost(l, len(open), err)
 }
 
 // serve opens the stream and receives until it breaks.
@@ -134,24 +134,24 @@
 		if err != nil {
 			return fault.Wrap(fault.Unavailable, "pool.receive", l.owner.Name, err)
 		}
-		l.take(reply)
+		l.handleReply(reply)
 	}
 }
 
 // open opens the stream within openTimeout.
 func (l *ownerLink) open(ctx context.Context, cancel context.CancelCauseFunc) (wirepb.DRPCPool_WorkClient, error) {
-	late := time.AfterFunc(openTimeout, func() {
+	timeout := time.AfterFunc(openTimeout, func() {
 		cancel(fault.New(fault.Unavailable, "pool.open", l.owner.Name, "no connection within %v", openTimeout))
 	})
-	defer late.Stop()
+	defer timeout.Stop()
 	conn := l.asker.dialer.Conn(ctx, l.owner.Address)
 	stream, err := wirepb.NewDRPCPoolClient(conn).Work(ctx)
 	return stream, fault.Wrap(fault.Unavailable, "pool.open", l.owner.Name, err)
 }
 
-// write sends what is queued, and pings while tasks are open.
+// write sends queued messages, and pings while tasks are open.
 func (l *ownerLink) write(ctx context.Context, cancel context.CancelCauseFunc, stream wirepb.DRPCPool_WorkClient) {
-	ticker := time.NewTicker(pingEvery)
+	ticker := time.NewTicker(pingInterval)
 	defer ticker.Stop()
 	for {
 		var m *wirepb.PoolRequest
@@ -171,48 +171,49 @@
 	}
 }
 
-// ping returns a ping if tasks are open, and ends the link if the owner is silent.
+// ping returns a ping if tasks are open, and ends the link if the owner has been silent for too
+// long.
 func (l *ownerLink) ping(now time.Time, cancel context.CancelCauseFunc) *wirepb.PoolRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.tasks) == 0 {
 		return nil
 	}
-	late := now.Sub(l.pinged) > heldUp
-	l.pinged = now
-	if silent := now.Sub(l.heard); silent > silentAfter && !late {
+	stalled := now.Sub(l.lastPing) > stallThreshold
+	l.lastPing = now
+	if silent := now.Sub(l.lastReceived); silent > silenceTimeout && !stalled {
 		cancel(fault.New(fault.Unavailable, "pool.receive", l.owner.Name, "silent for %v", silent))
 		return nil
 	}
 	return &wirepb.PoolRequest{Kind: &wirepb.PoolRequest_Ping{Ping: 1}}
 }
 
-// take hands an owner's reply to who waits for it. Results that nobody waits for any
-// more are dropped by their makers after a while.
-func (l *ownerLink) take(reply *wirepb.PoolReply) {
+// handleReply notifies the waiter of the task that a reply is about. Results that nobody waits
+// for are dropped by their upstreams after their keep time.
+func (l *ownerLink) handleReply(reply *wirepb.PoolReply) {
 	switch kind := reply.GetKind().(type) {
 	case *wirepb.PoolReply_Result:
-		if notify, waited := l.find(kind.Result.GetTicket(), true); waited {
+		if notify, found := l.lookup(kind.Result.GetTicket(), true); found {
 			notify.Done(resultOf(kind.Result))
 		}
 	case *wirepb.PoolReply_Begun:
-		if notify, waited := l.find(kind.Begun, false); waited {
+		if notify, found := l.lookup(kind.Begun, false); found {
 			notify.Begun()
 		}
 	default:
-		l.find(0, false)
+		l.lookup(0, false)
 	}
 }
 
-// find notes a sign of life and returns who waits for a task; with end set the task is
-// no longer open.
-func (l *ownerLink) find(number uint64, end bool) (Notify, bool) {
+// lookup notes that the owner has sent a message and returns the callbacks of a task. If end is
+// set, the task is no longer open.
+func (l *ownerLink) lookup(number uint64, end bool) (Notify, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.heard = time.Now()
-	notify, waited := l.tasks[number]
+	l.lastReceived = time.Now()
+	notify, found := l.tasks[number]
 	if end {
 		delete(l.tasks, number)
 	}
-	return notify, waited
+	return notify, found
 }
--- a/gateway/pools/link_test.go
+++ b/gateway/pools/link_test.go
@@ -10,52 +10,54 @@
 	"acaciawinch/gateway/view"
 )
 
-// waitingLink returns a link with an open task whose owner says nothing, and what ends it.
-func waitingLink(now time.Time) (l *ownerLink, ended func() error, cancel context.CancelCauseFunc) {
+// newSilentLink returns a link with an open task whose owner sends nothing, a function that
+// returns why the link was ended, and its cancel function.
+func newSilentLink(now time.Time) (l *ownerLink, ended func() error, cancel context.CancelCauseFunc) {
 	ctx, cancel := context.WithCancelCause(context.Background())
 	l = newOwnerLink(nil, view.Member{Name: "owner"})
-	l.heard, l.pinged = now, now
+	l.lastReceived, l.lastPing = now, now
 	l.tasks[1] = Notify{}
 	return l, func() error { return context.Cause(ctx) }, cancel
 }
 
-// TestASilentOwnerIsGivenUpAfterItsTime: not sooner, and one that speaks is not.
-func TestASilentOwnerIsGivenUpAfterItsTime(t *testing.T) {
+// TestSilentOwnerIsDroppedAfterTheTimeout: a silent owner is not dropped sooner, and one that
+// sends messages is not dropped at all.
+func TestSilentOwnerIsDroppedAfterTheTimeout(t *testing.T) {
 	now := time.Unix(1000, 0)
-	l, ended, cancel := waitingLink(now)
+	l, ended, cancel := newSilentLink(now)
 	defer cancel(nil)
-	for at := pingEvery; at <= silentAfter; at += pingEvery {
+	for at := pingInterval; at <= silenceTimeout; at += pingInterval {
 		assert.Assert(t, l.ping(now.Add(at), cancel) != nil, "%v", at)
 		assert.NilError(t, ended())
 	}
-	assert.Assert(t, l.ping(now.Add(silentAfter+pingEvery), cancel) == nil)
+	assert.Assert(t, l.ping(now.Add(silenceTimeout+pingInterval), cancel) == nil)
 	assert.ErrorContains(t, ended(), "silent")
 
-	heard, ended, cancel := waitingLink(now)
+	active, ended, cancel := newSilentLink(now)
 	defer cancel(nil)
-	for at := pingEvery; at <= 4*silentAfter; at += pingEvery {
-		heard.heard = now.Add(at - pingEvery/2)
-		assert.Assert(t, heard.ping(now.Add(at), cancel) != nil)
+	for at := pingInterval; at <= 4*silenceTimeout; at += pingInterval {
+		active.lastReceived = now.Add(at - pingInterval/2)
+		assert.Assert(t, active.ping(now.Add(at), cancel) != nil)
 	}
 	assert.NilError(t, ended())
 }
 
-// TestAProcessThatWasHeldUpItselfBlamesNobody: it asks again first.
-func TestAProcessThatWasHeldUpItselfBlamesNobody(t *testing.T) {
+// TestStalledProcessPingsAgainBeforeDroppingAnOwner: after this process was stalled, the
+// owner's replies may still be unread, so the owner is pinged once more first.
+func TestStalledProcessPingsAgainBeforeDroppingAnOwner(t *testing.T) {
 	now := time.Unix(1000, 0)
-	l, ended, cancel := waitingLink(now)
+	l, ended, cancel := newSilentLink(now)
 	defer cancel(nil)
-	woken := now.Add(3 * time.Second)
-	assert.Assert(t, l.ping(woken, cancel) != nil)
+	resumed := now.Add(3 * time.Second)
+	assert.Assert(t, l.ping(resumed, cancel) != nil)
 	assert.NilError(t, ended())
-	assert.Assert(t, l.ping(woken.Add(pingEvery), cancel) == nil, "it was asked again and said nothing")
+	assert.Assert(t, l.ping(resumed.Add(pingInterval), cancel) == nil, "the owner was pinged again and stayed silent")
 	assert.ErrorContains(t, ended(), "silent")
 }
 
-// TestAnOwnerWithoutTasksIsNotAsked.
-func TestAnOwnerWithoutTasksIsNotAsked(t *testing.T) {
+func TestOwnerWithoutTasksIsNotPinged(t *testing.T) {
 	now := time.Unix(1000, 0)
-	l, ended, cancel := waitingLink(now)
+	l, ended, cancel := newSilentLink(now)
 	defer cancel(nil)
 	delete(l.tasks, 1)
 	assert.Assert(t, l.ping(now.Add(time.Hour), cancel) == nil)
--- a/gateway/pools/owner.go
+++ b/gateway/pools/owner.go
@@ -13,88 +13,93 @@
 	"acaciawinch/platform/stagecall"
 )
 
-// tickEvery is how often an owner drops what is late and forgets what has lapsed.
-const tickEvery = 20 * time.Millisecond
+// tickInterval is how often an owner drops expired tasks and results.
+const tickInterval = 20 * time.Millisecond
 
-// Fleet is what an Owner needs to know of the fleet, and tells it. Table and Upstreams are nil
-// before the first configuration or list.
+// Fleet is an Owner's access to the state of the fleet. Table and Upstreams return nil before
+// the first configuration or list.
 type Fleet interface {
 	Table() *routes.Table
 	Upstreams() *routes.Upstreams
-	// UpstreamAsked takes what an upstream asked in an answer. It may call Refresh.
+	// UpstreamAsked takes what an upstream requested in a response: a drain or a backoff. It
+	// may call Refresh.
 	UpstreamAsked(asked view.Asked)
 }
 
-// Owner queues and calls for the pools that askers give it. It may be used by many
-// goroutines.
+// Owner queues tasks and calls upstreams for the parts of pools that callers submit tasks for.
+// It is safe for concurrent use.
 type Owner struct {
 	fleet  Fleet
 	client *httpconn.Client
 	logger *observe.Logger
 
-	mu     sync.Mutex
-	pools  map[Part]*owned
-	ticket pool.Ticket
-	// life bounds the calls.
-	life context.Context
-	// leaving is set at a planned stop.
+	mu         sync.Mutex
+	pools      map[Part]*ownedPart
+	lastTicket pool.Ticket
+	// lifetime bounds the calls.
+	lifetime context.Context
+	// leaving is set on a planned stop.
 	leaving bool
-	// early holds tasks that came before this process knew its configuration and upstreams.
-	early []earlyTask
-	// earlyFrees holds what was to be freed then.
+	// earlyTasks holds tasks that arrived before the configuration and the upstreams were
+	// known.
+	earlyTasks []earlyTask
+	// earlyFrees holds requests to free results that arrived before then.
 	earlyFrees []earlyFree
 }
 
-// owned is one pool at its owner. The Owner's lock guards it.
-type owned struct {
+// ownedPart is one part of a pool at its owner. The Owner's lock guards it.
+type ownedPart struct {
 	Part
 	queue *pool.Pool
 	tasks map[pool.Ticket]*openTask
-	// results holds what upstreams keep, by handle.
-	results map[string]kept
-	// freeing holds what is to be freed, by its upstream's address.
-	freeing map[string]*freeing
-	keep    time.Duration
-	// since is when this process became the owner.
-	since time.Time
+	// results holds the results that upstreams keep, by handle.
+	results map[string]keptResult
+	// pendingFrees holds the results to be freed, by the address of their upstream.
+	pendingFrees map[string]*pendingFree
+	keepTime     time.Duration
+	// ownedSince is when this process became the owner.
+	ownedSince time.Time
 }
 
-// openTask is a task that has no result yet.
+// openTask is a task that has not ended.
 type openTask struct {
 	Task
-	core    *pool.Task
+	queued  *pool.Task
 	handles []string
-	left    int
+	// pending is the number of pieces without a result.
+	pending int
 	notify  Notify
-	// begun is set once the asker was told that the inputs were read.
+	// begun is set once the caller has been, or is about to be, told that the inputs have been
+	// read.
 	begun bool
-	// session is who asked, under which number; its end cancels the task.
+	// session is the caller's session, whose end cancels the task; number is the caller's
+	// number of the task.
 	session *Session
 	number  uint64
 }
 
-// kept is a result that an upstream keeps.
-type kept struct {
+// keptResult is a result that an upstream keeps.
+type keptResult struct {
 	upstream routes.Upstream
 	bytes    int64
 	until    time.Time
 }
 
-// freeing is what one upstream is to be told to drop.
-type freeing struct {
+// pendingFree holds the results that one upstream is to drop.
+type pendingFree struct {
 	handles []string
-	// bytes is the size of those that this owner had made.
+	// bytes is the total size of those results that this owner has recorded.
 	bytes int64
 }
 
-// NewOwner returns an Owner. Run must be called before tasks come.
-func NewOwner(life context.Context, fleet Fleet, client *httpconn.Client, logger *observe.Logger) *Owner {
-	return &Owner{fleet: fleet, client: client, logger: logger, pools: make(map[Part]*owned), life: life}
+// NewOwner returns an Owner. Run must be called before tasks are submitted.
+func NewOwner(lifetime context.Context, fleet Fleet, client *httpconn.Client, logger *observe.Logger) *Owner {
+	return &Owner{fleet: fleet, client: client, logger: logger, pools: make(map[Part]*ownedPart), lifetime: lifetime}
 }
 
-// Run drops what is late until ctx ends.
+// Run drops expired tasks and results until ctx ends.
 func (o *Owner) Run(ctx context.Context) error {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -106,13 +111,13 @@
 	}
 }
 
-// tick drops late items, forgets lapsed results and frees what is to be freed.
+// tick drops late items and expired results, and sends pending frees and calls.
 func (o *Owner) tick(now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for part, p := range o.pools {
 		if p.empty() && part.Count != partsOf(len(o.fleet.Upstreams().Of(part.Service))) {
-			delete(o.pools, part) // the pool is cut into other parts now
+			delete(o.pools, part) // the pool is divided into other parts now
 			continue
 		}
 		expired := Late
@@ -122,19 +127,19 @@
 		for _, item := range p.queue.Expire(now) {
 			o.fail(p, item.Task.Ticket, expired)
 		}
-		p.lapse(now)
+		p.dropExpired(now)
 		o.sendFrees(p, now)
-		o.pump(p, now)
+		o.sendCalls(p, now)
 	}
 }
 
-// empty tells whether nothing is asked of the part or kept for it.
-func (p *owned) empty() bool {
-	return len(p.tasks) == 0 && len(p.results) == 0 && len(p.freeing) == 0
+// empty reports whether the part has no tasks, results or pending frees.
+func (p *ownedPart) empty() bool {
+	return len(p.tasks) == 0 && len(p.results) == 0 && len(p.pendingFrees) == 0
 }
 
-// lapse forgets the results that their upstreams no longer keep.
-func (p *owned) lapse(now time.Time) {
+// dropExpired forgets results that their upstreams no longer keep.
+func (p *ownedPart) dropExpired(now time.Time) {
 	for handle, result := range p.results {
 		if now.After(result.until) {
 			delete(p.results, handle)
@@ -143,30 +148,30 @@
 	}
 }
 
-// Refresh takes over changed upstreams and settings of all pools.
+// Refresh applies changed upstreams and settings to all pools.
 func (o *Owner) Refresh() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.submitEarly()
+	o.processEarly()
 	for _, p := range o.pools {
 		o.configure(p)
-		o.pump(p, time.Now())
+		o.sendCalls(p, time.Now())
 	}
 }
 
-// pool returns a part of a pool, or nil if the configuration has no such pool.
-func (o *Owner) pool(part Part) *owned {
+// pool returns the state of a part, or nil if the configuration has no such pool.
+func (o *Owner) pool(part Part) *ownedPart {
 	p := o.pools[part]
 	if p != nil {
 		return p
 	}
-	p = &owned{
-		Part:    part,
-		queue:   pool.New(routes.Pool{}),
-		tasks:   make(map[pool.Ticket]*openTask),
-		results: make(map[string]kept),
-		freeing: make(map[string]*freeing),
-		since:   time.Now(),
+	p = &ownedPart{
+		Part:         part,
+		queue:        pool.New(routes.Pool{}),
+		tasks:        make(map[pool.Ticket]*openTask),
+		results:      make(map[string]keptResult),
+		pendingFrees: make(map[string]*pendingFree),
+		ownedSince:   time.Now(),
 	}
 	if !o.configure(p) {
 		return nil
@@ -175,8 +180,9 @@
 	return p
 }
 
-// configure gives a pool its settings and upstreams, and tells whether it has any.
-func (o *Owner) configure(p *owned) bool {
+// configure applies settings and upstreams to a part, and reports whether the configuration has
+// its pool.
+func (o *Owner) configure(p *ownedPart) bool {
 	table, upstreams := o.fleet.Table(), o.fleet.Upstreams()
 	if table == nil || upstreams == nil {
 		return false
@@ -185,15 +191,15 @@
 	if service == nil || service.Pool == nil {
 		return false
 	}
-	p.keep = service.Pool.KeepTime
+	p.keepTime = service.Pool.KeepTime
 	p.queue.Configure(*service.Pool)
 	p.queue.SetUpstreams(p.of(upstreams))
 	return true
 }
 
-// Leave hands back all tasks of which nothing has been sent yet, but for those of its own
-// process, and takes no others: two owners of a pool would keep its upstreams waiting
-// for each other. Calls that run are finished.
+// Leave hands back all tasks of other processes of which nothing has been sent yet, and accepts
+// no others. Two owners of a pool would make each other's calls wait at the upstreams. Running
+// calls are finished.
 func (o *Owner) Leave() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -201,11 +207,11 @@
 	for _, p := range o.pools {
 		o.handBack(p, func(task *openTask) bool { return !task.session.local })
 	}
-	o.submitAll()
+	o.submitEarlyTasks()
 }
 
-// HandBack hands back all tasks of a part of which nothing has been sent yet, and returns
-// how many. Calls that run are finished.
+// HandBack hands back all tasks of a part of which nothing has been sent yet, and returns their
+// number. Running calls are finished.
 func (o *Owner) HandBack(part Part) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -216,20 +222,20 @@
 	return o.handBack(p, func(*openTask) bool { return true })
 }
 
-// handBack hands back the tasks that match and of which nothing has been sent yet, and
-// returns how many. The lock is held.
-func (o *Owner) handBack(p *owned, match func(*openTask) bool) int {
-	handed := 0
+// handBack hands back the matching tasks of which nothing has been sent yet, and returns their
+// number. The lock is held.
+func (o *Owner) handBack(p *ownedPart, match func(*openTask) bool) int {
+	count := 0
 	for ticket, task := range p.tasks {
 		if match(task) && p.queue.WaitingOf(ticket) == task.Pieces {
 			o.fail(p, ticket, OwnerLeft)
-			handed++
+			count++
 		}
 	}
-	return handed
+	return count
 }
 
-// busyParts returns the parts for which tasks wait or run here.
+// busyParts returns the parts that have open tasks here.
 func (o *Owner) busyParts() []Part {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -242,7 +248,7 @@
 	return parts
 }
 
-// CallsIn returns how many calls run at the upstreams of a zone.
+// CallsIn returns the number of running calls to the upstreams of a zone.
 func (o *Owner) CallsIn(zone string) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -253,23 +259,24 @@
 	return calls
 }
 
-// submit queues a task for a session. The lock is held.
+// submit queues a task for a session, and reports whether the configuration has its pool. The
+// lock is held.
 func (o *Owner) submit(session *Session, number uint64, task Task, notify Notify) bool {
 	p := o.pool(task.Part)
 	if p == nil {
 		return false
 	}
 	now := time.Now()
-	o.ticket++
+	o.lastTicket++
 	open := &openTask{
 		Task:    task,
 		handles: make([]string, task.Pieces),
-		left:    task.Pieces,
+		pending: task.Pieces,
 		notify:  notify,
 		session: session,
 		number:  number,
-		core: &pool.Task{
-			Ticket: o.ticket,
+		queued: &pool.Task{
+			Ticket: o.lastTicket,
 			Rank:   task.Class.Rank,
 			Value:  task.Value,
 			Due:    now.Add(task.Due),
@@ -278,28 +285,29 @@
 			Pulls:  task.Pulls,
 		},
 	}
-	p.tasks[o.ticket] = open
-	session.open[number] = openTicket{pool: p, ticket: o.ticket}
+	p.tasks[o.lastTicket] = open
+	session.tasks[number] = taskRef{part: p, ticket: o.lastTicket}
 	switch {
 	case p.queue.Evacuated():
-		o.fail(p, o.ticket, Evacuated)
+		o.fail(p, o.lastTicket, Evacuated)
 		return true
-	case !p.queue.CanEnd(open.core, now):
-		// A call for it would be cut while its upstream works, which looks like a fault.
-		o.fail(p, o.ticket, Late)
+	case !p.queue.CanEnd(open.queued, now):
+		// A call would be cut off while the upstream works, which looks like a fault.
+		o.fail(p, o.lastTicket, Late)
 		return true
 	}
-	p.queue.Add(open.core, task.Pieces)
-	o.pump(p, now)
+	p.queue.Add(open.queued, task.Pieces)
+	o.sendCalls(p, now)
 	return true
 }
 
-// free frees results of a part of a pool. Those that come before the configuration is known wait
-// for it: an owner that has just started gets the wishes of all others, and what they name would
-// fill the room of the whole pool until it lapses. The lock is held.
+// free frees results of a part of a pool. Requests that arrive before the configuration is
+// known are held until then: an owner that has just started receives those of all gateways, and
+// if they were dropped, their results would fill the space of the whole pool until they expire.
+// The lock is held.
 func (o *Owner) free(part Part, handles []string) {
-	if !o.knows() {
-		o.keepEarlyFree(part, handles)
+	if !o.configKnown() {
+		o.holdEarlyFree(part, handles)
 		return
 	}
 	if p := o.pool(part); p != nil {
@@ -307,47 +315,47 @@
 	}
 }
 
-// end removes a task, and its waiting items, and returns it; nil if it has ended.
+// end removes a task and its queued items, and returns the task; nil if it has already ended.
 // The lock is held.
-func (p *owned) end(ticket pool.Ticket) *openTask {
+func (p *ownedPart) end(ticket pool.Ticket) *openTask {
 	task := p.tasks[ticket]
 	if task == nil {
 		return nil
 	}
 	delete(p.tasks, ticket)
-	delete(task.session.open, task.number)
+	delete(task.session.tasks, task.number)
 	p.queue.Cancel(ticket)
 	return task
 }
 
-// pump makes all calls that can be made now.
-func (o *Owner) pump(p *owned, now time.Time) {
+// sendCalls sends all calls that can be sent now.
+func (o *Owner) sendCalls(p *ownedPart, now time.Time) {
 	for {
 		call := p.queue.Next(now)
 		if call == nil {
 			return
 		}
-		body, longest := p.encode(call, now)
-		go o.call(p, call, body, longest)
-		o.tellBegun(p, call)
+		body, maxRemaining := p.encode(call, now)
+		go o.call(p, call, body, maxRemaining)
+		o.notifyBegun(p, call)
 	}
 }
 
-// readAllowance is how long after a call was sent its inputs have been read for
-// certain: a free upstream reads them first, at 10,000 Mbit/s some 4 ms of a full
-// batch; the rest is for busy links.
-const readAllowance = 40 * time.Millisecond
-
-// soleAfter is how long after the change of an owner, at least, the calls of the one
-// before may still keep upstreams busy, so that a call waits there with its inputs
-// unread. The results of that time lie there for as long as results are kept: an item
-// may find no room, and is tried again, for which its inputs must still be there.
-const soleAfter = time.Second
-
-// tellBegun tells the askers of tasks whose last items go out with a call that the
-// inputs have been read, as soon as they must have been.
-func (o *Owner) tellBegun(p *owned, call *pool.Call) {
-	if call.Began.Sub(p.since) < max(soleAfter, p.keep) || !p.queue.Alone(call.Upstream.ID) {
+// inputReadTime is how long after a call was sent its inputs are certain to have been read. An
+// idle upstream reads them first, which takes some 4 ms for a full batch at 10,000 Mbit/s; the
+// remainder allows for busy links.
+const inputReadTime = 40 * time.Millisecond
+
+// minExclusiveTime is the least time after a change of owner before inputs are reported as
+// read. Until then calls of the previous owner may keep upstreams busy, so that a call waits
+// there with its inputs unread. Results of those calls take space for the keep time: an item
+// may find no space, and its inputs must still exist for the retry.
+const minExclusiveTime = time.Second
+
+// notifyBegun tells the callers of tasks whose last items are in a call that the inputs have
+// been read, once inputReadTime has passed.
+func (o *Owner) notifyBegun(p *ownedPart, call *pool.Call) {
+	if call.Began.Sub(p.ownedSince) < max(minExclusiveTime, p.keepTime) || !p.queue.Alone(call.Upstream.ID) {
 		return
 	}
 	var begun []pool.Ticket
@@ -361,7 +369,7 @@
 	if len(begun) == 0 {
 		return
 	}
-	time.AfterFunc(readAllowance, func() {
+	time.AfterFunc(inputReadTime, func() {
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		for _, ticket := range begun {
@@ -372,15 +380,15 @@
 	})
 }
 
-// encode returns the items of a call as they are sent, and what is left of the
-// longest of their requests.
-func (p *owned) encode(call *pool.Call, now time.Time) ([]stagecall.Item, time.Duration) {
+// encode returns the items of a call as they are sent, and the longest time remaining for one
+// of their requests.
+func (p *ownedPart) encode(call *pool.Call, now time.Time) ([]stagecall.Item, time.Duration) {
 	items := make([]stagecall.Item, len(call.Items))
-	var longest time.Duration
+	var maxRemaining time.Duration
 	for i, item := range call.Items {
-		left := max(time.Millisecond, item.Task.Last.Sub(now))
-		longest = max(longest, left)
-		items[i] = stagecall.Item{Piece: item.Index, RemainingMS: left.Milliseconds()}
+		remaining := max(time.Millisecond, item.Task.Last.Sub(now))
+		maxRemaining = max(maxRemaining, remaining)
+		items[i] = stagecall.Item{Piece: item.Index, RemainingMS: remaining.Milliseconds()}
 		if task := p.tasks[item.Task.Ticket]; task != nil {
 			items[i].Request = task.Request
 			items[i].Stage = task.Stage
@@ -388,21 +396,21 @@
 			items[i].Inputs = task.Inputs
 		}
 	}
-	return items, longest
+	return items, maxRemaining
 }
 
-// fail ends a task without results; those that were made are freed. The lock is held.
-func (o *Owner) fail(p *owned, ticket pool.Ticket, why Failure) {
+// fail ends a task without results and frees the results it already has. The lock is held.
+func (o *Owner) fail(p *ownedPart, ticket pool.Ticket, failure Failure) {
 	task := p.end(ticket)
 	if task == nil {
 		return
 	}
 	p.free(task.handles)
-	task.notify.Done(Result{Failure: why, Wait: p.queue.Wait(task.Class.Rank, task.Value), Backlog: p.queue.Backlog()})
+	task.notify.Done(Result{Failure: failure, Wait: p.queue.Wait(task.Class.Rank, task.Value), Backlog: p.queue.Backlog()})
 }
 
 // cancel ends a task that nobody waits for. The lock is held.
-func (p *owned) cancel(ticket pool.Ticket) {
+func (p *ownedPart) cancel(ticket pool.Ticket) {
 	if task := p.end(ticket); task != nil {
 		p.free(task.handles)
 	}
--- a/gateway/pools/owner_test.go
+++ b/gateway/pools/owner_test.go
@@ -20,27 +20,28 @@
 	"acaciawinch/platform/stagecall"
 )
 
-// known is a fixed picture of the fleet.
-type known struct {
+// staticFleet is a Fleet that never changes.
+type staticFleet struct {
 	table     *routes.Table
 	upstreams *routes.Upstreams
 }
 
 // Table implements Fleet.
-func (k known) Table() *routes.Table { return k.table }
+func (k staticFleet) Table() *routes.Table { return k.table }
 
 // Upstreams implements Fleet.
-func (k known) Upstreams() *routes.Upstreams { return k.upstreams }
+func (k staticFleet) Upstreams() *routes.Upstreams { return k.upstreams }
 
 // UpstreamAsked implements Fleet.
-func (k known) UpstreamAsked(view.Asked) {}
+func (k staticFleet) UpstreamAsked(view.Asked) {}
 
-// stageWorker answers stage calls from a script, one step a call.
+// stageWorker responds to stage calls from a script, one step a call; the last step is
+// repeated.
 type stageWorker struct {
 	mu     sync.Mutex
 	script []func(items []stagecall.Item) (int, []stagecall.Result)
 	calls  [][]stagecall.Item
-	// freed takes what calls to free results name; nil drops it.
+	// freed receives the handles of calls that free results; nil drops them.
 	freed chan []string
 }
 
@@ -51,38 +52,38 @@
 		return
 	}
 	if r.URL.Path == stagecall.FreePath {
-		w.takeFree(body)
+		w.handleFree(body)
 		return
 	}
-	var asked struct{ Items []stagecall.Item }
-	if json.Unmarshal(body, &asked) != nil {
+	var request struct{ Items []stagecall.Item }
+	if json.Unmarshal(body, &request) != nil {
 		out.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	w.mu.Lock()
-	w.calls = append(w.calls, asked.Items)
+	w.calls = append(w.calls, request.Items)
 	step := w.script[0]
 	if len(w.script) > 1 {
 		w.script = w.script[1:]
 	}
 	w.mu.Unlock()
-	status, results := step(asked.Items)
+	status, results := step(request.Items)
 	out.WriteHeader(status)
 	_ = json.NewEncoder(out).Encode(struct {
 		Items []stagecall.Result `json:"items"`
-	}{results}) // a caller that is gone needs no answer
+	}{results}) // the caller may be gone
 }
 
-// takeFree hands on what a call to free results names.
-func (w *stageWorker) takeFree(body []byte) {
-	var asked struct{ Handles []string }
-	if w.freed != nil && json.Unmarshal(body, &asked) == nil {
-		w.freed <- asked.Handles
+// handleFree passes on the handles of a call that frees results.
+func (w *stageWorker) handleFree(body []byte) {
+	var request struct{ Handles []string }
+	if w.freed != nil && json.Unmarshal(body, &request) == nil {
+		w.freed <- request.Handles
 	}
 }
 
-// makes makes all items.
-func makes(items []stagecall.Item) (int, []stagecall.Result) {
+// succeed returns a result for each item.
+func succeed(items []stagecall.Item) (int, []stagecall.Result) {
 	results := make([]stagecall.Result, len(items))
 	for i := range results {
 		results[i] = stagecall.Result{Handle: "h/" + items[i].Request}
@@ -90,8 +91,8 @@
 	return http.StatusOK, results
 }
 
-// gives ends all items with a reason.
-func gives(reason stagecall.Reason) func([]stagecall.Item) (int, []stagecall.Result) {
+// failItems fails all items with a reason.
+func failItems(reason stagecall.Reason) func([]stagecall.Item) (int, []stagecall.Result) {
 	return func(items []stagecall.Item) (int, []stagecall.Result) {
 		results := make([]stagecall.Result, len(items))
 		for i := range results {
@@ -101,10 +102,10 @@
 	}
 }
 
-// breaks fails the whole call.
-func breaks([]stagecall.Item) (int, []stagecall.Result) { return http.StatusInternalServerError, nil }
+// failCall fails the whole call.
+func failCall([]stagecall.Item) (int, []stagecall.Result) { return http.StatusInternalServerError, nil }
 
-// newOwner returns an owner before one worker that plays a script.
+// newOwner returns an owner with one worker that follows a script.
 func newOwner(t *testing.T, script ...func([]stagecall.Item) (int, []stagecall.Result)) (*Owner, *stageWorker) {
 	t.Helper()
 	w := &stageWorker{script: script}
@@ -114,7 +115,7 @@
 	logger, err := observe.NewLogger(io.Discard, "test", "error")
 	assert.NilError(t, err)
 	client := httpconn.New(func(int, http.Header) httpconn.Echo { return httpconn.Echo{} })
-	o := NewOwner(ctx, known{
+	o := NewOwner(ctx, staticFleet{
 		table:     routes.NewTable(1, routes.Limits{}, nil, []*routes.Service{{Name: "enc", Pool: pool}}, nil),
 		upstreams: routes.NewUpstreams([]routes.Upstream{{ID: "w", Service: "enc", Address: strings.TrimPrefix(server.URL, "http://")}}),
 	}, client, logger)
@@ -132,33 +133,33 @@
 	return o, w
 }
 
-// task returns a task of one piece.
+// task returns a task with one piece.
 func task(id string) Task {
 	return Task{Part: Part{Service: "enc", Count: 1}, Request: id, Pieces: 1, Remaining: 20 * time.Second, Due: 10 * time.Second}
 }
 
-// submit gives an owner a task and returns where its end arrives.
+// submit submits a task and returns a channel that receives its result.
 func submit(s *Session, number uint64, t Task, begun func()) <-chan Result {
 	results := make(chan Result, 1)
 	s.Submit(number, t, Notify{Begun: begun, Done: func(r Result) { results <- r }})
 	return results
 }
 
-// TestNoItemIsSentWithoutItsTask: a call fails after one of its tasks was cancelled;
-// only the other's item is sent again.
+// TestNoItemIsSentWithoutItsTask: after a failed call, the item of a task that was cancelled
+// meanwhile is not retried.
 func TestNoItemIsSentWithoutItsTask(t *testing.T) {
-	sent, goOn := make(chan struct{}), make(chan struct{})
+	sent, release := make(chan struct{}), make(chan struct{})
 	o, w := newOwner(t, func(items []stagecall.Item) (int, []stagecall.Result) {
 		close(sent)
-		<-goOn
-		return breaks(items)
-	}, makes)
+		<-release
+		return failCall(items)
+	}, succeed)
 	s := o.Session(true)
 	first := submit(s, 1, task("a"), nil)
 	<-sent
 	second := submit(s, 2, task("b"), nil)
 	s.Cancel(1)
-	close(goOn)
+	close(release)
 	assert.Equal(t, (<-second).Failure, Failure(""))
 	assert.Equal(t, len(first), 0)
 	w.mu.Lock()
@@ -172,34 +173,34 @@
 
 func TestReasonsOfAnUpstreamBecomeFailures(t *testing.T) {
 	for reason, failure := range map[stagecall.Reason]Failure{stagecall.Late: Late, stagecall.Gone: Gone, stagecall.Failed: Failed} {
-		o, _ := newOwner(t, gives(reason))
+		o, _ := newOwner(t, failItems(reason))
 		assert.Equal(t, (<-submit(o.Session(true), 1, task("a"), nil)).Failure, failure, string(reason))
 	}
 }
 
-func TestWantOfRoomIsTriedUntilThereIsSome(t *testing.T) {
-	full := gives(stagecall.Room)
-	o, _ := newOwner(t, full, full, full, full, full, makes)
+func TestItemIsRetriedUntilItsUpstreamHasRoom(t *testing.T) {
+	full := failItems(stagecall.Room)
+	o, _ := newOwner(t, full, full, full, full, full, succeed)
 	result := <-submit(o.Session(true), 1, task("a"), nil)
 	assert.DeepEqual(t, result.Handles, []string{"h/a"})
 }
 
-// TestANewOwnerKeepsInputsUntilOldResultsHaveLapsed: an owner that may not know what
-// lies at its upstreams does not say that inputs may be freed; one of long standing does.
+// TestANewOwnerKeepsInputsUntilOldResultsHaveLapsed: a new owner may not know which results its
+// upstreams hold, so it does not report inputs as read. An owner of long standing does.
 func TestANewOwnerKeepsInputsUntilOldResultsHaveLapsed(t *testing.T) {
 	for _, age := range []time.Duration{0, 10 * time.Second} {
-		sent, goOn := make(chan struct{}), make(chan struct{})
+		sent, release := make(chan struct{}), make(chan struct{})
 		o, _ := newOwner(t, func(items []stagecall.Item) (int, []stagecall.Result) {
 			close(sent)
-			<-goOn
-			return makes(items)
+			<-release
+			return succeed(items)
 		})
 		p := o.pool(Part{Service: "enc", Count: 1})
-		p.since = p.since.Add(-age)
-		with := task("a")
-		with.Inputs = []string{"x/1"}
+		p.ownedSince = p.ownedSince.Add(-age)
+		withInputs := task("a")
+		withInputs.Inputs = []string{"x/1"}
 		begun := make(chan struct{})
-		result := submit(o.Session(true), 1, with, func() { close(begun) })
+		result := submit(o.Session(true), 1, withInputs, func() { close(begun) })
 		<-sent
 		told := false
 		o.mu.Lock()
@@ -207,35 +208,35 @@
 			told = open.begun
 		}
 		o.mu.Unlock()
-		assert.Check(t, told == (age > 0), "an owner for %v: inputs are said to be read: %v", age, told)
+		assert.Check(t, told == (age > 0), "owner for %v: inputs reported as read: %v", age, told)
 		if told {
 			<-begun
 		}
-		close(goOn)
+		close(release)
 		<-result
 	}
 }
 
 func TestAStoppingOwnerHandsBackWhatItHasNotBegun(t *testing.T) {
-	sent, goOn := make(chan struct{}), make(chan struct{})
+	sent, release := make(chan struct{}), make(chan struct{})
 	o, _ := newOwner(t, func(items []stagecall.Item) (int, []stagecall.Result) {
 		close(sent)
-		<-goOn
-		return makes(items)
+		<-release
+		return succeed(items)
 	})
-	far := o.Session(false)
-	running := submit(far, 1, task("a"), nil)
+	remote := o.Session(false)
+	running := submit(remote, 1, task("a"), nil)
 	<-sent
-	waiting := submit(far, 2, task("b"), nil)
+	waiting := submit(remote, 2, task("b"), nil)
 	o.Leave()
 	assert.Equal(t, (<-waiting).Failure, OwnerLeft)
-	assert.Equal(t, (<-submit(far, 3, task("c"), nil)).Failure, OwnerLeft)
-	close(goOn)
+	assert.Equal(t, (<-submit(remote, 3, task("c"), nil)).Failure, OwnerLeft)
+	close(release)
 	assert.DeepEqual(t, (<-running).Handles, []string{"h/a"})
 }
 
 func TestTheEndOfASessionCancelsItsTasks(t *testing.T) {
-	o, w := newOwner(t, makes)
+	o, w := newOwner(t, succeed)
 	s := o.Session(false)
 	s.End()
 	late := submit(s, 1, task("a"), nil)
@@ -247,91 +248,95 @@
 	assert.Equal(t, len(w.calls), 1)
 }
 
-// learning is a fleet of which nothing is known until learn is called.
-type learning struct {
+// pendingFleet is a Fleet whose state is unknown until setReady is called.
+type pendingFleet struct {
 	mu    sync.Mutex
-	knows bool
-	later Fleet
+	ready bool
+	fleet Fleet
 }
 
 // Table implements Fleet.
-func (l *learning) Table() *routes.Table {
+func (l *pendingFleet) Table() *routes.Table {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.knows {
+	if !l.ready {
 		return nil
 	}
-	return l.later.Table()
+	return l.fleet.Table()
 }
 
 // UpstreamAsked implements Fleet.
-func (l *learning) UpstreamAsked(view.Asked) {}
+func (l *pendingFleet) UpstreamAsked(view.Asked) {}
 
 // Upstreams implements Fleet.
-func (l *learning) Upstreams() *routes.Upstreams {
+func (l *pendingFleet) Upstreams() *routes.Upstreams {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.knows {
+	if !l.ready {
 		return nil
 	}
-	return l.later.Upstreams()
+	return l.fleet.Upstreams()
 }
 
-// learn makes the fleet known.
-func (l *learning) learn() {
+// setReady makes the state of the fleet known.
+func (l *pendingFleet) setReady() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.knows = true
+	l.ready = true
 }
 
-// newOwnerThatKnowsNothing returns an owner whose fleet is known once learn is called.
-func newOwnerThatKnowsNothing(t *testing.T) (*Owner, *learning, *stageWorker) {
+// newUnconfiguredOwner returns an owner whose configuration is unknown until setReady is
+// called.
+func newUnconfiguredOwner(t *testing.T) (*Owner, *pendingFleet, *stageWorker) {
 	t.Helper()
-	o, w := newOwner(t, makes)
+	o, w := newOwner(t, succeed)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	fleet := &learning{later: o.fleet}
+	fleet := &pendingFleet{fleet: o.fleet}
 	o.fleet = fleet
 	return o, fleet, w
 }
 
-// TestTasksThatComeEarlyWaitUntilTheConfigurationIsKnown: an owner that has just started
-// does not fail them; one that was cancelled meanwhile is forgotten.
+// TestTasksThatComeEarlyWaitUntilTheConfigurationIsKnown: an owner that has just started does
+// not fail early tasks; one that is cancelled meanwhile is dropped.
 func TestTasksThatComeEarlyWaitUntilTheConfigurationIsKnown(t *testing.T) {
-	o, fleet, _ := newOwnerThatKnowsNothing(t)
+	o, fleet, _ := newUnconfiguredOwner(t)
 	s := o.Session(false)
 	early := submit(s, 1, task("a"), nil)
 	cancelled := submit(s, 2, task("b"), nil)
 	s.Cancel(2)
-	fleet.learn()
+	fleet.setReady()
 	o.Refresh()
 	assert.DeepEqual(t, (<-early).Handles, []string{"h/a"})
 	assert.Equal(t, len(cancelled), 0)
 }
 
-// TestAStoppingOwnerHandsBackWhatCameEarly: it will not know its pools any more.
-// TestResultsThatAreFreedEarlyAreFreedOnceTheConfigurationIsKnown: an owner that has just started
-// gets the wishes of all others; dropped, their results would fill the pool's room.
+// TestResultsThatAreFreedEarlyAreFreedOnceTheConfigurationIsKnown: an owner that has just
+// started receives all gateways' requests to free results; if it dropped them, the results
+// would fill the pool's space.
 func TestResultsThatAreFreedEarlyAreFreedOnceTheConfigurationIsKnown(t *testing.T) {
-	o, fleet, w := newOwnerThatKnowsNothing(t)
+	o, fleet, w := newUnconfiguredOwner(t)
 	w.freed = make(chan []string, 1)
-	lies := fleet.later.Upstreams().Of("enc")[0].Address + "/1"
-	o.Session(false).Free(task("a").Part, []string{lies})
-	fleet.learn()
+	handle := fleet.fleet.Upstreams().Of("enc")[0].Address + "/1"
+	o.Session(false).Free(task("a").Part, []string{handle})
+	fleet.setReady()
 	o.Refresh()
-	assert.DeepEqual(t, <-w.freed, []string{lies})
+	assert.DeepEqual(t, <-w.freed, []string{handle})
 }
 
+// TestAStoppingOwnerHandsBackWhatCameEarly: a stopping owner does not wait for its
+// configuration any more.
 func TestAStoppingOwnerHandsBackWhatCameEarly(t *testing.T) {
-	o, _, _ := newOwnerThatKnowsNothing(t)
+	o, _, _ := newUnconfiguredOwner(t)
 	early := submit(o.Session(false), 1, task("a"), nil)
 	o.Leave()
 	assert.Equal(t, (<-early).Failure, OwnerLeft)
 }
 
-// TestATaskWithoutTimeIsRefusedAtOnce: no call is made that its own request would cut.
-func TestATaskWithoutTimeIsRefusedAtOnce(t *testing.T) {
-	o, w := newOwner(t, makes)
+// TestTaskThatCannotFinishInTimeFailsAtOnce: no call is made that the deadline of its only
+// request would cut off.
+func TestTaskThatCannotFinishInTimeFailsAtOnce(t *testing.T) {
+	o, w := newOwner(t, succeed)
 	short := task("a")
 	short.Remaining = time.Millisecond
 	assert.Equal(t, (<-submit(o.Session(true), 1, short, nil)).Failure, Late)
@@ -340,35 +345,35 @@
 	assert.Equal(t, len(w.calls), 0)
 }
 
-// TestACallCutByItsRequestsIsNoFault: an upstream is passed over only for calls that it
-// had time for.
-func TestACallCutByItsRequestsIsNoFault(t *testing.T) {
-	const longest, expected = 400 * time.Millisecond, 500 * time.Millisecond
-	assert.Assert(t, cutByDeadline(longest, longest, expected))
-	assert.Assert(t, cutByDeadline(370*time.Millisecond, longest, expected), "the upstream's own word came first")
-	assert.Assert(t, !cutByDeadline(100*time.Millisecond, longest, expected), "it failed before")
-	assert.Assert(t, !cutByDeadline(longest, longest, 300*time.Millisecond), "it should have ended by then: it may be silent")
+// TestCallCutByRequestDeadlineIsNotAnUpstreamFault: an upstream is avoided only for failed
+// calls that it had time for.
+func TestCallCutByRequestDeadlineIsNotAnUpstreamFault(t *testing.T) {
+	const maxRemaining, expected = 400 * time.Millisecond, 500 * time.Millisecond
+	assert.Assert(t, cutByDeadline(maxRemaining, maxRemaining, expected))
+	assert.Assert(t, cutByDeadline(370*time.Millisecond, maxRemaining, expected), "the upstream's own response came first")
+	assert.Assert(t, !cutByDeadline(100*time.Millisecond, maxRemaining, expected), "the call failed before the deadline")
+	assert.Assert(t, !cutByDeadline(maxRemaining, maxRemaining, 300*time.Millisecond), "the call should have ended by then: the upstream may be silent")
 }
 
-func TestWhatOwnersSaidOfWaitsGetsShorterWithAge(t *testing.T) {
+func TestWaitEstimatesShrinkWithAge(t *testing.T) {
 	w, now := newWaits(), time.Unix(1000, 0)
 	part := Part{Service: "enc", Count: 1}
-	w.learn(part, Class{Rank: 1}, Result{Wait: time.Second, Backlog: 3 * time.Second}, now)
+	w.record(part, Class{Rank: 1}, Result{Wait: time.Second, Backlog: 3 * time.Second}, now)
 	assert.Equal(t, w.timely(part, Class{Rank: 1}, now.Add(400*time.Millisecond)), 600*time.Millisecond)
 	assert.Equal(t, w.timely(part, Class{}, now), time.Duration(0), "another rank has its own wait")
-	assert.Equal(t, w.timely(part, Class{Rank: 1, Priority: 1}, now), time.Duration(0), "and another priority")
+	assert.Equal(t, w.timely(part, Class{Rank: 1, Priority: 1}, now), time.Duration(0), "another priority has its own wait")
 	assert.Equal(t, w.backlog(part, now.Add(time.Second)), 2*time.Second)
 	assert.Equal(t, w.backlog(part, now.Add(time.Minute)), time.Duration(0))
 }
 
-// TestAPartIsHandedOverOnceAnotherHasOwnedItForAWhile: what has not begun goes back, and
-// what was sent is finished.
+// TestAPartIsHandedOverOnceAnotherHasOwnedItForAWhile: tasks of which nothing was sent are
+// handed back; running calls are finished.
 func TestAPartIsHandedOverOnceAnotherHasOwnedItForAWhile(t *testing.T) {
-	sent, goOn := make(chan struct{}), make(chan struct{})
+	sent, release := make(chan struct{}), make(chan struct{})
 	o, _ := newOwner(t, func(items []stagecall.Item) (int, []stagecall.Result) {
 		close(sent)
-		<-goOn
-		return makes(items)
+		<-release
+		return succeed(items)
 	})
 	running := submit(o.Session(true), 1, task("a"), nil)
 	<-sent
@@ -377,14 +382,14 @@
 	assert.DeepEqual(t, o.busyParts(), []Part{part})
 	assert.Equal(t, o.HandBack(part), 1)
 	assert.Equal(t, (<-waiting).Failure, OwnerLeft)
-	close(goOn)
+	close(release)
 	assert.DeepEqual(t, (<-running).Handles, []string{"h/a"})
 
 	h, now := &handover{since: map[Part]time.Time{}}, time.Unix(1000, 0)
 	assert.Assert(t, !h.due(part, false, now))
-	assert.Assert(t, !h.due(part, false, now.Add(handOverAfter/2)))
-	assert.Assert(t, h.due(part, false, now.Add(handOverAfter)))
-	assert.Assert(t, !h.due(part, false, now.Add(handOverAfter+time.Millisecond)), "once for each wait")
-	assert.Assert(t, !h.due(part, true, now.Add(2*handOverAfter)))
-	assert.Assert(t, !h.due(part, false, now.Add(3*handOverAfter)), "the wait begins anew")
+	assert.Assert(t, !h.due(part, false, now.Add(handoverDelay/2)))
+	assert.Assert(t, h.due(part, false, now.Add(handoverDelay)))
+	assert.Assert(t, !h.due(part, false, now.Add(handoverDelay+time.Millisecond)), "due once for each delay")
+	assert.Assert(t, !h.due(part, true, now.Add(2*handoverDelay)))
+	assert.Assert(t, !h.due(part, false, now.Add(3*handoverDelay)), "the delay starts again")
 }
--- a/gateway/pools/part.go
+++ b/gateway/pools/part.go
@@ -8,25 +8,26 @@
 	"acaciawinch/core/routes"
 )
 
-// Part is a part of a pool's upstreams, with a queue and an owner of its own. A small
-// pool has one part; of a large one each has some upstreams, so that no process has to
-// queue for all: at the peak planned for, 1,100 upstreams in five pools, one owner of a
-// whole pool would get some 1,600 items a second.
+// Part is a part of a pool's upstreams, with its own queue and owner. A small pool has one
+// part. A large one is divided so that no process queues for all of it: at the peak planned
+// for, 1,100 upstreams in five pools, one owner of a whole pool would get some 1,600 items a
+// second.
 type Part struct {
 	Service string
-	// Index goes from 0 to Count-1.
+	// Index is in the range 0 to Count-1.
 	Index, Count int
 }
 
-// partUpstreams is the most upstreams of a part. One queue for all fills calls better and
-// finds more upstreams in the zone of an item's data than two do; at calls of 330 ms 48
-// upstreams do some 145 calls a second at full load, which one process can make.
-const partUpstreams = 48
+// maxUpstreamsPerPart is the upstream count up to which a pool stays one part; a larger pool is
+// divided so that a part has that many upstreams or fewer on average. A larger part fills calls
+// better and has more upstreams in the zone of an item's data. With calls of 330 ms, 48
+// upstreams make some 145 calls a second at full load, which one process can handle.
+const maxUpstreamsPerPart = 48
 
-// partsOf returns how many parts a pool with a number of upstreams has.
-func partsOf(upstreams int) int { return max(1, (upstreams+partUpstreams-1)/partUpstreams) }
+// partsOf returns the number of parts of a pool.
+func partsOf(upstreams int) int { return max(1, (upstreams+maxUpstreamsPerPart-1)/maxUpstreamsPerPart) }
 
-// Has tells whether an upstream belongs to the part.
+// Has reports whether an upstream belongs to the part.
 func (p Part) Has(id string) bool { return int(rendezvous.Hash(id)%uint64(max(1, p.Count))) == p.Index }
 
 // of returns the upstreams of the part.
@@ -44,8 +45,8 @@
 	return own
 }
 
-// key names the part for the choice of its owner. A pool with one part has the name of
-// its service.
+// key returns the key by which the part's owner is chosen: the name of the service if the pool
+// has one part.
 func (p Part) key() string {
 	if p.Count <= 1 {
 		return p.Service
@@ -53,7 +54,7 @@
 	return fmt.Sprintf("%s#%d", p.Service, p.Index)
 }
 
-// byPart sorts results by the parts of a pool whose upstreams keep them.
+// byPart groups handles by the parts whose upstreams keep their results.
 func byPart(upstreams *routes.Upstreams, service string, handles []string) map[Part][]string {
 	count := partsOf(len(upstreams.Of(service)))
 	sorted := make(map[Part][]string)
--- a/gateway/pools/serve.go
+++ b/gateway/pools/serve.go
@@ -8,9 +8,9 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// replyQueue bounds the replies that wait for a slow asker; one that falls further
-// behind is ended, and gives its tasks to another owner.
-const replyQueue = 1024
+// replyQueueSize bounds the replies queued for a slow caller. The stream of a caller that falls
+// further behind is closed; the caller then submits its tasks to another owner.
+const replyQueueSize = 1024
 
 // Server serves an Owner to the other gateways.
 type Server struct {
@@ -18,23 +18,23 @@
 	owner *Owner
 }
 
-// NewServer returns a Server of an Owner.
+// NewServer returns a Server for an Owner.
 func NewServer(owner *Owner) *Server { return &Server{owner: owner} }
 
-// Work implements the generated server.
+// Work implements wirepb.DRPCPoolServer.
 func (s *Server) Work(stream wirepb.DRPCPool_WorkStream) error {
 	session := s.owner.Session(false)
 	defer session.End()
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
-	replies := make(chan *wirepb.PoolReply, replyQueue)
+	replies := make(chan *wirepb.PoolReply, replyQueueSize)
 	go sendReplies(ctx, cancel, stream, replies)
 	for {
 		request, err := stream.Recv()
 		if err != nil {
-			return nil // the asker's end of the stream is its normal end
+			return nil // a stream normally ends when the caller closes it
 		}
-		handle(session, request, func(reply *wirepb.PoolReply) {
+		handleRequest(session, request, func(reply *wirepb.PoolReply) {
 			select {
 			case replies <- reply:
 			default:
@@ -56,14 +56,14 @@
 			return
 		case reply := <-replies:
 			if err := stream.Send(reply); err != nil {
-				return // the asker is gone; Recv ends as well
+				return // the caller is gone; Recv ends as well
 			}
 		}
 	}
 }
 
-// handle carries out one request of an asker.
-func handle(session *Session, request *wirepb.PoolRequest, reply func(*wirepb.PoolReply)) {
+// handleRequest handles one request of a caller.
+func handleRequest(session *Session, request *wirepb.PoolRequest, reply func(*wirepb.PoolReply)) {
 	switch kind := request.GetKind().(type) {
 	case *wirepb.PoolRequest_Task:
 		number := kind.Task.GetTicket()
@@ -100,32 +100,32 @@
 	}
 }
 
-// parted is a message about a part of a pool.
-type parted interface {
+// partMessage is a message about a part of a pool.
+type partMessage interface {
 	GetService() string
 	GetPart() uint32
 	GetParts() uint32
 }
 
 // partOf decodes the part that a message is about.
-func partOf(m parted) Part {
+func partOf(m partMessage) Part {
 	return Part{Service: m.GetService(), Index: int(m.GetPart()), Count: int(m.GetParts())}
 }
 
-// pullsOf decodes what the items of a task move.
+// pullsOf decodes a task's transfers.
 func pullsOf(list []*wirepb.PoolPull) []pool.Pull {
 	pulls := make([]pool.Pull, len(list))
-	for i, one := range list {
-		pulls[i] = pool.Pull{Zone: one.GetZone(), Bytes: int64(one.GetBytes())}
+	for i, pull := range list {
+		pulls[i] = pool.Pull{Zone: pull.GetZone(), Bytes: int64(pull.GetBytes())}
 	}
 	return pulls
 }
 
-// pullMessages encodes what the items of a task move.
+// pullMessages encodes a task's transfers.
 func pullMessages(pulls []pool.Pull) []*wirepb.PoolPull {
 	list := make([]*wirepb.PoolPull, len(pulls))
-	for i, one := range pulls {
-		list[i] = &wirepb.PoolPull{Zone: one.Zone, Bytes: uint64(one.Bytes)}
+	for i, pull := range pulls {
+		list[i] = &wirepb.PoolPull{Zone: pull.Zone, Bytes: uint64(pull.Bytes)}
 	}
 	return list
 }
--- a/gateway/pools/session.go
+++ b/gateway/pools/session.go
@@ -2,28 +2,29 @@
 
 import "acaciawinch/core/pool"
 
-// Session is one asker at an owner. When it ends, its open tasks are cancelled. The
-// Owner's lock guards its state.
+// Session is one caller's session with an owner. Ending it cancels its open tasks. The Owner's
+// lock guards its state.
 type Session struct {
 	owner *Owner
-	// local is set for the asker of the owner's own process, which is served to the end.
+	// local is set for the session of the owner's own process, which is still served when the
+	// owner is stopping.
 	local bool
-	open  map[uint64]openTicket
+	tasks map[uint64]taskRef
 	ended bool
 }
 
-// openTicket is where an asker's task stands at the owner.
-type openTicket struct {
-	pool   *owned
+// taskRef locates a caller's task at the owner.
+type taskRef struct {
+	part   *ownedPart
 	ticket pool.Ticket
 }
 
 // Session returns a new session; local is set for the owner's own process.
 func (o *Owner) Session(local bool) *Session {
-	return &Session{owner: o, local: local, open: make(map[uint64]openTicket)}
+	return &Session{owner: o, local: local, tasks: make(map[uint64]taskRef)}
 }
 
-// Submit queues a task under the asker's number.
+// Submit queues a task under the caller's number.
 func (s *Session) Submit(number uint64, task Task, notify Notify) {
 	s.owner.mu.Lock()
 	defer s.owner.mu.Unlock()
@@ -39,7 +40,7 @@
 		notify.Done(Result{Failure: OwnerLeft})
 		return
 	}
-	if s.owner.keepEarly(s, number, task, notify) {
+	if s.owner.holdEarlyTask(s, number, task, notify) {
 		return
 	}
 	if !s.owner.submit(s, number, task, notify) {
@@ -47,17 +48,17 @@
 	}
 }
 
-// Cancel drops a task that nobody waits for. One that has ended stays as it is.
+// Cancel drops a task that nobody waits for. It does nothing if the task has ended.
 func (s *Session) Cancel(number uint64) {
 	s.owner.mu.Lock()
 	defer s.owner.mu.Unlock()
-	if at, known := s.open[number]; known {
-		at.pool.cancel(at.ticket)
+	if ref, known := s.tasks[number]; known {
+		ref.part.cancel(ref.ticket)
 	}
-	s.owner.forgetEarly(s, number)
+	s.owner.dropEarlyTask(s, number)
 }
 
-// Free gives results of a part of a pool back.
+// Free releases results of a part of a pool.
 func (s *Session) Free(part Part, handles []string) {
 	s.owner.mu.Lock()
 	defer s.owner.mu.Unlock()
@@ -69,7 +70,7 @@
 	s.owner.mu.Lock()
 	defer s.owner.mu.Unlock()
 	s.ended = true
-	for _, at := range s.open {
-		at.pool.cancel(at.ticket)
+	for _, ref := range s.tasks {
+		ref.part.cancel(ref.ticket)
 	}
 }
--- a/gateway/pools/task.go
+++ b/gateway/pools/task.go
@@ -1,9 +1,14 @@
-// Package pools does the stages of requests. One gateway owns the queue of each
-// pool, chosen by rendezvous hash among those that answer, so that the batches are
-// filled with the items of all gateways: a call costs 200 ms whether it is full or
-// nearly empty. An Asker gives a request's stage to the pool's owner, over a stream
-// or within the process; an Owner queues, batches and calls. A wrong or second owner
-// only makes batches smaller.
+// Package pools runs the stages of requests on pools of upstreams. The upstreams of a service's
+// pool are divided into parts. Each part has one queue, and one gateway owns it: the owner,
+// chosen by rendezvous hashing among the gateways that respond. A common queue fills batches
+// with the items of all gateways, which matters because a call takes 200 ms whether it is full
+// or nearly empty.
+//
+// A task is one stage of one request and consists of items, one for each piece of its result.
+// An Asker submits a task to the owner of the part, over a stream or within the process. An
+// Owner queues items, closes batches and calls upstreams. A result stays at the upstream that
+// made it and is named by a handle, which begins with the upstream's address. A wrong or second
+// owner only makes batches smaller.
 package pools
 
 import (
@@ -12,71 +17,75 @@
 	"acaciawinch/core/pool"
 )
 
-// Task is one request's stage.
+// Task is one stage of one request.
 type Task struct {
-	// Part is the part of the service's pool that does it; the Asker chooses it.
+	// Part is the part of the pool that runs the task; the Asker chooses it.
 	Part
-	// Request is the client's id of its request.
+	// Request is the client's id of the request.
 	Request string
 	Stage   int
 	Pieces  int
-	// Key is what a first stage works on, Inputs the results that a later one works on.
+	// Key is the input of a first stage; Inputs are the handles of the results that a later
+	// stage works on.
 	Key    string
 	Inputs []string
 	// ResultBytes is the approximate size of one result.
 	ResultBytes int64
-	// Remaining is what is left until the request ends, Due until it must have this
-	// stage to be on time; Due is below 0 if it is late already.
+	// Remaining is the time until the deadline of the request; Due is the time until the stage
+	// must be done for the request to meet its latency objective, below 0 if it is late
+	// already.
 	Remaining, Due time.Duration
-	// Class is which requests it waits with.
+	// Class is the class that the task is queued in.
 	Class Class
-	// Value is what the request counts for against others of its rank.
+	// Value is the weight of the request against others of the same rank.
 	Value float64
-	// Pulls are what each piece moves: where its inputs lie and its result is needed.
+	// Pulls are the bytes that each item moves between zones: where its inputs are and where
+	// its result is needed.
 	Pulls []pool.Pull
 }
 
-// Class is a set of requests that wait alike.
+// Class groups requests that share an estimate of the wait.
 type Class struct {
-	// Rank is that of the workspace, 0 for the most urgent and for those without one; it
-	// decides at the pools.
+	// Rank is the rank of the workspace, 0 for the most urgent and for requests without a
+	// workspace. Pools order their queues by it.
 	Rank int
-	// Priority is that of the route.
+	// Priority is the priority of the route.
 	Priority int
 }
 
-// Failure says why a task has no results; empty if it has.
+// Failure is the reason why a task has no results; empty if it has them.
 type Failure string
 
 // The failures of a task.
 const (
-	// Late: it could not be done before the request's end.
+	// Late: the task could not be done before the deadline of its request.
 	Late Failure = "late"
-	// Gone: an input no longer exists; the stages before must be done again.
+	// Gone: an input no longer exists; the earlier stages must be run again.
 	Gone Failure = "gone"
-	// Evacuated: all upstreams of the pool are in zones that are to be emptied.
+	// Evacuated: all upstreams of the pool are in evacuated zones.
 	Evacuated Failure = "evacuated"
 	// Failed: the upstreams failed.
 	Failed Failure = "failed"
-	// OwnerLost: the owner fell silent before it answered.
+	// OwnerLost: the owner stopped responding before the task ended.
 	OwnerLost Failure = "owner_lost"
-	// OwnerLeft: the owner is stopping, or another one took its place, and it did not
-	// begin the task.
+	// OwnerLeft: the owner is stopping or another gateway has become the owner, and none of the
+	// items has been sent.
 	OwnerLeft Failure = "owner_left"
 )
 
-// Result is the end of a task.
+// Result is the outcome of a task.
 type Result struct {
-	// Handles holds one result for each piece.
+	// Handles holds the handle of one result for each piece.
 	Handles []string
 	Failure Failure
-	// Wait is the owner's estimate for a task of the same class that is queued now and
-	// can be in time, Backlog that for one queued behind all others.
+	// Wait is the owner's estimate of the time that a task of the same class takes if it is
+	// queued now and can be on time; Backlog is the estimate for a task queued behind all
+	// others.
 	Wait, Backlog time.Duration
 }
 
-// Notify is how an owner tells an asker of its task. Both functions are called with
-// the Owner's lock held: they must return at once and not call the Owner.
+// Notify holds the callbacks by which an owner reports on a task. Both are called with the
+// Owner's lock held: they must return at once and must not call the Owner.
 type Notify struct {
 	// Begun is called at most once, when the task's inputs have been read.
 	Begun func()
