--- a/gateway/quarantine/record.go
+++ b/gateway/quarantine/record.go
@@ -14,31 +14,32 @@
 	"acaciawinch/observe/event"
 )
 
-// RecordKind is the kind of the gateways' records of crashes, each under its gateway's name.
+// RecordKind is the kind of the gateways' crash records, each stored under the name of its
+// gateway.
 const RecordKind = "acaciawinch-crashes"
 
 // Timing of the writer.
 const (
-	// writePause is between two writes of the record: crashes of several requests at one
-	// upstream become known within it.
-	writePause = 50 * time.Millisecond
-	// failedPause is how long after a failed write it is tried again.
-	failedPause = 500 * time.Millisecond
-	// expireEvery is how often crashes that count no longer are dropped.
-	expireEvery = time.Minute
+	// writeInterval is the pause between two writes of the record: crashes of several requests
+	// at one upstream become known within it.
+	writeInterval = 50 * time.Millisecond
+	// writeRetryDelay is the delay before a failed write is retried.
+	writeRetryDelay = 500 * time.Millisecond
+	// expireInterval is how often crashes that no longer count are dropped.
+	expireInterval = time.Minute
 )
 
-// crashSpec is a crash as the store has it.
+// crashSpec is the stored form of a crash.
 type crashSpec struct {
 	Request  string `json:"request"`
 	Upstream string `json:"upstream"`
 }
 
-// recordSpec is a record as the store has it.
+// recordSpec is the stored form of a record.
 type recordSpec struct {
 	Crashes []crashSpec `json:"crashes"`
 	Cleared []crashSpec `json:"cleared,omitempty"`
-	// Proven are requests that ran well before.
+	// Proven are requests that have run to their end before.
 	Proven []string `json:"proven,omitempty"`
 }
 
@@ -54,12 +55,12 @@
 // crashesOf decodes crashes.
 func crashesOf(list []crashSpec) ([]core.Crash, error) {
 	crashes := make([]core.Crash, len(list))
-	for i, one := range list {
-		request, err := fingerprint.Parse(one.Request)
+	for i, spec := range list {
+		request, err := fingerprint.Parse(spec.Request)
 		if err != nil {
 			return nil, err
 		}
-		crashes[i] = core.Crash{Request: request, Upstream: one.Upstream}
+		crashes[i] = core.Crash{Request: request, Upstream: spec.Upstream}
 	}
 	return crashes, nil
 }
@@ -104,7 +105,7 @@
 	return spec
 }
 
-// Reset takes the records of all gateways.
+// Reset replaces the records of all gateways.
 func (g *Guard) Reset(objects []replica.Object) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -114,7 +115,7 @@
 	foreign := false
 	for _, object := range objects {
 		foreign = foreign || object.Name == g.options.Name && g.isForeign(object, before)
-		if record, known := g.read(object); known {
+		if record, known := g.decodeRecord(object); known {
 			records[object.Name] = record
 		}
 	}
@@ -126,31 +127,33 @@
 	g.wakeWriter()
 }
 
-// isForeign tells whether the own record was written by an earlier start, whose write was carried out
-// late: no write of this process has brought its revision. While one is under way the store's
-// refusal of that tells. The lock is held.
+// isForeign reports whether this gateway's record was written by an earlier incarnation whose
+// write took effect late: no write of this process has returned its revision. While a write is
+// in flight this is not known here; the store then rejects that write with a conflict. The lock
+// is held.
 func (g *Guard) isForeign(own replica.Object, known int64) bool {
 	return !g.writing && own.Revision > known
 }
 
-// Apply takes changes of records.
+// Apply applies changes of records.
 func (g *Guard) Apply(changes []replica.Change) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, change := range changes {
 		if change.Deleted {
-			g.remove(change.Object.Name)
+			g.removeRecord(change.Object.Name)
 			continue
 		}
-		g.take(change.Object)
+		g.applyRecord(change.Object)
 	}
 	g.wakeWriter()
 }
 
-// take takes one record. An own one that this process has not written is merged. The lock is held.
-func (g *Guard) take(object replica.Object) {
+// applyRecord applies one record. A record of this gateway that this process has not written is
+// merged. The lock is held.
+func (g *Guard) applyRecord(object replica.Object) {
 	foreign := object.Name == g.options.Name && g.isForeign(object, g.revision)
-	record, known := g.read(object)
+	record, known := g.decodeRecord(object)
 	switch {
 	case !known:
 	case foreign:
@@ -160,8 +163,8 @@
 	}
 }
 
-// remove drops a record that an operator has removed. The lock is held.
-func (g *Guard) remove(name string) {
+// removeRecord drops a record that an operator has removed. The lock is held.
+func (g *Guard) removeRecord(name string) {
 	if name == g.options.Name {
 		g.revision = 0
 	}
@@ -169,8 +172,9 @@
 	g.options.Logger.Event(event.CrashesLearned, observe.Fields{"gateway": name, "revision": 0, "crashes": 0, "cleared": 0})
 }
 
-// read decodes a record and logs it. One that can't be read leaves what was known. The lock is held.
-func (g *Guard) read(object replica.Object) (core.Record, bool) {
+// decodeRecord decodes a record and logs it. If it returns false, the record is unreadable and
+// the caller keeps the last known one. The lock is held.
+func (g *Guard) decodeRecord(object replica.Object) (core.Record, bool) {
 	own := object.Name == g.options.Name
 	if own {
 		g.revision = max(g.revision, object.Revision)
@@ -187,29 +191,29 @@
 	return record, true
 }
 
-// Run writes the own record whenever that is due, until ctx ends.
+// Run writes the record of this gateway whenever it is due, until ctx ends.
 func (g *Guard) Run(ctx context.Context) error {
-	expire := time.NewTicker(expireEvery)
+	expire := time.NewTicker(expireInterval)
 	defer expire.Stop()
 	for ctx.Err() == nil {
 		if g.wait(ctx, expire.C) {
 			g.write(ctx)
-			clock.Sleep(ctx, writePause)
+			clock.Sleep(ctx, writeInterval)
 		}
 	}
 	return nil
 }
 
-// wait waits until something may be due, and tells whether the record is.
+// wait waits until the record may be due, and reports whether it is.
 func (g *Guard) wait(ctx context.Context, expire <-chan time.Time) bool {
 	g.mu.Lock()
-	due, must := g.book.Due()
+	due, pending := g.book.Due()
 	g.mu.Unlock()
 	var timer <-chan time.Time
-	if left := due - clock.Boot(); must && left <= 0 {
+	if remaining := due - clock.Boot(); pending && remaining <= 0 {
 		return true
-	} else if must {
-		timer = time.After(left)
+	} else if pending {
+		timer = time.After(remaining)
 	}
 	select {
 	case <-ctx.Done():
@@ -223,46 +227,46 @@
 	return false
 }
 
-// write writes the own record. What fails is tried again.
+// write writes the record of this gateway. A failed write is retried.
 func (g *Guard) write(ctx context.Context) {
 	g.mu.Lock()
 	record, revision := g.book.Own(), g.revision
 	g.writing = true
 	g.mu.Unlock()
 	spec := specOf(record)
-	var kept replica.Object
+	var object replica.Object
 	var err error
 	if revision == 0 {
-		kept, err = g.options.Store().Create(ctx, RecordKind, g.options.Name, spec)
+		object, err = g.options.Store().Create(ctx, RecordKind, g.options.Name, spec)
 	} else {
-		kept, err = g.options.Store().Replace(ctx, RecordKind, g.options.Name, revision, spec)
+		object, err = g.options.Store().Replace(ctx, RecordKind, g.options.Name, revision, spec)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.writing = false
 	if err == nil {
-		g.revision = max(g.revision, kept.Revision)
-		g.options.Logger.Event(event.CrashesWritten, observe.Fields{"revision": kept.Revision, "crashes": len(record.Crashes), "cleared": len(record.Cleared)})
+		g.revision = max(g.revision, object.Revision)
+		g.options.Logger.Event(event.CrashesWritten, observe.Fields{"revision": object.Revision, "crashes": len(record.Crashes), "cleared": len(record.Cleared)})
 		return
 	}
-	g.unwritten(kept, err)
+	g.writeFailed(object, err)
 }
 
-// unwritten takes in why the record could not be written. The lock is held.
-func (g *Guard) unwritten(kept replica.Object, err error) {
+// writeFailed handles a failed write of the record. The lock is held.
+func (g *Guard) writeFailed(object replica.Object, err error) {
 	g.options.Logger.Warn(event.RecordUnwritten, observe.Fields{"object": g.options.Name, "error": err.Error()})
 	now := clock.Boot()
 	switch {
 	case fault.Is(err, fault.NotFound):
 		g.revision = 0
 		g.book.Unwritten(now)
-	case fault.Is(err, fault.Conflict) && kept.Revision > 0:
-		// A write of an earlier start, or one of which the answer was lost.
-		if record, known := g.read(kept); known {
+	case fault.Is(err, fault.Conflict) && object.Revision > 0:
+		// A write of an earlier incarnation, or one whose response was lost.
+		if record, known := g.decodeRecord(object); known {
 			g.book.Adopt(record, now)
 		}
 		g.book.Unwritten(now)
 	default:
-		g.book.Unwritten(now + failedPause)
+		g.book.Unwritten(now + writeRetryDelay)
 	}
 }
--- a/gateway/quarantine/record_test.go
+++ b/gateway/quarantine/record_test.go
@@ -11,7 +11,7 @@
 	"acaciawinch/core/replica"
 )
 
-// record returns a record with something in each part.
+// record returns a record with an entry in each field.
 func record() core.Record {
 	a, b := fingerprint.Of(fingerprint.Request{Target: "/a"}), fingerprint.Of(fingerprint.Request{Target: "/b"})
 	return core.Record{
@@ -38,7 +38,8 @@
 	}
 }
 
-// FuzzRecord: whatever is in the store is a record or an error, and what is read can be written.
+// FuzzRecord: any stored content is decoded to a record or an error, and a decoded record
+// survives encoding and decoding.
 func FuzzRecord(f *testing.F) {
 	content, err := json.Marshal(specOf(record()))
 	assert.NilError(f, err)
@@ -49,10 +50,10 @@
 		if err != nil {
 			return
 		}
-		again, err := json.Marshal(specOf(read))
+		encoded, err := json.Marshal(specOf(read))
 		assert.NilError(t, err)
-		same, err := recordOf(replica.Object{Name: "g1", Spec: again})
+		decoded, err := recordOf(replica.Object{Name: "g1", Spec: encoded})
 		assert.NilError(t, err)
-		assert.DeepEqual(t, same, read)
+		assert.DeepEqual(t, decoded, read)
 	})
 }
--- a/gateway/quarantine/sweep.go
+++ b/gateway/quarantine/sweep.go
@@ -14,27 +14,28 @@
 	"acaciawinch/observe/event"
 )
 
-// sweepEvery is how often a gateway looks for objects of trials that are left. It is not below
-// the time for which a crash counts, so that one that it sees twice belongs to crashes that count
-// no longer.
-const sweepEvery = time.Hour
+// sweepInterval is how often a gateway looks for orphaned trial objects. It is not shorter than
+// the time for which a crash counts, so that the crashes of a trial object seen twice no longer
+// count.
+const sweepInterval = time.Hour
 
-// Sweep removes the objects of trials whose requests were never cleared, until ctx ends: a client with
-// ever new requests that crash upstreams would fill the store. The first round comes at a random
-// time, so that gateways that start together do not list the kind together.
+// Sweep removes the objects of trials whose requests were never cleared, until ctx ends.
+// Without it, a client with ever new requests that crash upstreams would fill the store. The
+// first round starts after a random delay, so that gateways that start together do not list the
+// objects at the same time.
 func (g *Guard) Sweep(ctx context.Context) error {
-	clock.Sleep(ctx, rand.N(sweepEvery))
+	clock.Sleep(ctx, rand.N(sweepInterval))
 	var seen map[string]int64
 	for ctx.Err() == nil {
 		seen = g.sweep(ctx, seen)
-		clock.Sleep(ctx, sweepEvery)
+		clock.Sleep(ctx, sweepInterval)
 	}
 	return nil
 }
 
-// sweep removes the objects that were there with the same revision in the round before, and whose
-// requests have no crashes that count. It returns the revisions of the others, or those of the
-// round before if the store does not tell.
+// sweep removes the objects that had the same revision in the previous round and whose requests
+// have no crashes that count. It returns the revisions of the remaining objects, or those of
+// the previous round if the objects could not be listed.
 func (g *Guard) sweep(ctx context.Context, before map[string]int64) map[string]int64 {
 	listed, _, err := g.options.Store().List(ctx, TrialKind)
 	if err != nil {
@@ -44,7 +45,7 @@
 	kept := make(map[string]int64, len(listed))
 	removed := 0
 	for _, object := range listed {
-		if before[object.Name] == object.Revision && g.isLeft(object.Name) && g.removeTrial(ctx, object) {
+		if before[object.Name] == object.Revision && g.isOrphaned(object.Name) && g.removeTrial(ctx, object) {
 			removed++
 			continue
 		}
@@ -56,21 +57,23 @@
 	return kept
 }
 
-// isLeft tells whether the request of a trial's object has no crashes that count. The object of which that
-// can't be told is not this product's.
-func (g *Guard) isLeft(name string) bool {
+// isOrphaned reports whether the request of a trial object has no crashes that count. It
+// returns false for a name without a valid fingerprint, as that object was not written by a
+// gateway.
+func (g *Guard) isOrphaned(name string) bool {
 	text, _, _ := strings.Cut(name, "-")
 	request, err := fingerprint.Parse(text)
 	return err == nil && g.judge(request).Crashes == 0
 }
 
-// removeTrial removes an object that has not changed since it was listed.
+// removeTrial removes an object that has not changed since it was listed, and reports whether
+// the object is gone.
 func (g *Guard) removeTrial(ctx context.Context, object replica.Object) bool {
 	err := g.options.Store().Delete(ctx, TrialKind, object.Name, object.Revision)
-	if err != nil && !fault.Is(err, fault.NotFound) { // another gateway may be first
+	if err != nil && !fault.Is(err, fault.NotFound) { // another gateway may have removed it
 		g.options.Logger.Warn(event.RecordUnwritten, observe.Fields{"object": object.Name, "error": err.Error()})
 		return false
 	}
-	g.dropTrial(object.Name)
+	g.forgetTrial(object.Name)
 	return true
 }
--- a/gateway/quarantine/sweep_test.go
+++ b/gateway/quarantine/sweep_test.go
@@ -10,26 +10,26 @@
 	"acaciawinch/gateway/clock"
 )
 
-// TestTrialsOfRequestsThatAreNeverClearedAreRemoved: they would fill the store.
+// TestTrialsOfRequestsThatAreNeverClearedAreRemoved: otherwise they would fill the store.
 func TestTrialsOfRequestsThatAreNeverClearedAreRemoved(t *testing.T) {
-	list, kept := guards(t, 1)
+	list, trials := newGuards(t, 1)
 	g := list[0]
-	assert.Assert(t, ask(t, g))
-	kept.specs["somebody-elses"] = json.RawMessage(`{}`)
+	assert.Assert(t, acquireFirstTrial(t, g))
+	trials.specs["somebody-elses"] = json.RawMessage(`{}`)
 	seen := g.sweep(t.Context(), nil)
 	assert.Equal(t, len(seen), 2)
 	seen = g.sweep(t.Context(), seen)
-	assert.Equal(t, len(kept.specs), 2, "the request is refused still")
+	assert.Equal(t, len(trials.specs), 2, "the request is still refused")
 
 	g.book.Expire(clock.Boot() + 2*time.Hour)
-	assert.Equal(t, len(g.sweep(t.Context(), nil)), 2, "it may have been made a moment ago")
-	kept.set(func() { kept.away = true })
+	assert.Equal(t, len(g.sweep(t.Context(), nil)), 2, "the trial may have just been made")
+	trials.set(func() { trials.unavailable = true })
 	seen = g.sweep(t.Context(), seen)
-	assert.Equal(t, len(seen), 2, "the store does not tell")
-	kept.set(func() { kept.away = false })
+	assert.Equal(t, len(seen), 2, "the store is unavailable")
+	trials.set(func() { trials.unavailable = false })
 	seen = g.sweep(t.Context(), seen)
 	assert.Equal(t, len(seen), 1)
-	_, there := kept.specs["somebody-elses"]
-	assert.Assert(t, there)
-	assert.Assert(t, !g.taken[trialName(crashing, 1)])
+	_, exists := trials.specs["somebody-elses"]
+	assert.Assert(t, exists)
+	assert.Assert(t, !g.takenTrials[trialName(crashing, 1)])
 }
--- a/gateway/quarantine/trial.go
+++ b/gateway/quarantine/trial.go
@@ -14,33 +14,35 @@
 	"acaciawinch/observe/event"
 )
 
-// TrialKind is the kind of the objects that grant trials: who creates one makes the trial.
+// TrialKind is the kind of the objects that grant trials: whoever creates an object makes its
+// trial.
 const TrialKind = "acaciawinch-crash-trials"
 
-// trialTimeout bounds the wait for the store's word on a trial, which holds up its request.
+// trialTimeout bounds a call to the store for a trial, during which the request waits.
 const trialTimeout = 500 * time.Millisecond
 
-// trialSpec says who holds a trial.
+// trialSpec identifies the owner of a trial.
 type trialSpec struct {
 	Gateway string `json:"gateway"`
-	// Incarnation tells the starts of a gateway apart: what an earlier one was granted was sent or lost.
+	// Incarnation identifies the run of the gateway: a trial granted to an earlier run was sent
+	// or lost.
 	Incarnation string `json:"incarnation"`
 	Attempt     string `json:"attempt"`
-	// Upstreams are the starts of upstreams that had crashed under the request before.
+	// Upstreams are the incarnations of upstreams that had already crashed under the request.
 	Upstreams []string `json:"upstreams"`
 }
 
-// trialName names the object of a trial.
+// trialName returns the name of the object of a trial.
 func trialName(request fingerprint.Fingerprint, number int) string {
 	return fmt.Sprintf("%s-%d", request, number)
 }
 
-// beginTrial tells whether an attempt may make a trial. Without the store's word it may not:
-// another gateway may make it.
-func (g *Guard) beginTrial(ctx context.Context, request fingerprint.Fingerprint, number int, attempt string) bool {
+// acquireTrial reports whether an attempt may make a trial. Without a response of the store it
+// may not, because another gateway may make the trial.
+func (g *Guard) acquireTrial(ctx context.Context, request fingerprint.Fingerprint, number int, attempt string) bool {
 	ctx, cancel := context.WithTimeout(ctx, trialTimeout)
 	defer cancel()
-	outcome, err := g.askTrial(ctx, request, number, attempt)
+	outcome, err := g.requestTrial(ctx, request, number, attempt)
 	if err != nil {
 		outcome = trialOutcome(err.Error())
 	}
@@ -49,25 +51,26 @@
 	return outcome == trialGranted
 }
 
-// trialOutcome is what became of the question for a trial, as it is logged.
+// trialOutcome is the logged outcome of a request for a trial.
 type trialOutcome string
 
 // Outcomes without an error.
 const (
 	trialGranted trialOutcome = "granted"
 	trialTaken   trialOutcome = "made by another attempt"
-	// trialRemoved means that the object of a trial for crashes that were cleared was in the way; the
-	// next attempt may make the trial.
-	trialRemoved trialOutcome = "an earlier one was removed"
+	// trialRemoved means that the object belonged to a trial for crashes that have been cleared
+	// since, and was removed; the next attempt may make the trial.
+	trialRemoved trialOutcome = "stale trial removed"
 )
 
-// askTrial creates the object of a trial, or looks who holds it. An error means that nothing is known.
-func (g *Guard) askTrial(ctx context.Context, request fingerprint.Fingerprint, number int, attempt string) (trialOutcome, error) {
+// requestTrial creates the object of a trial, or finds out who owns the trial. On an error the
+// owner is unknown.
+func (g *Guard) requestTrial(ctx context.Context, request fingerprint.Fingerprint, number int, attempt string) (trialOutcome, error) {
 	name := trialName(request, number)
-	wanted := g.newTrial(request, number, attempt)
-	found, err := g.options.Store().Create(ctx, TrialKind, name, wanted)
+	trial := g.newTrial(request, number, attempt)
+	found, err := g.options.Store().Create(ctx, TrialKind, name, trial)
 	if err == nil {
-		return g.useTrial(request, number, wanted), nil
+		return g.recordTrial(request, number, trial), nil
 	}
 	if !fault.Is(err, fault.Conflict) && !fault.Is(err, fault.Ambiguous) {
 		return "", err
@@ -78,17 +81,17 @@
 			return "", err
 		}
 	}
-	var held trialSpec
-	if err := json.Unmarshal(found.Spec, &held); err != nil {
-		return "", fmt.Errorf("the trial %s: %w", name, err)
+	var existing trialSpec
+	if err := json.Unmarshal(found.Spec, &existing); err != nil {
+		return "", fmt.Errorf("decode trial %s: %w", name, err)
 	}
-	if g.isPast(request, number, held) {
+	if g.isStale(request, number, existing) {
 		return trialRemoved, g.options.Store().Delete(ctx, TrialKind, name, found.Revision)
 	}
-	return g.useTrial(request, number, held), nil
+	return g.recordTrial(request, number, existing), nil
 }
 
-// newTrial returns a trial for an attempt.
+// newTrial returns the spec of a trial for an attempt.
 func (g *Guard) newTrial(request fingerprint.Fingerprint, number int, attempt string) trialSpec {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -96,34 +99,35 @@
 	return trialSpec{Gateway: g.options.Name, Incarnation: g.options.Incarnation, Attempt: attempt, Upstreams: upstreams}
 }
 
-// isPast tells whether a trial was made before its request was last cleared. Its object stayed as
-// the store could not be reached then.
-func (g *Guard) isPast(request fingerprint.Fingerprint, number int, held trialSpec) bool {
+// isStale reports whether a trial was made before its request was last cleared. Its object
+// remained because the store could not be reached then.
+func (g *Guard) isStale(request fingerprint.Fingerprint, number int, trial trialSpec) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	past := g.book.IsPast(request, core.Trial{Number: number, Upstreams: held.Upstreams})
-	if past {
-		delete(g.taken, trialName(request, number))
+	stale := g.book.IsPast(request, core.Trial{Number: number, Upstreams: trial.Upstreams})
+	if stale {
+		delete(g.takenTrials, trialName(request, number))
 	}
-	return past
+	return stale
 }
 
-// useTrial notes that a trial is used up. It is granted to this call if it is held here and was not taken
-// before, as when the answer of the store was lost.
-func (g *Guard) useTrial(request fingerprint.Fingerprint, number int, held trialSpec) trialOutcome {
+// recordTrial records that a trial is used up. The trial is granted to this call if this
+// process owns it and has not made it yet, which is the case when the response of the store was
+// lost.
+func (g *Guard) recordTrial(request fingerprint.Fingerprint, number int, trial trialSpec) trialOutcome {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	name := trialName(request, number)
-	g.book.TrialUsed(request, core.Trial{Number: number, Upstreams: held.Upstreams}, clock.Boot())
-	if held.Gateway != g.options.Name || held.Incarnation != g.options.Incarnation || g.taken[name] {
+	g.book.TrialUsed(request, core.Trial{Number: number, Upstreams: trial.Upstreams}, clock.Boot())
+	if trial.Gateway != g.options.Name || trial.Incarnation != g.options.Incarnation || g.takenTrials[name] {
 		return trialTaken
 	}
-	g.taken[name] = true
+	g.takenTrials[name] = true
 	return trialGranted
 }
 
-// Return gives the trial of a Pass back that did not run, so that a later attempt here may make it. With reached set
-// an upstream turned it away.
+// Return gives back the trial of a Pass that did not run, so that a later attempt at this
+// gateway may make it. reached is set if an upstream rejected the trial.
 func (g *Guard) Return(request fingerprint.Fingerprint, attempt string, unused Pass, reached bool) {
 	if unused.trial == 0 {
 		return
@@ -131,21 +135,22 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	name := trialName(request, unused.trial)
-	if !g.taken[name] || !g.book.TrialReturned(request, unused.trial, reached) {
+	if !g.takenTrials[name] || !g.book.TrialReturned(request, unused.trial, reached) {
 		return
 	}
-	delete(g.taken, name)
+	delete(g.takenTrials, name)
 	g.options.Logger.Event(event.TrialReturned, observe.Fields{"fingerprint": request.String(), "request": attempt, "trial": unused.trial, "reached": reached})
 }
 
-// keepTrials is how long the objects of trials stay after their request was cleared: until all
-// gateways know that, none makes the same trial once more.
-const keepTrials = 2 * time.Second
+// trialRetention is how long the objects of trials are kept after their request was cleared: by
+// then all gateways know that it was, and none repeats the trial.
+const trialRetention = 2 * time.Second
 
-// endTrials removes the objects of the trials of a request that is cleared, so that it has trials
-// again if it is refused another time. One that stays is found to be past when it is in the way.
-func (g *Guard) endTrials(request fingerprint.Fingerprint, count int) {
-	clock.Sleep(g.options.Life, keepTrials)
+// removeTrials removes the objects of the trials of a cleared request, so that it has trials
+// again if it is refused another time. An object that could not be removed is found to be stale
+// when its number is requested again.
+func (g *Guard) removeTrials(request fingerprint.Fingerprint, count int) {
+	clock.Sleep(g.options.Life, trialRetention)
 	for number := 1; number <= count; number++ {
 		name := trialName(request, number)
 		ctx, cancel := context.WithTimeout(g.options.Life, trialTimeout)
@@ -154,16 +159,16 @@
 			err = g.options.Store().Delete(ctx, TrialKind, name, found.Revision)
 		}
 		cancel()
-		g.dropTrial(name)
+		g.forgetTrial(name)
 		if err != nil && !fault.Is(err, fault.NotFound) {
 			g.options.Logger.Warn(event.RecordUnwritten, observe.Fields{"object": name, "error": err.Error()})
 		}
 	}
 }
 
-// dropTrial forgets that a trial was taken, as its object is gone.
-func (g *Guard) dropTrial(name string) {
+// forgetTrial forgets that this process has made a trial whose object is gone.
+func (g *Guard) forgetTrial(name string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.taken, name)
+	delete(g.takenTrials, name)
 }
--- a/gateway/quarantine/trial_test.go
+++ b/gateway/quarantine/trial_test.go
@@ -21,14 +21,16 @@
 	"acaciawinch/platform/store"
 )
 
-// trialStore keeps the objects of trials, as the published protocol of the platform's store says.
+// trialStore keeps the objects of trials, following the published protocol of the platform's
+// store.
 type trialStore struct {
 	t  *testing.T
 	mu sync.Mutex
-	// specs are the objects by their names.
+	// specs holds the objects by name.
 	specs map[string]json.RawMessage
-	// loseAnswers lets the store carry out writes and drop their answers, away lets it answer nothing.
-	loseAnswers, away bool
+	// loseResponses makes the store carry out writes without responding; unavailable makes it
+	// respond to nothing.
+	loseResponses, unavailable bool
 }
 
 // storedObject is an object on the wire.
@@ -44,7 +46,7 @@
 func (s *trialStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.away {
+	if s.unavailable {
 		panic(http.ErrAbortHandler)
 	}
 	name := strings.TrimPrefix(strings.TrimPrefix(r.URL.Path, "/objects/"+TrialKind), "/")
@@ -52,32 +54,32 @@
 		assert.Check(s.t, json.NewEncoder(w).Encode(s.list()))
 		return
 	}
-	var asked storedObject
+	var request storedObject
 	if r.Method == http.MethodPost {
-		assert.Check(s.t, json.NewDecoder(r.Body).Decode(&asked))
-		name = asked.Metadata.Name
+		assert.Check(s.t, json.NewDecoder(r.Body).Decode(&request))
+		name = request.Metadata.Name
 	}
-	spec, there := s.specs[name]
+	spec, exists := s.specs[name]
 	status := http.StatusOK
 	switch {
-	case r.Method == http.MethodPost && there:
+	case r.Method == http.MethodPost && exists:
 		status = http.StatusConflict
 	case r.Method == http.MethodPost:
-		spec = asked.Spec
+		spec = request.Spec
 		s.specs[name] = spec
-	case !there:
+	case !exists:
 		status = http.StatusNotFound
 	case r.Method == http.MethodDelete:
 		delete(s.specs, name)
 	}
-	if s.loseAnswers {
+	if s.loseResponses {
 		panic(http.ErrAbortHandler)
 	}
 	w.WriteHeader(status)
 	assert.Check(s.t, json.NewEncoder(w).Encode(stored(name, spec)))
 }
 
-// stored returns an object as the store keeps it.
+// stored returns an object as the store returns it.
 func stored(name string, spec json.RawMessage) storedObject {
 	object := storedObject{Spec: spec}
 	object.Metadata.Name, object.Metadata.Revision = name, 1
@@ -98,21 +100,23 @@
 	return list
 }
 
-// set changes how the store behaves.
+// set changes the behaviour of the store.
 func (s *trialStore) set(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
 }
 
-// learnedBefore is how long the guards of these tests know of crashes: above the wait for the first trial of a request
-// that ran well before, and below the time for which an upstream that crashed gets none.
-const learnedBefore = 2 * time.Second
+// crashAge is how long ago the guards of these tests learned of the crashes: longer than the
+// wait for the first trial of a request that ran well before, and shorter than the time for
+// which an upstream that crashed gets no trial.
+const crashAge = 2 * time.Second
 
-// guards returns the guards of gateways before one store that know of two crashes of a request.
-func guards(t *testing.T, count int) ([]*Guard, *trialStore) {
-	kept := &trialStore{t: t, specs: make(map[string]json.RawMessage)}
-	server := httptest.NewServer(kept)
+// newGuards returns the guards of gateways that share one store and know of two crashes of the
+// same request.
+func newGuards(t *testing.T, count int) ([]*Guard, *trialStore) {
+	trials := &trialStore{t: t, specs: make(map[string]json.RawMessage)}
+	server := httptest.NewServer(trials)
 	t.Cleanup(server.Close)
 	logger, err := observe.NewLogger(io.Discard, "test", "error")
 	assert.NilError(t, err)
@@ -121,79 +125,82 @@
 		g := New(Options{Name: "g" + string(rune('1'+i)), Incarnation: "first", Life: t.Context(),
 			Store:  func() *store.Client { return store.New(strings.TrimPrefix(server.URL, "http://")) },
 			Logger: logger, Scope: tally.NoopScope})
-		refuse(g, "u1", "u2")
+		addCrashes(g, "u1", "u2")
 		list = append(list, g)
 	}
-	return list, kept
+	return list, trials
 }
 
-// refuse lets a guard know of crashes of its request.
-func refuse(g *Guard, upstreams ...string) {
+// addCrashes makes a guard know of crashes of the request crashing.
+func addCrashes(g *Guard, upstreams ...string) {
 	for _, upstream := range upstreams {
 		crash := core.Crash{Request: crashing, Upstream: upstream}
-		g.book.Suspect(crash, clock.Boot()-learnedBefore)
-		g.book.Confirm(crash, clock.Boot()-learnedBefore)
+		g.book.Suspect(crash, clock.Boot()-crashAge)
+		g.book.Confirm(crash, clock.Boot()-crashAge)
 	}
 }
 
 // crashing is the request of these tests.
 var crashing = fingerprint.Of(fingerprint.Request{Target: "/crashing"})
 
-// ask asks for the first trial.
-func ask(t *testing.T, g *Guard) bool {
-	return g.beginTrial(context.WithoutCancel(t.Context()), crashing, 1, "attempt")
+// acquireFirstTrial requests the first trial and reports whether it was granted.
+func acquireFirstTrial(t *testing.T, g *Guard) bool {
+	return g.acquireTrial(context.WithoutCancel(t.Context()), crashing, 1, "attempt")
 }
 
-func TestOneGatewayMakesATrial(t *testing.T) {
-	list, _ := guards(t, 2)
-	assert.Assert(t, ask(t, list[0]))
-	assert.Assert(t, !ask(t, list[1]))
-	assert.Assert(t, !ask(t, list[0]), "it has made it")
+func TestOnlyOneGatewayMakesATrial(t *testing.T) {
+	list, _ := newGuards(t, 2)
+	assert.Assert(t, acquireFirstTrial(t, list[0]))
+	assert.Assert(t, !acquireFirstTrial(t, list[1]))
+	assert.Assert(t, !acquireFirstTrial(t, list[0]), "the gateway has already made the trial")
 	assert.Equal(t, list[1].book.TrialsOf(crashing), 1)
 }
 
-// TestATrialWhoseAnswerWasLostIsMadeLater: it would be used up and never sent.
-func TestATrialWhoseAnswerWasLostIsMadeLater(t *testing.T) {
-	list, kept := guards(t, 2)
-	kept.set(func() { kept.loseAnswers = true })
-	assert.Assert(t, !ask(t, list[0]))
-	kept.set(func() { kept.loseAnswers = false })
-	assert.Assert(t, !ask(t, list[1]), "the first one holds it")
-	assert.Assert(t, ask(t, list[0]))
-	assert.Assert(t, !ask(t, list[0]))
+// TestTrialWhoseStoreResponseWasLostIsMadeLater: otherwise the trial would be used up and never
+// sent.
+func TestTrialWhoseStoreResponseWasLostIsMadeLater(t *testing.T) {
+	list, trials := newGuards(t, 2)
+	trials.set(func() { trials.loseResponses = true })
+	assert.Assert(t, !acquireFirstTrial(t, list[0]))
+	trials.set(func() { trials.loseResponses = false })
+	assert.Assert(t, !acquireFirstTrial(t, list[1]), "the first gateway owns the trial")
+	assert.Assert(t, acquireFirstTrial(t, list[0]))
+	assert.Assert(t, !acquireFirstTrial(t, list[0]))
 }
 
-func TestATrialOfAnEarlierStartIsNotMadeAgain(t *testing.T) {
-	list, _ := guards(t, 1)
-	assert.Assert(t, ask(t, list[0]))
+func TestTrialOfAnEarlierIncarnationIsNotRepeated(t *testing.T) {
+	list, _ := newGuards(t, 1)
+	assert.Assert(t, acquireFirstTrial(t, list[0]))
 	list[0].options.Incarnation = "second"
-	list[0].taken = make(map[string]bool)
-	assert.Assert(t, !ask(t, list[0]))
+	list[0].takenTrials = make(map[string]bool)
+	assert.Assert(t, !acquireFirstTrial(t, list[0]))
 }
 
-// TestATrialThatCouldNotBeRemovedTakesNoneLater: the store was away when its request was cleared.
-func TestATrialThatCouldNotBeRemovedTakesNoneLater(t *testing.T) {
-	list, kept := guards(t, 1)
+// TestStaleTrialObjectDoesNotUseUpALaterTrial: the store was unavailable when the request was
+// cleared, so the object of its trial remained.
+func TestStaleTrialObjectDoesNotUseUpALaterTrial(t *testing.T) {
+	list, trials := newGuards(t, 1)
 	g := list[0]
-	assert.Assert(t, ask(t, g))
-	kept.set(func() { kept.away = true })
+	assert.Assert(t, acquireFirstTrial(t, g))
+	trials.set(func() { trials.unavailable = true })
 	g.book.Completed(crashing, clock.Boot())
-	refuse(g, "u3", "u4")
-	kept.set(func() { kept.away = false })
-	assert.Assert(t, !ask(t, g), "this call removes it")
-	assert.Assert(t, ask(t, g))
-	assert.Assert(t, !ask(t, g))
+	addCrashes(g, "u3", "u4")
+	trials.set(func() { trials.unavailable = false })
+	assert.Assert(t, !acquireFirstTrial(t, g), "this call removes the stale object")
+	assert.Assert(t, acquireFirstTrial(t, g))
+	assert.Assert(t, !acquireFirstTrial(t, g))
 }
 
-func TestATrialThatNobodyCanReadIsNotMade(t *testing.T) {
-	list, kept := guards(t, 1)
-	kept.specs[trialName(crashing, 1)] = json.RawMessage(`7`)
-	assert.Assert(t, !ask(t, list[0]))
+func TestTrialWithAnUnreadableObjectIsNotMade(t *testing.T) {
+	list, trials := newGuards(t, 1)
+	trials.specs[trialName(crashing, 1)] = json.RawMessage(`7`)
+	assert.Assert(t, !acquireFirstTrial(t, list[0]))
 }
 
-// TestATrialIsNotSentToAStartThatEndedAMomentAgo: discovery still lists it, and the trial would be lost.
-func TestATrialIsNotSentToAStartThatEndedAMomentAgo(t *testing.T) {
-	list, kept := guards(t, 1)
+// TestTrialAvoidsUpstreamsThatJustCrashed: discovery still lists the crashed incarnations, and
+// a trial sent to one would be lost.
+func TestTrialAvoidsUpstreamsThatJustCrashed(t *testing.T) {
+	list, trials := newGuards(t, 1)
 	g := list[0]
 	g.book.Reset(map[string]core.Record{"g2": {Proven: []fingerprint.Fingerprint{crashing}}}, clock.Boot())
 	check := func(runs bool) (Pass, *Refusal) {
@@ -205,31 +212,32 @@
 	assert.Equal(t, g.judge(crashing).Trial, 1)
 	_, refusal := check(false)
 	assert.Assert(t, refusal != nil)
-	assert.Equal(t, len(kept.specs), 0, "it is not used up")
+	assert.Equal(t, len(trials.specs), 0, "the trial is not used up")
 	pass, refusal := check(true)
 	assert.Assert(t, refusal == nil)
 	assert.DeepEqual(t, pass.Ended, []string{"u1", "u2"})
 }
 
-// TestATrialThatDidNotRunIsMadeAgain: a request that all clients send would be refused until the next one.
+// TestATrialThatDidNotRunIsMadeAgain: otherwise a request that all clients send would be
+// refused until the next trial is due.
 func TestATrialThatDidNotRunIsMadeAgain(t *testing.T) {
 	for _, c := range []struct{ proven, reached, again bool }{{false, false, true}, {false, true, false}, {true, false, true}, {true, true, true}} {
-		list, _ := guards(t, 2)
+		list, _ := newGuards(t, 2)
 		if c.proven {
 			list[0].book.Take("g2", core.Record{Proven: []fingerprint.Fingerprint{crashing}}, clock.Boot())
 		}
-		assert.Assert(t, ask(t, list[0]))
+		assert.Assert(t, acquireFirstTrial(t, list[0]))
 		list[0].Return(crashing, "attempt", Pass{trial: 1, crashes: 2}, c.reached)
 		assert.Equal(t, list[0].book.TrialsOf(crashing) == 0, c.again)
-		assert.Assert(t, !ask(t, list[1]), "the first one holds it")
-		assert.Equal(t, ask(t, list[0]), c.again, "%+v", c)
-		assert.Assert(t, !ask(t, list[0]))
+		assert.Assert(t, !acquireFirstTrial(t, list[1]), "the first gateway owns the trial")
+		assert.Equal(t, acquireFirstTrial(t, list[0]), c.again, "%+v", c)
+		assert.Assert(t, !acquireFirstTrial(t, list[0]))
 	}
 }
 
-func TestARequestWithoutATrialReturnsNone(t *testing.T) {
-	list, _ := guards(t, 1)
-	assert.Assert(t, ask(t, list[0]))
+func TestPassWithoutATrialReturnsNone(t *testing.T) {
+	list, _ := newGuards(t, 1)
+	assert.Assert(t, acquireFirstTrial(t, list[0]))
 	list[0].Return(crashing, "attempt", Pass{}, false)
 	assert.Equal(t, list[0].book.TrialsOf(crashing), 1)
 }
