--- a/gateway/relay/link.go
+++ b/gateway/relay/link.go
@@ -13,81 +13,81 @@
 
 // Timing of a link to a source.
 const (
-	// openTimeout bounds the time until the first word: opening a connection, a handshake
-	// and, at the least known share of a core and 20 Mbit/s, a piece of a list.
+	// openTimeout bounds the time until the first update: opening a connection, a handshake
+	// and, with the smallest known share of a core and 20 Mbit/s, one piece of a list.
 	openTimeout = 800 * time.Millisecond
-	// silentAfter is when a source that says nothing is given up: two of its beats. With the
-	// 2 s that a proof is old at the most when a source dies, and openTimeout for the next
-	// one, that stays within the 4.5 s for which keys are trusted.
-	silentAfter = 1500 * time.Millisecond
-	// askEvery is how often the source gets a request: a proof's time relates to one, so that
-	// clocks that run apart by 100 µs/s add no more than 0.3 ms.
-	askEvery = 3 * time.Second
+	// silenceTimeout is when a source that sends nothing is given up: two of its heartbeats.
+	// Together with the 2 s that a proof is old at most when a source dies, and openTimeout for
+	// the next source, it stays within the 4.5 s for which keys are trusted.
+	silenceTimeout = 1500 * time.Millisecond
+	// requestInterval is how often the source gets a request. A proof's time is relative to a
+	// request, so that clocks that drift apart by 100 µs/s add no more than 0.3 ms.
+	requestInterval = 3 * time.Second
 )
 
-// heard tells of a word of the source.
-type heard struct {
+// sourceUpdate describes an update from a source.
+type sourceUpdate struct {
 	incarnation string
-	// failing is set if the store does not answer the source.
+	// failing is set if the store does not respond to the source.
 	failing bool
-	// partial is set if more of a list is to come.
+	// partial is set if the update holds a piece of a list.
 	partial bool
-	// proof is known if the source told one.
+	// proof is the proof in the update; known is set if there is one.
 	proof view.Proof
 	known bool
 }
 
-// link is the stream to one source. It ends for good when it breaks.
+// link is the stream to one source. A broken link is not reopened.
 type link struct {
-	follower *Follower
-	source   view.Member
-	asks     proof.Follower
-	gatherer *gatherer
-	stream   wirepb.DRPCFleet_FollowClient
+	follower  *Follower
+	source    view.Member
+	requests  proof.Follower
+	assembler *assembler
+	stream    wirepb.DRPCFleet_FollowClient
 }
 
-// run takes the source's words until the link breaks or ctx ends, and returns why.
+// run receives updates until the link breaks or ctx ends, and returns the reason.
 func (l *link) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := time.AfterFunc(openTimeout, func() {
-		cancel(fault.New(fault.Unavailable, "relay.receive", l.source.Name, "no word in time"))
+	watchdog := time.AfterFunc(openTimeout, func() {
+		cancel(fault.New(fault.Unavailable, "relay.receive", l.source.Name, "no update received in time"))
 	})
-	defer silence.Stop()
-	err := l.follow(ctx, silence)
+	defer watchdog.Stop()
+	err := l.follow(ctx, watchdog)
 	if cause := context.Cause(ctx); cause != nil {
 		err = cause
 	}
 	return err
 }
 
-// follow opens the stream and takes what comes.
-func (l *link) follow(ctx context.Context, silence *time.Timer) error {
+// follow opens the stream and applies updates.
+func (l *link) follow(ctx context.Context, watchdog *time.Timer) error {
 	conn := l.follower.dialer.Conn(ctx, l.source.Address)
 	var err error
 	if l.stream, err = wirepb.NewDRPCFleetClient(conn).Follow(ctx); err != nil {
 		return fault.Wrap(fault.Unavailable, "relay.open", l.source.Name, err)
 	}
-	defer func() { _ = l.stream.Close() }() // what is left of the stream is of no use
-	words := make(chan *wirepb.FollowUpdate)
+	defer func() { _ = l.stream.Close() }() // the stream is no longer needed
+	updates := make(chan *wirepb.FollowUpdate)
 	broken := make(chan error, 1)
-	go func() { broken <- l.receive(ctx, words) }()
-	if err := l.ask(positionMessages(l.follower.view.Positions())); err != nil {
+	go func() { broken <- l.receive(ctx, updates) }()
+	if err := l.sendRequest(positionMessages(l.follower.view.Positions())); err != nil {
 		return err
 	}
-	asking := time.NewTicker(askEvery)
-	defer asking.Stop()
+	requestTicker := time.NewTicker(requestInterval)
+	defer requestTicker.Stop()
 	for {
 		select {
 		case err := <-broken:
 			return err
-		case update := <-words:
-			silence.Reset(silentAfter)
-			if err := l.take(update); err != nil {
+		case update := <-updates:
+			watchdog.Reset(silenceTimeout)
+			if err := l.apply(update); err != nil {
 				return err
 			}
-		case <-asking.C:
-			if err := l.ask(nil); err != nil {
+		case <-requestTicker.C:
+			if err := l.sendRequest(nil); err != nil {
 				return err
 			}
 		}
@@ -95,32 +95,32 @@
 }
 
 // receive reads updates until the stream breaks.
-func (l *link) receive(ctx context.Context, words chan<- *wirepb.FollowUpdate) error {
+func (l *link) receive(ctx context.Context, updates chan<- *wirepb.FollowUpdate) error {
 	for {
 		update, err := l.stream.Recv()
 		if err != nil {
 			return fault.Wrap(fault.Unavailable, "relay.receive", l.source.Name, err)
 		}
 		select {
-		case words <- update:
+		case updates <- update:
 		case <-ctx.Done():
 			return context.Cause(ctx)
 		}
 	}
 }
 
-// ask sends a request; the time noted for it is that before the sending.
-func (l *link) ask(positions []*wirepb.FollowPosition) error {
-	request := &wirepb.FollowRequest{Number: l.asks.Ask(clock.Boot()), Positions: positions, Name: l.follower.self.Name}
+// sendRequest sends a request. The time noted for the request is taken before it is sent.
+func (l *link) sendRequest(positions []*wirepb.FollowPosition) error {
+	request := &wirepb.FollowRequest{Number: l.requests.Ask(clock.Boot()), Positions: positions, Name: l.follower.self.Name}
 	return fault.Wrap(fault.Unavailable, "relay.send", l.source.Name, l.stream.Send(request))
 }
 
-// take hands an update to the View: the changes first, then the proof that holds for them.
-func (l *link) take(update *wirepb.FollowUpdate) error {
-	word := heard{incarnation: l.source.Incarnation, failing: update.GetFailing()}
+// apply passes an update to the View: the changes first, then the proof that covers them.
+func (l *link) apply(update *wirepb.FollowUpdate) error {
+	received := sourceUpdate{incarnation: l.source.Incarnation, failing: update.GetFailing()}
 	for _, m := range update.GetDeltas() {
-		word.partial = word.partial || len(m.GetPiece()) > 0
-		delta, whole, err := l.gatherer.take(m)
+		received.partial = received.partial || len(m.GetPiece()) > 0
+		delta, whole, err := l.assembler.add(m)
 		if err == nil && whole {
 			err = l.follower.view.Take(delta)
 		}
@@ -130,12 +130,12 @@
 	}
 	if m := update.GetProof(); m != nil {
 		var at time.Duration
-		at, word.known = l.asks.Proved(wordOf(m), clock.Boot())
-		word.proof = view.Proof{At: at, Hops: int(m.GetHops())}
+		at, received.known = l.requests.Proved(wordOf(m), clock.Boot())
+		received.proof = view.Proof{At: at, Hops: int(m.GetHops())}
 	}
-	if word.known {
-		l.follower.view.Confirm(view.Proof{At: word.proof.At, Hops: word.proof.Hops + 1, From: l.source.Name})
+	if received.known {
+		l.follower.view.Confirm(view.Proof{At: received.proof.At, Hops: received.proof.Hops + 1, From: l.source.Name})
 	}
-	l.follower.tell(word)
+	l.follower.reportUpdate(received)
 	return nil
 }
--- a/gateway/relay/messages.go
+++ b/gateway/relay/messages.go
@@ -9,25 +9,25 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// positionMessages encodes how far copies reach.
+// positionMessages encodes the revisions of copies.
 func positionMessages(positions []view.Position) []*wirepb.FollowPosition {
 	list := make([]*wirepb.FollowPosition, len(positions))
-	for i, one := range positions {
-		list[i] = &wirepb.FollowPosition{Kind: one.Kind, Revision: one.Revision}
+	for i, position := range positions {
+		list[i] = &wirepb.FollowPosition{Kind: position.Kind, Revision: position.Revision}
 	}
 	return list
 }
 
-// positionsOf decodes how far copies reach.
+// positionsOf decodes the revisions of copies.
 func positionsOf(list []*wirepb.FollowPosition) []view.Position {
 	positions := make([]view.Position, len(list))
-	for i, one := range list {
-		positions[i] = view.Position{Kind: one.GetKind(), Revision: one.GetRevision()}
+	for i, position := range list {
+		positions[i] = view.Position{Kind: position.GetKind(), Revision: position.GetRevision()}
 	}
 	return positions
 }
 
-// deltaMessage encodes what a copy lacks.
+// deltaMessage encodes the changes that a copy lacks.
 func deltaMessage(d view.KindDelta) *wirepb.FollowDelta {
 	return &wirepb.FollowDelta{Kind: d.Kind, Reset_: d.Reset, After: d.After, Revision: d.Revision, Changes: changeMessages(d.Changes)}
 }
@@ -46,8 +46,7 @@
 	return list
 }
 
-// deltaOf decodes what a copy lacks; its changes are given apart, as they may have come in
-// pieces.
+// deltaOf decodes a delta. Its changes are passed separately, as they may have come in pieces.
 func deltaOf(m *wirepb.FollowDelta, changes []*wirepb.FollowChange) view.KindDelta {
 	d := view.KindDelta{Kind: m.GetKind(), Delta: replica.Delta{Reset: m.GetReset_(), After: m.GetAfter(), Revision: m.GetRevision()}}
 	d.Changes = make([]replica.Change, len(changes))
@@ -60,12 +59,12 @@
 	return d
 }
 
-// proofMessage encodes a word on a proof that came through a number of processes.
+// proofMessage encodes a proof and the number of its hops.
 func proofMessage(word proof.Word, hops int) *wirepb.FollowProof {
 	return &wirepb.FollowProof{Number: word.Number, AfterUs: word.After.Microseconds(), Hops: uint32(hops)}
 }
 
-// wordOf decodes a word on a proof. The part of a microsecond that is lost makes it older.
+// wordOf decodes a proof. The lost fraction of a microsecond makes the proof appear older.
 func wordOf(m *wirepb.FollowProof) proof.Word {
 	return proof.Word{Number: m.GetNumber(), After: time.Duration(m.GetAfterUs()-1) * time.Microsecond}
 }
--- a/gateway/relay/metrics.go
+++ b/gateway/relay/metrics.go
@@ -2,13 +2,16 @@
 
 import "github.com/uber-go/tally/v4"
 
-// metrics tell whom this process learns from and how old its knowledge is.
+// metrics reports which source this process uses and how old its state is.
 type metrics struct {
-	// proofAge is the age of the newest proof in s, hops through how many processes it came.
+	// proofAge is the age of the newest proof in s; hops is the number of processes that it
+	// came through.
 	proofAge, hops tally.Gauge
-	// reads is 1 while this process reads the store, follows 1 while it follows another one.
+	// reads is 1 while this process reads the store; follows is 1 while it follows another
+	// gateway.
 	reads, follows tally.Gauge
-	// changes counts plans that differ from the one before, lost sources that broke off.
+	// changes counts plans that differ from the previous one; lost counts sources whose link
+	// broke.
 	changes, lost tally.Counter
 }
 
@@ -24,8 +27,8 @@
 	}
 }
 
-// one returns 1 if set, else 0.
-func one(set bool) float64 {
+// boolValue returns 1 if set, else 0.
+func boolValue(set bool) float64 {
 	if set {
 		return 1
 	}
--- a/gateway/relay/packed.go
+++ b/gateway/relay/packed.go
@@ -15,52 +15,51 @@
 
 // Sizes of packed lists.
 const (
-	// pieceBytes is the most of one message: at 20 Mbit/s, shared by 24 followers, one takes
-	// 0.3 s, so that a follower hears something well within the time in which a source may be
-	// silent.
-	pieceBytes = 32 << 10
-	// plainBytes is the most that goes unpacked: below it packing saves little.
-	plainBytes = 4 << 10
-	// longestList bounds what an unpacked list may be: 64 times the 1 MB of the largest
-	// object.
-	longestList = 64 << 20
+	// maxPieceBytes bounds the piece in one message. At 20 Mbit/s, shared by 24 followers, a
+	// piece takes 0.3 s, so that a follower receives something well before it gives up its
+	// source as silent.
+	maxPieceBytes = 32 << 10
+	// maxUnpackedBytes is the size up to which changes are sent unpacked: packing saves little
+	// below it.
+	maxUnpackedBytes = 4 << 10
+	// maxListBytes bounds an unpacked list: 64 times the 1 MB of the largest object.
+	maxListBytes = 64 << 20
 )
 
-// packer keeps the packed changes that were made last, one for each kind: all followers that
-// are up to date get the same, and so does a whole zone that starts. It may be used by many
-// goroutines.
+// packer keeps the last packed changes of each kind, since all followers that are up to date
+// get the same changes, and so do the gateways of a zone that start together. It is safe for
+// concurrent use.
 type packer struct {
 	mu   sync.Mutex
-	made map[string]packedChanges
+	last map[string]packedChanges
 }
 
-// packedChanges are the changes between two revisions, packed.
+// packedChanges holds the packed changes between two revisions.
 type packedChanges struct {
 	reset           bool
 	after, revision int64
 	content         []byte
 }
 
-// holds tells whether these are the changes of a delta.
-func (c packedChanges) holds(d view.KindDelta) bool {
+// matches reports whether c holds the changes of a delta.
+func (c packedChanges) matches(d view.KindDelta) bool {
 	return c.reset == d.Reset && c.after == d.After && c.revision == d.Revision
 }
 
-// newPacker returns a packer that has made nothing.
-func newPacker() *packer { return &packer{made: make(map[string]packedChanges)} }
+func newPacker() *packer { return &packer{last: make(map[string]packedChanges)} }
 
-// isLong tells whether changes are worth packing.
-func isLong(d view.KindDelta) bool {
+// worthPacking reports whether changes are large enough to be packed.
+func worthPacking(d view.KindDelta) bool {
 	size := 0
 	for _, change := range d.Changes {
 		size += len(change.Object.Name) + len(change.Object.Spec)
 	}
-	return size > plainBytes
+	return size > maxUnpackedBytes
 }
 
-// pieces returns the messages that carry long changes. Packed, entries of upstreams take a
-// sixth of their size or less, so that a whole zone that starts at once has its lists from one
-// source with a narrow link within a second or two.
+// pieces returns the messages that carry packed changes. Packing shrinks entries of upstreams
+// to a sixth of their size or less, so that one source with a narrow link can send its lists to
+// a whole zone that starts at once within a second or two.
 func (p *packer) pieces(d view.KindDelta) ([]*wirepb.FollowDelta, error) {
 	content, err := p.pack(d)
 	if err != nil {
@@ -68,7 +67,7 @@
 	}
 	var list []*wirepb.FollowDelta
 	for {
-		size := min(len(content), pieceBytes)
+		size := min(len(content), maxPieceBytes)
 		m := &wirepb.FollowDelta{Kind: d.Kind, Reset_: d.Reset, After: d.After, Revision: d.Revision, Piece: content[:size], More: size < len(content)}
 		list = append(list, m)
 		content = content[size:]
@@ -82,8 +81,8 @@
 func (p *packer) pack(d view.KindDelta) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if made, known := p.made[d.Kind]; known && made.holds(d) {
-		return made.content, nil
+	if cached, known := p.last[d.Kind]; known && cached.matches(d) {
+		return cached.content, nil
 	}
 	plain, err := proto.Marshal(&wirepb.FollowChanges{Changes: changeMessages(d.Changes)})
 	if err != nil {
@@ -100,19 +99,19 @@
 	if err != nil {
 		return nil, fault.Wrap(fault.Internal, "relay.pack", "", err)
 	}
-	p.made[d.Kind] = packedChanges{reset: d.Reset, after: d.After, revision: d.Revision, content: packed.Bytes()}
+	p.last[d.Kind] = packedChanges{reset: d.Reset, after: d.After, revision: d.Revision, content: packed.Bytes()}
 	return packed.Bytes(), nil
 }
 
-// unpack returns the changes of pieces that were put together.
+// unpack returns the changes in the joined pieces.
 func unpack(content []byte) ([]*wirepb.FollowChange, error) {
 	reader := flate.NewReader(bytes.NewReader(content))
-	plain, err := io.ReadAll(io.LimitReader(reader, longestList+1))
+	plain, err := io.ReadAll(io.LimitReader(reader, maxListBytes+1))
 	if err != nil {
 		return nil, fault.Wrap(fault.Invalid, "relay.unpack", "", err)
 	}
-	if len(plain) > longestList {
-		return nil, fault.New(fault.Invalid, "relay.unpack", "", "a list of more than %d bytes", longestList)
+	if len(plain) > maxListBytes {
+		return nil, fault.New(fault.Invalid, "relay.unpack", "", "unpacked list exceeds %d bytes", maxListBytes)
 	}
 	var list wirepb.FollowChanges
 	if err := proto.Unmarshal(plain, &list); err != nil {
@@ -121,29 +120,28 @@
 	return list.GetChanges(), nil
 }
 
-// gatherer puts the pieces of lists together. It is not safe for concurrent use.
-type gatherer struct {
+// assembler joins the pieces of lists. It is not safe for concurrent use.
+type assembler struct {
 	parts map[string][]byte
 }
 
-// newGatherer returns a gatherer without pieces.
-func newGatherer() *gatherer { return &gatherer{parts: make(map[string][]byte)} }
+func newAssembler() *assembler { return &assembler{parts: make(map[string][]byte)} }
 
-// take takes one message and returns the delta that it completes, and whether it does.
-func (g *gatherer) take(m *wirepb.FollowDelta) (view.KindDelta, bool, error) {
+// add adds one message. If the message completes a delta, add returns the delta and true.
+func (g *assembler) add(m *wirepb.FollowDelta) (view.KindDelta, bool, error) {
 	if len(m.GetPiece()) == 0 {
 		return deltaOf(m, m.GetChanges()), true, nil
 	}
-	whole := append(g.parts[m.GetKind()], m.GetPiece()...)
-	if len(whole) > longestList {
-		return view.KindDelta{}, false, fault.New(fault.Invalid, "relay.gather", "", "pieces of more than %d bytes", longestList)
+	joined := append(g.parts[m.GetKind()], m.GetPiece()...)
+	if len(joined) > maxListBytes {
+		return view.KindDelta{}, false, fault.New(fault.Invalid, "relay.gather", "", "pieces exceed %d bytes", maxListBytes)
 	}
 	if m.GetMore() {
-		g.parts[m.GetKind()] = whole
+		g.parts[m.GetKind()] = joined
 		return view.KindDelta{}, false, nil
 	}
 	delete(g.parts, m.GetKind())
-	changes, err := unpack(whole)
+	changes, err := unpack(joined)
 	if err != nil {
 		return view.KindDelta{}, false, err
 	}
--- a/gateway/relay/packed_test.go
+++ b/gateway/relay/packed_test.go
@@ -12,7 +12,7 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// listOf returns a list of a number of upstreams, of the size that their entries have.
+// listOf returns a list of a number of upstreams, with entries of realistic size.
 func listOf(number int) view.KindDelta {
 	d := view.KindDelta{Kind: "servers", Delta: replica.Delta{Reset: true, Revision: 9}}
 	for i := range number {
@@ -22,19 +22,19 @@
 	return d
 }
 
-// gathered puts pieces together.
-func gathered(t *testing.T, pieces []*wirepb.FollowDelta) view.KindDelta {
+// assemble joins pieces to a list.
+func assemble(t *testing.T, pieces []*wirepb.FollowDelta) view.KindDelta {
 	t.Helper()
-	g := newGatherer()
+	g := newAssembler()
 	for i, piece := range pieces {
-		d, whole, err := g.take(piece)
+		d, whole, err := g.add(piece)
 		assert.NilError(t, err)
 		assert.Equal(t, whole, i == len(pieces)-1)
 		if whole {
 			return d
 		}
 	}
-	t.Fatal("no whole list")
+	t.Fatal("the list is incomplete")
 	return view.KindDelta{}
 }
 
@@ -45,14 +45,14 @@
 	assert.Assert(t, len(pieces) > 1)
 	size := 0
 	for _, piece := range pieces {
-		assert.Assert(t, len(piece.GetPiece()) <= pieceBytes)
+		assert.Assert(t, len(piece.GetPiece()) <= maxPieceBytes)
 		size += len(piece.GetPiece())
 	}
-	assert.DeepEqual(t, gathered(t, pieces), sent)
+	assert.DeepEqual(t, assemble(t, pieces), sent)
 	assert.Assert(t, size < 150<<10, "%d bytes for the list of 3,000 upstreams", size)
 }
 
-func TestChangesArePackedOnceForAllWhoLackTheSame(t *testing.T) {
+func TestChangesArePackedOnceForFollowersAtTheSameRevision(t *testing.T) {
 	p := newPacker()
 	first, err := p.pack(listOf(50))
 	assert.NilError(t, err)
@@ -63,25 +63,24 @@
 	other.Reset, other.After = false, 8
 	apart, err := p.pack(other)
 	assert.NilError(t, err)
-	assert.Assert(t, &first[0] != &apart[0], "changes after another revision are others")
+	assert.Assert(t, &first[0] != &apart[0], "changes after another revision are packed separately")
 }
 
 func TestPiecesThatCanNotBeUnpackedAreAnError(t *testing.T) {
-	_, _, err := newGatherer().take(&wirepb.FollowDelta{Kind: "servers", Piece: []byte("no packed list")})
+	_, _, err := newAssembler().add(&wirepb.FollowDelta{Kind: "servers", Piece: []byte("no packed list")})
 	assert.ErrorContains(t, err, "relay.unpack")
 }
 
-// FuzzPieces: no bytes of a peer may end the process or make it hold more than a list may
-// be.
+// FuzzPieces: no bytes from a peer crash the process or make it hold more than maxListBytes.
 func FuzzPieces(f *testing.F) {
 	pieces, err := newPacker().pieces(listOf(20))
 	assert.NilError(f, err)
 	f.Add(pieces[0].GetPiece(), false)
 	f.Add([]byte{0, 1, 2}, true)
 	f.Fuzz(func(t *testing.T, piece []byte, more bool) {
-		g := newGatherer()
-		if _, whole, err := g.take(&wirepb.FollowDelta{Kind: "k", Piece: piece, More: more}); err == nil && !whole {
-			assert.Assert(t, len(g.parts["k"]) <= longestList)
+		g := newAssembler()
+		if _, whole, err := g.add(&wirepb.FollowDelta{Kind: "k", Piece: piece, More: more}); err == nil && !whole {
+			assert.Assert(t, len(g.parts["k"]) <= maxListBytes)
 		}
 	})
 }
--- a/gateway/relay/server.go
+++ b/gateway/relay/server.go
@@ -16,74 +16,75 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// Timing of what a source says.
+// Timing of updates to followers.
 const (
-	// beatEvery is the longest time without a word: half of what a follower waits for one.
-	beatEvery = 750 * time.Millisecond
-	// proofStep is the least by which a proof must be newer to be worth a message of its own.
-	proofStep = 300 * time.Millisecond
+	// heartbeatInterval is the longest time between two updates: half of the time after which a
+	// follower gives up a silent source.
+	heartbeatInterval = 750 * time.Millisecond
+	// minProofAdvance is how much newer a proof must be to be sent in a message of its own.
+	minProofAdvance = 300 * time.Millisecond
 )
 
-// Knowledge is what a Server passes on. Its methods are those of view.View.
-type Knowledge interface {
+// State is the state that a Server passes on. view.View implements it.
+type State interface {
 	Since(positions []view.Position) ([]view.KindDelta, view.Proof, bool)
 	Changed() <-chan struct{}
 	Failing() bool
 }
 
-// Server tells followers what this process knows. It may be used by many goroutines.
+// Server sends this process's state to followers. It is safe for concurrent use.
 type Server struct {
 	wirepb.DRPCFleetUnimplementedServer
-	knowledge Knowledge
+	state     State
 	logger    *observe.Logger
 	packer    *packer
 	followers atomic.Int64
-	// shown is the number of followers.
-	shown tally.Gauge
+	// gauge shows the number of followers.
+	gauge tally.Gauge
 }
 
-// NewServer returns a Server of what is known.
-func NewServer(knowledge Knowledge, logger *observe.Logger, scope tally.Scope) *Server {
-	return &Server{knowledge: knowledge, logger: logger, packer: newPacker(), shown: scope.Gauge("followers")}
+// NewServer returns a Server for a state.
+func NewServer(state State, logger *observe.Logger, scope tally.Scope) *Server {
+	return &Server{state: state, logger: logger, packer: newPacker(), gauge: scope.Gauge("followers")}
 }
 
-// count notes that followers came or went.
-func (s *Server) count(more int64) { s.shown.Update(float64(s.followers.Add(more))) }
+// addFollowers changes the number of followers.
+func (s *Server) addFollowers(delta int64) { s.gauge.Update(float64(s.followers.Add(delta))) }
 
-// Follow implements the generated server.
+// Follow implements wirepb.DRPCFleetServer.
 func (s *Server) Follow(stream wirepb.DRPCFleet_FollowStream) error {
 	first, err := stream.Recv()
 	if err != nil {
 		return err
 	}
-	began := clock.Boot()
+	start := clock.Boot()
 	f := &session{server: s, stream: stream, positions: positionsOf(first.GetPositions())}
 	f.received(first)
-	s.count(1)
-	defer s.count(-1)
+	s.addFollowers(1)
+	defer s.addFollowers(-1)
 	s.logger.Event(event.FollowerCame, observe.Fields{"peer": first.GetName()})
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
-	go f.tell(ctx, cancel)
-	err = f.listen()
-	s.logger.Event(event.FollowerLeft, observe.Fields{"peer": first.GetName(), "after_ms": (clock.Boot() - began).Milliseconds(), "error": err.Error()})
-	return nil // the follower's end of the stream is its normal end
+	go f.sendUpdates(ctx, cancel)
+	err = f.receiveRequests()
+	s.logger.Event(event.FollowerLeft, observe.Fields{"peer": first.GetName(), "after_ms": (clock.Boot() - start).Milliseconds(), "error": err.Error()})
+	return nil // a stream normally ends when the follower closes it
 }
 
-// session is one follower.
+// session is the connection of one follower.
 type session struct {
 	server *Server
 	stream wirepb.DRPCFleet_FollowStream
-	// positions is how far the follower's copies reach after what was sent. Only tell uses
-	// it.
+	// positions are the revisions of the follower's copies after what was sent. Only
+	// sendUpdates uses them.
 	positions []view.Position
 
 	mu     sync.Mutex
 	source proof.Source
 }
 
-// listen reads the follower's requests until the stream ends.
-func (f *session) listen() error {
+// receiveRequests reads the follower's requests until the stream ends.
+func (f *session) receiveRequests() error {
 	for {
 		request, err := f.stream.Recv()
 		if err != nil {
@@ -93,49 +94,49 @@
 	}
 }
 
-// received notes a request. The time is that after its arrival.
+// received notes a request. Its time is taken after it has arrived.
 func (f *session) received(request *wirepb.FollowRequest) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.source.Received(request.GetNumber(), clock.Boot())
 }
 
-// word returns the word on a proof.
-func (f *session) word(proved time.Duration) proof.Word {
+// proofWord returns the time of a proof relative to the follower's last request.
+func (f *session) proofWord(proved time.Duration) proof.Word {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.source.Word(proved)
 }
 
-// tell sends what the follower lacks until ctx ends or the stream breaks.
-func (f *session) tell(ctx context.Context, cancel context.CancelFunc) {
+// sendUpdates sends what the follower lacks until ctx ends or the stream breaks.
+func (f *session) sendUpdates(ctx context.Context, cancel context.CancelFunc) {
 	defer cancel()
-	beat := time.NewTimer(beatEvery)
-	defer beat.Stop()
+	heartbeat := time.NewTimer(heartbeatInterval)
+	defer heartbeat.Stop()
 	var sent view.Proof
-	due, told := true, false
+	due, sentFailing := true, false
 	for {
-		changed := f.server.knowledge.Changed()
-		failing := f.server.knowledge.Failing()
-		deltas, proved, known := f.server.knowledge.Since(f.positions)
-		if due || failing != told || hasChanges(deltas) || known && proved.At-sent.At >= proofStep {
+		changed := f.server.state.Changed()
+		failing := f.server.state.Failing()
+		deltas, proved, known := f.server.state.Since(f.positions)
+		if due || failing != sentFailing || hasChanges(deltas) || known && proved.At-sent.At >= minProofAdvance {
 			if err := f.send(deltas, proved, known, failing); err != nil {
-				return // the follower is gone; listen ends as well
+				return // the follower is gone; receiveRequests ends as well
 			}
-			sent, due, told = proved, false, failing
-			beat.Reset(beatEvery)
+			sent, due, sentFailing = proved, false, failing
+			heartbeat.Reset(heartbeatInterval)
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
-		case <-beat.C:
+		case <-heartbeat.C:
 			due = true
 		}
 	}
 }
 
-// hasChanges tells whether deltas hold more than a later end.
+// hasChanges reports whether deltas hold more than a newer revision.
 func hasChanges(deltas []view.KindDelta) bool {
 	for _, d := range deltas {
 		if d.Reset || len(d.Changes) > 0 {
@@ -145,25 +146,25 @@
 	return false
 }
 
-// send sends what the follower lacks and moves its positions. Long changes go ahead, in
-// pieces; the proof comes last, as it holds for all that went before.
+// send sends what the follower lacks and advances its positions. Large changes go first, in
+// pieces; the proof goes last, as it covers everything sent before it.
 func (f *session) send(deltas []view.KindDelta, proved view.Proof, known, failing bool) error {
 	last := &wirepb.FollowUpdate{Failing: failing}
 	for _, d := range deltas {
-		if !isLong(d) {
+		if !worthPacking(d) {
 			last.Deltas = append(last.Deltas, deltaMessage(d))
 		} else if err := f.sendLong(d); err != nil {
 			return err
 		}
-		f.moved(d.Kind, d.Revision)
+		f.setPosition(d.Kind, d.Revision)
 	}
 	if known {
-		last.Proof = proofMessage(f.word(proved.At), proved.Hops)
+		last.Proof = proofMessage(f.proofWord(proved.At), proved.Hops)
 	}
 	return f.stream.Send(last)
 }
 
-// sendLong sends long changes in pieces.
+// sendLong sends large changes in pieces.
 func (f *session) sendLong(d view.KindDelta) error {
 	pieces, err := f.server.packer.pieces(d)
 	if err != nil {
@@ -177,8 +178,8 @@
 	return nil
 }
 
-// moved notes how far a copy reaches now.
-func (f *session) moved(kind string, revision int64) {
+// setPosition records the revision of a follower's copy.
+func (f *session) setPosition(kind string, revision int64) {
 	for i := range f.positions {
 		if f.positions[i].Kind == kind {
 			f.positions[i].Revision = revision
