--- a/gateway/view/config.go
+++ b/gateway/view/config.go
@@ -8,45 +8,46 @@
 	"acaciawinch/platform/document"
 )
 
-// configFollower takes the operator's document.
-type configFollower struct{ view *View }
+// configReceiver receives the operator's configuration document.
+type configReceiver struct{ view *View }
 
 // Reset implements Receiver.
-func (f *configFollower) Reset(objects []replica.Object) {
+func (r *configReceiver) Reset(objects []replica.Object) {
 	for _, object := range objects {
-		f.take(object)
+		r.install(object)
 	}
 }
 
 // Apply implements Receiver.
-func (f *configFollower) Apply(changes []replica.Change) {
+func (r *configReceiver) Apply(changes []replica.Change) {
 	for _, change := range changes {
 		if change.Deleted {
-			f.view.options.Logger.Warn(event.TableRefused, observe.Fields{"revision": change.Object.Revision, "error": "the document was removed; the last one stays in force"})
+			r.view.options.Logger.Warn(event.TableRefused, observe.Fields{"revision": change.Object.Revision, "error": "the configuration document was deleted; the last one stays in force"})
 			continue
 		}
-		f.take(change.Object)
+		r.install(change.Object)
 	}
 }
 
-// take puts a document in force if it can be read and is newer than the one in force.
-func (f *configFollower) take(object replica.Object) {
+// install makes a document the configuration in force if it is readable and newer than the
+// present one.
+func (r *configReceiver) install(object replica.Object) {
 	if object.Name != document.ConfigName {
 		return
 	}
 	table, err := document.Table(object.Spec)
 	if err != nil {
-		f.view.options.Logger.Warn(event.TableRefused, observe.Fields{"revision": object.Revision, "error": err.Error()})
+		r.view.options.Logger.Warn(event.TableRefused, observe.Fields{"revision": object.Revision, "error": err.Error()})
 		return
 	}
-	old := f.view.table.Load()
+	old := r.view.table.Load()
 	if old != nil && table.Version <= old.Version {
 		return
 	}
 	if old == nil {
-		f.view.tableSince.Store(int64(clock.Boot()))
+		r.view.firstTableAt.Store(int64(clock.Boot()))
 	}
-	f.view.table.Store(table)
-	f.view.options.Logger.Event(event.TableInForce, observe.Fields{"version": table.Version, "revision": object.Revision})
-	f.view.changed()
+	r.view.table.Store(table)
+	r.view.options.Logger.Event(event.TableInForce, observe.Fields{"version": table.Version, "revision": object.Revision})
+	r.view.notifyChange()
 }
--- a/gateway/view/evacuations.go
+++ b/gateway/view/evacuations.go
@@ -10,100 +10,100 @@
 	"acaciawinch/observe/event"
 )
 
-// evacuationFollower takes the operator's wishes that zones be emptied. An object's name is
-// the zone's; a name of no zone changes nothing.
-type evacuationFollower struct {
+// evacuationReceiver receives the operator's requests to evacuate zones. An object is named
+// after its zone; a name that is no zone's has no effect.
+type evacuationReceiver struct {
 	view      *View
-	upstreams *upstreamFollower
+	upstreams *upstreamReceiver
 
 	mu sync.Mutex
-	// since holds the boot times at which evacuations became known, by zone.
+	// since holds, by zone, the boot time at which this process learned of the evacuation.
 	since map[string]time.Duration
 }
 
-// newEvacuationFollower returns a follower that knows of no evacuation and tells upstreams of
-// those that it learns.
-func newEvacuationFollower(v *View, upstreams *upstreamFollower) *evacuationFollower {
-	return &evacuationFollower{view: v, upstreams: upstreams, since: make(map[string]time.Duration)}
+// newEvacuationReceiver returns a receiver without evacuations, which reports those that it
+// learns of to upstreams.
+func newEvacuationReceiver(v *View, upstreams *upstreamReceiver) *evacuationReceiver {
+	return &evacuationReceiver{view: v, upstreams: upstreams, since: make(map[string]time.Duration)}
 }
 
 // Reset implements Receiver.
-func (f *evacuationFollower) Reset(objects []replica.Object) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (r *evacuationReceiver) Reset(objects []replica.Object) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	wanted := make(map[string]bool, len(objects))
 	for _, object := range objects {
 		wanted[object.Name] = true
-		f.begin(object)
+		r.begin(object)
 	}
-	for zone := range f.since {
+	for zone := range r.since {
 		if !wanted[zone] {
-			f.end(zone)
+			r.end(zone)
 		}
 	}
-	f.tell()
+	r.publish()
 }
 
 // Apply implements Receiver.
-func (f *evacuationFollower) Apply(changes []replica.Change) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (r *evacuationReceiver) Apply(changes []replica.Change) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	for _, change := range changes {
 		if change.Deleted {
-			f.end(change.Object.Name)
+			r.end(change.Object.Name)
 			continue
 		}
-		f.begin(change.Object)
+		r.begin(change.Object)
 	}
-	f.tell()
+	r.publish()
 }
 
-// begin notes an evacuation. The lock is held.
-func (f *evacuationFollower) begin(object replica.Object) {
-	if _, known := f.since[object.Name]; known {
+// begin records an evacuation. The caller holds r.mu.
+func (r *evacuationReceiver) begin(object replica.Object) {
+	if _, known := r.since[object.Name]; known {
 		return
 	}
-	f.since[object.Name] = clock.Boot()
-	f.view.options.Logger.Event(event.ZoneEvacuated, observe.Fields{
-		"zone": object.Name, "revision": object.Revision, "upstreams": f.upstreams.countIn(object.Name)})
+	r.since[object.Name] = clock.Boot()
+	r.view.options.Logger.Event(event.ZoneEvacuated, observe.Fields{
+		"zone": object.Name, "revision": object.Revision, "upstreams": r.upstreams.countIn(object.Name)})
 }
 
-// end notes that a zone was taken back. The lock is held.
-func (f *evacuationFollower) end(zone string) {
-	since, known := f.since[zone]
+// end records that a zone's evacuation has ended. The caller holds r.mu.
+func (r *evacuationReceiver) end(zone string) {
+	since, known := r.since[zone]
 	if !known {
 		return
 	}
-	delete(f.since, zone)
-	f.view.options.Logger.Event(event.ZoneTakenBack, observe.Fields{
-		"zone": zone, "after_ms": (clock.Boot() - since).Milliseconds(), "upstreams": f.upstreams.countIn(zone)})
+	delete(r.since, zone)
+	r.view.options.Logger.Event(event.ZoneTakenBack, observe.Fields{
+		"zone": zone, "after_ms": (clock.Boot() - since).Milliseconds(), "upstreams": r.upstreams.countIn(zone)})
 }
 
-// tell hands the zones on. The lock is held.
-func (f *evacuationFollower) tell() {
-	zones := make(map[string]bool, len(f.since))
-	for zone := range f.since {
+// publish passes the evacuated zones to the upstreams. The caller holds r.mu.
+func (r *evacuationReceiver) publish() {
+	zones := make(map[string]bool, len(r.since))
+	for zone := range r.since {
 		zones[zone] = true
 	}
-	f.upstreams.setEvacuated(zones)
+	r.upstreams.setEvacuated(zones)
 }
 
-// Evacuation is a zone that is to be emptied.
+// Evacuation is a zone that the operator evacuates.
 type Evacuation struct {
 	Zone string
 	// Since is the boot time at which this process learned of it.
 	Since time.Duration
 }
 
-// Evacuations returns the zones that are to be emptied, in no order.
+// Evacuations returns the evacuated zones, in no order.
 func (v *View) Evacuations() []Evacuation {
-	if v.zones == nil {
+	if v.evacuations == nil {
 		return nil
 	}
-	v.zones.mu.Lock()
-	defer v.zones.mu.Unlock()
-	list := make([]Evacuation, 0, len(v.zones.since))
-	for zone, since := range v.zones.since {
+	v.evacuations.mu.Lock()
+	defer v.evacuations.mu.Unlock()
+	list := make([]Evacuation, 0, len(v.evacuations.since))
+	for zone, since := range v.evacuations.since {
 		list = append(list, Evacuation{Zone: zone, Since: since})
 	}
 	return list
--- a/gateway/view/follow.go
+++ b/gateway/view/follow.go
@@ -18,211 +18,214 @@
 // MemberKind is the kind of the gateways' own objects in the store.
 const MemberKind = "acaciawinch-gateways"
 
-// Waits of the watches. A watch ends without a change after its wait, which proves
-// that nothing had changed when it began. Longer waits mean fewer calls of the store:
-// these make 0.88 a second in each process that reads it.
+// Waits of the watches. A watch without a change ends after its wait, which proves that
+// nothing had changed when it began. Longer waits mean fewer calls to the store: these
+// make 0.88 calls a second in each reader.
 const (
-	// configWait is how soon a store that has fallen silent is noticed. It is at most
-	// confirmShare of the time for which keys are trusted, so that two watches and a slow
-	// answer fit into it; that is as long for the 4.5 s of the sites known. It is also at most
-	// applyShare of the time within which a change must be in force: a process whose source the
-	// store has turned away must find another one before that.
-	configWait   = 1500 * time.Millisecond
-	confirmShare = 3
-	applyShare   = 4
-	// shortWait is the wait while the store does not answer, of the first watch of a process
-	// that begins to read it, and of the one after a change. A call to a store that is lost ends by its timeout
-	// alone, and the sooner it does, the sooner one is begun that a store that is back
-	// answers; until then requests with keys are refused. One that begins to read needs a
-	// proof for those that follow it. And a watch that brought a change proves what was so at
-	// its beginning only: with a wait of configWait after it the proof would get so old that
-	// all followers look for another source.
+	// configWait bounds how soon a store that stopped responding is noticed. watchWait reduces it
+	// to 1/confirmDivisor of the time for which keys are trusted, so that two watches and a slow
+	// response fit into that time: the known sites trust keys for 4.5 s, which leaves 1.5 s. It
+	// also reduces it to 1/applyDivisor of the time within which a change must be in force: within
+	// that time a follower must find another source if the reader that it follows has lost the store.
+	configWait     = 1500 * time.Millisecond
+	confirmDivisor = 3
+	applyDivisor   = 4
+	// shortWait is the wait while the store fails, of the first watch of a process that begins to
+	// read, and of the watch after a change.
+	//  - A call to a lost store ends only by its timeout. The sooner it ends, the sooner the next
+	//    call reaches a store that is back; requests with keys are refused until then.
+	//  - A process that begins to read needs a proof for its followers.
+	//  - A watch that returned changes proves freshness only up to its beginning. If the next one
+	//    waited for configWait, the proof would get so old that all followers would look for another
+	//    source.
 	shortWait = 100 * time.Millisecond
-	// upstreamWait and memberWait are long, as these watches are begun anew when that of
-	// the configuration is answered again after a failure.
+	// upstreamWait and memberWait are long, since these watches are restarted when the watch of
+	// the configuration succeeds again after a failure.
 	upstreamWait = 6 * time.Second
 	memberWait   = 20 * time.Second
-	// evacuationWait is long as well: evacuations are rare, and a connection that has gone
-	// silent is found by the client's probes within 3 s.
+	// evacuationWait is long too: evacuations are rare, and the TCP keep-alive probes of the client
+	// detect a silent connection within 3 s.
 	evacuationWait = 20 * time.Second
 	// recordWait is long for the same reason.
 	recordWait = 20 * time.Second
 )
 
-// Pauses after changes, in which further ones gather, so that one call brings them all:
-// when upstreams start or stop each of a hundred changes on its own, and every process
-// follows them.
+// Delays after changes, so that one call returns all further changes of the delay: when
+// upstreams start or stop, a hundred of them change one by one, and every reader watches
+// them.
 const (
-	// upstreamGather leaves most of the 2 s within which one that is leaving must get
-	// nothing new.
-	upstreamGather = 400 * time.Millisecond
-	// memberGather is short: until two gateways know the same others, a pool has two owners.
-	// Lists of others change at their starts and planned stops only.
-	memberGather = 200 * time.Millisecond
-	// recordGather brings what several gateways write of one event in few calls, and leaves
-	// most of the seconds within which all must know.
-	recordGather = 100 * time.Millisecond
+	// upstreamBatchDelay leaves most of the 2 s after which a leaving upstream must get no new
+	// requests.
+	upstreamBatchDelay = 400 * time.Millisecond
+	// memberBatchDelay is short: a pool has two owners until all gateways know the same members.
+	// Lists of members change only at starts and planned stops of gateways.
+	memberBatchDelay = 200 * time.Millisecond
+	// recordBatchDelay batches what several gateways write about one event into few calls, and
+	// leaves most of the seconds within which all gateways must know the event.
+	recordBatchDelay = 100 * time.Millisecond
 )
 
-// Pauses between tries after a failure, doubled up to the longest.
+// Exponential backoff between retries of a failed call.
 const (
-	// firstPause leaves a process that is alone, and tries for a second, two calls of a store
-	// that resets them.
-	firstPause = 400 * time.Millisecond
-	// configPause is the longest for the configuration, whose first answer wakes the others.
-	configPause = 500 * time.Millisecond
-	// otherPause is the longest for the others: a store that is away gets few calls.
-	otherPause = 5 * time.Second
+	// initialBackoff allows a process that has no other source, and retries for a second, two calls
+	// to a store that resets them.
+	initialBackoff = 400 * time.Millisecond
+	// configMaxBackoff is the limit for the configuration, whose first response starts the other
+	// watches.
+	configMaxBackoff = 500 * time.Millisecond
+	// defaultMaxBackoff is the limit for the other kinds, so that a store that is down gets few
+	// calls.
+	defaultMaxBackoff = 5 * time.Second
 )
 
-// Read follows the store until ctx ends. It may be called again afterwards, and goes on
-// from what is known then.
+// Read watches the store until ctx ends. It may be called again afterwards, and continues from
+// the present revisions.
 func (v *View) Read(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	upstreams := v.newFollower(document.WorkerKind, upstreamWait)
-	upstreams.gather = upstreamGather
-	members := v.newFollower(MemberKind, memberWait)
-	members.gather = memberGather
-	others := []*follower{upstreams, members}
-	if v.zones != nil {
-		evacuations := v.newFollower(document.EvacuationKind, evacuationWait)
-		evacuations.longestPause = configPause
+	upstreams := v.newWatcher(document.WorkerKind, upstreamWait)
+	upstreams.batchDelay = upstreamBatchDelay
+	members := v.newWatcher(MemberKind, memberWait)
+	members.batchDelay = memberBatchDelay
+	others := []*watcher{upstreams, members}
+	if v.evacuations != nil {
+		evacuations := v.newWatcher(document.EvacuationKind, evacuationWait)
+		evacuations.maxBackoff = configMaxBackoff
 		others = append(others, evacuations)
 	}
 	for _, records := range v.options.Records {
-		f := v.newFollower(records.Kind, recordWait)
-		f.gather = recordGather
-		f.longestPause = configPause
-		others = append(others, f)
+		w := v.newWatcher(records.Kind, recordWait)
+		w.batchDelay = recordBatchDelay
+		w.maxBackoff = configMaxBackoff
+		others = append(others, w)
 	}
-	config := v.newFollower(document.ConfigKind, configWait)
-	config.longestPause = configPause
-	config.share = confirmShare
-	config.short = true
-	config.onRegained = func() {
-		for _, f := range others {
-			f.again()
+	config := v.newWatcher(document.ConfigKind, configWait)
+	config.maxBackoff = configMaxBackoff
+	config.trustDivisor = confirmDivisor
+	config.shortNext = true
+	config.onRecovered = func() {
+		for _, w := range others {
+			w.restartCall()
 		}
 	}
-	answered := make(chan struct{})
-	config.onFirst = func() { close(answered) }
+	responded := make(chan struct{})
+	config.onFirstSuccess = func() { close(responded) }
 	group.Go(func() error {
-		defer config.noteFailing(false)
+		defer config.setFailing(false)
 		return config.run(ctx)
 	})
-	for _, f := range others {
-		group.Go(func() error { return f.runAfter(ctx, answered) })
+	for _, w := range others {
+		group.Go(func() error { return w.runAfter(ctx, responded) })
 	}
 	return group.Wait()
 }
 
-// ListMembers reads the list of the gateways once. It tries until it succeeds or ctx ends.
+// ListMembers lists the gateways once. It retries until it succeeds or ctx ends.
 func (v *View) ListMembers(ctx context.Context) error {
-	f := v.newFollower(MemberKind, memberWait)
-	f.longestPause = configPause
-	for ctx.Err() == nil && f.kind.revision() == unknown {
-		if err := f.list(ctx); err != nil && ctx.Err() == nil {
-			f.failed(ctx, err)
+	w := v.newWatcher(MemberKind, memberWait)
+	w.maxBackoff = configMaxBackoff
+	for ctx.Err() == nil && w.replica.revision() == unknownRevision {
+		if err := w.list(ctx); err != nil && ctx.Err() == nil {
+			w.failed(ctx, err)
 		}
 	}
 	return nil
 }
 
-// follower is the loop over one kind.
-type follower struct {
-	view *View
-	kind *kind
-	wait time.Duration
-	// share bounds wait by a part of the time for which keys are trusted: 1/share of it; 0
-	// for kinds that have nothing to do with keys.
-	share int
-	// gather is the pause after a call that brought changes.
-	gather time.Duration
-	// relist is set if the store's history does not reach back to what is known.
+// watcher lists and watches the objects of one kind.
+type watcher struct {
+	view    *View
+	replica *kindReplica
+	wait    time.Duration
+	// trustDivisor limits wait to 1/trustDivisor of the time for which keys are trusted; 0 for
+	// kinds that have nothing to do with keys.
+	trustDivisor int
+	// batchDelay is the delay after a call that returned changes.
+	batchDelay time.Duration
+	// relist is set if the store's history no longer reaches back to the present revision.
 	relist bool
-	// lost is set while the store does not answer.
+	// lost is set while calls to the store fail.
 	lost bool
-	// short is set if the next watch waits for shortWait only.
-	short bool
-	pause time.Duration
-	// longestPause bounds the pauses after failures.
-	longestPause time.Duration
-	// onRegained is called when the store answers again; nil calls nothing.
-	onRegained func()
-	// onFirst is called at the store's first answer; nil calls nothing.
-	onFirst func()
-	// restart takes a wish to begin the call anew.
+	// shortNext is set if the next watch waits for shortWait only.
+	shortNext bool
+	backoff   time.Duration
+	// maxBackoff bounds the backoff after failures.
+	maxBackoff time.Duration
+	// onRecovered, if not nil, is called at the first success after failures.
+	onRecovered func()
+	// onFirstSuccess, if not nil, is called at the first success.
+	onFirstSuccess func()
+	// restart carries a request to end the current call or backoff and to call again.
 	restart chan struct{}
 }
 
-// newFollower returns a follower that has made no call.
-func (v *View) newFollower(kind string, wait time.Duration) *follower {
-	return &follower{view: v, kind: v.kind(kind), wait: wait, pause: firstPause, longestPause: otherPause, restart: make(chan struct{}, 1)}
+// newWatcher returns a watcher that has made no call.
+func (v *View) newWatcher(kind string, wait time.Duration) *watcher {
+	return &watcher{view: v, replica: v.replicaOf(kind), wait: wait, backoff: initialBackoff, maxBackoff: defaultMaxBackoff, restart: make(chan struct{}, 1)}
 }
 
-// runAfter runs once the store has answered for another kind: a store that is away is
-// asked for one kind only.
-func (f *follower) runAfter(ctx context.Context, answered <-chan struct{}) error {
+// runAfter runs the watcher once the store has responded for another kind: a store that is down
+// gets calls for one kind only.
+func (w *watcher) runAfter(ctx context.Context, responded <-chan struct{}) error {
 	select {
 	case <-ctx.Done():
 		return nil
-	case <-answered:
-		return f.run(ctx)
+	case <-responded:
+		return w.run(ctx)
 	}
 }
 
-// run lists the kind, unless it is known, and watches it until ctx ends.
-func (f *follower) run(ctx context.Context) error {
+// run lists the kind, unless it was listed, and watches it until ctx ends.
+func (w *watcher) run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		restarted, err := f.call(ctx)
+		restarted, err := w.call(ctx)
 		switch {
 		case restarted || ctx.Err() != nil:
 		case err != nil:
-			f.failed(ctx, err)
+			w.failed(ctx, err)
 		default:
-			f.regained()
+			w.succeeded()
 		}
 	}
 	return nil
 }
 
-// again ends the call that waits, or the pause after one that failed: a store that was
-// silent for a while never answers a call of that time.
-func (f *follower) again() {
+// restartCall ends the pending call, or the backoff after a failed call: a store that stopped
+// responding for a while never responds to a call from that time.
+func (w *watcher) restartCall() {
 	select {
-	case f.restart <- struct{}{}:
+	case w.restart <- struct{}{}:
 	default:
 	}
 }
 
-// call makes one step, unless it is to begin anew on the way.
-func (f *follower) call(ctx context.Context) (restarted bool, err error) {
+// call carries out one step, unless a restart is requested meanwhile.
+func (w *watcher) call(ctx context.Context) (restarted bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	done := make(chan error, 1)
-	go func() { done <- f.step(ctx) }()
+	go func() { done <- w.step(ctx) }()
 	select {
 	case err = <-done:
 		return false, err
-	case <-f.restart:
+	case <-w.restart:
 		cancel()
 		<-done
 		return true, nil
 	}
 }
 
-// step makes one call and hands on what it brought.
-func (f *follower) step(ctx context.Context) error {
-	if f.relist || f.kind.revision() == unknown {
-		return f.list(ctx)
+// step makes one call and applies what it returned.
+func (w *watcher) step(ctx context.Context) error {
+	if w.relist || w.replica.revision() == unknownRevision {
+		return w.list(ctx)
 	}
-	return f.watch(ctx)
+	return w.watch(ctx)
 }
 
-// list reads all objects.
-func (f *follower) list(ctx context.Context) error {
+// list lists all objects.
+func (w *watcher) list(ctx context.Context) error {
 	began := clock.Boot()
-	found, revision, err := f.view.store.Load().List(ctx, f.kind.name)
+	found, revision, err := w.view.store.Load().List(ctx, w.replica.name)
 	if err != nil {
 		return err
 	}
@@ -230,114 +233,115 @@
 	for i, object := range found {
 		changes[i] = replica.Change{Object: object}
 	}
-	if err := f.kind.take(replica.Delta{Reset: true, Revision: revision, Changes: changes}); err != nil {
+	if err := w.replica.apply(replica.Delta{Reset: true, Revision: revision, Changes: changes}); err != nil {
 		return err
 	}
-	f.relist = false
-	f.prove(began)
+	w.relist = false
+	w.confirm(began)
 	return nil
 }
 
-// watch waits for changes.
-func (f *follower) watch(ctx context.Context) error {
-	began, wait, after := clock.Boot(), f.longest(), f.kind.revision()
-	changes, revision, err := f.view.store.Load().Watch(ctx, f.kind.name, after, wait)
+// watch waits for changes and applies them.
+func (w *watcher) watch(ctx context.Context) error {
+	began, wait, after := clock.Boot(), w.watchWait(), w.replica.revision()
+	changes, revision, err := w.view.store.Load().Watch(ctx, w.replica.name, after, wait)
 	if err != nil {
 		return err
 	}
-	if err := f.kind.take(replica.Delta{After: after, Revision: max(after, revision), Changes: changes}); err != nil {
+	if err := w.replica.apply(replica.Delta{After: after, Revision: max(after, revision), Changes: changes}); err != nil {
 		return err
 	}
-	f.prove(provedAt(began, clock.Boot(), wait, len(changes)))
-	f.short = len(changes) > 0
+	w.confirm(proofTime(began, clock.Boot(), wait, len(changes)))
+	w.shortNext = len(changes) > 0
 	if len(changes) > 0 {
-		clock.Sleep(ctx, f.gather)
+		clock.Sleep(ctx, w.batchDelay)
 	}
 	return nil
 }
 
-// prove notes up to when the copy was the store's, if that is the copy of the keys.
-func (f *follower) prove(at time.Duration) {
-	if f.share == 0 {
+// confirm records a freshness proof of the configuration, which holds the keys. It does nothing
+// for other kinds.
+func (w *watcher) confirm(at time.Duration) {
+	if w.trustDivisor == 0 {
 		return
 	}
-	f.short = false
-	f.view.storeProved.Store(int64(at))
-	f.view.proof.confirm(Proof{At: at, From: FromStore})
+	w.shortNext = false
+	w.view.storeProofAt.Store(int64(at))
+	w.view.proof.confirm(Proof{At: at, From: FromStore})
 }
 
-// longest returns how long the next watch waits.
-func (f *follower) longest() time.Duration {
+// watchWait returns how long the next watch waits.
+func (w *watcher) watchWait() time.Duration {
 	switch {
-	case f.share == 0:
-		return f.wait
-	case f.lost || f.short:
+	case w.trustDivisor == 0:
+		return w.wait
+	case w.lost || w.shortNext:
 		return shortWait
 	default:
-		return min(f.wait, f.view.TrustTime()/time.Duration(f.share), f.view.ApplyTime()/applyShare)
+		return min(w.wait, w.view.TrustTime()/time.Duration(w.trustDivisor), w.view.ApplyTime()/applyDivisor)
 	}
 }
 
-// proofMargin sets how much less than its wait a watch without changes proves: the wait
-// divided by it, 0.5 s of the usual 1.5 s. That is for a store that measures its waits
-// otherwise or tells of changes late; it answers in 4 ms.
-const proofMargin = 3
+// proofMarginDivisor sets how much less than its wait a watch without changes proves: the wait
+// divided by it, 0.5 s of the usual 1.5 s. The margin allows for a store whose clock differs or
+// that reports changes late; the store responds in 4 ms.
+const proofMarginDivisor = 3
 
-// provedAt returns the boot time up to which the answer to a watch proves what there is.
-// One without changes that came after the whole wait proves that nothing had changed
-// while the store held it; any other only what was so when it was asked. With the first
-// kind counted from its beginning too, keys would be trusted a second less of an outage.
-func provedAt(began, ended, wait time.Duration, changes int) time.Duration {
+// proofTime returns the boot time up to which the response to a watch proves freshness. A
+// response without changes after the whole wait proves that nothing had changed while the
+// store held the call; any other proves only the state at the time of the call. If both counted
+// from the beginning of the call, keys would be trusted 1 s less during an outage.
+func proofTime(began, ended, wait time.Duration, changes int) time.Duration {
 	if changes > 0 || ended-began < wait {
 		return began
 	}
-	return began + wait - wait/proofMargin
+	return began + wait - wait/proofMarginDivisor
 }
 
-// failed notes that a call failed and pauses. Where the history is gone the kind is
-// listed again at once.
-func (f *follower) failed(ctx context.Context, err error) {
+// failed records a failed call and waits for the backoff. If the store's history is gone, it
+// returns at once, so that the kind is listed again.
+func (w *watcher) failed(ctx context.Context, err error) {
 	if errors.Is(err, store.ErrHistoryGone) {
-		f.relist = true
-		f.view.options.Logger.Event(event.WatchHistoryGone, observe.Fields{"kind": f.kind.name, "revision": f.kind.revision()})
+		w.relist = true
+		w.view.options.Logger.Event(event.WatchHistoryGone, observe.Fields{"kind": w.replica.name, "revision": w.replica.revision()})
 		return
 	}
-	f.noteFailing(true)
-	if !f.lost {
-		f.lost = true
-		f.view.options.Logger.Warn(event.WatchLost, observe.Fields{"kind": f.kind.name, "revision": f.kind.revision(), "error": err.Error()})
+	w.setFailing(true)
+	if !w.lost {
+		w.lost = true
+		w.view.options.Logger.Warn(event.WatchLost, observe.Fields{"kind": w.replica.name, "revision": w.replica.revision(), "error": err.Error()})
 	}
-	timer := time.NewTimer(f.pause)
+	timer := time.NewTimer(w.backoff)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-f.restart:
+	case <-w.restart:
 	case <-timer.C:
 	}
-	f.pause = min(2*f.pause, f.longestPause)
+	w.backoff = min(2*w.backoff, w.maxBackoff)
 }
 
-// regained notes that a call was answered.
-func (f *follower) regained() {
-	if f.lost {
-		f.view.options.Logger.Event(event.WatchRegained, observe.Fields{"kind": f.kind.name, "revision": f.kind.revision()})
-		if f.onRegained != nil {
-			f.onRegained()
+// succeeded records a successful call.
+func (w *watcher) succeeded() {
+	if w.lost {
+		w.view.options.Logger.Event(event.WatchRegained, observe.Fields{"kind": w.replica.name, "revision": w.replica.revision()})
+		if w.onRecovered != nil {
+			w.onRecovered()
 		}
 	}
-	if f.onFirst != nil {
-		f.onFirst()
-		f.onFirst = nil
+	if w.onFirstSuccess != nil {
+		w.onFirstSuccess()
+		w.onFirstSuccess = nil
 	}
-	f.lost = false
-	f.pause = firstPause
-	f.noteFailing(false)
+	w.lost = false
+	w.backoff = initialBackoff
+	w.setFailing(false)
 }
 
-// noteFailing notes whether the store answers for the configuration, and tells those that
-// follow this process, so that they need not wait until its proof is old.
-func (f *follower) noteFailing(failing bool) {
-	if f.share != 0 && f.view.failing.Swap(failing) != failing {
-		f.view.proof.wake()
+// setFailing records whether calls for the configuration fail. A change notifies the followers
+// of this process, which then need not wait until its proof is stale.
+func (w *watcher) setFailing(failing bool) {
+	if w.trustDivisor != 0 && w.view.failing.Swap(failing) != failing {
+		w.view.proof.notify()
 	}
 }
--- a/gateway/view/follow_test.go
+++ b/gateway/view/follow_test.go
@@ -9,51 +9,51 @@
 	"acaciawinch/platform/document"
 )
 
-// TestAWatchProvesUpToTheEndOfItsWait: only one that was held for its whole wait and
-// brought no change is a proof of that time.
-func TestAWatchProvesUpToTheEndOfItsWait(t *testing.T) {
+// TestProofTimeOfAWatch checks that only a watch that was held for its whole wait and returned
+// no change proves more than the state at its beginning.
+func TestProofTimeOfAWatch(t *testing.T) {
 	const began, wait = 100 * time.Second, 1500 * time.Millisecond
-	assert.Equal(t, provedAt(began, began+wait+4*time.Millisecond, wait, 0), began+time.Second)
-	assert.Equal(t, provedAt(began, began+700*time.Millisecond, wait, 0), began, "the store cut the wait short")
-	assert.Equal(t, provedAt(began, began+wait+time.Second, wait, 1), began, "there were changes")
-	assert.Equal(t, provedAt(began, began+time.Second, 300*time.Millisecond, 0), began+200*time.Millisecond, "a late answer proves no more than its wait")
+	assert.Equal(t, proofTime(began, began+wait+4*time.Millisecond, wait, 0), began+time.Second)
+	assert.Equal(t, proofTime(began, began+700*time.Millisecond, wait, 0), began, "the store ended the wait early")
+	assert.Equal(t, proofTime(began, began+wait+time.Second, wait, 1), began, "there were changes")
+	assert.Equal(t, proofTime(began, began+time.Second, 300*time.Millisecond, 0), began+200*time.Millisecond, "a late response proves no more than its wait")
 }
 
-// TestWatchesOfTheConfigurationFitIntoTheTimeForWhichKeysAreTrusted: three fit, also where
-// keys must stop sooner than on the sites known.
-func TestWatchesOfTheConfigurationFitIntoTheTimeForWhichKeysAreTrusted(t *testing.T) {
+// TestConfigWatchWaitIsBoundedByTheKeyTrustTime checks that three watches fit into the time for
+// which keys are trusted, also where that time is shorter than on the known sites.
+func TestConfigWatchWaitIsBoundedByTheKeyTrustTime(t *testing.T) {
 	for trusted, wait := range map[time.Duration]time.Duration{
 		9 * time.Second:         configWait,
 		4500 * time.Millisecond: configWait,
 		1500 * time.Millisecond: 500 * time.Millisecond,
 	} {
 		v := New(Options{Source: Source{ConfirmWithin: trusted, ApplyWithin: 8 * time.Second}})
-		f := v.newFollower(document.ConfigKind, configWait)
-		f.share = confirmShare
-		assert.Equal(t, f.longest(), wait, "%v", trusted)
-		other := v.newFollower(document.WorkerKind, upstreamWait)
-		assert.Equal(t, other.longest(), upstreamWait, "%v", trusted)
+		w := v.newWatcher(document.ConfigKind, configWait)
+		w.trustDivisor = confirmDivisor
+		assert.Equal(t, w.watchWait(), wait, "%v", trusted)
+		other := v.newWatcher(document.WorkerKind, upstreamWait)
+		assert.Equal(t, other.watchWait(), upstreamWait, "%v", trusted)
 	}
 }
 
-// TestALostStoreIsAskedInShortCalls: a call that was begun during a silence of the store ends
-// soon, so that the next one finds the store that is back.
-func TestALostStoreIsAskedInShortCalls(t *testing.T) {
+// TestConfigWatchWaitIsShortWhileTheStoreFails guards against a long call that was begun during an
+// outage and delays the next call to a store that is back.
+func TestConfigWatchWaitIsShortWhileTheStoreFails(t *testing.T) {
 	v := New(Options{Source: Source{Store: "127.0.0.1:1", ConfirmWithin: 4500 * time.Millisecond, ApplyWithin: 8 * time.Second}})
-	f := v.newFollower(document.ConfigKind, configWait)
-	f.share = confirmShare
-	assert.Equal(t, f.longest(), configWait)
-	f.lost = true
-	assert.Equal(t, f.longest(), shortWait)
-	f.lost = false
-	assert.Equal(t, f.longest(), configWait)
+	w := v.newWatcher(document.ConfigKind, configWait)
+	w.trustDivisor = confirmDivisor
+	assert.Equal(t, w.watchWait(), configWait)
+	w.lost = true
+	assert.Equal(t, w.watchWait(), shortWait)
+	w.lost = false
+	assert.Equal(t, w.watchWait(), configWait)
 }
 
-// TestWatchesOfTheConfigurationFitIntoTheTimeForAChange: who follows a reader that has lost
-// the store must find another one before a change has to be in force.
-func TestWatchesOfTheConfigurationFitIntoTheTimeForAChange(t *testing.T) {
+// TestConfigWatchWaitIsBoundedByTheApplyTime checks that a follower of a reader that has lost the
+// store has time to find another source before a change must be in force.
+func TestConfigWatchWaitIsBoundedByTheApplyTime(t *testing.T) {
 	v := New(Options{Source: Source{ConfirmWithin: 4500 * time.Millisecond, ApplyWithin: 2 * time.Second}})
-	f := v.newFollower(document.ConfigKind, configWait)
-	f.share = confirmShare
-	assert.Equal(t, f.longest(), 500*time.Millisecond)
+	w := v.newWatcher(document.ConfigKind, configWait)
+	w.trustDivisor = confirmDivisor
+	assert.Equal(t, w.watchWait(), 500*time.Millisecond)
 }
--- a/gateway/view/kind.go
+++ b/gateway/view/kind.go
@@ -7,46 +7,45 @@
 	"acaciawinch/core/replica"
 )
 
-// Receiver takes what there is of one kind. It is called by one goroutine at a time and must
-// return at once.
+// Receiver receives the objects of one kind. It is called by one goroutine at a time and must
+// not block.
 type Receiver interface {
 	// Reset replaces all objects.
 	Reset(objects []replica.Object)
-	// Apply takes changes.
+	// Apply applies changes to the objects.
 	Apply(changes []replica.Change)
 }
 
-// kind is this process's copy of one kind of objects, fed by the store or by another
-// gateway.
-type kind struct {
-	name  string
-	to    Receiver
-	proof *proof
+// kindReplica is this process's copy of the objects of one kind, updated by the store or by
+// another gateway.
+type kindReplica struct {
+	name     string
+	receiver Receiver
+	proof    *proofTracker
 
-	mu   sync.Mutex
-	copy *replica.Replica
+	mu      sync.Mutex
+	replica *replica.Replica
 }
 
-// take brings the copy up to date and hands on what is news. The error is that of changes
-// that leave a gap.
-func (k *kind) take(d replica.Delta) error {
+// apply brings the copy up to date and passes what is new to the receiver. It returns an error
+// if changes are missing between the copy and d.
+func (k *kindReplica) apply(d replica.Delta) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	news, err := k.copy.Apply(d)
+	changed, err := k.replica.Apply(d)
 	switch {
-	case err != nil || !news:
+	case err != nil || !changed:
 		return err
 	case d.Reset:
-		k.to.Reset(objects(d.Changes))
+		k.receiver.Reset(objectsOf(d.Changes))
 	default:
-		k.to.Apply(d.Changes)
+		k.receiver.Apply(d.Changes)
 	}
-	k.proof.wake()
+	k.proof.notify()
 	return nil
 }
 
-// objects returns the objects of changes.
-func objects(changes []replica.Change) []replica.Object {
+func objectsOf(changes []replica.Change) []replica.Object {
 	list := make([]replica.Object, len(changes))
 	for i, change := range changes {
 		list[i] = change.Object
@@ -54,83 +53,83 @@
 	return list
 }
 
-// unknown is the revision of a copy that knows nothing.
-const unknown = -1
+// unknownRevision is the revision of a copy that holds nothing yet.
+const unknownRevision = -1
 
-// revision returns how far the copy reaches, or unknown.
-func (k *kind) revision() int64 {
+// revision returns the store's revision of the copy, or unknownRevision.
+func (k *kindReplica) revision() int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if !k.copy.Known() {
-		return unknown
+	if !k.replica.Known() {
+		return unknownRevision
 	}
-	return k.copy.Revision()
+	return k.replica.Revision()
 }
 
-// since returns what another copy lacks.
-func (k *kind) since(revision int64) (replica.Delta, bool) {
+// since returns what a copy at a revision lacks.
+func (k *kindReplica) since(revision int64) (replica.Delta, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.copy.Since(revision)
+	return k.replica.Since(revision)
 }
 
-// Proof tells that up to a time no key was taken away of which this process does not know.
+// Proof is a freshness proof: this process knows of every API key that was revoked up to a time.
 type Proof struct {
-	// At is the boot time.
+	// At is that time, as a boot time.
 	At time.Duration
-	// Hops is through how many processes it came: 0 if the store gave it.
+	// Hops counts the processes that passed the proof on: 0 if the store gave it.
 	Hops int
-	// From is the gateway that passed it on, or FromStore.
+	// From is the gateway that passed the proof on, or FromStore.
 	From string
 }
 
-// FromStore is where a proof is from that the store gave this process itself.
+// FromStore is the From of a proof that this process got from the store itself.
 const FromStore = "store"
 
-// proof holds the newest Proof, and wakes who waits for it or for changes.
-type proof struct {
+// proofTracker holds the newest Proof and notifies those that wait for a proof or a change.
+type proofTracker struct {
 	mu      sync.Mutex
 	newest  Proof
 	known   bool
 	changed chan struct{}
 }
 
-// newProof returns a proof of nothing.
-func newProof() *proof { return &proof{changed: make(chan struct{})} }
+// newProofTracker returns a tracker without a proof.
+func newProofTracker() *proofTracker { return &proofTracker{changed: make(chan struct{})} }
 
-// confirm notes a proof, unless a newer one is known.
-func (p *proof) confirm(new Proof) {
+// confirm records a proof, unless a newer one is known.
+func (p *proofTracker) confirm(candidate Proof) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.known && new.At <= p.newest.At {
+	if p.known && candidate.At <= p.newest.At {
 		return
 	}
-	p.newest, p.known = new, true
-	p.wakeLocked()
+	p.newest, p.known = candidate, true
+	p.notifyLocked()
 }
 
 // get returns the newest proof, and false if there is none.
-func (p *proof) get() (Proof, bool) {
+func (p *proofTracker) get() (Proof, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.newest, p.known
 }
 
-// wake wakes who waits.
-func (p *proof) wake() {
+// notify notifies those that wait for a change.
+func (p *proofTracker) notify() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.wakeLocked()
+	p.notifyLocked()
 }
 
-// wakeLocked wakes who waits. The lock is held.
-func (p *proof) wakeLocked() {
+// notifyLocked is notify for callers that hold p.mu.
+func (p *proofTracker) notifyLocked() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// next returns what is closed at the next change or proof.
-func (p *proof) next() <-chan struct{} {
+// nextChange returns a channel that is closed at the next change or proof.
+func (p *proofTracker) nextChange() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.changed
--- a/gateway/view/register.go
+++ b/gateway/view/register.go
@@ -11,38 +11,38 @@
 	"acaciawinch/observe/event"
 )
 
-// Register writes this process's own object into the store. It tries until it
-// succeeds or ctx ends; a lost answer is resolved by reading the object back.
+// Register writes this process's own object into the store. It retries until it succeeds or
+// ctx ends; if the response is lost, the object is read back.
 func (v *View) Register(ctx context.Context) error {
-	pause := firstPause
+	backoff := initialBackoff
 	for ctx.Err() == nil {
 		err := v.register(ctx)
 		if err == nil {
 			return nil
 		}
 		v.options.Logger.Warn(event.RegisterFailed, observe.Fields{"member": v.options.Self.Name, "error": err.Error()})
-		clock.Sleep(ctx, pause)
-		pause = min(2*pause, configPause)
+		clock.Sleep(ctx, backoff)
+		backoff = min(2*backoff, configMaxBackoff)
 	}
 	return nil
 }
 
-// register makes one try. The object of an earlier start, which a crash left, is replaced.
+// register makes one attempt. It replaces the object that a crashed earlier incarnation left.
 func (v *View) register(ctx context.Context) error {
 	self := v.options.Self
 	spec := memberSpec{Address: self.Address, Incarnation: self.Incarnation, Zone: self.Zone, LinkMbps: self.LinkMbps, Cores: self.Cores}
-	kept, err := v.store.Load().Create(ctx, MemberKind, self.Name, spec)
+	stored, err := v.store.Load().Create(ctx, MemberKind, self.Name, spec)
 	if fault.Is(err, fault.Conflict) {
-		kept, err = v.replace(ctx, kept, spec)
+		stored, err = v.replace(ctx, stored, spec)
 	}
 	if err == nil {
-		v.registered.Store(kept.Revision)
+		v.ownRevision.Store(stored.Revision)
 	}
 	return err
 }
 
-// replace writes over the own object of an earlier start. Its revision is read only if the
-// store did not tell it.
+// replace overwrites the object of an earlier incarnation. It reads the object's revision only
+// if the store's response to the conflict did not contain it.
 func (v *View) replace(ctx context.Context, old replica.Object, spec memberSpec) (replica.Object, error) {
 	name := v.options.Self.Name
 	if old.Revision == 0 {
@@ -57,8 +57,8 @@
 // leaveTimeout bounds the removal of the own object at a planned stop.
 const leaveTimeout = time.Second
 
-// Leave removes this process's own object, so that the others give it no work. What
-// fails is logged: the others then find the process gone when they call it.
+// Leave removes this process's own object, so that the others send it no work. A failure is
+// only logged: the others then find the process gone when they call it.
 func (v *View) Leave(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
@@ -67,9 +67,9 @@
 	}
 }
 
-// leave removes the own object. Its revision is read only if the store did not tell it.
+// leave removes the own object. It reads the object's revision only if it is not known.
 func (v *View) leave(ctx context.Context) error {
-	name, revision := v.options.Self.Name, v.registered.Load()
+	name, revision := v.options.Self.Name, v.ownRevision.Load()
 	if revision == 0 {
 		found, err := v.store.Load().Get(ctx, MemberKind, name)
 		if err != nil {
--- a/gateway/view/share.go
+++ b/gateway/view/share.go
@@ -10,80 +10,80 @@
 // What a View takes from other gateways and tells them. All methods may be called by many
 // goroutines.
 
-// Position is how far the copy of one kind reaches: the store's revision, or -1 if it knows
-// nothing.
+// Position is how far the copy of one kind has got: the store's revision, or -1 if the copy
+// holds nothing yet.
 type Position struct {
 	Kind     string
 	Revision int64
 }
 
-// KindDelta is what brings the copy of one kind up to date.
+// KindDelta holds the changes that bring the copy of one kind up to date.
 type KindDelta struct {
 	Kind string
 	replica.Delta
 }
 
-// Positions returns how far the copies reach.
+// Positions returns the positions of this process's copies.
 func (v *View) Positions() []Position {
-	positions := make([]Position, len(v.kinds))
-	for i, k := range v.kinds {
+	positions := make([]Position, len(v.replicas))
+	for i, k := range v.replicas {
 		positions[i] = Position{Kind: k.name, Revision: k.revision()}
 	}
 	return positions
 }
 
-// Since returns what copies of these positions lack, with the newest proof that it holds
-// for: the proof is read first, so that the changes are at least as new.
+// Since returns what copies at these positions lack, with the newest proof. The proof is read
+// first, so that the changes are at least as new as the proof.
 func (v *View) Since(positions []Position) ([]KindDelta, Proof, bool) {
-	proved, known := v.proof.get()
+	newest, known := v.proof.get()
 	var deltas []KindDelta
 	for _, position := range positions {
-		k := v.kind(position.Kind)
+		k := v.replicaOf(position.Kind)
 		if k == nil {
 			continue
 		}
-		if d, told := k.since(position.Revision); told {
+		if d, stale := k.since(position.Revision); stale {
 			deltas = append(deltas, KindDelta{Kind: k.name, Delta: d})
 		}
 	}
-	return deltas, proved, known
+	return deltas, newest, known
 }
 
-// Changed returns what is closed at the next change or proof.
-func (v *View) Changed() <-chan struct{} { return v.proof.next() }
+// Changed returns a channel that is closed at the next change or proof.
+func (v *View) Changed() <-chan struct{} { return v.proof.nextChange() }
 
-// Take takes over what another gateway tells. A kind that this one does not follow is
-// passed over: the other one may be of another version. The error is that of changes that
-// do not fit to what is known.
+// Take applies a delta from another gateway. It ignores kinds that this gateway does not
+// follow: the other one may run another version. It returns an error if changes are missing
+// between the copy and the delta.
 func (v *View) Take(delta KindDelta) error {
-	k := v.kind(delta.Kind)
+	k := v.replicaOf(delta.Kind)
 	if k == nil {
 		return nil
 	}
-	return fault.Wrap(fault.Invalid, "view.take", "", k.take(delta.Delta))
+	return fault.Wrap(fault.Invalid, "view.take", "", k.apply(delta.Delta))
 }
 
-// Confirm takes over another gateway's proof. It holds for the changes that were taken
-// before.
+// Confirm records another gateway's proof. The deltas that came with the proof must have been
+// applied before.
 func (v *View) Confirm(proved Proof) { v.proof.confirm(proved) }
 
 // Proof returns the newest proof, and false if there is none.
 func (v *View) Proof() (Proof, bool) { return v.proof.get() }
 
-// Failing tells whether the store does not answer this process, which reads it. One that
-// follows another gateway knows nothing of that.
+// Failing reports whether the store fails to respond to this process as a reader. It is false
+// in a follower, which does not call the store.
 func (v *View) Failing() bool { return v.failing.Load() }
 
-// StoreProved returns the time of the newest proof that the store gave this process
+// StoreProved returns the boot time of the newest proof that the store gave this process
 // itself, and false if there is none.
 func (v *View) StoreProved() (time.Duration, bool) {
-	at := time.Duration(v.storeProved.Load())
+	at := time.Duration(v.storeProofAt.Load())
 	return at, at >= 0
 }
 
-// kind returns the copy of a kind, nil if it is not followed.
-func (v *View) kind(name string) *kind {
-	for _, k := range v.kinds {
+// replicaOf returns the copy of a kind, or nil if the kind is not followed.
+func (v *View) replicaOf(name string) *kindReplica {
+	for _, k := range v.replicas {
 		if k.name == name {
 			return k
 		}
--- a/gateway/view/upstreams.go
+++ b/gateway/view/upstreams.go
@@ -11,122 +11,124 @@
 	"acaciawinch/platform/document"
 )
 
-// upstreamFollower takes the entries of discovery.
-type upstreamFollower struct {
+// upstreamReceiver receives the entries of upstreams in the store.
+type upstreamReceiver struct {
 	view *View
 
 	mu sync.Mutex
 	// listed is set once the entries were listed.
 	listed bool
 	known  map[string]routes.Upstream
-	// evacuated holds the zones that are to be emptied; nil before they are known.
+	// evacuated holds the evacuated zones; nil until they are known.
 	evacuated map[string]bool
-	// takenBack holds when the last evacuations of zones ended.
-	takenBack map[string]time.Time
-	// asked holds what upstreams asked of this process themselves, by their starts.
-	asked map[start]asked
+	// evacuationEnded holds the time at which each zone's last evacuation ended.
+	evacuationEnded map[string]time.Time
+	// reports holds what upstreams reported to this process directly, by incarnation.
+	reports map[incarnation]report
 }
 
-// start names one start of an upstream.
-type start struct {
-	id   string
-	born int64
+// incarnation identifies one run of an upstream by the upstream's ID and start time.
+type incarnation struct {
+	id      string
+	started int64
 }
 
-// asked is what a start of an upstream asked of this process.
-type asked struct {
-	leaving     bool
-	pausedUntil time.Time
-	// at is when it asked last.
-	at time.Time
+// report is what an incarnation of an upstream has reported to this process.
+type report struct {
+	leaving      bool
+	backoffUntil time.Time
+	// updated is the time of the last report.
+	updated time.Time
 }
 
-// keepAsked is how long what an upstream asked holds without its entry. An entry that a store in
-// trouble drops comes back within seconds; a start that has left serves no longer than that.
-const keepAsked = 10 * time.Minute
+// reportTTL is how long a report is kept without an entry of its incarnation. A store in trouble
+// that drops an entry restores it within seconds; an incarnation that has left serves for less
+// than reportTTL.
+const reportTTL = 10 * time.Minute
 
-// newUpstreamFollower returns a follower that knows no upstream.
-func newUpstreamFollower(v *View) *upstreamFollower {
-	f := &upstreamFollower{view: v, known: make(map[string]routes.Upstream), takenBack: make(map[string]time.Time), asked: make(map[start]asked)}
+// newUpstreamReceiver returns a receiver that knows no upstream.
+func newUpstreamReceiver(v *View) *upstreamReceiver {
+	r := &upstreamReceiver{view: v, known: make(map[string]routes.Upstream), evacuationEnded: make(map[string]time.Time), reports: make(map[incarnation]report)}
 	if !v.options.Source.Evacuations {
-		f.evacuated = make(map[string]bool)
+		r.evacuated = make(map[string]bool)
 	}
-	return f
+	return r
 }
 
-// setEvacuated replaces the zones that are to be emptied.
-func (f *upstreamFollower) setEvacuated(zones map[string]bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for zone := range f.evacuated {
+// setEvacuated replaces the evacuated zones.
+func (r *upstreamReceiver) setEvacuated(zones map[string]bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for zone := range r.evacuated {
 		if !zones[zone] {
-			f.takenBack[zone] = time.Now()
+			r.evacuationEnded[zone] = time.Now()
 		}
 	}
-	f.evacuated = zones
-	f.publish()
+	r.evacuated = zones
+	r.publish()
 }
 
-// Asked is what an upstream asked of this process in an answer.
+// Asked is what an upstream reports about itself in a response to this process.
 type Asked struct {
-	// Upstream is who asked, as the request was sent to it.
+	// Upstream is the upstream as it was when the request was sent to it.
 	Upstream routes.Upstream
-	// Request is that of the answer, empty for a stage call.
+	// Request is the ID of the request, empty for a stage call.
 	Request string
-	// Leaving is set if it takes nothing new.
+	// Leaving is set if the upstream accepts no new requests.
 	Leaving bool
-	// Pause is for how long it wants nothing, 0 if it did not say.
+	// Pause is the backoff that the upstream requests, 0 if it requests none.
 	Pause time.Duration
 }
 
-// UpstreamAsked notes what an upstream asked: it is told sooner here than by discovery, which
-// can't tell it while the store is away.
+// UpstreamAsked records an upstream's report. A report reaches this process sooner than the
+// upstream's entry in the store, which can't be updated while the store is down.
 func (v *View) UpstreamAsked(a Asked) {
 	if a.Leaving || a.Pause > 0 {
-		v.discovered.noteAsked(a, time.Now())
+		v.upstreamEntries.noteReport(a, time.Now())
 	}
 }
 
-// noteAsked takes over what an upstream asked. The longest pause holds.
-func (f *upstreamFollower) noteAsked(a Asked, now time.Time) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	of := start{id: a.Upstream.ID, born: a.Upstream.Born}
-	before := f.asked[of]
-	after := asked{leaving: before.leaving || a.Leaving, pausedUntil: before.pausedUntil, at: now}
-	if until := now.Add(a.Pause); a.Pause > 0 && until.After(before.pausedUntil) {
-		after.pausedUntil = until
+// noteReport records a report. The latest end of a backoff wins.
+func (r *upstreamReceiver) noteReport(a Asked, now time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	key := incarnation{id: a.Upstream.ID, started: a.Upstream.Born}
+	before := r.reports[key]
+	after := report{leaving: before.leaving || a.Leaving, backoffUntil: before.backoffUntil, updated: now}
+	if until := now.Add(a.Pause); a.Pause > 0 && until.After(before.backoffUntil) {
+		after.backoffUntil = until
 	}
-	f.asked[of] = after
-	if after.leaving == before.leaving && after.pausedUntil.Equal(before.pausedUntil) {
+	r.reports[key] = after
+	if after.leaving == before.leaving && after.backoffUntil.Equal(before.backoffUntil) {
 		return
 	}
-	f.view.options.Logger.Event(event.UpstreamAsked, observe.Fields{"upstream": a.Upstream.ID, "service": a.Upstream.Service,
+	r.view.options.Logger.Event(event.UpstreamAsked, observe.Fields{"upstream": a.Upstream.ID, "service": a.Upstream.Service,
 		"request": a.Request, "leaving": a.Leaving, "retry_after_ms": a.Pause.Milliseconds()})
-	f.publish()
+	r.publish()
 }
 
-// askedOf returns what a start of an upstream asked. The lock is held.
-func (f *upstreamFollower) askedOf(upstream routes.Upstream) asked {
-	return f.asked[start{id: upstream.ID, born: upstream.Born}]
+// reportOf returns what an upstream's incarnation reported. The caller holds r.mu.
+func (r *upstreamReceiver) reportOf(upstream routes.Upstream) report {
+	return r.reports[incarnation{id: upstream.ID, started: upstream.Born}]
 }
 
-// forgetAsked drops what starts asked that have been gone for long. The lock is held.
-func (f *upstreamFollower) forgetAsked(now time.Time) {
-	for of, one := range f.asked {
-		upstream, known := f.known[of.id]
-		if (!known || upstream.Born != of.born) && now.Sub(one.at) > keepAsked {
-			delete(f.asked, of)
+// dropExpiredReports drops the reports of incarnations that are gone for longer than reportTTL.
+// The caller holds r.mu.
+func (r *upstreamReceiver) dropExpiredReports(now time.Time) {
+	for key, old := range r.reports {
+		upstream, known := r.known[key.id]
+		if (!known || upstream.Born != key.started) && now.Sub(old.updated) > reportTTL {
+			delete(r.reports, key)
 		}
 	}
 }
 
-// countIn returns how many upstreams a zone has.
-func (f *upstreamFollower) countIn(zone string) int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// countIn returns the number of upstreams in a zone.
+func (r *upstreamReceiver) countIn(zone string) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	count := 0
-	for _, upstream := range f.known {
+	for _, upstream := range r.known {
 		if upstream.Zone == zone {
 			count++
 		}
@@ -135,88 +137,89 @@
 }
 
 // Reset implements Receiver.
-func (f *upstreamFollower) Reset(objects []replica.Object) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.listed = true
-	before := f.known
-	f.known = make(map[string]routes.Upstream, len(objects))
+func (r *upstreamReceiver) Reset(objects []replica.Object) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.listed = true
+	before := r.known
+	r.known = make(map[string]routes.Upstream, len(objects))
 	for _, object := range objects {
-		f.take(object)
+		r.update(object)
 	}
 	for id, upstream := range before {
-		if _, still := f.known[id]; !still {
-			f.gone(upstream)
+		if _, present := r.known[id]; !present {
+			r.logGone(upstream)
 		}
 	}
-	f.publish()
+	r.publish()
 }
 
 // Apply implements Receiver.
-func (f *upstreamFollower) Apply(changes []replica.Change) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (r *upstreamReceiver) Apply(changes []replica.Change) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	for _, change := range changes {
 		if !change.Deleted {
-			f.take(change.Object)
+			r.update(change.Object)
 			continue
 		}
-		if upstream, known := f.known[change.Object.Name]; known {
-			delete(f.known, change.Object.Name)
-			f.gone(upstream)
+		if upstream, known := r.known[change.Object.Name]; known {
+			delete(r.known, change.Object.Name)
+			r.logGone(upstream)
 		}
 	}
-	f.publish()
+	r.publish()
 }
 
-// take decodes an entry. One that can't be read names no upstream to use, and one of an
-// earlier start that comes late does not replace that of the later one.
-func (f *upstreamFollower) take(object replica.Object) {
+// update decodes an entry and records the upstream. An unreadable entry removes the upstream. A
+// late entry of an earlier incarnation does not replace that of a later one.
+func (r *upstreamReceiver) update(object replica.Object) {
 	upstream, err := document.Upstream(object.Name, object.Spec)
 	if err != nil {
-		f.view.options.Logger.Warn(event.UpstreamUnreadable, observe.Fields{"upstream": object.Name, "revision": object.Revision, "error": err.Error()})
-		delete(f.known, object.Name)
+		r.view.options.Logger.Warn(event.UpstreamUnreadable, observe.Fields{"upstream": object.Name, "revision": object.Revision, "error": err.Error()})
+		delete(r.known, object.Name)
 		return
 	}
-	old, known := f.known[upstream.ID]
+	old, known := r.known[upstream.ID]
 	if known && old.Born > upstream.Born {
-		f.view.options.Logger.Warn(event.UpstreamOutdated, observe.Fields{"upstream": object.Name, "revision": object.Revision,
+		r.view.options.Logger.Warn(event.UpstreamOutdated, observe.Fields{"upstream": object.Name, "revision": object.Revision,
 			"born": upstream.Born, "known_born": old.Born})
 		return
 	}
-	upstream.Region = f.view.options.Regions[upstream.Zone]
+	upstream.Region = r.view.options.Regions[upstream.Zone]
 	if upstream.Cold > 0 {
 		upstream.ColdUntil = time.Now().Add(upstream.Cold)
 	}
-	f.known[upstream.ID] = upstream
+	r.known[upstream.ID] = upstream
 	if !known || old.Leaving != upstream.Leaving || old.Born != upstream.Born || old.Cold == 0 && upstream.Cold > 0 {
-		f.view.options.Logger.Event(event.UpstreamChanged, observe.Fields{
+		r.view.options.Logger.Event(event.UpstreamChanged, observe.Fields{
 			"upstream": upstream.ID, "service": upstream.Service, "address": upstream.Address,
 			"leaving": upstream.Leaving, "born": upstream.Born, "cold_ms": upstream.Cold.Milliseconds(), "revision": object.Revision})
 	}
 }
 
-// gone notes an entry that went away.
-func (f *upstreamFollower) gone(upstream routes.Upstream) {
-	f.view.options.Logger.Event(event.UpstreamGone, observe.Fields{"upstream": upstream.ID, "service": upstream.Service, "address": upstream.Address})
+// logGone logs that an upstream's entry was removed.
+func (r *upstreamReceiver) logGone(upstream routes.Upstream) {
+	r.view.options.Logger.Event(event.UpstreamGone, observe.Fields{"upstream": upstream.ID, "service": upstream.Service, "address": upstream.Address})
 }
 
-// publish makes the known upstreams, with what they asked themselves, the current snapshot. There is none before it is known
-// which zones are to be emptied: a process that starts sends nothing there. The lock is held.
-func (f *upstreamFollower) publish() {
-	if !f.listed || f.evacuated == nil {
+// publish makes the known upstreams, merged with their own reports, the current snapshot. There is
+// no snapshot until the evacuated zones are known, so that a starting process sends nothing to
+// them. The caller holds r.mu.
+func (r *upstreamReceiver) publish() {
+	if !r.listed || r.evacuated == nil {
 		return
 	}
-	f.forgetAsked(time.Now())
-	list := make([]routes.Upstream, 0, len(f.known))
-	for _, upstream := range f.known {
-		said := f.askedOf(upstream)
-		upstream.Leaving = upstream.Leaving || said.leaving
-		upstream.PausedUntil = said.pausedUntil
-		upstream.Evacuated = f.evacuated[upstream.Zone]
-		upstream.TakenBack = f.takenBack[upstream.Zone]
+	r.dropExpiredReports(time.Now())
+	list := make([]routes.Upstream, 0, len(r.known))
+	for _, upstream := range r.known {
+		reported := r.reportOf(upstream)
+		upstream.Leaving = upstream.Leaving || reported.leaving
+		upstream.PausedUntil = reported.backoffUntil
+		upstream.Evacuated = r.evacuated[upstream.Zone]
+		upstream.TakenBack = r.evacuationEnded[upstream.Zone]
 		list = append(list, upstream)
 	}
-	f.view.upstreams.Store(routes.NewUpstreams(list))
-	f.view.changed()
+	r.view.upstreams.Store(routes.NewUpstreams(list))
+	r.view.notifyChange()
 }
--- a/gateway/view/view.go
+++ b/gateway/view/view.go
@@ -1,8 +1,11 @@
-// Package view holds what a gateway knows of the fleet: the operator's
-// configuration, the upstreams that discovery tells of, and the other gateways. Each
-// is followed in the platform's store by a watch, or fed by another gateway (package
+// Package view holds a gateway's view of the fleet: the operator's configuration, the
+// upstreams in discovery, and the other gateways. Each kind of object is watched in the
+// platform's store by a reader, or received from another gateway by a follower (package
 // gateway/relay), and published as an immutable snapshot. A configuration is never
 // replaced by an older one.
+//
+// A reader confirms its copy of the API keys by each response of the store. That freshness
+// proof is passed on with the changes; without a recent one, requests with keys are refused.
 package view
 
 import (
@@ -22,55 +25,55 @@
 type Member struct {
 	// Name is the machine's name.
 	Name string
-	// Address is IP:port of its calls.
+	// Address is IP:port for calls from other gateways.
 	Address string
-	// Incarnation names one start of its process.
+	// Incarnation identifies one run of the gateway's process.
 	Incarnation string
 	// Zone is its availability zone.
 	Zone string
-	// LinkMbps is the rate of its machine's link in Mbit/s, 0 if it is not known.
+	// LinkMbps is the rate of the machine's link in Mbit/s, 0 if unknown.
 	LinkMbps int
-	// Cores is what its process may use of its machine's processor, 0 if it is not known.
+	// Cores is how many processor cores the process may use, 0 if unknown.
 	Cores float64
-	// Revision is that of its object in the store.
+	// Revision is the store's revision of the gateway's object.
 	Revision int64
 }
 
-// Options are what a View needs.
+// Options configures a View.
 type Options struct {
 	Logger *observe.Logger
-	// Self is this process; it is not among the Members.
+	// Self is this process; Members does not contain it.
 	Self Member
-	// Source is where the store is and how long its word counts.
+	// Source holds the store's address and the bounds on the age of its data.
 	Source Source
 	// Regions holds the region of each zone.
 	Regions map[string]string
-	// Records are kinds of objects that others take.
+	// Records are further kinds of objects, each with its receiver.
 	Records []Records
 }
 
-// Records is a kind of the gateways' own objects whose content is not the View's.
+// Records is a kind of objects that gateways write and whose content the View does not read.
 type Records struct {
-	// Kind is its name in the store.
+	// Kind is the name of the kind in the store.
 	Kind string
-	// To takes the objects.
+	// To receives the objects.
 	To Receiver
 }
 
-// Source is what the settings say of the store. It may change while the process runs.
+// Source is the store's part of the settings. All but Evacuations may change while the process
+// runs.
 type Source struct {
 	// Store is the store's address, IP:port.
 	Store string
-	// ConfirmWithin bounds the age of what is known of keys.
+	// ConfirmWithin bounds the age of the newest freshness proof while requests with keys are served.
 	ConfirmWithin time.Duration
-	// ApplyWithin bounds the time until a change that the store has accepted is in force.
+	// ApplyWithin bounds the time from the store's acceptance of a change until it is in force.
 	ApplyWithin time.Duration
-	// Evacuations is set if the operator may ask that zones be emptied. It holds from the
-	// start of the process.
+	// Evacuations is set if the operator may evacuate zones. It is read only when the process starts.
 	Evacuations bool
 }
 
-// View follows the fleet. Its readers may be called by many goroutines.
+// View holds the state of the fleet. It may be used by many goroutines.
 type View struct {
 	options Options
 
@@ -81,60 +84,60 @@
 	table     atomic.Pointer[routes.Table]
 	upstreams atomic.Pointer[routes.Upstreams]
 	members   atomic.Pointer[[]Member]
-	// membersKnown is set once members were listed, recordsListed once all Records were.
+	// membersKnown is set once the members were listed, recordsListed once all Records were.
 	membersKnown, recordsListed atomic.Bool
-	// tableSince is the boot time of the first configuration.
-	tableSince atomic.Int64
-
-	// kinds are the copies from which the snapshots are made.
-	kinds []*kind
-	// discovered is where the upstreams are known.
-	discovered *upstreamFollower
-	// zones are the evacuated zones; nil if they are not followed.
-	zones *evacuationFollower
-	proof *proof
-	// storeProved is the boot time of the newest proof that the store itself gave; below 0
+	// firstTableAt is the boot time at which the first configuration came into force.
+	firstTableAt atomic.Int64
+
+	// replicas are the copies from which the snapshots are made.
+	replicas []*kindReplica
+	// upstreamEntries holds the known upstreams.
+	upstreamEntries *upstreamReceiver
+	// evacuations holds the evacuated zones; nil if evacuations are not followed.
+	evacuations *evacuationReceiver
+	proof       *proofTracker
+	// storeProofAt is the boot time of the newest proof from the store itself; negative
 	// before the first.
-	storeProved atomic.Int64
-	// failing is set while the store does not answer this process for the configuration.
+	storeProofAt atomic.Int64
+	// failing is set while the store fails to respond to this process about the configuration.
 	failing atomic.Bool
-	// registered is the revision of the own object, 0 if it is not known.
-	registered atomic.Int64
+	// ownRevision is the revision of this process's own object, 0 if unknown.
+	ownRevision atomic.Int64
 
 	mu       sync.Mutex
 	onChange []func()
 }
 
-// New returns a View that knows nothing yet.
+// New returns a View without data.
 func New(options Options) *View {
-	v := &View{options: options, proof: newProof()}
-	upstreams := newUpstreamFollower(v)
-	v.discovered = upstreams
-	v.kinds = []*kind{
-		v.newKind(document.ConfigKind, &configFollower{view: v}),
-		v.newKind(document.WorkerKind, upstreams),
-		v.newKind(MemberKind, newMemberFollower(v)),
+	v := &View{options: options, proof: newProofTracker()}
+	upstreams := newUpstreamReceiver(v)
+	v.upstreamEntries = upstreams
+	v.replicas = []*kindReplica{
+		v.newKindReplica(document.ConfigKind, &configReceiver{view: v}),
+		v.newKindReplica(document.WorkerKind, upstreams),
+		v.newKindReplica(MemberKind, newMemberReceiver(v)),
 	}
 	if options.Source.Evacuations {
-		v.zones = newEvacuationFollower(v, upstreams)
-		v.kinds = append(v.kinds, v.newKind(document.EvacuationKind, v.zones))
+		v.evacuations = newEvacuationReceiver(v, upstreams)
+		v.replicas = append(v.replicas, v.newKindReplica(document.EvacuationKind, v.evacuations))
 	}
 	for _, records := range options.Records {
-		v.kinds = append(v.kinds, v.newKind(records.Kind, records.To))
+		v.replicas = append(v.replicas, v.newKindReplica(records.Kind, records.To))
 	}
 	v.SetSource(options.Source)
 	v.members.Store(&[]Member{})
-	v.storeProved.Store(-1)
+	v.storeProofAt.Store(-1)
 	return v
 }
 
-// newKind returns the empty copy of a kind.
-func (v *View) newKind(name string, to Receiver) *kind {
-	return &kind{name: name, to: to, proof: v.proof, copy: replica.New()}
+// newKindReplica returns an empty copy of a kind.
+func (v *View) newKindReplica(name string, to Receiver) *kindReplica {
+	return &kindReplica{name: name, receiver: to, proof: v.proof, replica: replica.New()}
 }
 
-// SetSource takes over changed settings. What is known stays until the store at the
-// new address says otherwise.
+// SetSource applies changed settings. The present data stay in force until the store at a new
+// address replaces them.
 func (v *View) SetSource(source Source) {
 	v.confirmWithin.Store(int64(source.ConfirmWithin))
 	v.applyWithin.Store(int64(source.ApplyWithin))
@@ -149,39 +152,39 @@
 // Table returns the newest configuration, nil before the first.
 func (v *View) Table() *routes.Table { return v.table.Load() }
 
-// Upstreams returns the upstreams, nil before the first list of them and of evacuated zones.
+// Upstreams returns the upstreams, nil until both the upstreams and the evacuated zones were
+// listed.
 func (v *View) Upstreams() *routes.Upstreams { return v.upstreams.Load() }
 
 // Members returns the other gateways. The caller must not change the slice.
 func (v *View) Members() []Member { return *v.members.Load() }
 
-// MembersKnown tells whether the list of the other gateways was read once.
+// MembersKnown reports whether the other gateways were listed once.
 func (v *View) MembersKnown() bool { return v.membersKnown.Load() }
 
-// Ready tells whether requests can be served.
-func (v *View) Ready() bool { return v.Table() != nil && v.Upstreams() != nil && v.recordsKnown() }
+// Ready reports whether requests can be served.
+func (v *View) Ready() bool { return v.Table() != nil && v.Upstreams() != nil && v.recordsReady() }
 
-// recordsPatience is how long after the first configuration the gateways' records are waited for: a
-// store that answers for the rest answers for them within a call's timeout. A process that served
-// before would send what the others refuse.
-const recordsPatience = 2 * time.Second
+// recordsTimeout bounds the wait for the gateways' records after the first configuration: a
+// store that has returned the configuration returns the records within the timeout of a call.
+// Without the records a process would send requests that the other gateways refuse.
+const recordsTimeout = 2 * time.Second
 
-// recordsKnown tells whether the gateways' records were listed once, or are waited for no longer.
-func (v *View) recordsKnown() bool {
+// recordsReady reports whether the gateways' records were listed once or recordsTimeout is over.
+func (v *View) recordsReady() bool {
 	if v.recordsListed.Load() {
 		return true
 	}
 	for _, records := range v.options.Records {
-		if v.kind(records.Kind).revision() == unknown {
-			return clock.Boot()-time.Duration(v.tableSince.Load()) > recordsPatience
+		if v.replicaOf(records.Kind).revision() == unknownRevision {
+			return clock.Boot()-time.Duration(v.firstTableAt.Load()) > recordsTimeout
 		}
 	}
 	v.recordsListed.Store(true)
 	return true
 }
 
-// KeysAge returns how old the newest proof is that no key was taken away since, and
-// false if there is none.
+// KeysAge returns the age of the newest freshness proof, and false if there is none.
 func (v *View) KeysAge() (time.Duration, bool) {
 	newest, known := v.proof.get()
 	if !known || v.Table() == nil {
@@ -190,44 +193,42 @@
 	return clock.Boot() - newest.At, true
 }
 
-// KeysTrusted tells whether requests with keys may run.
+// KeysTrusted reports whether requests with keys may run.
 func (v *View) KeysTrusted() bool { return v.keysTrustedFor(0) }
 
-// keysTrustedFor tells whether requests with keys may run for a while longer without
-// another word of the store.
-func (v *View) keysTrustedFor(while time.Duration) bool {
+// keysTrustedFor reports whether requests with keys may still run after an extra time without a
+// new proof.
+func (v *View) keysTrustedFor(extra time.Duration) bool {
 	age, known := v.KeysAge()
-	return known && age+while < v.TrustTime()
+	return known && age+extra < v.TrustTime()
 }
 
-// TrustTime returns for how long a proof of the keys holds.
+// TrustTime returns how long a freshness proof is valid.
 func (v *View) TrustTime() time.Duration { return time.Duration(v.confirmWithin.Load()) }
 
-// ApplyTime returns the time within which a change must be in force.
 func (v *View) ApplyTime() time.Duration { return time.Duration(v.applyWithin.Load()) }
 
-// leadTime is how long before requests with keys must be refused new connections are
-// asked to go elsewhere: the balancer asks once a second and acts on the second answer.
-// It is at most a third of the time for which a proof holds, which a watch that waits for
-// another third leaves.
+// leadTime is how long before requests with keys must be refused TakesNew turns false: the load
+// balancer checks once a second and acts on the second check. It is at most a third of the
+// validity of a proof, so that a watch that waits for another third renews the proof in time.
 const leadTime = 1500 * time.Millisecond
 
-// TakesNew tells whether new connections should come to this process. One that the store
-// does not answer would soon refuse what the others can serve.
+// TakesNew reports whether new connections should come to this process. A process without recent
+// proofs would soon refuse requests that the other gateways can serve.
 func (v *View) TakesNew() bool {
-	return v.Ready() && (!v.Table().HasWorkspaces() || v.keysTrustedFor(min(leadTime, v.TrustTime()/confirmShare)))
+	return v.Ready() && (!v.Table().HasWorkspaces() || v.keysTrustedFor(min(leadTime, v.TrustTime()/confirmDivisor)))
 }
 
-// OnChange registers what is called after each change of upstreams, members or
-// configuration. It must return at once, and is registered before Run.
+// OnChange registers a function to call after each change of upstreams, members or configuration.
+// The function must not block. OnChange must be called before Read.
 func (v *View) OnChange(call func()) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.onChange = append(v.onChange, call)
 }
 
-// changed calls what was registered.
-func (v *View) changed() {
+// notifyChange calls the registered functions.
+func (v *View) notifyChange() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, call := range v.onChange {
--- a/gateway/view/view_test.go
+++ b/gateway/view/view_test.go
@@ -12,16 +12,16 @@
 	"acaciawinch/observe"
 )
 
-// TestNewConnectionsGoElsewhereBeforeKeysAreRefused: a process without the store's word
-// asks for none while it can still serve those that it has.
+// TestNewConnectionsGoElsewhereBeforeKeysAreRefused checks that a process without recent proofs
+// declines new connections while it can still serve those that it has.
 func TestNewConnectionsGoElsewhereBeforeKeysAreRefused(t *testing.T) {
 	logger, err := observe.NewLogger(io.Discard, "test", "error")
 	assert.NilError(t, err)
 	const within = 4500 * time.Millisecond
-	for _, one := range []struct {
+	for _, tt := range []struct {
 		age        time.Duration
 		workspaces bool
-		takes      bool
+		takesNew   bool
 		trusted    bool
 	}{
 		{time.Second, true, true, true},
@@ -31,14 +31,14 @@
 	} {
 		v := New(Options{Logger: logger, Source: Source{ConfirmWithin: within}})
 		var workspaces []*routes.Workspace
-		if one.workspaces {
+		if tt.workspaces {
 			workspaces = []*routes.Workspace{{Name: "w", Keys: []string{"k"}}}
 		}
-		assert.Assert(t, !v.TakesNew(), "nothing is known")
+		assert.Assert(t, !v.TakesNew(), "the View has no data")
 		v.table.Store(routes.NewTable(1, routes.Limits{}, nil, nil, workspaces))
 		v.upstreams.Store(routes.NewUpstreams(nil))
-		v.Confirm(Proof{At: clock.Boot() - one.age})
-		assert.Equal(t, v.TakesNew(), one.takes, "%v old, workspaces %t", one.age, one.workspaces)
-		assert.Equal(t, v.KeysTrusted(), one.trusted, "%v old", one.age)
+		v.Confirm(Proof{At: clock.Boot() - tt.age})
+		assert.Equal(t, v.TakesNew(), tt.takesNew, "%v old, workspaces %t", tt.age, tt.workspaces)
+		assert.Equal(t, v.KeysTrusted(), tt.trusted, "%v old", tt.age)
 	}
 }
