--- a/gateway/view/evacuations.go
+++ b/gateway/view/evacuations.go
@@ -21,8 +21,8 @@
 	since map[string]time.Duration
 }
 
-// newEvacuationReceiver returns a receiver without evacuations, which reports those that it
-// learns of to upstreams.
+// newEvacuationReceiver returns a receiver without evacuations, which passes its evacuations
+// on to upstreams.
 func newEvacuationReceiver(v *View, upstreams *upstreamReceiver) *evacuationReceiver {
 	return &evacuationReceiver{view: v, upstreams: upstreams, since: make(map[string]time.Duration)}
 }
--- a/gateway/view/kind.go
+++ b/gateway/view/kind.go
@@ -7,8 +7,8 @@
 	"acaciawinch/core/replica"
 )
 
-// Receiver receives the objects of one kind. It is called by one goroutine at a time and must
-// not block.
+// Receiver receives the objects of one kind and their changes. It is called by one goroutine
+// at a time and must not block.
 type Receiver interface {
 	// Reset replaces all objects.
 	Reset(objects []replica.Object)
--- a/gateway/view/register.go
+++ b/gateway/view/register.go
@@ -12,7 +12,7 @@
 )
 
 // Register writes this process's own object into the store. It retries until it succeeds or
-// ctx ends; if the response is lost, the object is read back.
+// ctx ends; after a lost response, the next attempt finds the object and replaces it.
 func (v *View) Register(ctx context.Context) error {
 	backoff := initialBackoff
 	for ctx.Err() == nil {
--- a/gateway/view/share.go
+++ b/gateway/view/share.go
@@ -7,11 +7,11 @@
 	"acaciawinch/core/replica"
 )
 
-// What a View takes from other gateways and tells them. All methods may be called by many
+// The methods below exchange updates with other gateways. They may be called by many
 // goroutines.
 
-// Position is how far the copy of one kind has got: the store's revision, or -1 if the copy
-// holds nothing yet.
+// Position is the store's revision up to which the copy of one kind is current, or -1 if the
+// copy holds nothing yet.
 type Position struct {
 	Kind     string
 	Revision int64
--- a/gateway/view/upstreams.go
+++ b/gateway/view/upstreams.go
@@ -42,8 +42,8 @@
 }
 
 // reportTTL is how long a report is kept without an entry of its incarnation. A store in trouble
-// that drops an entry restores it within seconds; an incarnation that has left serves for less
-// than reportTTL.
+// that drops an entry restores it within seconds; an incarnation that has left ends
+// within reportTTL.
 const reportTTL = 10 * time.Minute
 
 // newUpstreamReceiver returns a receiver that knows no upstream.
--- a/gateway/view/view.go
+++ b/gateway/view/view.go
@@ -73,7 +73,7 @@
 	Evacuations bool
 }
 
-// View holds the state of the fleet. It may be used by many goroutines.
+// View holds the state of the fleet. The methods that read it may be called by many goroutines.
 type View struct {
 	options Options
 
@@ -208,9 +208,10 @@
 
 func (v *View) ApplyTime() time.Duration { return time.Duration(v.applyWithin.Load()) }
 
-// leadTime is how long before requests with keys must be refused TakesNew turns false: the load
-// balancer checks once a second and acts on the second check. It is at most a third of the
-// validity of a proof, so that a watch that waits for another third renews the proof in time.
+// leadTime bounds how early TakesNew turns false before requests with keys must be refused: the
+// load balancer checks once a second and acts on the second check. TakesNew uses at most a third
+// of the validity of a proof, so that a watch that waits for another third renews the proof in
+// time.
 const leadTime = 1500 * time.Millisecond
 
 // TakesNew reports whether new connections should come to this process. A process without recent
