--- a/gateway/process.go
+++ b/gateway/process.go
@@ -27,12 +27,12 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// Memory of the runtime.
+// Memory limits of the Go runtime.
 const (
-	// memoryShare is the part of the machine's memory up to which the collector lets
-	// the heap grow without working harder; stacks and buffers of the kernel are not
-	// counted by it.
-	memoryShare = 0.6
+	// memoryLimitShare is the share of the memory setting that becomes the soft memory
+	// limit of the garbage collector. The remainder is for kernel stacks and buffers,
+	// which the runtime does not count.
+	memoryLimitShare = 0.6
 )
 
 // process is a running gateway.
@@ -43,13 +43,13 @@
 	metrics  *observe.Metrics
 	view     *view.View
 	owner    *pools.Owner
-	asker    *pools.Asker
+	caller   *pools.Asker
 	flow     *flow.Server
 	guard    *quarantine.Guard
 	client   *httpconn.Client
 	rpc      *link.Server
 	relay    *relay.Server
-	source   *relay.Follower
+	follower *relay.Follower
 	dialer   *link.Dialer
 
 	reload *reloader
@@ -57,33 +57,33 @@
 	incarnation string
 }
 
-// Run is the gateway: it serves until ctx ends, then finishes what it has read and
-// returns nil. Load reads the settings again when they may have changed; log lines go
-// to out. An error means that it could not start or go on.
+// Run runs a gateway until ctx is cancelled, then drains the requests in flight and
+// returns nil. It calls load to reread the settings, and writes log lines to out. It
+// returns an error if the gateway could not start or had to stop early.
 func Run(ctx context.Context, settings Settings, load func() (Settings, error), out io.Writer) error {
-	debug.SetMemoryLimit(int64(float64(settings.Process.MemoryMB) * memoryShare * (1 << 20)))
-	life, stop := context.WithCancel(context.WithoutCancel(ctx))
+	debug.SetMemoryLimit(int64(float64(settings.Process.MemoryMB) * memoryLimitShare * (1 << 20)))
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	p, err := newProcess(life, settings, out)
+	p, err := newProcess(runCtx, settings, out)
 	if err != nil {
 		return err
 	}
 	p.reload = newReloader(settings, load, p.apply, p.logger)
 	defer p.queue.Close()
-	open, err := listen(settings.Listen)
+	ports, err := listen(settings.Listen)
 	if err != nil {
 		p.logger.Warn(event.ProcessFailed, observe.Fields{"error": err.Error()})
 		return err
 	}
 	p.logger.Event(event.ProcessStarted, observe.Fields{"role": "gateway", "name": settings.Process.Name,
 		"zone": settings.Process.Zone, "incarnation": p.incarnation})
-	err = p.serve(ctx, life, stop, open)
-	p.noteEnd(err)
+	err = p.serve(ctx, runCtx, stop, ports)
+	p.logEnd(err)
 	return err
 }
 
-// newProcess wires the parts.
-func newProcess(life context.Context, settings Settings, out io.Writer) (*process, error) {
+// newProcess creates the components of the gateway and connects them.
+func newProcess(runCtx context.Context, settings Settings, out io.Writer) (*process, error) {
 	queue := observe.NewQueue(out)
 	logger, err := observe.NewLogger(queue, settings.Process.Name, settings.Log.Level)
 	if err != nil {
@@ -109,7 +109,7 @@
 		Incarnation: p.incarnation,
 		Store:       func() *store.Client { return p.view.Store() },
 		Listens:     p.client.Listens,
-		Life:        life,
+		Life:        runCtx,
 		Logger:      logger,
 		Scope:       p.metrics.Scope(),
 	})
@@ -120,7 +120,7 @@
 		Regions: regions,
 		Records: []view.Records{{Kind: quarantine.RecordKind, To: p.guard}},
 	})
-	p.owner = pools.NewOwner(life, p.view, p.client, logger)
+	p.owner = pools.NewOwner(runCtx, p.view, p.client, logger)
 	p.rpc = link.NewServer(settings.Fleet.Key)
 	p.dialer = link.NewDialer(settings.Fleet.Key)
 	if err := wirepb.DRPCRegisterPool(p.rpc.Mux(), pools.NewServer(p.owner)); err != nil {
@@ -130,11 +130,11 @@
 	if err := wirepb.DRPCRegisterFleet(p.rpc.Mux(), p.relay); err != nil {
 		return nil, fault.Wrap(fault.Internal, "gateway.register", "", err)
 	}
-	p.source = relay.NewFollower(relay.Options{View: p.view, Self: self, Dialer: p.dialer, Logger: logger, Scope: p.metrics.Scope(), FirstStart: settings.Fleet.FirstStart})
-	p.asker = pools.NewAsker(life, p.view, self, p.owner, p.dialer, logger)
+	p.follower = relay.NewFollower(relay.Options{View: p.view, Self: self, Dialer: p.dialer, Logger: logger, Scope: p.metrics.Scope(), FirstStart: settings.Fleet.FirstStart})
+	p.caller = pools.NewAsker(runCtx, p.view, self, p.owner, p.dialer, logger)
 	p.flow = flow.New(flow.Options{
 		View:    p.view,
-		Asker:   p.asker,
+		Asker:   p.caller,
 		Client:  p.client,
 		Guard:   p.guard,
 		Logger:  logger,
@@ -148,63 +148,63 @@
 	})
 	p.view.OnChange(p.owner.Refresh)
 	p.view.OnChange(p.flow.Forget)
-	p.view.OnChange(p.source.Wake)
+	p.view.OnChange(p.follower.Wake)
 	return p, nil
 }
 
-// apply takes over those of changed settings that need no new start.
+// apply puts into force those changed settings that need no restart.
 func (p *process) apply(settings Settings) {
 	p.view.SetSource(settings.source())
 	p.flow.SetRetries(settings.retries())
 }
 
-// readEcho reads the head of an upstream's answer for the connections.
+// readEcho extracts from an upstream's response head what httpconn needs.
 func readEcho(status int, h http.Header) httpconn.Echo {
-	said := header.ReadAnswer(status, h)
-	return httpconn.Echo{ID: said.ID, NotRun: said.NotRun, Idle: said.Idle}
+	answer := header.ReadAnswer(status, h)
+	return httpconn.Echo{ID: answer.ID, NotRun: answer.NotRun, Idle: answer.Idle}
 }
 
-// newIncarnation returns a name for this start of the process.
+// newIncarnation returns a random ID for this run of the process.
 func newIncarnation() string {
 	var random [8]byte
-	_, _ = rand.Read(random[:]) // it never fails
+	_, _ = rand.Read(random[:]) // crypto/rand.Read never returns an error
 	return hex.EncodeToString(random[:])
 }
 
-// listeners are the open ports.
+// listeners are the listening sockets of the process.
 type listeners struct {
 	clients, readiness, fleet, metrics net.Listener
 }
 
-// clientProbes find clients that are gone without a word.
-var clientProbes = net.KeepAliveConfig{Enable: true, Idle: 3 * time.Second, Interval: 2 * time.Second, Count: 2}
+// clientKeepAlive detects clients that disappeared without closing their connection.
+var clientKeepAlive = net.KeepAliveConfig{Enable: true, Idle: 3 * time.Second, Interval: 2 * time.Second, Count: 2}
 
-// listen opens the ports.
-func listen(at ListenSettings) (listeners, error) {
-	var open listeners
-	config := net.ListenConfig{KeepAliveConfig: clientProbes}
-	for _, one := range []struct {
+// listen opens the listening sockets.
+func listen(addresses ListenSettings) (listeners, error) {
+	var ports listeners
+	config := net.ListenConfig{KeepAliveConfig: clientKeepAlive}
+	for _, port := range []struct {
 		address string
-		to      *net.Listener
-	}{{at.Clients, &open.clients}, {at.Readiness, &open.readiness}, {at.Fleet, &open.fleet}, {at.Metrics, &open.metrics}} {
-		listener, err := config.Listen(context.Background(), "tcp", one.address)
+		target  *net.Listener
+	}{{addresses.Clients, &ports.clients}, {addresses.Readiness, &ports.readiness}, {addresses.Fleet, &ports.fleet}, {addresses.Metrics, &ports.metrics}} {
+		listener, err := config.Listen(context.Background(), "tcp", port.address)
 		if err != nil {
-			return listeners{}, fault.Wrap(fault.Unavailable, "gateway.listen", one.address, err)
+			return listeners{}, fault.Wrap(fault.Unavailable, "gateway.listen", port.address, err)
 		}
-		*one.to = listener
+		*port.target = listener
 	}
-	return open, nil
+	return ports, nil
 }
 
-// serve runs all parts until the drain that follows the end of ctx is over.
-func (p *process) serve(ctx, life context.Context, stop context.CancelFunc, open listeners) error {
-	servers := newServers(p, open)
-	group, life := errgroup.WithContext(life)
-	for _, part := range []func(context.Context) error{p.source.Run, p.view.Register, p.owner.Run, p.asker.Run, p.flow.Sweep, p.guard.Run, p.guard.Sweep, p.reportDropped, p.reload.run, newZoneWatch(p).run} {
-		group.Go(func() error { return part(life) })
+// serve runs all components until the drain that starts when ctx is cancelled has finished.
+func (p *process) serve(ctx, runCtx context.Context, stop context.CancelFunc, ports listeners) error {
+	servers := newServers(p, ports)
+	group, runCtx := errgroup.WithContext(runCtx)
+	for _, loop := range []func(context.Context) error{p.follower.Run, p.view.Register, p.owner.Run, p.caller.Run, p.flow.Sweep, p.guard.Run, p.guard.Sweep, p.reportDropped, p.reload.run, newZoneWatch(p).run} {
+		group.Go(func() error { return loop(runCtx) })
 	}
-	group.Go(func() error { return p.rpc.Serve(life, open.fleet) })
-	for _, server := range servers.all() {
+	group.Go(func() error { return p.rpc.Serve(runCtx, ports.fleet) })
+	for _, server := range servers.loops() {
 		group.Go(server)
 	}
 	group.Go(func() error {
@@ -212,7 +212,7 @@
 		select {
 		case <-ctx.Done():
 			servers.drain()
-		case <-life.Done():
+		case <-runCtx.Done():
 		}
 		servers.close()
 		return nil
@@ -220,8 +220,8 @@
 	return group.Wait()
 }
 
-// noteEnd logs the end of the process.
-func (p *process) noteEnd(err error) {
+// logEnd logs why the process ended.
+func (p *process) logEnd(err error) {
 	if err != nil {
 		p.logger.Warn(event.ProcessFailed, observe.Fields{"error": err.Error()})
 		return
@@ -229,12 +229,12 @@
 	p.logger.Event(event.ProcessStopped, observe.Fields{"reason": "signal"})
 }
 
-// reportEvery is how often dropped log lines are reported.
-const reportEvery = 5 * time.Second
+// dropReportInterval is the interval at which dropped log lines are reported.
+const dropReportInterval = 5 * time.Second
 
-// reportDropped logs how many log lines were dropped, until ctx ends.
+// reportDropped periodically logs the number of dropped log lines until ctx is cancelled.
 func (p *process) reportDropped(ctx context.Context) error {
-	ticker := time.NewTicker(reportEvery)
+	ticker := time.NewTicker(dropReportInterval)
 	defer ticker.Stop()
 	reported := uint64(0)
 	for {
--- a/gateway/reload.go
+++ b/gateway/reload.go
@@ -11,65 +11,65 @@
 	"acaciawinch/observe/event"
 )
 
-// lookEvery is how often the settings file is read without a signal: often enough for
-// changes that are in force within seconds, at some 50 µs a reading.
-const lookEvery = 2 * time.Second
+// settingsPollInterval is the interval at which the settings file is read without a signal.
+// It puts changes into force within seconds; one read takes about 50 µs.
+const settingsPollInterval = 2 * time.Second
 
-// reloader reads the settings again on SIGHUP and now and then without a signal.
-// Settings that can't be read change nothing.
+// reloader rereads the settings on SIGHUP and at a fixed interval. If they can't be
+// read, the current settings stay in force.
 type reloader struct {
 	current Settings
 	load    func() (Settings, error)
 	apply   func(Settings)
 	logger  *observe.Logger
-	// failing is the text of the last error, so that a file that stays unreadable is
+	// lastError is the text of the last error, so that a file that stays unreadable is
 	// logged once.
-	failing string
-	signals chan os.Signal
+	lastError string
+	signals   chan os.Signal
 }
 
-// newReloader returns a reloader that catches SIGHUP from now on: without that the
-// signal ends the process.
+// newReloader returns a reloader and starts to catch SIGHUP, which would otherwise end
+// the process.
 func newReloader(current Settings, load func() (Settings, error), apply func(Settings), logger *observe.Logger) *reloader {
 	r := &reloader{current: current, load: load, apply: apply, logger: logger, signals: make(chan os.Signal, 1)}
 	signal.Notify(r.signals, syscall.SIGHUP)
 	return r
 }
 
-// run looks for changes until ctx ends.
+// run checks the settings for changes until ctx is cancelled.
 func (r *reloader) run(ctx context.Context) error {
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-r.signals:
-			r.look(true)
+			r.poll(true)
 		case <-ticker.C:
-			r.look(false)
+			r.poll(false)
 		}
 	}
 }
 
-// look reads the settings and applies changed ones. With always set it logs also that
-// nothing has changed.
-func (r *reloader) look(always bool) {
+// poll reads the settings and applies them if they have changed. If forced is set, it
+// also logs an unchanged result and a repeated error.
+func (r *reloader) poll(forced bool) {
 	loaded, err := r.load()
 	if err != nil {
-		if text := err.Error(); always || text != r.failing {
-			r.failing = text
+		if text := err.Error(); forced || text != r.lastError {
+			r.lastError = text
 			r.logger.Warn(event.SettingsReloaded, observe.Fields{"changed": false, "error": text})
 		}
 		return
 	}
-	r.failing = ""
+	r.lastError = ""
 	changed := loaded != r.current
 	if changed {
 		r.current = loaded
 		r.apply(loaded)
 	}
-	if changed || always {
+	if changed || forced {
 		r.logger.Event(event.SettingsReloaded, observe.Fields{"changed": changed, "error": ""})
 	}
 }
--- a/gateway/servers.go
+++ b/gateway/servers.go
@@ -16,38 +16,39 @@
 
 // Limits of the HTTP servers.
 const (
-	// headerTimeout bounds the reading of a request's head.
+	// headerTimeout bounds the time to read a request's headers.
 	headerTimeout = 5 * time.Second
-	// idleTimeout is above the idle time that any configuration known allows clients,
-	// so that a request does not cross our close.
+	// idleTimeout exceeds the client idle time of every known configuration, so that the
+	// server does not close a connection while a client sends a request on it.
 	idleTimeout = 90 * time.Second
-	// headerBytes bounds a request's head; configurations known allow 16 KB.
+	// headerBytes bounds the size of a request's headers; known configurations allow 16 KB.
 	headerBytes = 32 << 10
 )
 
-// Timing of a planned stop.
+// Timing of a planned shutdown.
 const (
-	// acceptFor is how long new connections and requests are still taken after the
-	// signal: the balancer needs two questions, a second apart, to see that this
-	// process is not ready, and some more for connections on their way.
-	acceptFor = 2800 * time.Millisecond
-	// endBefore is how long before the platform kills the process it ends itself.
-	endBefore = 500 * time.Millisecond
+	// drainAcceptTime is how long new connections and requests are still accepted after
+	// the signal. The load balancer needs two probes, one second apart, to see that this
+	// process is not ready; the remainder is for connections that are being opened.
+	drainAcceptTime = 2800 * time.Millisecond
+	// graceMargin is how long before the end of the platform's grace period, when the
+	// platform kills the process, the drain is cut off.
+	graceMargin = 500 * time.Millisecond
 )
 
 // servers are the HTTP servers of a gateway.
 type servers struct {
 	process   *process
-	open      listeners
+	ports     listeners
 	clients   *http.Server
 	readiness *http.Server
 	metrics   *http.Server
 	draining  atomic.Bool
 }
 
-// newServers returns servers that do not listen yet.
-func newServers(p *process, open listeners) *servers {
-	s := &servers{process: p, open: open}
+// newServers returns the servers of a process. They don't serve yet.
+func newServers(p *process, ports listeners) *servers {
+	s := &servers{process: p, ports: ports}
 	s.clients = &http.Server{
 		Handler:                      p.flow,
 		ReadHeaderTimeout:            headerTimeout,
@@ -61,7 +62,7 @@
 	return s
 }
 
-// ready answers the platform's balancer.
+// ready handles the readiness probes of the platform's load balancer.
 func (s *servers) ready(w http.ResponseWriter, _ *http.Request) {
 	if s.draining.Load() || !s.process.view.TakesNew() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -70,8 +71,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// all returns the loops of the servers.
-func (s *servers) all() []func() error {
+// loops returns the serve loops of the servers.
+func (s *servers) loops() []func() error {
 	loop := func(server *http.Server, listener net.Listener) func() error {
 		return func() error {
 			if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
@@ -81,28 +82,31 @@
 		}
 	}
 	return []func() error{
-		loop(s.clients, framing.Listener{Listener: s.open.clients}),
-		loop(s.readiness, s.open.readiness),
-		loop(s.metrics, s.open.metrics),
+		loop(s.clients, framing.Listener{Listener: s.ports.clients}),
+		loop(s.readiness, s.ports.readiness),
+		loop(s.metrics, s.ports.metrics),
 	}
 }
 
-// drain carries out a planned stop: not ready at once, so that no new connections
-// come; requests are taken for a while longer, each answer closing its connection;
-// then what is in flight is finished. All of it fits into the grace time, counted from the
-// signal: with the removal of the own object counted on top, up to a second while the store
-// was away, some processes of each fleet-wide restart were killed by the platform.
+// drain performs a planned shutdown. It reports not ready at once, so that the load balancer
+// sends no new connections; it accepts requests for a while longer, closing the connection
+// after each response; then it waits for the requests in flight.
+//
+// All steps share one grace period that starts at the signal. The removal of this process's
+// own object from the store is part of it: when it had its own time on top, up to a second
+// while the store was unreachable, the platform killed some processes in each fleet-wide
+// restart.
 func (s *servers) drain() {
 	p := s.process
 	s.draining.Store(true)
 	p.flow.Drain()
 	p.logger.Event(event.ProcessDraining, observe.Fields{"in_flight": p.flow.InFlight()})
-	p.asker.Leave()
+	p.caller.Leave()
 	p.owner.Leave()
-	grace := time.Duration(p.settings.Bounds.GraceSeconds*float64(time.Second)) - endBefore
+	grace := time.Duration(p.settings.Bounds.GraceSeconds*float64(time.Second)) - graceMargin
 	ctx, cancel := context.WithTimeout(context.Background(), grace)
 	defer cancel()
-	accepting := time.NewTimer(min(acceptFor, grace/2))
+	accepting := time.NewTimer(min(drainAcceptTime, grace/2))
 	defer accepting.Stop()
 	p.view.Leave(ctx)
 	<-accepting.C
@@ -111,9 +115,9 @@
 	}
 }
 
-// close ends all servers.
+// close closes all servers.
 func (s *servers) close() {
 	for _, server := range []*http.Server{s.clients, s.readiness, s.metrics} {
-		_ = server.Close() // what is open at the end of the grace time is cut
+		_ = server.Close() // connections still open at the end of the grace period are cut
 	}
 }
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -1,7 +1,7 @@
-// Package gateway is the process that serves clients on the users' platform: it takes
-// requests, has their stages done by the pools and sends them to upstreams. All
-// gateways are equal; what they must agree on lies in the platform's store, and the
-// queue of each stage pool is owned by one of them.
+// Package gateway is the process that serves clients on the users' platform: it accepts
+// requests, has the stage pools run their stages and sends them to upstreams. All gateways
+// are equal. What they must agree on is in the platform's store, and the queue of each
+// partition of a stage pool is owned by one of them.
 package gateway
 
 import (
@@ -17,7 +17,7 @@
 	"acaciawinch/settings"
 )
 
-// Settings are a gateway's settings.
+// Settings are the settings of a gateway.
 type Settings struct {
 	Process ProcessSettings `toml:"process"`
 	Listen  ListenSettings  `toml:"listen"`
@@ -27,21 +27,20 @@
 	Log     LogSettings     `toml:"log"`
 }
 
-// ProcessSettings name the process.
+// ProcessSettings describe the process and the machine that it runs on.
 type ProcessSettings struct {
-	// Name is the machine's; no other gateway has it.
+	// Name is the name of the machine; it is unique among the gateways.
 	Name string `toml:"name" required:"true"`
-	// Zone is the availability zone.
+	// Zone is the availability zone of the machine.
 	Zone string `toml:"zone" required:"true"`
-	// Regions says in which region each zone lies: zone=region, separated by commas. Upstreams of
-	// other zones run nothing that is bound to regions.
+	// Regions maps zones to regions: zone=region pairs, separated by commas. Upstreams in
+	// zones that are not listed run no requests that are restricted to regions.
 	Regions string `toml:"regions"`
-	// MemoryMB is what the process may use.
+	// MemoryMB is the memory in MB that the process may use.
 	MemoryMB int `toml:"memory_mb" required:"true"`
-	// Cores is what the process may use of the machine's processor, in cores; 0 if it is not
-	// known.
+	// Cores is the number of CPU cores that the process may use; 0 if unknown.
 	Cores float64 `toml:"cores"`
-	// LinkMbps is the rate of the machine's network link in Mbit/s; 0 if it is not known.
+	// LinkMbps is the rate of the machine's network link in Mbit/s; 0 if unknown.
 	LinkMbps float64 `toml:"link_mbps"`
 }
 
@@ -53,69 +52,69 @@
 	Metrics   string `toml:"metrics" required:"true"`
 }
 
-// StoreSettings tell where the platform's store is.
+// StoreSettings locate the platform's store.
 type StoreSettings struct {
 	Address string `toml:"address" required:"true"`
 }
 
-// BoundSettings are what the platform promises and asks.
+// BoundSettings are the time and rate bounds that the platform sets for gateways.
 type BoundSettings struct {
-	// RevokeMS is the time in ms after which a key that was taken away must not work.
+	// RevokeMS is the time in ms after which a revoked API key must no longer work.
 	RevokeMS int `toml:"revoke_ms" required:"true"`
 	// ConfigApplyMS is the time in ms after which a change that the store has accepted must be
 	// in force.
 	ConfigApplyMS int `toml:"config_apply_ms"`
 	// EvacuateMS is the time in ms after which a zone that the operator has evacuated must get
-	// nothing new; 0 if zones are not evacuated here.
+	// no new work; 0 if this deployment does not evacuate zones.
 	EvacuateMS int `toml:"evacuate_ms"`
-	// ColdOverrun and ColdSlack bound what a cold upstream gets in any second, over all
-	// gateways: overrun × the number that the configuration says it takes + slack.
+	// ColdOverrun and ColdSlack bound the requests that all gateways together send to a cold
+	// upstream in any second: overrun × its configured rate + slack.
 	ColdOverrun float64 `toml:"cold_overrun"`
 	ColdSlack   float64 `toml:"cold_slack"`
-	// GraceSeconds is the time in s that a planned stop may take.
+	// GraceSeconds is the time in s that a planned shutdown may take.
 	GraceSeconds float64 `toml:"grace_s" required:"true"`
-	// RetryRatio and RetrySlack bound the repeated sends to a service in a window,
-	// over all gateways: ratio × requests + slack.
+	// RetryRatio and RetrySlack bound the retries that all gateways together send to a
+	// service in a window: ratio × requests + slack.
 	RetryRatio float64 `toml:"retry_ratio" required:"true"`
 	RetrySlack float64 `toml:"retry_slack" required:"true"`
 }
 
 // FleetSettings are common to all processes of the fleet.
 type FleetSettings struct {
-	// Key is what the processes prove to each other that they hold.
+	// Key is the shared secret with which the processes authenticate to each other.
 	Key string `toml:"key" required:"true"`
-	// FirstStart is set if the whole fleet starts for the first time: the others are there
-	// only a moment later.
+	// FirstStart is set if the whole fleet starts for the first time, so that the other
+	// gateways may come up a moment later than this one.
 	FirstStart bool `toml:"first_start"`
 }
 
-// LogSettings are for the log.
+// LogSettings configure the log.
 type LogSettings struct {
 	// Level is debug, info, warn or error.
 	Level string `toml:"level"`
 }
 
-// Defaults returns the settings of keys that a file may leave out.
+// Defaults returns the values of the keys that a settings file may leave out.
 func Defaults() Settings {
-	return Settings{Log: LogSettings{Level: "info"}, Bounds: BoundSettings{ConfigApplyMS: defaultApplyMS, ColdOverrun: defaultOverrun}}
+	return Settings{Log: LogSettings{Level: "info"}, Bounds: BoundSettings{ConfigApplyMS: defaultConfigApplyMS, ColdOverrun: defaultColdOverrun}}
 }
 
-// defaultApplyMS is the shortest bound of the sites known, in ms.
-const defaultApplyMS = 2000
+// defaultConfigApplyMS is the shortest config_apply_ms of the known deployments.
+const defaultConfigApplyMS = 2000
 
-// defaultOverrun leaves cold upstreams the number that the configuration says they take.
-const defaultOverrun = 1
+// defaultColdOverrun limits a cold upstream to its configured rate.
+const defaultColdOverrun = 1
 
-// Bounds of process.memory_mb: a Go process needs some 16 MB to run at all.
+// Bounds of process.memory_mb. A Go process needs about 16 MB to run at all.
 const (
-	leastMemoryMB = 16
-	mostMemoryMB  = 1 << 20
+	minMemoryMB = 16
+	maxMemoryMB = 1 << 20
 )
 
 // Validate implements settings.Validator.
 func (p *ProcessSettings) Validate() error {
-	if p.MemoryMB < leastMemoryMB || p.MemoryMB > mostMemoryMB {
-		return settings.Invalid("memory_mb", "must be from %d to %d", leastMemoryMB, mostMemoryMB)
+	if p.MemoryMB < minMemoryMB || p.MemoryMB > maxMemoryMB {
+		return settings.Invalid("memory_mb", "must be from %d to %d", minMemoryMB, maxMemoryMB)
 	}
 	if _, err := p.regions(); err != nil {
 		return err
@@ -135,10 +134,10 @@
 	if p.Regions == "" {
 		return byZone, nil
 	}
-	for _, one := range strings.Split(p.Regions, ",") {
-		zone, region, found := strings.Cut(one, "=")
+	for _, pair := range strings.Split(p.Regions, ",") {
+		zone, region, found := strings.Cut(pair, "=")
 		if !found || zone == "" || region == "" {
-			return nil, settings.Invalid("regions", "must be zone=region, separated by commas, has %q", one)
+			return nil, settings.Invalid("regions", "must be zone=region pairs separated by commas, has %q", pair)
 		}
 		byZone[zone] = region
 	}
@@ -174,19 +173,19 @@
 	return nil
 }
 
-// leastApplyMS is the least of bounds.config_apply_ms and bounds.evacuate_ms: below it the
-// store's readers could not be watched closely enough.
-const leastApplyMS = 200
+// minApplyMS is the minimum of bounds.config_apply_ms and bounds.evacuate_ms: with less, the
+// store's readers could not be checked often enough.
+const minApplyMS = 200
 
 // Validate implements settings.Validator.
 func (b *BoundSettings) Validate() error {
 	switch {
 	case b.RevokeMS < 1:
 		return settings.Invalid("revoke_ms", "must be at least 1")
-	case b.ConfigApplyMS < leastApplyMS:
-		return settings.Invalid("config_apply_ms", "must be at least %d", leastApplyMS)
-	case b.EvacuateMS != 0 && b.EvacuateMS < leastApplyMS:
-		return settings.Invalid("evacuate_ms", "must be 0 or at least %d", leastApplyMS)
+	case b.ConfigApplyMS < minApplyMS:
+		return settings.Invalid("config_apply_ms", "must be at least %d", minApplyMS)
+	case b.EvacuateMS != 0 && b.EvacuateMS < minApplyMS:
+		return settings.Invalid("evacuate_ms", "must be 0 or at least %d", minApplyMS)
 	case b.ColdOverrun <= 0:
 		return settings.Invalid("cold_overrun", "must be above 0")
 	case b.ColdSlack < 0:
@@ -201,16 +200,17 @@
 	return nil
 }
 
-// confirmMargin is how much earlier than the bound on keys a request with a key is
-// refused: the time from the check until an upstream begins, and the error of clocks.
+// confirmMargin is how long before bounds.revoke_ms has passed requests with API keys are
+// refused. It covers the time from the check until an upstream starts the request, and clock
+// error.
 const confirmMargin = 500 * time.Millisecond
 
-// confirmWithin returns for how long keys are trusted without a new proof.
+// confirmWithin returns for how long API keys are trusted without a new freshness proof.
 func (b *BoundSettings) confirmWithin() time.Duration {
 	return max(time.Duration(b.RevokeMS)*time.Millisecond-confirmMargin, confirmMargin)
 }
 
-// source returns what the settings say of the store.
+// source returns the settings that concern the store.
 func (s *Settings) source() view.Source {
 	return view.Source{
 		Store:         s.Store.Address,
@@ -220,7 +220,8 @@
 	}
 }
 
-// applyWithin returns within which time all that the operator writes must be in force.
+// applyWithin returns the time within which every change by the operator, of the configuration
+// or of evacuated zones, must be in force.
 func (b *BoundSettings) applyWithin() time.Duration {
 	within := b.ConfigApplyMS
 	if b.EvacuateMS > 0 {
@@ -229,7 +230,7 @@
 	return time.Duration(within) * time.Millisecond
 }
 
-// retries returns what the settings say of repeated sends.
+// retries returns the settings that bound retries.
 func (s *Settings) retries() flow.Retries {
 	return flow.Retries{Ratio: s.Bounds.RetryRatio, Slack: s.Bounds.RetrySlack}
 }
--- a/gateway/settings_test.go
+++ b/gateway/settings_test.go
@@ -15,8 +15,8 @@
 	"acaciawinch/settings"
 )
 
-// example returns the text of the example settings.
-func example(t *testing.T) string {
+// exampleText returns the text of the example settings file.
+func exampleText(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile("../examples/gateway.toml")
 	assert.NilError(t, err)
@@ -36,17 +36,17 @@
 		"retry_slack = 54|retry_slack = 54\nmore = 1":      "bounds.more: unknown key",
 	} {
 		from, to, _ := strings.Cut(change, "|")
-		text := strings.Replace(example(t), from, to, 1)
-		assert.Assert(t, text != example(t), from)
+		text := strings.Replace(exampleText(t), from, to, 1)
+		assert.Assert(t, text != exampleText(t), from)
 		loaded := Defaults()
 		assert.ErrorContains(t, settings.Decode("g.toml", []byte(text), &loaded), message)
 	}
 }
 
-// placeholder matches a value of the platform in a template.
+// placeholder matches a placeholder for a platform value in the template.
 var placeholder = regexp.MustCompile(`\{\{([a-z_0-9.]+)(\|json)?\}\}`)
 
-// platformValues are values as the platform gives them.
+// platformValues are values as the platform fills them in.
 var platformValues = map[string]string{
 	"node_name": "edge-1", "zone": "sala-inaquito", "ip": "10.1.0.41", "limits.memory_mb": "284", "limits.link_mbps": "1000.0", "limits.cpu_share": "0.304",
 	"listen.frontend": "10.1.0.41:8625", "listen.readiness": "10.1.0.41:8621", "internal_ports.0": "7740", "internal_ports.1": "7755",
@@ -55,20 +55,20 @@
 	"bootstrap": "true",
 }
 
-// bare matches values that JSON does not quote.
-var bare = regexp.MustCompile(`^([0-9.]+|true|false)$`)
+// unquoted matches values that JSON does not quote.
+var unquoted = regexp.MustCompile(`^([0-9.]+|true|false)$`)
 
-// section matches what a template has only where the platform has a value.
+// section matches a part of the template that is kept only if the platform has a value for it.
 var section = regexp.MustCompile(`(?s)\{\{#([a-z_0-9.]+)\}\}(.*?)\{\{/[a-z_0-9.]+\}\}`)
 
-// placeValues are values that the platform gives only where zones may be evacuated and
+// optionalValues are values that the platform fills in only where zones may be evacuated and
 // upstreams start cold.
-var placeValues = map[string]string{"bounds.evacuate_ms": "5000", "bounds.cold_overrun": "1.5", "bounds.cold_slack": "5"}
+var optionalValues = map[string]string{"bounds.evacuate_ms": "5000", "bounds.cold_overrun": "1.5", "bounds.cold_slack": "5"}
 
-// zonesSection is the template's list over the zones and their regions.
+// zonesSection is the loop over the zones and their regions in the template.
 const zonesSection = "{{#zones}}{{@}}={{.}}{{,}}{{/zones}}"
 
-// fill returns the settings that the template gives with the platform's values.
+// fill returns the settings decoded from the template filled in with values.
 func fill(t *testing.T, values map[string]string) Settings {
 	t.Helper()
 	template, err := os.ReadFile("../deploy/gateway.toml.tmpl")
@@ -84,8 +84,8 @@
 	filled := placeholder.ReplaceAllStringFunc(present, func(found string) string {
 		match := placeholder.FindStringSubmatch(found)
 		value, known := values[match[1]]
-		assert.Check(t, known, "the platform has no %s", match[1])
-		if match[2] != "" && !bare.MatchString(value) {
+		assert.Check(t, known, "the platform has no value for %s", match[1])
+		if match[2] != "" && !unquoted.MatchString(value) {
 			return strconv.Quote(value)
 		}
 		return value
@@ -95,24 +95,25 @@
 	return loaded
 }
 
-func TestTheTemplateOfThePlatformGivesSoundSettings(t *testing.T) {
+func TestDeployTemplateYieldsValidSettings(t *testing.T) {
 	loaded := fill(t, platformValues)
 	assert.Equal(t, loaded.Listen.Fleet, "10.1.0.41:7740")
 	assert.Assert(t, loaded.Fleet.FirstStart)
 	regions, err := loaded.Process.regions()
 	assert.NilError(t, err)
 	assert.DeepEqual(t, regions, map[string]string{"sala-inaquito": "sierra-norte", "sala-carcelen": "sierra-norte"})
-	plain := BoundSettings{RevokeMS: 5000, ConfigApplyMS: 4000, GraceSeconds: 8, RetryRatio: 0.2, RetrySlack: 54, ColdOverrun: 1}
-	assert.Equal(t, loaded.Bounds, plain)
+	want := BoundSettings{RevokeMS: 5000, ConfigApplyMS: 4000, GraceSeconds: 8, RetryRatio: 0.2, RetrySlack: 54, ColdOverrun: 1}
+	assert.Equal(t, loaded.Bounds, want)
 
 	all := maps.Clone(platformValues)
-	maps.Copy(all, placeValues)
-	plain.EvacuateMS, plain.ColdOverrun, plain.ColdSlack = 5000, 1.5, 5
-	assert.Equal(t, fill(t, all).Bounds, plain)
+	maps.Copy(all, optionalValues)
+	want.EvacuateMS, want.ColdOverrun, want.ColdSlack = 5000, 1.5, 5
+	assert.Equal(t, fill(t, all).Bounds, want)
 }
 
-// TestTheShorterBoundOnTheOperatorsWritesCounts: a source is left in time for either.
-func TestTheShorterBoundOnTheOperatorsWritesCounts(t *testing.T) {
+// TestApplyWithinIsTheShorterOfBothBounds guards against a gateway that leaves a stale source
+// too late for the shorter of config_apply_ms and evacuate_ms.
+func TestApplyWithinIsTheShorterOfBothBounds(t *testing.T) {
 	assert.Equal(t, (&BoundSettings{ConfigApplyMS: 4000}).applyWithin(), 4*time.Second)
 	assert.Equal(t, (&BoundSettings{ConfigApplyMS: 4000, EvacuateMS: 3000}).applyWithin(), 3*time.Second)
 	assert.Equal(t, (&BoundSettings{ConfigApplyMS: 4000, EvacuateMS: 5000}).applyWithin(), 4*time.Second)
@@ -127,7 +128,7 @@
 	logger, err := observe.NewLogger(&log, "g", "info")
 	assert.NilError(t, err)
 	current := Defaults()
-	text := example(t)
+	text := exampleText(t)
 	load := func() (Settings, error) {
 		loaded := Defaults()
 		err := settings.Decode("g.toml", []byte(text), &loaded)
@@ -135,18 +136,18 @@
 	}
 	var applied []Settings
 	r := newReloader(current, load, func(s Settings) { applied = append(applied, s) }, logger)
-	r.look(false)
+	r.poll(false)
 	assert.Equal(t, len(applied), 1)
-	r.look(false)
-	assert.Equal(t, len(applied), 1, "nothing has changed")
+	r.poll(false)
+	assert.Equal(t, len(applied), 1, "unchanged settings are not applied again")
 
 	text = "["
-	r.look(false)
-	r.look(false)
+	r.poll(false)
+	r.poll(false)
 	assert.Equal(t, len(applied), 1)
 	assert.Equal(t, strings.Count(log.String(), "\"level\":\"warn\""), 1, "a file that stays unreadable is logged once")
 
-	text = strings.Replace(example(t), "127.0.0.1:8624", "127.0.0.1:8699", 1)
-	r.look(true)
+	text = strings.Replace(exampleText(t), "127.0.0.1:8624", "127.0.0.1:8699", 1)
+	r.poll(true)
 	assert.Equal(t, applied[1].Store.Address, "127.0.0.1:8699")
 }
--- a/gateway/zones.go
+++ b/gateway/zones.go
@@ -12,22 +12,24 @@
 	"acaciawinch/observe/event"
 )
 
-// zonesEvery is how often it is looked at what is still open in evacuated zones.
-const zonesEvery = 250 * time.Millisecond
+// zoneCheckInterval is the interval at which the requests and calls in flight in evacuated zones
+// are counted.
+const zoneCheckInterval = 250 * time.Millisecond
 
-// zoneWatch tells operators when an evacuated zone is empty, as far as this process goes.
+// zoneWatch reports to operators, in metrics and the log, when this process has nothing in flight
+// in an evacuated zone any more.
 type zoneWatch struct {
-	// evacuations returns the zones that are to be emptied.
+	// evacuations returns the evacuations in force.
 	evacuations func() []view.Evacuation
-	// open returns how many requests and calls of this process are open in a zone.
+	// open returns the number of this process's requests and calls in flight in a zone.
 	open   func(zone string) int
 	logger *observe.Logger
 	scope  tally.Scope
-	// emptied holds the evacuations that were told to be over, by zone.
+	// emptied holds, by zone, the evacuation that was last logged as complete.
 	emptied map[string]view.Evacuation
 }
 
-// newZoneWatch returns the watch of a process.
+// newZoneWatch returns the zoneWatch of a process.
 func newZoneWatch(p *process) *zoneWatch {
 	return &zoneWatch{
 		evacuations: p.view.Evacuations,
@@ -38,23 +40,23 @@
 	}
 }
 
-// run looks until ctx ends.
+// run checks the evacuated zones until ctx is cancelled.
 func (w *zoneWatch) run(ctx context.Context) error {
-	ticker := time.NewTicker(zonesEvery)
+	ticker := time.NewTicker(zoneCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			w.look()
+			w.check()
 		}
 	}
 }
 
-// look shows what is open in each evacuated zone, and logs once for each evacuation when
-// nothing is.
-func (w *zoneWatch) look() {
+// check updates the gauge of work in flight for each evacuated zone, and logs once per
+// evacuation when the zone is empty.
+func (w *zoneWatch) check() {
 	evacuations := w.evacuations()
 	w.scope.Gauge("evacuated_zones").Update(float64(len(evacuations)))
 	for _, evacuation := range evacuations {
--- a/gateway/zones_test.go
+++ b/gateway/zones_test.go
@@ -12,8 +12,9 @@
 	"acaciawinch/observe"
 )
 
-// TestAnEmptiedZoneIsToldOnceForEachEvacuation: when nothing is open there any more.
-func TestAnEmptiedZoneIsToldOnceForEachEvacuation(t *testing.T) {
+// TestEmptiedZoneIsLoggedOncePerEvacuation checks that a zone is logged as empty once it has nothing
+// in flight, and again only if it is evacuated again.
+func TestEmptiedZoneIsLoggedOncePerEvacuation(t *testing.T) {
 	var log strings.Builder
 	logger, err := observe.NewLogger(&log, "g", "info")
 	assert.NilError(t, err)
@@ -27,18 +28,18 @@
 		scope:       scope,
 		emptied:     make(map[string]view.Evacuation),
 	}
-	told := func() int { return strings.Count(log.String(), "zone_emptied") }
-	w.look()
-	assert.Equal(t, told(), 0)
+	logged := func() int { return strings.Count(log.String(), "zone_emptied") }
+	w.check()
+	assert.Equal(t, logged(), 0)
 	assert.Equal(t, scope.Snapshot().Gauges()["evacuated_open+zone=z1"].Value(), 2.0)
 	open = 0
-	w.look()
-	w.look()
-	assert.Equal(t, told(), 1)
+	w.check()
+	w.check()
+	assert.Equal(t, logged(), 1)
 	evacuations[0].Since = time.Minute
-	w.look()
-	assert.Equal(t, told(), 2, "it was evacuated again")
+	w.check()
+	assert.Equal(t, logged(), 2, "the zone was evacuated again")
 	evacuations = nil
-	w.look()
+	w.check()
 	assert.Equal(t, scope.Snapshot().Gauges()["evacuated_zones+"].Value(), 0.0)
 }
