--- a/gateway/flow/cold.go
+++ b/gateway/flow/cold.go
@@ -7,27 +7,29 @@
 	"acaciawinch/core/slowstart"
 )
 
-// coldKnowledge is how old what this process knows of the others may be for it to send to a
-// cold upstream: one that is cut off can't tell who else sends.
-const coldKnowledge = 2500 * time.Millisecond
+// maxColdViewAge is the age up to which this process's view of the other gateways allows it to
+// send to a cold upstream: a process that is cut off can't tell which others send.
+const maxColdViewAge = 2500 * time.Millisecond
 
-// isColdOf tells whether an upstream of a service is cold and takes few requests then.
-func (s *Server) isColdOf(service *routes.Service, upstream routes.Upstream, now time.Time) bool {
+// isColdUpstream reports whether an upstream is cold and its service limits requests to cold
+// upstreams.
+func (s *Server) isColdUpstream(service *routes.Service, upstream routes.Upstream, now time.Time) bool {
 	return service != nil && service.ColdPerSecond > 0 && upstream.IsCold(service.ColdStart, now)
 }
 
-// isCold tells whether the request's upstream is cold.
+// isCold reports whether an upstream of the request's service is cold and limited.
 func (rq *request) isCold(upstream routes.Upstream) bool {
-	return rq.isColdOf(rq.table.Service(rq.service), upstream, time.Now())
+	return rq.isColdUpstream(rq.table.Service(rq.service), upstream, time.Now())
 }
 
-// allowsCold tells whether this process may send a request to a cold upstream now. One that is
-// stopping is no member any more, and another one sends in its place. The lock is held.
+// allowsCold reports whether this process may send a request to a cold upstream now. A process
+// that is draining is no longer a member, and another gateway sends in its place. s.mu must be
+// held.
 func (s *Server) allowsCold(service *routes.Service, upstream routes.Upstream, now time.Time) bool {
 	if s.draining.Load() {
 		return false
 	}
-	if age, known := s.View.KeysAge(); !known || age > coldKnowledge {
+	if age, known := s.View.KeysAge(); !known || age > maxColdViewAge {
 		return false
 	}
 	return s.cold.Allows(upstream.ID, slowstart.Bound{PerSecond: service.ColdPerSecond, Overrun: s.ColdOverrun, Slack: s.ColdSlack}, now)
--- a/gateway/flow/handler.go
+++ b/gateway/flow/handler.go
@@ -23,78 +23,82 @@
 	"acaciawinch/platform/header"
 )
 
-// Limits of what is read from clients.
+// Limits on client requests.
 const (
-	// defaultBodyBytes applies where the configuration has no limit.
+	// defaultBodyBytes is the body limit if the configuration sets none.
 	defaultBodyBytes = 4 << 20
-	// bodiesBytes bounds the bodies that are held at once, a fifth of the smallest
-	// machine's memory.
-	bodiesBytes = 32 << 20
-	// answerMargin is how long before the client gives up a request is ended, so that
-	// the answer still reaches it: the way to clients takes some 3 ms.
-	answerMargin = 25 * time.Millisecond
-	// defaultTimeout applies where neither the client nor the route has one.
+	// maxBufferedBodyBytes bounds the request bodies that are buffered at the same time: a
+	// fifth of the smallest machine's memory.
+	maxBufferedBodyBytes = 32 << 20
+	// responseMargin is how long before the client's timeout a request is ended, so that the
+	// response still reaches the client: the network path to clients takes about 3 ms.
+	responseMargin = 25 * time.Millisecond
+	// defaultTimeout applies if neither the client nor the route sets a timeout.
 	defaultTimeout = 60 * time.Second
 )
 
-// Retry-After of refusals.
+// Retry-After values of refusals.
 const (
-	// retryUnready is for a process that does not know enough yet: other processes do.
-	retryUnready = 300 * time.Millisecond
-	// retryBusy is for a request that found no place: upstreams turn over a good part
-	// of their work within it.
-	retryBusy = 400 * time.Millisecond
+	// retryAfterNotReady is for a process whose view is not complete or not fresh enough;
+	// other processes can serve the request.
+	retryAfterNotReady = 300 * time.Millisecond
+	// retryAfterBusy is for a request that found no free capacity: upstreams finish a good
+	// part of their work within it.
+	retryAfterBusy = 400 * time.Millisecond
 )
 
-// request is one request of a client on its way.
+// request is the state of one client request.
 type request struct {
 	*Server
 	w     http.ResponseWriter
 	r     *http.Request
 	table *routes.Table
 	route *routes.Route
-	asked header.Request
-	// workspace is who holds the client's key; nil on routes without keys.
+	hdr   header.Request
+	// workspace is the owner of the client's API key; nil on routes without keys.
 	workspace *routes.Workspace
 	service   string
 	class     pools.Class
-	// value is what the request counts for against others of its class's rank.
+	// value is the weight of the request against others of the same rank.
 	value float64
 	body  []byte
-	// fingerprint is that of all attempts that ask for the same.
+	// fingerprint is equal for all attempts at the same request.
 	fingerprint fingerprint.Fingerprint
-	began       time.Time
-	// since is when its client began at the latest: before began if it was refused elsewhere.
-	since    time.Time
-	deadline time.Time
-	// startBy is when the answer must have begun: the client leaves then.
+	started     time.Time
+	// clientStarted is the latest time at which the client can have made its first attempt; it
+	// is before started if another process refused an earlier attempt.
+	clientStarted time.Time
+	deadline      time.Time
+	// startBy is the time by which the response must have started; the client gives up then.
 	startBy time.Time
-	// ctx ends at the deadline, or when the client leaves.
+	// ctx ends at the deadline, or when the client disconnects.
 	ctx context.Context
 
-	// tried are the upstreams that the request was sent to, and sends how often.
+	// tried are the upstreams that were chosen for the request; sends counts the sends that
+	// reached an upstream.
 	tried []string
 	sends int
-	// crashPass lets it be sent although upstreams have crashed under it.
+	// crashPass allows one send although upstreams have crashed while running the request.
 	crashPass quarantine.Pass
-	// usedPass is the one with which it was sent last.
+	// usedPass is the crashPass of the last send.
 	usedPass quarantine.Pass
-	// mayHaveRun is set once a send can't be proved not to have run.
+	// mayHaveRun is set after a send that can't be proved not to have run.
 	mayHaveRun bool
-	// begun is set once the head of an answer has gone to the client.
-	begun     bool
-	lastEvent string
-	events    int
-	firstAt   time.Time
-	// results are what the stages made; nil before, and on routes without stages.
+	// headSent is set once the head of a response was passed to the client.
+	headSent     bool
+	lastEvent    string
+	events       int
+	firstEventAt time.Time
+	// results are the results of the stages; nil before the stages start, and on routes
+	// without stages.
 	results *results
 }
 
-// ServeHTTP implements http.Handler for clients.
+// ServeHTTP implements http.Handler for client requests.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
-	rq := &request{Server: s, w: w, r: r, began: time.Now()}
+	rq := &request{Server: s, w: w, r: r, started: time.Now()}
 	if !rq.admit() {
 		return
 	}
@@ -107,32 +111,32 @@
 	rq.serve()
 }
 
-// admit decodes the request and checks it against the configuration. It answers what
-// is refused.
+// admit decodes the request and checks it against the configuration. If it refuses the
+// request, it sends the response and returns false.
 func (rq *request) admit() bool {
 	if framing.Ambiguous(rq.r) {
 		rq.w.Header().Set("Connection", "close")
-		return rq.refuse(http.StatusBadRequest, "request.read", "the body has a length and a transfer encoding", 0)
+		return rq.refuse(http.StatusBadRequest, "request.read", "request has both a Content-Length and a Transfer-Encoding", 0)
 	}
-	// Ready comes first: it may turn true between the two.
+	// Ready must be read before Table: it may turn true between the two reads.
 	ready := rq.View.Ready()
 	rq.table = rq.View.Table()
 	if !ready {
-		return rq.refuse(http.StatusServiceUnavailable, "request.admit", "the configuration, the upstreams or the records of crashes are not known yet", retryUnready)
+		return rq.refuse(http.StatusServiceUnavailable, "request.admit", "configuration, upstreams or crash records are not loaded yet", retryAfterNotReady)
 	}
 	if !strings.HasPrefix(rq.r.RequestURI, "/") {
-		return rq.refuse(http.StatusBadRequest, "request.read", "the target is no path", 0)
+		return rq.refuse(http.StatusBadRequest, "request.read", "request target is not a path", 0)
 	}
 	if limit := rq.table.Limits.HeaderBytes; limit > 0 && headBytes(rq.r) > limit {
-		return rq.refuse(http.StatusRequestHeaderFieldsTooLarge, "request.read", "the headers are longer than allowed", 0)
+		return rq.refuse(http.StatusRequestHeaderFieldsTooLarge, "request.read", "request headers exceed the size limit", 0)
 	}
 	path, _, _ := strings.Cut(rq.r.RequestURI, "?")
 	rq.route = rq.table.Find(rq.r.Host, path)
 	if rq.route == nil {
-		return rq.refuseUnknown(http.StatusNotFound, "no route has this host and path")
+		return rq.refuseUnknown(http.StatusNotFound, "no route matches the host and path")
 	}
-	asked, err := header.Read(rq.r.Header, len(rq.route.Stages))
-	rq.asked = asked
+	hdr, err := header.Read(rq.r.Header, len(rq.route.Stages))
+	rq.hdr = hdr
 	if err != nil {
 		return rq.refuse(http.StatusBadRequest, "request.read", err.Error(), 0)
 	}
@@ -143,7 +147,7 @@
 	return rq.readBody()
 }
 
-// headBytes returns the size of a request's head, as its lines were sent.
+// headBytes returns the size of a request's head as sent on the wire.
 func headBytes(r *http.Request) int {
 	const separators = len(": \r\n")
 	size := len(r.Method) + len(r.RequestURI) + len(" ") + len(" HTTP/1.1\r\n")
@@ -156,72 +160,74 @@
 	return size
 }
 
-// authorise finds the workspace of the client's key.
+// authorise finds the workspace of the client's API key. If it refuses the request, it sends the
+// response and returns false.
 func (rq *request) authorise() bool {
 	if !rq.table.NeedsKey(rq.route) {
 		return true
 	}
 	if !rq.View.KeysTrusted() {
-		// A key may have been taken away since the store was last heard: without proof
-		// within the bound nothing with a key runs.
-		return rq.refuse(http.StatusServiceUnavailable, "request.authorise", "the keys were last confirmed "+rq.keysAge(), retryUnready)
+		// A key may have been revoked since the last update from the store. Without a recent
+		// freshness proof, no request with a key may run.
+		return rq.refuse(http.StatusServiceUnavailable, "request.authorise", "API keys were last confirmed "+rq.keysAgeText(), retryAfterNotReady)
 	}
-	rq.workspace = rq.table.Workspace(rq.asked.Key)
+	rq.workspace = rq.table.Workspace(rq.hdr.Key)
 	if rq.workspace == nil {
-		return rq.refuseUnknown(http.StatusUnauthorized, "no workspace holds this key")
+		return rq.refuseUnknown(http.StatusUnauthorized, "no workspace has this API key")
 	}
 	return true
 }
 
-// keysAge tells how old what is known of keys is and who told it, for people.
-func (rq *request) keysAge() string {
+// keysAgeText describes the age of the freshness proof and where it came from, for use in
+// messages.
+func (rq *request) keysAgeText() string {
 	age, known := rq.View.KeysAge()
 	if !known {
 		return "never"
 	}
-	proved, _ := rq.View.Proof()
-	return fmt.Sprintf("%d ms ago, by %s through %d processes", age.Milliseconds(), proved.From, proved.Hops)
+	proof, _ := rq.View.Proof()
+	return fmt.Sprintf("%d ms ago by %s over %d hops", age.Milliseconds(), proof.From, proof.Hops)
 }
 
-// knownWithin is the age of what is known up to which a route or key that is not
-// found does not exist; older than that it may be new.
-const knownWithin = 2500 * time.Millisecond
+// maxConfigAge is the age of the configuration up to which a route or key that is not in it is
+// taken not to exist. In an older configuration, it may just be missing.
+const maxConfigAge = 2500 * time.Millisecond
 
-// refuseUnknown refuses what the configuration does not have, or asks to come back if
-// the configuration here may be old.
+// refuseUnknown refuses a request whose route or key is not in the configuration. If the
+// configuration may be stale, it refuses with 503 and a Retry-After instead of status.
 func (rq *request) refuseUnknown(status int, detail string) bool {
-	if age, known := rq.View.KeysAge(); !known || age > knownWithin {
-		return rq.refuse(http.StatusServiceUnavailable, "request.admit", detail+", and the configuration was last confirmed "+rq.keysAge(), retryUnready)
+	if age, known := rq.View.KeysAge(); !known || age > maxConfigAge {
+		return rq.refuse(http.StatusServiceUnavailable, "request.admit", detail+", and the configuration was last confirmed "+rq.keysAgeText(), retryAfterNotReady)
 	}
 	return rq.refuse(status, "request.admit", detail, 0)
 }
 
-// plan sets the request's service, class and times.
+// plan sets the request's service, class, value and deadlines.
 func (rq *request) plan() {
-	rq.service = pick(rq.route.Targets, rq.asked.ID)
+	rq.service = pickTarget(rq.route.Targets, rq.hdr.ID)
 	rq.class = pools.Class{Priority: rq.route.Priority}
 	if rq.workspace != nil && rq.workspace.HasPriority {
 		rq.class.Rank = rq.workspace.Priority
 	}
-	rq.value = value.Of(value.Request{Priority: rq.route.Priority, PromptTokens: rq.asked.PromptTokens, OutputTokens: rq.asked.OutputTokens})
-	rq.since = rq.began.Add(-rq.used(rq.route.Name, rq.asked.Remaining))
+	rq.value = value.Of(value.Request{Priority: rq.route.Priority, PromptTokens: rq.hdr.PromptTokens, OutputTokens: rq.hdr.OutputTokens})
+	rq.clientStarted = rq.started.Add(-rq.clientTimeUsed(rq.route.Name, rq.hdr.Remaining))
 	wait := rq.route.Timeout
 	if wait == 0 {
 		wait = defaultTimeout
 	}
-	if asked := rq.asked.Remaining; asked > 0 {
-		wait = min(wait, asked-answerMargin)
+	if remaining := rq.hdr.Remaining; remaining > 0 {
+		wait = min(wait, remaining-responseMargin)
 	}
-	rq.deadline = rq.began.Add(wait)
+	rq.deadline = rq.started.Add(wait)
 	rq.startBy = rq.deadline
 	if within := rq.route.StartWithin; within > 0 && within < wait {
-		rq.startBy = rq.began.Add(within - answerMargin)
+		rq.startBy = rq.started.Add(within - responseMargin)
 	}
 }
 
-// pick returns the service of one of the targets by their weights; the same request
-// always gets the same.
-func pick(targets []routes.Target, id string) string {
+// pickTarget returns the service of one of the targets, chosen by weight. The choice depends
+// only on the request's ID, so that all attempts with the same ID get the same service.
+func pickTarget(targets []routes.Target, id string) string {
 	total := 0
 	for _, t := range targets {
 		total += t.Weight
@@ -236,24 +242,24 @@
 	return targets[0].Service
 }
 
-// readBody reads the whole body: a request is passed on only when it is known to be
-// whole, and an idempotent one can be sent again.
+// readBody reads the whole body before anything is forwarded, so that upstreams only get
+// complete requests and an idempotent request can be sent again.
 func (rq *request) readBody() bool {
 	limit := rq.table.Limits.BodyBytes
 	if limit <= 0 {
 		limit = defaultBodyBytes
 	}
 	if rq.r.ContentLength > limit {
-		return rq.refuse(http.StatusRequestEntityTooLarge, "request.body", "the body is longer than allowed", 0)
+		return rq.refuse(http.StatusRequestEntityTooLarge, "request.body", "request body exceeds the size limit", 0)
 	}
-	if rq.bodies.Load() > bodiesBytes {
-		return rq.refuse(http.StatusServiceUnavailable, "request.body", "too many bodies are held", retryBusy)
+	if rq.bodies.Load() > maxBufferedBodyBytes {
+		return rq.refuse(http.StatusServiceUnavailable, "request.body", "buffered request bodies exceed the memory limit", retryAfterBusy)
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(rq.w, rq.r.Body, limit))
 	var tooLong *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLong):
-		return rq.refuse(http.StatusRequestEntityTooLarge, "request.body", "the body is longer than allowed", 0)
+		return rq.refuse(http.StatusRequestEntityTooLarge, "request.body", "request body exceeds the size limit", 0)
 	case err != nil:
 		rq.w.Header().Set("Connection", "close")
 		return rq.refuse(http.StatusBadRequest, "request.body", err.Error(), 0)
@@ -265,24 +271,24 @@
 
 // identify returns the fingerprint of the request.
 func (rq *request) identify() fingerprint.Fingerprint {
-	asked := fingerprint.Request{Method: rq.r.Method, Host: rq.r.Host, Target: rq.r.RequestURI, Body: rq.body}
+	content := fingerprint.Request{Method: rq.r.Method, Host: rq.r.Host, Target: rq.r.RequestURI, Body: rq.body}
 	if rq.workspace != nil {
-		asked.Workspace = rq.workspace.Name
+		content.Workspace = rq.workspace.Name
 	}
-	return fingerprint.Of(asked)
+	return fingerprint.Of(content)
 }
 
-// serve runs the stages and sends the request until it has an answer.
+// serve runs the stages and sends the request, with retries, until the client has a response.
 func (rq *request) serve() {
-	if why, after := rq.closed(); why != "" {
-		rq.refuse(http.StatusServiceUnavailable, "request.choose", why, after)
+	if reason, retryAfter := rq.unavailable(); reason != "" {
+		rq.refuse(http.StatusServiceUnavailable, "request.choose", reason, retryAfter)
 		return
 	}
 	defer func() { rq.results.free() }()
-	defer func() { rq.Guard.Return(rq.fingerprint, rq.asked.ID, rq.crashPass, false) }()
-	rq.deposit(rq.service, rq.began)
+	defer func() { rq.Guard.Return(rq.fingerprint, rq.hdr.ID, rq.crashPass, false) }()
+	rq.countRequest(rq.service, rq.started)
 	for {
-		err := rq.checkCrashes()
+		err := rq.checkQuarantine()
 		if err == nil {
 			err = rq.prepare()
 		}
@@ -294,16 +300,17 @@
 		if err == nil {
 			return
 		}
-		if !rq.mayGoOn(err) {
+		if !rq.mayRetry(err) {
 			rq.giveUp(err)
 			return
 		}
 	}
 }
 
-// checkCrashes returns an error if the request must not be sent as upstreams crash under it.
-func (rq *request) checkCrashes() error {
-	pass, refusal := rq.Guard.Check(rq.ctx, quarantine.Attempt{Request: rq.fingerprint, ID: rq.asked.ID, Held: rq.crashPass, Runs: rq.runsWithout})
+// checkQuarantine returns an error if the request must not be sent because upstreams crash while
+// running it.
+func (rq *request) checkQuarantine() error {
+	pass, refusal := rq.Guard.Check(rq.ctx, quarantine.Attempt{Request: rq.fingerprint, ID: rq.hdr.ID, Held: rq.crashPass, Runs: rq.canRunExcluding})
 	rq.crashPass = pass
 	if refusal != nil {
 		return fault.Wrap(fault.Refused, "request.quarantine", rq.service, refusal)
@@ -311,38 +318,40 @@
 	return nil
 }
 
-// runsWithout tells whether an upstream takes the request now that is not one of some starts.
-func (rq *request) runsWithout(ended []string) bool {
-	wanted := rq.want()
-	wanted.ended = ended
-	_, found := rq.look(wanted)
+// canRunExcluding reports whether there is an upstream for the request now, other than the
+// incarnations in excluded.
+func (rq *request) canRunExcluding(excluded []string) bool {
+	req := rq.requirements()
+	req.excluded = excluded
+	_, found := rq.preview(req)
 	return found
 }
 
-// closed returns why a service that the request needs takes nothing until its deadline, and when to
-// come back; empty if all may: its client is told before any stage is done in vain.
-func (rq *request) closed() (why string, after time.Duration) {
+// unavailable returns why a service that the request needs accepts no work in time, and when the
+// client may retry. The reason is empty if no service rules the request out. The check comes
+// before the stages, so that none of them runs in vain.
+func (rq *request) unavailable() (reason string, retryAfter time.Duration) {
 	services := []string{rq.service}
 	for i, stage := range rq.route.Stages {
-		if rq.asked.Pieces[i] > 0 {
+		if rq.hdr.Pieces[i] > 0 {
 			services = append(services, stage.Service)
 		}
 	}
 	upstreams, now := rq.View.Upstreams(), time.Now()
 	for _, service := range services {
 		if upstreams.Evacuated(service) {
-			return "all upstreams of " + service + " are in evacuated zones", retryBusy
+			return "all upstreams of " + service + " are in evacuated zones", retryAfterBusy
 		}
 		if opens := upstreams.Opens(service, now); opens.After(rq.startBy) {
-			return "all upstreams of " + service + " have asked for a pause", opens.Sub(now)
+			return "all upstreams of " + service + " are backed off", opens.Sub(now)
 		}
 	}
 	return "", 0
 }
 
-// mayGoOn tells whether the request may be sent once more after a send that failed
-// with err.
-func (rq *request) mayGoOn(err error) bool {
+// mayRetry reports whether the request may be sent again after a send that failed with
+// err. It withdraws the retry from the budget of the service, unless nothing was sent.
+func (rq *request) mayRetry(err error) bool {
 	if rq.ctx.Err() != nil {
 		return false
 	}
@@ -350,37 +359,38 @@
 	if !errors.As(err, &f) {
 		return false
 	}
-	if f.ran && (rq.route.Repeat == routes.AtMostOnce || rq.begun && rq.route.Repeat != routes.Resumable) {
+	if f.mayHaveRun && (rq.route.Repeat == routes.AtMostOnce || rq.headSent && rq.route.Repeat != routes.Resumable) {
 		return false
 	}
 	if f.unsent {
-		return len(rq.tried) < maxUnsent
+		return len(rq.tried) < maxUnreached
 	}
 	if f.replaced {
-		// Many engines that crashed and came back under new names turn away what is sent to
-		// the old ones until discovery drops these; given up, all stages would be lost.
-		return len(rq.tried) < maxUnsent && rq.spend(rq.service, time.Now())
+		// Engines that crashed and restarted under new IDs reject requests for their old IDs
+		// until discovery drops these. Giving up would lose the results of all stages.
+		return len(rq.tried) < maxUnreached && rq.withdrawRetry(rq.service, time.Now())
 	}
-	again := rq.sends < rq.route.MaxAttempts && rq.spend(rq.service, time.Now())
+	again := rq.sends < rq.route.MaxAttempts && rq.withdrawRetry(rq.service, time.Now())
 	return again
 }
 
-// maxUnsent bounds the upstreams that could not be reached, or had ended.
-const maxUnsent = 4
+// maxUnreached bounds the upstreams tried for a request that could not be reached or were
+// replaced by others.
+const maxUnreached = 4
 
-// giveUp answers a request that can't be served. The client's connection is ended if
-// a part of an answer has gone out.
+// giveUp ends a request that can't be served. It refuses the request, or closes the client's
+// connection if part of a response was already sent.
 func (rq *request) giveUp(err error) {
-	took := time.Since(rq.began)
+	took := time.Since(rq.started)
 	switch {
 	case rq.r.Context().Err() != nil:
-		rq.Metrics.ended("left", took)
-		rq.Logger.Event(event.GatewayLeft, observe.Fields{"request": rq.asked.ID, "route": rq.route.Name,
+		rq.Metrics.requestEnded("left", took)
+		rq.Logger.Event(event.GatewayLeft, observe.Fields{"request": rq.hdr.ID, "route": rq.route.Name,
 			"step": stepOf(err), "duration_us": took.Microseconds()})
 		panic(http.ErrAbortHandler)
-	case rq.begun:
-		rq.Metrics.ended("broken", took)
-		rq.Logger.Warn(event.GatewayBroken, observe.Fields{"request": rq.asked.ID, "route": rq.route.Name,
+	case rq.headSent:
+		rq.Metrics.requestEnded("broken", took)
+		rq.Logger.Warn(event.GatewayBroken, observe.Fields{"request": rq.hdr.ID, "route": rq.route.Name,
 			"upstream": last(rq.tried), "events": rq.events, "error": err.Error(), "duration_us": took.Microseconds()})
 		panic(http.ErrAbortHandler)
 	case !rq.mayHaveRun:
@@ -392,29 +402,30 @@
 	}
 }
 
-// retryAfter returns when a client whose request did not run is asked to come back.
+// retryAfter returns the Retry-After value for a request that failed with err and did not run.
 func (rq *request) retryAfter(err error) time.Duration {
 	var refusal *quarantine.Refusal
 	if errors.As(err, &refusal) {
 		return refusal.RetryAfter
 	}
-	return rq.whenServed()
+	return rq.estimateRetryAfter()
 }
 
-// whenServed estimates after which time a request that found no place finds one: as a
-// late task is asked for pool.Doubt times what waits at the fullest pool of its route,
-// what is there now and what comes in ahead of it has been worked off then. With one
-// time the backlog clients come back into the same burst and are refused again.
-func (rq *request) whenServed() time.Duration {
+// estimateRetryAfter estimates how long it takes until a request that found no capacity can be
+// served: pool.Doubt times the longest backlog of the pools on its route, which is also the time
+// that must remain for a late task. By then the present backlog, and what is queued ahead of the
+// request meanwhile, have been processed. With only one times the backlog, clients come back
+// during the same burst and are refused again.
+func (rq *request) estimateRetryAfter() time.Duration {
 	now := time.Now()
-	longest := max(retryBusy, rq.View.Upstreams().Opens(rq.service, now).Sub(now))
+	longest := max(retryAfterBusy, rq.View.Upstreams().Opens(rq.service, now).Sub(now))
 	for _, stage := range rq.route.Stages {
-		longest = max(longest, pool.Doubt*rq.Asker.Backlog(stage.Service))
+		longest = max(longest, pool.Doubt*rq.Caller.Backlog(stage.Service))
 	}
 	return longest
 }
 
-// last returns the last of a list, empty if there is none.
+// last returns the last element of a list, or an empty string.
 func last(list []string) string {
 	if len(list) == 0 {
 		return ""
@@ -422,7 +433,7 @@
 	return list[len(list)-1]
 }
 
-// stepOf returns the step at which an error arose.
+// stepOf returns the step at which an error occurred.
 func stepOf(err error) string {
 	var f *fault.Error
 	if errors.As(err, &f) {
--- a/gateway/flow/metrics.go
+++ b/gateway/flow/metrics.go
@@ -6,34 +6,34 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Metrics counts requests and their times.
+// Metrics records the counts and durations of requests, stages and sends.
 type Metrics struct {
 	scope tally.Scope
 }
 
-// latencyBuckets covers 1 ms to 16 s.
+// latencyBuckets cover 1 ms to 16 s.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 15)
 
 // NewMetrics returns metrics under scope.
 func NewMetrics(scope tally.Scope) *Metrics { return &Metrics{scope: scope} }
 
-// ended counts one request by its end.
-func (m *Metrics) ended(outcome string, took time.Duration) {
+// requestEnded records one request with its outcome.
+func (m *Metrics) requestEnded(outcome string, took time.Duration) {
 	tagged := m.scope.Tagged(map[string]string{"outcome": outcome})
 	tagged.Counter("requests").Inc(1)
 	tagged.Histogram("request_seconds", latencyBuckets).RecordDuration(took)
 }
 
-// stage counts one stage of a request.
-func (m *Metrics) stage(service string, failure string, took time.Duration) {
+// stageEnded records one stage of a request.
+func (m *Metrics) stageEnded(service string, failure string, took time.Duration) {
 	tagged := m.scope.Tagged(map[string]string{"service": service, "failure": failure})
 	tagged.Histogram("stage_seconds", latencyBuckets).RecordDuration(took)
 }
 
-// sent counts one send to a service, and whether it was a repeated one.
-func (m *Metrics) sent(service string, again bool) {
+// sendStarted counts one send to a service; first sends and repeated ones are counted apart.
+func (m *Metrics) sendStarted(service string, repeated bool) {
 	name := "sends"
-	if again {
+	if repeated {
 		name = "repeated_sends"
 	}
 	m.scope.Tagged(map[string]string{"service": service}).Counter(name).Inc(1)
--- a/gateway/flow/prepare.go
+++ b/gateway/flow/prepare.go
@@ -11,32 +11,32 @@
 	"acaciawinch/observe/event"
 )
 
-// maxRestarts bounds how often the stages of a request are begun again because a
+// maxStageRestarts bounds how often the stages of a request are started again because a
 // result was lost.
-const maxRestarts = 2
-
-// stageNews tells of one stage of a request: that it has read its inputs, or its end.
-type stageNews struct {
-	stage  int
-	begun  bool
-	result pools.Result
-	owner  string
-	took   time.Duration
-	err    error
+const maxStageRestarts = 2
+
+// stageUpdate is an event of one stage of a request: it has read its inputs, or it has ended.
+type stageUpdate struct {
+	stage      int
+	inputsRead bool
+	result     pools.Result
+	owner      string
+	took       time.Duration
+	err        error
 }
 
-// prepare runs the stages of the request's route, unless their results are there.
+// prepare runs the stages of the request's route, unless it still has their results.
 func (rq *request) prepare() error {
-	if len(rq.route.Stages) == 0 || rq.results != nil && !rq.results.freed() {
+	if len(rq.route.Stages) == 0 || rq.results != nil && !rq.results.isFreed() {
 		return nil
 	}
-	for range maxRestarts + 1 {
+	for range maxStageRestarts + 1 {
 		lost, err := rq.runStages()
 		if err != nil || !lost {
 			return err
 		}
 	}
-	return fault.New(fault.Unavailable, "stage.restart", "", "results were lost %d times", maxRestarts+1)
+	return fault.New(fault.Unavailable, "stage.restart", "", "results were lost %d times", maxStageRestarts+1)
 }
 
 // stageRun is one pass through the stages of a request.
@@ -44,39 +44,40 @@
 	*request
 	ctx      context.Context
 	progress *stages.Progress
-	news     chan stageNews
-	// open counts the stages that were started and have not ended.
-	open int
-	// waiting are stages that could start but wait for longer ones beside them.
+	updates  chan stageUpdate
+	// running is the number of stages that have started and not ended.
+	running int
+	// waiting are stages that could start but are delayed while longer ones run.
 	waiting []int
-	// startedAt holds when stages were given to their pools, doneAt when they ended.
+	// startedAt holds the times at which stages were submitted to their pools, doneAt those at
+	// which they completed.
 	startedAt, doneAt map[int]time.Time
 }
 
-// newsPerStage is above what there can be of one stage: its end, and the reading of its
-// inputs under each owner that it is given to.
-const newsPerStage = 8
+// updatesPerStage exceeds the number of updates that one stage can send: one when it ends, and
+// one for each owner under which its inputs are read.
+const updatesPerStage = 8
 
-// runStages runs all stages once. It returns true if a result was lost on the way.
+// runStages runs all stages once. It reports whether a result was lost meanwhile.
 func (rq *request) runStages() (lost bool, err error) {
 	ctx, cancel := context.WithCancel(rq.ctx)
 	defer cancel()
 	run := &stageRun{
 		request:   rq,
 		ctx:       ctx,
-		progress:  stages.New(rq.route.Stages, rq.asked.Pieces),
-		news:      make(chan stageNews, newsPerStage*len(rq.route.Stages)),
+		progress:  stages.New(rq.route.Stages, rq.hdr.Pieces),
+		updates:   make(chan stageUpdate, updatesPerStage*len(rq.route.Stages)),
 		startedAt: make(map[int]time.Time),
 		doneAt:    make(map[int]time.Time),
 	}
 	rq.results = &results{request: rq, progress: run.progress}
 	for {
 		run.waiting = append(run.waiting, run.progress.Start()...)
-		wake := run.launch()
-		if run.open == 0 && len(run.waiting) == 0 {
+		wait := run.startDue()
+		if run.running == 0 && len(run.waiting) == 0 {
 			break
 		}
-		end, ended := run.next(wake)
+		end, ended := run.nextUpdate(wait)
 		if !ended {
 			continue
 		}
@@ -90,94 +91,95 @@
 	return false, nil
 }
 
-// next waits for news, or until wake, and takes it in. It returns the end of a stage.
-func (run *stageRun) next(wake time.Duration) (stageNews, bool) {
-	timer := time.NewTimer(wake)
+// nextUpdate waits for a stage update for at most the given time and applies it. It returns true
+// if the update is the end of a stage.
+func (run *stageRun) nextUpdate(wait time.Duration) (stageUpdate, bool) {
+	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-		return stageNews{}, false
-	case news := <-run.news:
-		if news.begun {
-			run.progress.Take(news.stage)
-			run.free(run.progress, false)
-			return news, false
+		return stageUpdate{}, false
+	case update := <-run.updates:
+		if update.inputsRead {
+			run.progress.Take(update.stage)
+			run.freeSpent(run.progress, false)
+			return update, false
 		}
-		run.open--
-		run.noteStage(news)
-		if news.err == nil && news.result.Failure == "" {
-			run.progress.Finish(news.stage, news.result.Handles)
-			run.doneAt[news.stage] = time.Now()
-			run.free(run.progress, false)
+		run.running--
+		run.recordStage(update)
+		if update.err == nil && update.result.Failure == "" {
+			run.progress.Finish(update.stage, update.result.Handles)
+			run.doneAt[update.stage] = time.Now()
+			run.freeSpent(run.progress, false)
 		}
-		return news, true
+		return update, true
 	}
 }
 
-// A stage whose results only the request itself takes is started late enough to end
-// with the longest of the others: until then its results would take up room at their
-// upstream, of which large ones fill all that there is. The margins are for estimates
-// that are too short.
+// A stage whose results only the request itself uses is started late enough to end together
+// with the longest of the other stages. If it ended earlier, its results would occupy memory of
+// their upstream, and large results fill that memory. The margins cover estimates that are too
+// short.
 const (
-	startMarginShare = 3
-	startMargin      = 100 * time.Millisecond
-	longestWake      = time.Second
+	startMarginDivisor = 3
+	startMargin        = 100 * time.Millisecond
+	maxWait            = time.Second
 )
 
-// launch starts the waiting stages whose time has come, and returns how long the
-// others may still wait.
-func (run *stageRun) launch() time.Duration {
-	wake := longestWake
-	left := run.progress.Left(run.remaining)
-	var kept []int
+// startDue starts the waiting stages that are due, and returns how long the others may still
+// wait.
+func (run *stageRun) startDue() time.Duration {
+	wait := maxWait
+	remaining := run.progress.Left(run.remaining)
+	var delayed []int
 	for _, stage := range run.waiting {
 		length := run.progress.Length(stage, run.estimate)
-		spare := left - length - length/startMarginShare - startMargin
-		if spare > 0 && run.progress.IsLast(stage) {
-			kept = append(kept, stage)
-			wake = min(wake, spare)
+		slack := remaining - length - length/startMarginDivisor - startMargin
+		if slack > 0 && run.progress.IsLast(stage) {
+			delayed = append(delayed, stage)
+			wait = min(wait, slack)
 			continue
 		}
-		run.open++
+		run.running++
 		run.startedAt[stage] = time.Now()
-		go run.stage(stage, run.times(stage), run.progress.Inputs(stage))
+		go run.runStage(stage, run.times(stage), run.progress.Inputs(stage))
 	}
-	run.waiting = kept
-	return wake
+	run.waiting = delayed
+	return wait
 }
 
-// stage gives one stage to its pool's owner and waits for its end.
-func (run *stageRun) stage(stage int, times stageTimes, inputs []string) {
-	described := run.route.Stages[stage]
-	began := time.Now()
-	result, owner, err := run.Asker.Do(run.ctx, pools.Task{
-		Part:        pools.Part{Service: described.Service},
-		Request:     run.asked.ID,
+// runStage submits one stage to the owner of its pool and waits for it to end.
+func (run *stageRun) runStage(stage int, times stageTimes, inputs []string) {
+	spec := run.route.Stages[stage]
+	started := time.Now()
+	result, owner, err := run.Caller.Do(run.ctx, pools.Task{
+		Part:        pools.Part{Service: spec.Service},
+		Request:     run.hdr.ID,
 		Stage:       stage,
-		Pieces:      run.asked.Pieces[stage],
-		Key:         run.keyOf(stage),
+		Pieces:      run.hdr.Pieces[stage],
+		Key:         run.pieceKey(stage),
 		Inputs:      inputs,
-		ResultBytes: described.ResultBytes,
+		ResultBytes: spec.ResultBytes,
 		Remaining:   times.remaining,
 		Due:         times.due,
 		Class:       run.class,
 		Value:       run.value,
 		Pulls:       run.pulls(stage, run.progress.IsLast(stage), inputs),
-	}, func() { run.news <- stageNews{stage: stage, begun: true} })
-	run.news <- stageNews{stage: stage, result: result, owner: owner, took: time.Since(began), err: err}
+	}, func() { run.updates <- stageUpdate{stage: stage, inputsRead: true} })
+	run.updates <- stageUpdate{stage: stage, result: result, owner: owner, took: time.Since(started), err: err}
 }
 
-// collect waits for the stages that were cancelled and takes what they made, so that
-// it is freed.
+// collect waits for the cancelled stages to end and records their results, so that these are
+// freed.
 func (run *stageRun) collect() {
-	for run.open > 0 {
-		run.next(longestWake)
+	for run.running > 0 {
+		run.nextUpdate(maxWait)
 	}
 }
 
-// stageError returns why a stage has no results; nil if they only have to be made
-// again.
-func stageError(end stageNews) error {
+// stageError returns why a stage has no results, or nil if the stages only have to run again
+// because an input was lost.
+func stageError(end stageUpdate) error {
 	switch {
 	case end.err != nil:
 		return end.err
@@ -188,20 +190,20 @@
 	}
 }
 
-// keyOf returns what a first stage works on.
-func (rq *request) keyOf(stage int) string {
+// pieceKey returns the key that a first stage works on; it is empty for later stages.
+func (rq *request) pieceKey(stage int) string {
 	if len(rq.route.Stages[stage].After) > 0 {
 		return ""
 	}
-	return rq.asked.PieceKey
+	return rq.hdr.PieceKey
 }
 
-// noteStage logs and counts the end of a stage.
-func (rq *request) noteStage(end stageNews) {
+// recordStage logs the end of a stage and records it in the metrics.
+func (rq *request) recordStage(end stageUpdate) {
 	service := rq.route.Stages[end.stage].Service
-	rq.Metrics.stage(service, string(end.result.Failure), end.took)
-	fields := observe.Fields{"request": rq.asked.ID, "stage": end.stage, "service": service, "owner": end.owner,
-		"pieces": rq.asked.Pieces[end.stage], "duration_us": end.took.Microseconds()}
+	rq.Metrics.stageEnded(service, string(end.result.Failure), end.took)
+	fields := observe.Fields{"request": rq.hdr.ID, "stage": end.stage, "service": service, "owner": end.owner,
+		"pieces": rq.hdr.Pieces[end.stage], "duration_us": end.took.Microseconds()}
 	if end.err == nil && end.result.Failure == "" {
 		rq.Logger.Event(event.StageDone, fields)
 		return
--- a/gateway/flow/pulls.go
+++ b/gateway/flow/pulls.go
@@ -6,8 +6,9 @@
 	"acaciawinch/core/pool"
 )
 
-// pulls returns what each piece of a stage moves: its inputs from where they lie, and
-// its result, if the request itself takes it, to where the request is likely to go.
+// pulls returns the data that each piece of a stage moves between zones: its inputs from the
+// zones where they are kept and, if the request itself uses the result, the result to the zone
+// that the request is likely to be sent to.
 func (rq *request) pulls(stage int, isLast bool, inputs []string) []pool.Pull {
 	var pulls []pool.Pull
 	for _, handle := range inputs {
@@ -35,13 +36,14 @@
 	return append(pulls, pool.Pull{Zone: zone, Bytes: bytes})
 }
 
-// zoneOf returns the zone of the upstream that keeps a result.
+// zoneOf returns the zone of the upstream that keeps the result with a handle.
 func (rq *request) zoneOf(handle string) string {
 	address, _, _ := strings.Cut(handle, "/")
 	return rq.View.Upstreams().ZoneOf(address)
 }
 
-// inputBytes returns the size of one input of a stage, the mean of the stages before.
+// inputBytes returns the size of one input of a stage: the mean result size of the stages that it
+// follows.
 func (rq *request) inputBytes(stage int) int64 {
 	after := rq.route.Stages[stage].After
 	var sum int64
@@ -51,9 +53,9 @@
 	return sum / int64(max(1, len(after)))
 }
 
-// likelyZone returns the zone of the upstream that the request would get now.
+// likelyZone returns the zone of the upstream that would be chosen for the request now.
 func (rq *request) likelyZone() string {
-	choice, found := rq.look(rq.want())
+	choice, found := rq.preview(rq.requirements())
 	if !found {
 		return ""
 	}
--- a/gateway/flow/relay.go
+++ b/gateway/flow/relay.go
@@ -16,88 +16,90 @@
 	"acaciawinch/platform/header"
 )
 
-// wholeBytes is the most of an answer that is held before it is handed on: what is
-// whole can still be replaced by another try if its upstream breaks off.
-const wholeBytes = 256 << 10
+// maxBufferedResponse is the size up to which a response is read completely before it is
+// passed on: if its upstream fails meanwhile, the request can still be retried.
+const maxBufferedResponse = 256 << 10
 
-// relayWhole hands on an answer that is no stream. One that fits is read whole first.
-func (rq *request) relayWhole(upstream routes.Upstream, answer *httpconn.Answer) error {
+// relayWhole passes on a response that is not a stream. A response of up to maxBufferedResponse
+// bytes is read completely first.
+func (rq *request) relayWhole(upstream routes.Upstream, response *httpconn.Answer) error {
 	id := upstream.ID
-	content, err := io.ReadAll(io.LimitReader(answer.Body, wholeBytes+1))
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedResponse+1))
 	if err != nil {
-		return &sendFailure{ran: true, cut: rq.cutByUpstream(err), err: rq.readError("upstream.read", id, err)}
+		return &sendFailure{mayHaveRun: true, closedByUpstream: rq.wasClosedByUpstream(err), err: rq.readError("upstream.read", id, err)}
 	}
-	if answer.Status/100 == 5 && rq.triesAgain() {
-		return &sendFailure{ran: true, err: fault.New(fault.Ambiguous, "upstream.receive", id, "status %d", answer.Status)}
+	if response.Status/100 == 5 && rq.mayReplaceServerError() {
+		return &sendFailure{mayHaveRun: true, err: fault.New(fault.Ambiguous, "upstream.receive", id, "status %d", response.Status)}
 	}
-	rq.head(answer)
-	if len(content) <= wholeBytes && bodyAllowed(rq.r.Method, answer.Status) {
+	rq.copyHead(response)
+	if len(content) <= maxBufferedResponse && bodyAllowed(rq.r.Method, response.Status) {
 		rq.w.Header().Set("Content-Length", strconv.Itoa(len(content)))
 	}
-	rq.w.WriteHeader(answer.Status)
+	rq.w.WriteHeader(response.Status)
 	_, err = rq.w.Write(content)
-	if err == nil && len(content) > wholeBytes {
-		_, err = io.Copy(rq.w, answer.Body)
+	if err == nil && len(content) > maxBufferedResponse {
+		_, err = io.Copy(rq.w, response.Body)
 	}
 	if err != nil {
-		return &sendFailure{ran: true, err: fault.Wrap(fault.Ambiguous, "answer.write", id, err)}
+		return &sendFailure{mayHaveRun: true, err: fault.Wrap(fault.Ambiguous, "answer.write", id, err)}
 	}
-	rq.noteAnswer(answer, upstream)
+	rq.recordResponse(response, upstream)
 	return nil
 }
 
-// bodyAllowed tells whether an answer has a body.
+// bodyAllowed reports whether a response to a method with a status may have a body.
 func bodyAllowed(method string, status int) bool {
 	return method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// triesAgain tells whether a failure that an upstream itself answered is better
-// replaced by another try. The budget is asked by mayGoOn.
-func (rq *request) triesAgain() bool {
-	return rq.route.Repeat == routes.Idempotent && rq.sends < rq.route.MaxAttempts && rq.ctx.Err() == nil && rq.affords(rq.service)
+// mayReplaceServerError reports whether a 5xx response of an upstream should be dropped in
+// favour of a retry. mayRetry withdraws the retry from the budget later.
+func (rq *request) mayReplaceServerError() bool {
+	return rq.route.Repeat == routes.Idempotent && rq.sends < rq.route.MaxAttempts && rq.ctx.Err() == nil && rq.canRetry(rq.service)
 }
 
-// head writes the upstream's headers for the client; the first answer's stay if a
-// stream goes on at another upstream.
-func (rq *request) head(answer *httpconn.Answer) {
-	rq.begun = true
+// copyHead copies the upstream's headers to the client's response. If a stream continues at
+// another upstream, the headers of the first response stay.
+func (rq *request) copyHead(response *httpconn.Answer) {
+	rq.headSent = true
 	h := rq.w.Header()
-	for name, values := range header.Return(answer.Header) {
+	for name, values := range header.Return(response.Header) {
 		h[name] = values
 	}
 	if h.Get("Content-Type") == "" {
-		h["Content-Type"] = nil // keeps net/http from guessing one
+		h["Content-Type"] = nil // keeps net/http from guessing a type
 	}
 	rq.closeIfDraining()
 }
 
-// relayStream hands on events as they come, each one whole. When the upstream breaks
-// off, a part of an event is dropped and the stream may go on elsewhere.
-func (rq *request) relayStream(upstream routes.Upstream, answer *httpconn.Answer) error {
+// relayStream passes on the events of a stream as they arrive, each one complete. If the
+// upstream fails, an incomplete event is dropped and the stream may continue at another
+// upstream.
+func (rq *request) relayStream(upstream routes.Upstream, response *httpconn.Answer) error {
 	id := upstream.ID
-	if !rq.begun {
-		rq.head(answer)
-		rq.w.WriteHeader(answer.Status)
+	if !rq.headSent {
+		rq.copyHead(response)
+		rq.w.WriteHeader(response.Status)
 	}
 	out := http.NewResponseController(rq.w)
-	reader := events.NewReader(answer.Body)
+	reader := events.NewReader(response.Body)
 	for {
 		next, err := reader.Next()
 		if err == io.EOF {
-			rq.noteAnswer(answer, upstream)
+			rq.recordResponse(response, upstream)
 			return nil
 		}
 		if err != nil {
-			return &sendFailure{ran: true, cut: rq.cutByUpstream(err), err: rq.readError("upstream.stream", id, err)}
+			return &sendFailure{mayHaveRun: true, closedByUpstream: rq.wasClosedByUpstream(err), err: rq.readError("upstream.stream", id, err)}
 		}
-		if err := rq.pass(next, out); err != nil {
-			return &sendFailure{ran: true, err: fault.Wrap(fault.Cancelled, "answer.write", id, err)}
+		if err := rq.writeEvent(next, out); err != nil {
+			return &sendFailure{mayHaveRun: true, err: fault.Wrap(fault.Cancelled, "answer.write", id, err)}
 		}
 	}
 }
 
-// readError returns why the rest of an answer could not be read: the request's own end
-// if that is why its connection was closed.
+// readError returns why the remainder of a response could not be read: the end of the
+// request's context, if that closed the connection, or else err.
 func (rq *request) readError(step, id string, err error) error {
 	if ended := rq.ctx.Err(); ended != nil {
 		return fault.Wrap(fault.DeadlineExceeded, step, id, ended)
@@ -105,12 +107,12 @@
 	return fault.Wrap(fault.Ambiguous, step, id, err)
 }
 
-// pass writes one event to the client.
-func (rq *request) pass(next events.Event, out *http.ResponseController) error {
+// writeEvent writes one event to the client.
+func (rq *request) writeEvent(next events.Event, out *http.ResponseController) error {
 	if rq.events == 0 {
-		rq.firstAt = time.Now()
-		rq.Metrics.firstEvent(rq.firstAt.Sub(rq.began))
-		// The engine has read the results of the stages before its first event.
+		rq.firstEventAt = time.Now()
+		rq.Metrics.firstEvent(rq.firstEventAt.Sub(rq.started))
+		// An engine reads the results of the stages before it sends its first event.
 		rq.results.free()
 	}
 	if _, err := io.Copy(rq.w, bytes.NewReader(next.Bytes)); err != nil {
@@ -126,28 +128,29 @@
 	return nil
 }
 
-// noteEnd tells whether the upstream outlived a whole answer, as far as that is known. The end of an
-// answer that does not say where it ends may be that of the upstream's process.
-func (rq *request) noteEnd(answer *httpconn.Answer, upstream routes.Upstream) {
+// recordOutcome tells the quarantine guard whether the upstream survived a completed response, as
+// far as that is known. A response whose end is only marked by the end of the connection may
+// have ended because the upstream's process crashed.
+func (rq *request) recordOutcome(response *httpconn.Answer, upstream routes.Upstream) {
 	switch {
-	case !answer.Framed:
-		rq.Guard.Broken(rq.fingerprint, rq.asked.ID, upstream)
-	case answer.Status/100 == 2:
-		rq.Guard.Completed(rq.fingerprint, rq.asked.ID)
+	case !response.Framed:
+		rq.Guard.Broken(rq.fingerprint, rq.hdr.ID, upstream)
+	case response.Status/100 == 2:
+		rq.Guard.Completed(rq.fingerprint, rq.hdr.ID)
 	}
 }
 
-// noteAnswer logs and counts an answer that the client has whole.
-func (rq *request) noteAnswer(answer *httpconn.Answer, upstream routes.Upstream) {
-	rq.noteEnd(answer, upstream)
-	status := answer.Status
-	took := time.Since(rq.began)
+// recordResponse logs a response that was passed on completely and records it in the metrics.
+func (rq *request) recordResponse(response *httpconn.Answer, upstream routes.Upstream) {
+	rq.recordOutcome(response, upstream)
+	status := response.Status
+	took := time.Since(rq.started)
 	first := took
-	if !rq.firstAt.IsZero() {
-		first = rq.firstAt.Sub(rq.began)
+	if !rq.firstEventAt.IsZero() {
+		first = rq.firstEventAt.Sub(rq.started)
 	}
-	rq.Metrics.ended("answered_"+strconv.Itoa(status), took)
-	rq.Logger.Event(event.GatewayAnswered, observe.Fields{"request": rq.asked.ID, "route": rq.route.Name, "status": status,
+	rq.Metrics.requestEnded("answered_"+strconv.Itoa(status), took)
+	rq.Logger.Event(event.GatewayAnswered, observe.Fields{"request": rq.hdr.ID, "route": rq.route.Name, "status": status,
 		"upstream": upstream.ID, "events": rq.events, "first_us": first.Microseconds(),
-		"used_ms": rq.began.Sub(rq.since).Milliseconds(), "objective_ms": rq.route.Objective.Milliseconds(), "duration_us": took.Microseconds()})
+		"used_ms": rq.started.Sub(rq.clientStarted).Milliseconds(), "objective_ms": rq.route.Objective.Milliseconds(), "duration_us": took.Microseconds()})
 }
--- a/gateway/flow/results.go
+++ b/gateway/flow/results.go
@@ -6,16 +6,16 @@
 	"acaciawinch/core/stages"
 )
 
-// results are what the stages of a request have made. They may be used by several
-// goroutines once all stages are done.
+// results are the results of a request's stages. They are safe for concurrent use once all
+// stages have completed.
 type results struct {
 	request  *request
 	progress *stages.Progress
 	mu       sync.Mutex
-	gone     bool
+	freed    bool
 }
 
-// handles returns the results that the request itself takes.
+// handles returns the handles of the results that the request itself uses.
 func (r *results) handles() []string {
 	if r == nil {
 		return nil
@@ -23,30 +23,31 @@
 	return r.progress.Final()
 }
 
-// free gives all results back; later calls do nothing.
+// free frees all results; later calls do nothing.
 func (r *results) free() {
 	if r == nil {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.gone {
+	if r.freed {
 		return
 	}
-	r.gone = true
-	r.request.free(r.progress, true)
+	r.freed = true
+	r.request.freeSpent(r.progress, true)
 }
 
-// freed tells whether the results were given back.
-func (r *results) freed() bool {
+// isFreed reports whether the results were freed.
+func (r *results) isFreed() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.gone
+	return r.freed
 }
 
-// free gives back the results that nobody needs any more.
-func (rq *request) free(progress *stages.Progress, all bool) {
+// freeSpent frees the results that no stage needs any more. If all is set, the request itself
+// does not need its results any more either.
+func (rq *request) freeSpent(progress *stages.Progress, all bool) {
 	for _, stage := range progress.Spent(all) {
-		rq.Asker.Free(rq.route.Stages[stage].Service, progress.Results(stage))
+		rq.Caller.Free(rq.route.Stages[stage].Service, progress.Results(stage))
 	}
 }
--- a/gateway/flow/send.go
+++ b/gateway/flow/send.go
@@ -22,78 +22,79 @@
 	"acaciawinch/platform/header"
 )
 
-// sendFailure is a send that brought no answer to hand on.
+// sendFailure is the error of a send that yielded no response to pass on.
 type sendFailure struct {
-	// unsent: not a byte left this process. ran: the request may have run. replaced: the
-	// upstream has ended, and another one at its address turned the request away.
-	unsent, ran, replaced bool
-	// cut: the upstream closed the connection before its answer was whole.
-	cut bool
-	err error
+	// unsent is set if no byte left this process, mayHaveRun if the request may have run, and
+	// replaced if the upstream has ended and another one at its address rejected the request.
+	unsent, mayHaveRun, replaced bool
+	// closedByUpstream is set if the upstream closed the connection before its response was
+	// complete.
+	closedByUpstream bool
+	err              error
 }
 
 // Error implements error.
 func (f *sendFailure) Error() string { return f.err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause of the failure.
 func (f *sendFailure) Unwrap() error { return f.err }
 
-// send sends the request to one upstream and hands its answer to the client. A nil
-// error tells that the client has its whole answer.
+// send sends the request to one upstream and passes its response to the client. A nil error
+// means that the client has the complete response.
 func (rq *request) send() error {
 	if rq.sends == 0 {
 		rq.Guard.Settle(rq.ctx, rq.fingerprint)
 	}
-	if err := rq.checkCrashes(); err != nil {
-		return err // an upstream has crashed while the request's stages were done
+	if err := rq.checkQuarantine(); err != nil {
+		return err // upstreams may have crashed while the stages ran
 	}
-	rq.awaitPause()
-	wanted := rq.want()
-	choice, found := rq.choose(wanted)
+	rq.awaitBackoff()
+	req := rq.requirements()
+	choice, found := rq.choose(req)
 	if !found {
-		return fault.New(fault.Unavailable, "request.choose", rq.service, "no upstream takes requests")
+		return fault.New(fault.Unavailable, "request.choose", rq.service, "no upstream accepts requests")
 	}
 	id := choice.Upstream.ID
 	rq.tried = append(rq.tried, id)
-	defer rq.ended(id)
-	rq.noteSend(choice)
+	defer rq.sendEnded(id)
+	rq.recordSend(choice)
 	ctx, cancel := context.WithCancel(rq.ctx)
 	defer cancel()
-	early := rq.freeWhenRead(choice)
-	defer early()
+	cancelFree := rq.freeWhenRead(choice)
+	defer cancelFree()
 	sent := clock.Boot()
-	answer, err := rq.Client.Do(ctx, choice.Upstream.Address, rq.message(choice, wanted.service != nil && wanted.service.Engine != nil))
+	response, err := rq.Client.Do(ctx, choice.Upstream.Address, rq.message(choice, req.service != nil && req.service.Engine != nil))
 	if err == nil {
-		rq.sent()
-		defer answer.Close()
-		err = rq.take(choice.Upstream, answer, sent)
+		rq.countSend()
+		defer response.Close()
+		err = rq.handleResponse(choice.Upstream, response, sent)
 	} else {
-		err = rq.lost(err)
+		err = rq.classifySendError(err)
 	}
 	if err != nil {
-		rq.noteFailure(choice.Upstream, err)
+		rq.recordSendFailure(choice.Upstream, err)
 	}
 	return err
 }
 
-// awaitPause waits for the end of the pause that all upstreams have asked for, if stages were done
-// for the request that would be lost else, and it can still be served then.
-func (rq *request) awaitPause() {
+// awaitBackoff waits until the first upstream is no longer backed off, if all are. It does so only
+// if results of stages would otherwise be lost and the request can still be served then.
+func (rq *request) awaitBackoff() {
 	now := time.Now()
 	opens := rq.View.Upstreams().Opens(rq.service, now)
-	if rq.results != nil && opens.After(now) && opens.Before(rq.startBy.Add(-engineAllowance)) {
+	if rq.results != nil && opens.After(now) && opens.Before(rq.startBy.Add(-firstEventAllowance)) {
 		clock.Sleep(rq.ctx, opens.Sub(now))
 	}
 }
 
-// readAllowance is how long after a request was sent to an engine that has a place for
-// it the engine has read its inputs for certain; for some 4 MB that takes 4 ms at
-// 10,000 Mbit/s, and the rest is for the way and for busy links.
+// readAllowance is the time after which an engine with a free slot has certainly read the inputs
+// of a request that was sent to it. 4 MB take about 4 ms at 10,000 Mbit/s; the remainder covers
+// network latency and busy links.
 const readAllowance = 50 * time.Millisecond
 
-// freeWhenRead gives the results back as soon as an engine must have read them, if it
-// is known to have had nothing waiting; else they are kept until its first event. It
-// returns how to call that off.
+// freeWhenRead frees the results as soon as the engine must have read them, if the engine is
+// known to be idle. Otherwise they are kept until its first event. The returned function
+// cancels the timer.
 func (rq *request) freeWhenRead(choice selection.Choice) func() {
 	if rq.results == nil || !choice.Idle {
 		return func() {}
@@ -102,7 +103,7 @@
 	return func() { timer.Stop() }
 }
 
-// message returns the request as the upstream gets it.
+// message returns the request to send to the chosen upstream.
 func (rq *request) message(choice selection.Choice, engine bool) httpconn.Request {
 	workspace := ""
 	if rq.workspace != nil {
@@ -113,8 +114,8 @@
 		Target: rq.r.RequestURI,
 		Host:   rq.r.Host,
 		Body:   rq.body,
-		ID:     rq.asked.ID,
-		Wanted: func() bool { return rq.stillTakes(choice.Upstream) },
+		ID:     rq.hdr.ID,
+		Wanted: func() bool { return rq.stillAccepts(choice.Upstream) },
 		Header: header.Apply(rq.r.Header, header.Forward{
 			Instance:  choice.Upstream.ID,
 			Workspace: workspace,
@@ -129,46 +130,48 @@
 	}
 }
 
-// stillTakes tells whether an upstream that was chosen takes work by the newest list.
-func (rq *request) stillTakes(chosen routes.Upstream) bool {
-	now, known := rq.View.Upstreams().Find(chosen.ID)
-	return known && now.Born == chosen.Born && now.TakesWork(time.Now())
+// stillAccepts reports whether a chosen upstream accepts work according to the newest list.
+func (rq *request) stillAccepts(chosen routes.Upstream) bool {
+	current, known := rq.View.Upstreams().Find(chosen.ID)
+	return known && current.Born == chosen.Born && current.TakesWork(time.Now())
 }
 
-// Engines take ranks from 0 to 9.
+// Engines accept ranks from 0, the most urgent, to 9.
 const (
-	// ranksPerWorkspace is how many priorities of routes an engine tells apart under each
-	// rank of a workspace, which goes first: the deployments known have 0 to 2.
+	// ranksPerWorkspace is the number of route priorities that an engine distinguishes within
+	// each workspace rank; the workspace rank takes precedence. Known deployments have
+	// priorities 0 to 2.
 	ranksPerWorkspace = 3
-	lastEngineRank    = 9
+	maxEngineRank     = 9
 )
 
-// engineRank returns the rank of a class of requests at engines.
+// engineRank returns the rank that engines get for a class of requests.
 func engineRank(class pools.Class) int {
-	return min(lastEngineRank, ranksPerWorkspace*class.Rank+min(class.Priority, ranksPerWorkspace-1))
+	return min(maxEngineRank, ranksPerWorkspace*class.Rank+min(class.Priority, ranksPerWorkspace-1))
 }
 
-// lost classifies a send without an answer.
-func (rq *request) lost(err error) error {
+// classifySendError returns the sendFailure for a send that got no response.
+func (rq *request) classifySendError(err error) error {
 	if fault.Is(err, fault.Unavailable) {
 		return &sendFailure{unsent: true, err: err}
 	}
-	rq.sent()
+	rq.countSend()
 	rq.mayHaveRun = true
-	return &sendFailure{ran: true, cut: rq.cutByUpstream(err), err: err}
+	return &sendFailure{mayHaveRun: true, closedByUpstream: rq.wasClosedByUpstream(err), err: err}
 }
 
-// sent counts a send that reached an upstream. A trial is one such send.
-func (rq *request) sent() {
+// countSend counts a send that reached an upstream. It uses up the crashPass, which holds for one
+// such send.
+func (rq *request) countSend() {
 	rq.sends++
 	rq.crashPass, rq.usedPass = quarantine.Pass{}, rq.crashPass
 }
 
-// cutByUpstream tells whether an exchange failed as the upstream closed the connection, by a
-// reset or at the end of its process.
-func (rq *request) cutByUpstream(err error) bool {
+// wasClosedByUpstream reports whether an exchange failed because the upstream closed the
+// connection, by a reset or because its process ended.
+func (rq *request) wasClosedByUpstream(err error) bool {
 	if rq.ctx.Err() != nil {
-		return false // this process closed it
+		return false // this process closed the connection
 	}
 	for _, end := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, end) {
@@ -178,64 +181,65 @@
 	return false
 }
 
-// take decides what becomes of the answer to a send at a boot time.
-func (rq *request) take(upstream routes.Upstream, answer *httpconn.Answer, sent time.Duration) error {
+// handleResponse processes the response to a request that was sent at the given boot time: it
+// records the upstream's state, and passes the response on or returns a sendFailure.
+func (rq *request) handleResponse(upstream routes.Upstream, response *httpconn.Answer, sent time.Duration) error {
 	id := upstream.ID
-	said := header.ReadAnswer(answer.Status, answer.Header)
-	rq.View.UpstreamAsked(view.Asked{Upstream: upstream, Request: rq.asked.ID, Leaving: said.Leaving, Pause: said.RetryAfter})
-	if !said.Replaced {
+	info := header.ReadAnswer(response.Status, response.Header)
+	rq.View.UpstreamAsked(view.Asked{Upstream: upstream, Request: rq.hdr.ID, Leaving: info.Leaving, Pause: info.RetryAfter})
+	if !info.Replaced {
 		rq.Guard.Answered(upstream, sent)
 	}
-	if said.Load.Known {
-		rq.heard(id, selection.Load{Running: said.Load.Running, Waiting: said.Load.Waiting, Slots: said.Load.Slots, At: time.Now()})
+	if info.Load.Known {
+		rq.recordLoad(id, selection.Load{Running: info.Load.Running, Waiting: info.Load.Waiting, Slots: info.Load.Slots, At: time.Now()})
 	}
-	if said.NotRun {
-		return rq.notRun(answer, said.Replaced)
+	if info.NotRun {
+		return rq.handleNotRun(response, info.Replaced)
 	}
 	rq.mayHaveRun = true
 	switch {
-	case answer.Status/100 == 2 && said.Signature == "":
-		return &sendFailure{ran: true, err: fault.New(fault.Ambiguous, "upstream.receive", id, "status %d without a signature", answer.Status)}
-	case answer.Status/100 == 2 && rq.route.Stream:
-		return rq.relayStream(upstream, answer)
+	case response.Status/100 == 2 && info.Signature == "":
+		return &sendFailure{mayHaveRun: true, err: fault.New(fault.Ambiguous, "upstream.receive", id, "status %d without a signature", response.Status)}
+	case response.Status/100 == 2 && rq.route.Stream:
+		return rq.relayStream(upstream, response)
 	default:
-		return rq.relayWhole(upstream, answer)
+		return rq.relayWhole(upstream, response)
 	}
 }
 
-// notRun handles an answer which says that the request did not run.
-func (rq *request) notRun(answer *httpconn.Answer, replaced bool) error {
-	rq.Guard.Return(rq.fingerprint, rq.asked.ID, rq.usedPass, !replaced)
+// handleNotRun handles a response which says that the request did not run.
+func (rq *request) handleNotRun(response *httpconn.Answer, replaced bool) error {
+	rq.Guard.Return(rq.fingerprint, rq.hdr.ID, rq.usedPass, !replaced)
 	if replaced {
-		rq.sends-- // it reached no upstream that it was meant for
+		rq.sends-- // the send did not reach the chosen upstream
 	}
-	if answer.Status == http.StatusConflict {
-		// An input is gone: the stages are done again for the next send.
+	if response.Status == http.StatusConflict {
+		// An input no longer exists; the stages run again before the next send.
 		rq.results.free()
 	}
-	return &sendFailure{replaced: replaced, err: fault.New(fault.Refused, "upstream.receive", last(rq.tried), "status %d, not run", answer.Status)}
+	return &sendFailure{replaced: replaced, err: fault.New(fault.Refused, "upstream.receive", last(rq.tried), "status %d, not run", response.Status)}
 }
 
-// noteSend logs and counts a send.
-func (rq *request) noteSend(choice selection.Choice) {
-	rq.Metrics.sent(rq.service, len(rq.tried) > 1)
-	rq.Logger.Event(event.GatewaySent, observe.Fields{"request": rq.asked.ID, "fingerprint": rq.fingerprint.String(), "route": rq.route.Name, "version": rq.table.Version,
+// recordSend logs a send and records it in the metrics.
+func (rq *request) recordSend(choice selection.Choice) {
+	rq.Metrics.sendStarted(rq.service, len(rq.tried) > 1)
+	rq.Logger.Event(event.GatewaySent, observe.Fields{"request": rq.hdr.ID, "fingerprint": rq.fingerprint.String(), "route": rq.route.Name, "version": rq.table.Version,
 		"service": rq.service, "upstream": choice.Upstream.ID, "attempt": len(rq.tried), "reason": choice.Reason,
 		"load": fmt.Sprintf("%.1f", choice.Load), "cold": rq.isCold(choice.Upstream), "idle": choice.Idle, "copy_from": choice.CopyFrom,
-		"used_ms": rq.began.Sub(rq.since).Milliseconds(), "value": fmt.Sprintf("%.1f", rq.value), "remaining_ms": time.Until(rq.deadline).Milliseconds(), "after": rq.lastEvent})
+		"used_ms": rq.started.Sub(rq.clientStarted).Milliseconds(), "value": fmt.Sprintf("%.1f", rq.value), "remaining_ms": time.Until(rq.deadline).Milliseconds(), "after": rq.lastEvent})
 }
 
-// noteFailure logs a failed send and passes its upstream over for a while, unless it
-// only said that it is full, or the request itself has ended.
-func (rq *request) noteFailure(upstream routes.Upstream, err error) {
+// recordSendFailure logs a failed send. Unless the request itself has ended, the upstream is
+// avoided for a while.
+func (rq *request) recordSendFailure(upstream routes.Upstream, err error) {
 	id := upstream.ID
 	f, ok := err.(*sendFailure)
 	if ok && rq.ctx.Err() == nil {
-		rq.failed(id)
+		rq.markFailed(id)
 	}
-	if ok && f.cut {
-		rq.Guard.Broken(rq.fingerprint, rq.asked.ID, upstream)
+	if ok && f.closedByUpstream {
+		rq.Guard.Broken(rq.fingerprint, rq.hdr.ID, upstream)
 	}
-	rq.Logger.Event(event.GatewayFailed, observe.Fields{"request": rq.asked.ID, "fingerprint": rq.fingerprint.String(), "upstream": id, "attempt": len(rq.tried),
-		"step": stepOf(err), "ran": ok && f.ran, "error": err.Error()})
+	rq.Logger.Event(event.GatewayFailed, observe.Fields{"request": rq.hdr.ID, "fingerprint": rq.fingerprint.String(), "upstream": id, "attempt": len(rq.tried),
+		"step": stepOf(err), "ran": ok && f.mayHaveRun, "error": err.Error()})
 }
--- a/gateway/flow/server.go
+++ b/gateway/flow/server.go
@@ -1,7 +1,7 @@
-// Package flow carries one request from its client through the stages of its route
-// to an upstream and the answer back. What may be done again follows from the route
-// alone: a request that may have run and must not run twice is never sent again, and
-// a refusal with 503 is given only where nothing ran.
+// Package flow takes a request from its client through the stages of its route to an
+// upstream, and the response back. The route alone determines what may be retried: a
+// request that may have run and must not run twice is never sent again, and a request is
+// refused with 503 only if it did not run.
 package flow
 
 import (
@@ -22,31 +22,31 @@
 	"acaciawinch/observe"
 )
 
-// Retries bounds what a fleet sends to a service beyond the first time.
+// Retries bounds the retries that the gateways of a fleet together send to a service.
 type Retries struct {
-	// Ratio of the service's requests, and Slack for the whole fleet in a window.
+	// Retries per window are at most Ratio × the service's requests + Slack.
 	Ratio float64
 	Slack float64
 }
 
-// Options are what a Server needs.
+// Options configure a Server.
 type Options struct {
 	View    *view.View
-	Asker   *pools.Asker
+	Caller  *pools.Asker
 	Client  *httpconn.Client
 	Guard   *quarantine.Guard
 	Logger  *observe.Logger
 	Metrics *Metrics
 	Zone    string
 	Retries Retries
-	// Name is this process's among the gateways.
+	// Name is the name of this process among the gateways.
 	Name string
-	// ColdOverrun and ColdSlack say how many more requests than its configured number a cold
-	// upstream may get in any second: that number × ColdOverrun + ColdSlack.
+	// ColdOverrun and ColdSlack bound the requests that a cold upstream may get in any second:
+	// its configured rate × ColdOverrun + ColdSlack.
 	ColdOverrun, ColdSlack float64
 }
 
-// Server serves requests. It may be used by many goroutines.
+// Server serves client requests. It is safe for concurrent use.
 type Server struct {
 	Options
 
@@ -54,8 +54,8 @@
 	chooser *selection.Chooser
 	cold    *slowstart.Limiter
 	budgets map[string]*budget.Budget
-	// clients holds what the clients of each route announce, by its name.
-	clients map[string]*elapsed.Estimator
+	// clientTimes holds, by route name, the timeouts that clients announce.
+	clientTimes map[string]*elapsed.Estimator
 
 	draining atomic.Bool
 	inFlight atomic.Int64
@@ -64,10 +64,10 @@
 
 // New returns a Server.
 func New(options Options) *Server {
-	return &Server{Options: options, chooser: selection.New(), cold: slowstart.New(options.Name), budgets: make(map[string]*budget.Budget), clients: make(map[string]*elapsed.Estimator)}
+	return &Server{Options: options, chooser: selection.New(), cold: slowstart.New(options.Name), budgets: make(map[string]*budget.Budget), clientTimes: make(map[string]*elapsed.Estimator)}
 }
 
-// SetRetries takes over changed bounds. Budgets begin anew.
+// SetRetries replaces the bounds on retries. If they change, all budgets are reset.
 func (s *Server) SetRetries(retries Retries) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,13 +78,13 @@
 	s.budgets = make(map[string]*budget.Budget)
 }
 
-// Drain makes each answer from now on close its connection.
+// Drain makes every response from now on close the client's connection.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// InFlight returns how many requests are open.
+// InFlight returns the number of requests in flight.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
-// OpenIn returns how many requests are open at the upstreams of a zone.
+// OpenIn returns the number of requests in flight at the upstreams of a zone.
 func (s *Server) OpenIn(zone string) int {
 	upstreams := s.View.Upstreams()
 	if upstreams == nil {
@@ -101,9 +101,9 @@
 	return open
 }
 
-// Forget drops what is known of upstreams that are gone, and takes over the other gateways. It
-// is called when either change.
-func (s *Server) Forget() {
+// FleetChanged drops the state of upstreams that are gone and updates the list of the other
+// gateways. It must be called when either changes.
+func (s *Server) FleetChanged() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.View.MembersKnown() {
@@ -114,64 +114,68 @@
 	}
 }
 
-// Shares of the fleet's bound on repeated sends that one process uses. Windows slide
-// over restarts, after which a process begins with a full burst again, and the
-// other processes are counted late; half of the bound is left for both.
+// Shares of the fleet-wide retry bound that the processes use. Up to half of the bound is left
+// for two errors: a process that restarts within a window starts with a full burst again, and
+// changes in the number of processes are noticed late.
 const (
 	retryRatioShare = 0.75
 	retrySlackShare = 0.5
-	// fewestMembers is assumed until the list of members is there.
-	fewestMembers = 3
+	// minMembers is the least number of members that is assumed, as the list may not be known
+	// yet.
+	minMembers = 3
 )
 
-// mostRoutes bounds the routes whose clients are known, some 600 bytes each: those of a
-// configuration of the most that is planned for. Beyond it all are learned anew.
-const mostRoutes = 20000
-
-// used returns how much of its time a client that announces what is left of it has used
-// up elsewhere, at least: it was refused there. Such a request is late, or near it, and
-// waits behind those that can be in time. Without that a good part of what an overfull
-// deployment answers in a burst is late, though few first requests are.
-func (s *Server) used(route string, announced time.Duration) time.Duration {
+// maxTrackedRoutes bounds the routes whose client timeouts are tracked, at about 600 bytes each.
+// It is the number of routes in the largest planned configuration. Beyond it, all are dropped
+// and learned again.
+const maxTrackedRoutes = 20000
+
+// clientTimeUsed returns the least time that a client must have spent on earlier, refused
+// attempts, given the remaining time that it announces for this one. A request with earlier
+// attempts is late or nearly late, and waits behind those that can be on time. Without this
+// order, many of the requests that an overloaded deployment serves in a burst are late, though
+// few of the first attempts are.
+func (s *Server) clientTimeUsed(route string, announced time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := s.clients[route]
-	if e == nil {
-		if len(s.clients) >= mostRoutes {
-			clear(s.clients)
+	estimator := s.clientTimes[route]
+	if estimator == nil {
+		if len(s.clientTimes) >= maxTrackedRoutes {
+			clear(s.clientTimes)
 		}
-		e = &elapsed.Estimator{}
-		s.clients[route] = e
+		estimator = &elapsed.Estimator{}
+		s.clientTimes[route] = estimator
 	}
-	return e.Used(announced)
+	return estimator.Used(announced)
 }
 
-// spend takes one repeated send to a service out of the budget, or returns false.
-func (s *Server) spend(service string, now time.Time) bool {
+// withdrawRetry withdraws one retry from the budget of a service. It returns false if there is
+// none.
+func (s *Server) withdrawRetry(service string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.budgetOf(service, now).Withdraw(now)
 }
 
-// affords tells whether spend would take one now.
-func (s *Server) affords(service string) bool {
+// canRetry reports whether withdrawRetry would succeed now.
+func (s *Server) canRetry(service string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.budgetOf(service, time.Now()).Tokens() >= 1
 }
 
-// deposit counts one request for a service.
-func (s *Server) deposit(service string, now time.Time) {
+// countRequest adds one request to the budget of a service.
+func (s *Server) countRequest(service string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.budgetOf(service, now).Deposit(now)
 }
 
-// budgetOf returns the budget of a service. The lock is held.
+// budgetOf returns the retry budget of a service. s.mu must be held.
 func (s *Server) budgetOf(service string, now time.Time) *budget.Budget {
 	b := s.budgets[service]
 	if b == nil {
-		members := max(fewestMembers, len(s.View.Members())+1)
+		members := max(minMembers, len(s.View.Members())+1)
 		b = budget.New(budget.Limits{
 			Ratio: s.Retries.Ratio * retryRatioShare,
 			Burst: s.Retries.Slack * retrySlackShare / float64(members),
@@ -181,30 +185,30 @@
 	return b
 }
 
-// ended counts the end of a request at an upstream.
-func (s *Server) ended(id string) {
+// sendEnded records that a request sent to an upstream has ended.
+func (s *Server) sendEnded(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.chooser.Ended(id)
 }
 
-// heard records an upstream's word about its load.
-func (s *Server) heard(id string, load selection.Load) {
+// recordLoad records the load that an upstream reported.
+func (s *Server) recordLoad(id string, load selection.Load) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.chooser.Heard(id, load)
 }
 
-// failed passes an upstream over for a while.
-func (s *Server) failed(id string) {
+// markFailed makes the chooser avoid an upstream for a while.
+func (s *Server) markFailed(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.chooser.Failed(id, time.Now())
 }
 
-// Sweep closes idle connections until ctx ends.
+// Sweep periodically closes expired idle connections until ctx is cancelled.
 func (s *Server) Sweep(ctx context.Context) error {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -216,5 +220,5 @@
 	}
 }
 
-// sweepEvery is how often idle connections are looked through.
-const sweepEvery = time.Second
+// sweepInterval is the interval at which Sweep checks the idle connections.
+const sweepInterval = time.Second
--- a/gateway/process.go
+++ b/gateway/process.go
@@ -134,7 +134,7 @@
 	p.caller = pools.NewAsker(runCtx, p.view, self, p.owner, p.dialer, logger)
 	p.flow = flow.New(flow.Options{
 		View:    p.view,
-		Asker:   p.caller,
+		Caller:  p.caller,
 		Client:  p.client,
 		Guard:   p.guard,
 		Logger:  logger,
@@ -147,7 +147,7 @@
 		ColdSlack:   settings.Bounds.ColdSlack,
 	})
 	p.view.OnChange(p.owner.Refresh)
-	p.view.OnChange(p.flow.Forget)
+	p.view.OnChange(p.flow.FleetChanged)
 	p.view.OnChange(p.follower.Wake)
 	return p, nil
 }
