--- a/gateway/framing/framing.go
+++ b/gateway/framing/framing.go
@@ -1,7 +1,8 @@
-// Package framing finds requests whose head gives their body two lengths: a
-// Content-Length beside a Transfer-Encoding. net/http's server takes such a request
-// and drops the Content-Length; a client and a proxy before it may see its end
-// elsewhere, and what lies between would be a second request that nobody sent.
+// Package framing detects requests whose head gives their body two lengths: a
+// Content-Length and a Transfer-Encoding. net/http's server accepts such a request and
+// ignores the Content-Length. A proxy in front of it may see the end of the body elsewhere,
+// and then treats the bytes in between as a second request that no client sent (request
+// smuggling).
 package framing
 
 import (
@@ -12,10 +13,10 @@
 	"sync"
 )
 
-// maxHead bounds how much of a head is looked at, above the server's own limit.
-const maxHead = 40 << 10
+// maxHeadBytes bounds how much of a head is inspected. It exceeds the server's own limit.
+const maxHeadBytes = 40 << 10
 
-// Listener accepts connections whose heads are looked at.
+// Listener accepts connections on which request heads are inspected.
 type Listener struct{ net.Listener }
 
 // Accept implements net.Listener.
@@ -27,9 +28,9 @@
 	return &conn{Conn: accepted, inHead: true}, nil
 }
 
-// conn looks at the head of each request. A head that comes before the answer to the
-// request before it is not seen: net/http reads it by the same rules, so that it is
-// still one request and never two.
+// conn inspects the head of each request. It does not see the head of a pipelined request,
+// which arrives before the response to the previous one. net/http reads such a request by the
+// same rules, so that it is still one request and never two.
 type conn struct {
 	net.Conn
 
@@ -45,55 +46,56 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.inHead && n > 0 {
-		c.look(p[:n])
+		c.scan(p[:n])
 	}
 	return n, err
 }
 
-// look takes in a part of a head. The lock is held.
-func (c *conn) look(part []byte) {
+// scan processes a part of a head. c.mu must be held.
+func (c *conn) scan(part []byte) {
 	c.head = append(c.head, part...)
 	end := bytes.Index(c.head, []byte("\r\n\r\n"))
 	if end < 0 {
 		end = bytes.Index(c.head, []byte("\n\n"))
 	}
-	if end < 0 && len(c.head) < maxHead {
+	if end < 0 && len(c.head) < maxHeadBytes {
 		return
 	}
 	if end < 0 {
 		end = len(c.head)
 	}
-	c.ambiguous = has(c.head[:end], "\ntransfer-encoding") && has(c.head[:end], "\ncontent-length")
+	c.ambiguous = hasLine(c.head[:end], "\ntransfer-encoding") && hasLine(c.head[:end], "\ncontent-length")
 	c.inHead = false
 	c.head = nil
 }
 
-// has tells whether a head has a line that begins with a name, in any case.
-func has(head []byte, name string) bool { return bytes.Contains(bytes.ToLower(head), []byte(name)) }
+// hasLine reports whether a head contains s, a newline followed by a header name in lower case.
+// The case of the head is ignored.
+func hasLine(head []byte, s string) bool { return bytes.Contains(bytes.ToLower(head), []byte(s)) }
 
-// next begins the next request.
-func (c *conn) next() {
+// nextRequest prepares for the head of the next request.
+func (c *conn) nextRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.inHead, c.ambiguous, c.head = true, false, nil
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// Watch makes a server look at the heads on connections of a Listener.
-func Watch(server *http.Server) {
+// Enable makes a server inspect request heads on the connections of a Listener.
+func Enable(server *http.Server) {
 	server.ConnContext = func(ctx context.Context, accepted net.Conn) context.Context {
 		return context.WithValue(ctx, connKey{}, accepted)
 	}
 	server.ConnState = func(accepted net.Conn, state http.ConnState) {
 		if c, ok := accepted.(*conn); ok && state == http.StateIdle {
-			c.next()
+			c.nextRequest()
 		}
 	}
 }
 
-// Ambiguous tells whether the head of a request gave its body two lengths.
+// Ambiguous reports whether the head of a request gives its body two lengths.
 func Ambiguous(r *http.Request) bool {
 	c, ok := r.Context().Value(connKey{}).(*conn)
 	if !ok {
--- a/gateway/servers.go
+++ b/gateway/servers.go
@@ -56,7 +56,7 @@
 		MaxHeaderBytes:               headerBytes,
 		DisableGeneralOptionsHandler: true,
 	}
-	framing.Watch(s.clients)
+	framing.Enable(s.clients)
 	s.readiness = &http.Server{Handler: http.HandlerFunc(s.ready), ReadHeaderTimeout: headerTimeout}
 	s.metrics = &http.Server{Handler: p.metrics.Handler(), ReadHeaderTimeout: headerTimeout}
 	return s
