--- a/gateway/flow/relay.go
+++ b/gateway/flow/relay.go
@@ -22,7 +22,7 @@
 
 // relayWhole passes on a response that is not a stream. A response of up to maxBufferedResponse
 // bytes is read completely first.
-func (rq *request) relayWhole(upstream routes.Upstream, response *httpconn.Answer) error {
+func (rq *request) relayWhole(upstream routes.Upstream, response *httpconn.Response) error {
 	id := upstream.ID
 	content, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedResponse+1))
 	if err != nil {
@@ -60,7 +60,7 @@
 
 // copyHead copies the upstream's headers to the client's response. If a stream continues at
 // another upstream, the headers of the first response stay.
-func (rq *request) copyHead(response *httpconn.Answer) {
+func (rq *request) copyHead(response *httpconn.Response) {
 	rq.headSent = true
 	h := rq.w.Header()
 	for name, values := range header.Return(response.Header) {
@@ -75,7 +75,7 @@
 // relayStream passes on the events of a stream as they arrive, each one complete. If the
 // upstream fails, an incomplete event is dropped and the stream may continue at another
 // upstream.
-func (rq *request) relayStream(upstream routes.Upstream, response *httpconn.Answer) error {
+func (rq *request) relayStream(upstream routes.Upstream, response *httpconn.Response) error {
 	id := upstream.ID
 	if !rq.headSent {
 		rq.copyHead(response)
@@ -131,7 +131,7 @@
 // recordOutcome tells the quarantine guard whether the upstream survived a completed response, as
 // far as that is known. A response whose end is only marked by the end of the connection may
 // have ended because the upstream's process crashed.
-func (rq *request) recordOutcome(response *httpconn.Answer, upstream routes.Upstream) {
+func (rq *request) recordOutcome(response *httpconn.Response, upstream routes.Upstream) {
 	switch {
 	case !response.Framed:
 		rq.Guard.Broken(rq.fingerprint, rq.hdr.ID, upstream)
@@ -141,7 +141,7 @@
 }
 
 // recordResponse logs a response that was passed on completely and records it in the metrics.
-func (rq *request) recordResponse(response *httpconn.Answer, upstream routes.Upstream) {
+func (rq *request) recordResponse(response *httpconn.Response, upstream routes.Upstream) {
 	rq.recordOutcome(response, upstream)
 	status := response.Status
 	took := time.Since(rq.started)
--- a/gateway/flow/send.go
+++ b/gateway/flow/send.go
@@ -110,12 +110,12 @@
 		workspace = rq.workspace.Name
 	}
 	return httpconn.Request{
-		Method: rq.r.Method,
-		Target: rq.r.RequestURI,
-		Host:   rq.r.Host,
-		Body:   rq.body,
-		ID:     rq.hdr.ID,
-		Wanted: func() bool { return rq.stillAccepts(choice.Upstream) },
+		Method:     rq.r.Method,
+		Target:     rq.r.RequestURI,
+		Host:       rq.r.Host,
+		Body:       rq.body,
+		ID:         rq.hdr.ID,
+		ShouldSend: func() bool { return rq.stillAccepts(choice.Upstream) },
 		Header: header.Apply(rq.r.Header, header.Forward{
 			Instance:  choice.Upstream.ID,
 			Workspace: workspace,
@@ -183,7 +183,7 @@
 
 // handleResponse processes the response to a request that was sent at the given boot time: it
 // records the upstream's state, and passes the response on or returns a sendFailure.
-func (rq *request) handleResponse(upstream routes.Upstream, response *httpconn.Answer, sent time.Duration) error {
+func (rq *request) handleResponse(upstream routes.Upstream, response *httpconn.Response, sent time.Duration) error {
 	id := upstream.ID
 	info := header.ReadAnswer(response.Status, response.Header)
 	rq.View.UpstreamAsked(view.Asked{Upstream: upstream, Request: rq.hdr.ID, Leaving: info.Leaving, Pause: info.RetryAfter})
@@ -208,7 +208,7 @@
 }
 
 // handleNotRun handles a response which says that the request did not run.
-func (rq *request) handleNotRun(response *httpconn.Answer, replaced bool) error {
+func (rq *request) handleNotRun(response *httpconn.Response, replaced bool) error {
 	rq.Guard.Return(rq.fingerprint, rq.hdr.ID, rq.usedPass, !replaced)
 	if replaced {
 		rq.sends-- // the send did not reach the chosen upstream
--- a/gateway/httpconn/client.go
+++ b/gateway/httpconn/client.go
@@ -1,10 +1,10 @@
-// Package httpconn sends requests to upstreams over kept connections. It stands in
-// place of net/http's Transport, whose parser and writer it uses, for three reasons:
-// the Transport sends some requests again by itself when a kept connection dies; it
-// does not tell whether a byte of a request has left; and it hands out answers that
-// belong to an earlier request of the connection. Here nothing is sent twice, every
-// error tells whether the request may have run, and an answer that does not echo the
-// request is never handed out.
+// Package httpconn sends requests to upstreams over kept-alive connections. It uses the
+// parser and writer of net/http, but replaces its Transport, for three reasons: the
+// Transport retries some requests by itself when a kept-alive connection fails; it does not
+// report whether any byte of a request was sent; and it returns responses that belong to an
+// earlier request on the connection. This package never sends a request twice, every error
+// tells whether the request may have run, and a response that does not echo the ID of the
+// request is never returned.
 package httpconn
 
 import (
@@ -23,19 +23,20 @@
 
 // Limits of connections.
 const (
-	// dialTimeout bounds the opening of a connection; a machine that is up answers
-	// within two round trips, some 10 ms.
+	// dialTimeout bounds the opening of a connection. A machine that is up responds within
+	// two round trips, about 10 ms.
 	dialTimeout = 700 * time.Millisecond
-	// probeAfter and probeTimes find a connection whose other end is gone without a
-	// word, within probeAfter × (probeTimes + 1).
-	probeAfter = time.Second
-	probeTimes = 2
-	// unackedLimit ends a connection on which sent bytes stay unacknowledged.
+	// keepAliveInterval and keepAliveProbes detect a peer that disappeared without closing
+	// the connection, within keepAliveInterval × (keepAliveProbes + 1).
+	keepAliveInterval = time.Second
+	keepAliveProbes   = 2
+	// unackedLimit is the time after which a connection fails if sent bytes stay
+	// unacknowledged.
 	unackedLimit = 2500 * time.Millisecond
-	// idleMargin is how much earlier than the upstream an idle connection is given
-	// up, so that a request does not cross its close.
+	// idleMargin is how long before the upstream an idle connection is closed, so that
+	// the upstream does not close it while a request is being sent.
 	idleMargin = 400 * time.Millisecond
-	// defaultIdle is how long a connection is kept if the upstream does not say.
+	// defaultIdle is how long an idle connection is kept if the upstream sets no limit.
 	defaultIdle = 4 * time.Second
 )
 
@@ -47,16 +48,17 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// ID must be echoed by the answer; empty if no echo is due.
+	// ID must be echoed by the response; empty if no echo is expected.
 	ID string
-	// Wanted tells, once a connection is open, whether the request is still to be sent: opening
-	// one may take long, and meanwhile the upstream may have asked for nothing more. Nil sends it.
-	Wanted func() bool
+	// ShouldSend, if not nil, is called once a connection is open and reports whether the request
+	// is still to be sent: opening a connection may take long, and the upstream may meanwhile
+	// have asked for backoff or begun to stop.
+	ShouldSend func() bool
 }
 
-// Client keeps connections to upstreams. It may be used by many goroutines.
+// Client sends requests to upstreams and keeps idle connections. It is safe for concurrent use.
 type Client struct {
-	// Echo returns the request that an answer names.
+	// echo reads the head of a response.
 	echo func(status int, h http.Header) Echo
 
 	mu     sync.Mutex
@@ -64,28 +66,28 @@
 	closed bool
 }
 
-// Echo is what an answer's head says about whose it is and how its connection goes on.
+// Echo is what the head of a response says about its request and its connection.
 type Echo struct {
-	// ID names the request; empty if the answer names none.
+	// ID is the ID of the request; empty if the response has none.
 	ID string
-	// NotRun is set if the upstream says that it did not run the request. Such an
-	// answer need not name the request.
+	// NotRun is set if the upstream says that it did not run the request. Such a response
+	// need not echo the ID.
 	NotRun bool
-	// Idle is how long the upstream keeps the connection; 0 if it does not say.
+	// Idle is how long the upstream keeps an idle connection; 0 if it does not say.
 	Idle time.Duration
 }
 
-// New returns a Client that reads the heads of answers with echo.
+// New returns a Client that reads the heads of responses with echo.
 func New(echo func(status int, h http.Header) Echo) *Client {
 	return &Client{echo: echo, idle: make(map[string][]*conn)}
 }
 
-// take returns an idle connection that is still good, or opens one.
-func (c *Client) take(ctx context.Context, addr string) (*conn, error) {
+// acquire returns a usable idle connection, or opens a new one.
+func (c *Client) acquire(ctx context.Context, addr string) (*conn, error) {
 	for {
-		kept := c.pop(addr)
+		kept := c.popIdle(addr)
 		if kept == nil {
-			return c.open(ctx, addr)
+			return c.dial(ctx, addr)
 		}
 		if kept.usable(time.Now()) {
 			return kept, nil
@@ -94,8 +96,8 @@
 	}
 }
 
-// pop removes and returns the idle connection that was used last, or nil.
-func (c *Client) pop(addr string) *conn {
+// popIdle removes and returns the most recently used idle connection, or nil.
+func (c *Client) popIdle(addr string) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := c.idle[addr]
@@ -108,8 +110,8 @@
 	return last
 }
 
-// put keeps a connection for the next request.
-func (c *Client) put(kept *conn) {
+// putIdle keeps a connection for the next request.
+func (c *Client) putIdle(kept *conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -119,12 +121,12 @@
 	c.idle[kept.addr] = append(c.idle[kept.addr], kept)
 }
 
-// open opens a connection. Its errors have code Unavailable: nothing was sent.
-func (c *Client) open(ctx context.Context, addr string) (*conn, error) {
+// dial opens a connection. Its errors have the code Unavailable, as nothing was sent.
+func (c *Client) dial(ctx context.Context, addr string) (*conn, error) {
 	dialer := net.Dialer{
 		Timeout:         dialTimeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeAfter, Count: probeTimes},
-		Control:         limitUnacked,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveProbes},
+		Control:         setUserTimeout,
 	}
 	opened, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -133,18 +135,18 @@
 	return newConn(opened, addr), nil
 }
 
-// acceptedFor is how long a connection must stay open to show that the other end serves it: what
-// stands before an upstream that has ended takes connections and closes them at once.
-const acceptedFor = 100 * time.Millisecond
+// listenSettleTime is how long a new connection must stay open to show that the upstream serves
+// it: a proxy in front of an upstream that has ended accepts connections and closes them at once.
+const listenSettleTime = 100 * time.Millisecond
 
-// Listens tells whether an address takes a new connection and keeps it. One that it takes is
-// kept for the next request.
+// Listens reports whether an address accepts a new connection and does not close it. If so, the
+// connection is kept for the next request.
 func (c *Client) Listens(ctx context.Context, addr string) bool {
-	opened, err := c.open(ctx, addr)
+	opened, err := c.dial(ctx, addr)
 	if err != nil {
 		return false
 	}
-	settle := time.NewTimer(acceptedFor)
+	settle := time.NewTimer(listenSettleTime)
 	defer settle.Stop()
 	select {
 	case <-ctx.Done():
@@ -152,25 +154,25 @@
 		return false
 	case <-settle.C:
 	}
-	if !opened.quiet() {
+	if !opened.nothingToRead() {
 		opened.close()
 		return false
 	}
-	c.giveBack(opened)
+	c.release(opened)
 	return true
 }
 
-// giveBack keeps a connection on which nothing was sent. One that was just opened has no word of
-// the upstream on how long it may be idle.
-func (c *Client) giveBack(unused *conn) {
-	if unused.until.IsZero() {
-		unused.until = time.Now().Add(defaultIdle - idleMargin)
+// release keeps a connection on which nothing was sent. If it was just opened, the upstream has
+// not sent its idle limit yet and defaultIdle applies.
+func (c *Client) release(unused *conn) {
+	if unused.expires.IsZero() {
+		unused.expires = time.Now().Add(defaultIdle - idleMargin)
 	}
-	c.put(unused)
+	c.putIdle(unused)
 }
 
-// limitUnacked sets the time after which a connection with unacknowledged bytes ends.
-func limitUnacked(_, _ string, raw syscall.RawConn) error {
+// setUserTimeout sets TCP_USER_TIMEOUT, so that a connection with unacknowledged bytes fails.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
 		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedLimit.Milliseconds()))
@@ -178,18 +180,18 @@
 	return errors.Join(err, failed)
 }
 
-// Sweep closes the idle connections that may no longer be used.
+// Sweep closes the idle connections that have expired.
 func (c *Client) Sweep(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for addr, list := range c.idle {
 		kept := list[:0]
-		for _, one := range list {
-			if one.expired(now) {
-				one.close()
+		for _, idle := range list {
+			if idle.expired(now) {
+				idle.close()
 				continue
 			}
-			kept = append(kept, one)
+			kept = append(kept, idle)
 		}
 		clear(list[len(kept):])
 		c.idle[addr] = kept
@@ -199,14 +201,14 @@
 	}
 }
 
-// Close closes the idle connections; those in use are closed when they come back.
+// Close closes the idle connections. Those in use are closed when they are released.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
 	for _, list := range c.idle {
-		for _, one := range list {
-			one.close()
+		for _, idle := range list {
+			idle.close()
 		}
 	}
 	c.idle = make(map[string][]*conn)
--- a/gateway/httpconn/client_test.go
+++ b/gateway/httpconn/client_test.go
@@ -15,12 +15,12 @@
 	"acaciawinch/core/fault"
 )
 
-// script is what an upstream of a test does with one connection.
-type script func(t *testing.T, conn net.Conn, reader *bufio.Reader)
+// handler is what a test upstream does with one connection.
+type handler func(t *testing.T, conn net.Conn, reader *bufio.Reader)
 
-// upstream listens and plays one script for each connection, in their order. It
-// returns its address and a channel that counts accepted connections.
-func upstream(t *testing.T, scripts ...script) (string, <-chan int) {
+// upstream listens and runs one handler for each connection, in order. It returns its
+// address and a channel that gets one value for each accepted connection.
+func upstream(t *testing.T, handlers ...handler) (string, <-chan int) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -28,13 +28,13 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for i, play := range scripts {
+		for i, handle := range handlers {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			accepted <- i
-			play(t, conn, bufio.NewReader(conn))
+			handle(t, conn, bufio.NewReader(conn))
 			_ = conn.Close()
 		}
 	}()
@@ -56,8 +56,9 @@
 	return r, string(body)
 }
 
-// answers plays an upstream that answers each request of a connection with a text.
-func answers(texts ...string) script {
+// respondWith returns a handler that responds to each request of a connection with one of the
+// texts.
+func respondWith(texts ...string) handler {
 	return func(t *testing.T, conn net.Conn, reader *bufio.Reader) {
 		for _, text := range texts {
 			if r, _ := readRequest(t, reader); r == nil {
@@ -69,16 +70,16 @@
 	}
 }
 
-// waitsForEnd plays an upstream that answers one request and then waits for the
-// client's end.
-func waitsForEnd(text string) script {
+// respondAndWait returns a handler that responds to one request and then waits until the
+// client closes the connection.
+func respondAndWait(text string) handler {
 	return func(t *testing.T, conn net.Conn, reader *bufio.Reader) {
-		answers(text)(t, conn, reader)
+		respondWith(text)(t, conn, reader)
 		_, _ = reader.ReadByte()
 	}
 }
 
-// newClient returns a client that reads the echo from the header Id.
+// newClient returns a client that reads the request ID from the header Id.
 func newClient(t *testing.T) *Client {
 	c := New(func(status int, h http.Header) Echo {
 		return Echo{ID: h.Get("Id"), NotRun: h.Get("Not-Run") != ""}
@@ -87,13 +88,13 @@
 	return c
 }
 
-// request returns a GET with an id.
+// request returns a GET request with an ID.
 func request(id string) Request {
 	return Request{Method: http.MethodGet, Target: "/a/../b?c", Host: "h", Header: http.Header{"Id": {id}}, ID: id}
 }
 
-// whole reads an answer to its end.
-func whole(t *testing.T, a *Answer) string {
+// readAll reads the body of a response to its end.
+func readAll(t *testing.T, a *Response) string {
 	t.Helper()
 	body, err := io.ReadAll(a.Body)
 	assert.NilError(t, err)
@@ -101,17 +102,17 @@
 }
 
 const (
-	answer1 = "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 2\r\n\r\nok"
-	answer2 = "HTTP/1.1 200 OK\r\nId: 2\r\nContent-Length: 2\r\n\r\nno"
+	response1 = "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 2\r\n\r\nok"
+	response2 = "HTTP/1.1 200 OK\r\nId: 2\r\nContent-Length: 2\r\n\r\nno"
 )
 
 func TestConnectionIsUsedAgainAfterAWholeAnswer(t *testing.T) {
-	address, accepted := upstream(t, answers(answer1, answer2))
+	address, accepted := upstream(t, respondWith(response1, response2))
 	c := newClient(t)
 	for _, id := range []string{"1", "2"} {
 		a, err := c.Do(context.Background(), address, request(id))
 		assert.NilError(t, err)
-		whole(t, a)
+		readAll(t, a)
 	}
 	assert.Equal(t, len(accepted), 1)
 }
@@ -121,34 +122,34 @@
 	address, _ := upstream(t, func(t *testing.T, conn net.Conn, reader *bufio.Reader) {
 		r, _ := readRequest(t, reader)
 		got <- r.RequestURI
-		_, err := io.WriteString(conn, answer1)
+		_, err := io.WriteString(conn, response1)
 		assert.Check(t, err)
 	})
 	a, err := newClient(t).Do(context.Background(), address, request("1"))
 	assert.NilError(t, err)
-	whole(t, a)
+	readAll(t, a)
 	assert.Equal(t, <-got, "/a/../b?c")
 }
 
-// TestNothingIsSentAgainOnADeadConnection is what net/http's Transport does not keep
-// for a GET: a kept connection that dies after the request was written is an error
-// that tells that the request may have run.
+// TestNothingIsSentAgainOnADeadConnection checks that a kept-alive connection which fails
+// after a request was written yields an error that says that the request may have run.
+// net/http's Transport would send a GET again.
 func TestNothingIsSentAgainOnADeadConnection(t *testing.T) {
 	address, accepted := upstream(t, func(t *testing.T, conn net.Conn, reader *bufio.Reader) {
-		answers(answer1)(t, conn, reader)
+		respondWith(response1)(t, conn, reader)
 		readRequest(t, reader)
-	}, answers(answer2))
+	}, respondWith(response2))
 	c := newClient(t)
 	a, err := c.Do(context.Background(), address, request("1"))
 	assert.NilError(t, err)
-	whole(t, a)
+	readAll(t, a)
 	_, err = c.Do(context.Background(), address, request("2"))
 	assert.Assert(t, fault.Is(err, fault.Ambiguous), "%v", err)
 	assert.Equal(t, len(accepted), 1)
 
 	a, err = c.Do(context.Background(), address, request("2"))
 	assert.NilError(t, err)
-	whole(t, a)
+	readAll(t, a)
 }
 
 func TestRefusedConnectionTellsThatNothingWasSent(t *testing.T) {
@@ -161,42 +162,42 @@
 }
 
 func TestAnswerOfAnotherRequestIsPassedOver(t *testing.T) {
-	address, _ := upstream(t, answers(answer2+answer1))
+	address, _ := upstream(t, respondWith(response2+response1))
 	a, err := newClient(t).Do(context.Background(), address, request("1"))
 	assert.NilError(t, err)
-	assert.Equal(t, whole(t, a), "ok")
+	assert.Equal(t, readAll(t, a), "ok")
 }
 
 func TestAnswerWithoutAnEchoIsNotHandedOut(t *testing.T) {
-	address, _ := upstream(t, answers("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
+	address, _ := upstream(t, respondWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 	_, err := newClient(t).Do(context.Background(), address, request("1"))
 	assert.Assert(t, fault.Is(err, fault.Ambiguous), "%v", err)
 }
 
 func TestRejectionNeedsNoEcho(t *testing.T) {
-	address, _ := upstream(t, answers("HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"))
+	address, _ := upstream(t, respondWith("HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"))
 	a, err := newClient(t).Do(context.Background(), address, request("1"))
 	assert.NilError(t, err)
 	assert.Equal(t, a.Status, 503)
-	whole(t, a)
+	readAll(t, a)
 }
 
 func TestInformationalAnswersArePassedOver(t *testing.T) {
-	address, _ := upstream(t, answers("HTTP/1.1 103 Early Hints\r\n\r\n"+answer1))
+	address, _ := upstream(t, respondWith("HTTP/1.1 103 Early Hints\r\n\r\n"+response1))
 	a, err := newClient(t).Do(context.Background(), address, request("1"))
 	assert.NilError(t, err)
-	assert.Equal(t, whole(t, a), "ok")
+	assert.Equal(t, readAll(t, a), "ok")
 }
 
 func TestConnectionWithBytesBehindAnAnswerIsNotUsedAgain(t *testing.T) {
-	address, accepted := upstream(t, waitsForEnd(answer1+"HTTP/1.1 200 OK\r\n"), answers(answer2))
+	address, accepted := upstream(t, respondAndWait(response1+"HTTP/1.1 200 OK\r\n"), respondWith(response2))
 	c := newClient(t)
 	a, err := c.Do(context.Background(), address, request("1"))
 	assert.NilError(t, err)
-	whole(t, a)
+	readAll(t, a)
 	a, err = c.Do(context.Background(), address, request("2"))
 	assert.NilError(t, err)
-	assert.Equal(t, whole(t, a), "no")
+	assert.Equal(t, readAll(t, a), "no")
 	assert.Equal(t, len(accepted), 2)
 }
 
@@ -206,7 +207,7 @@
 		"chunks": "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			address, _ := upstream(t, answers(text))
+			address, _ := upstream(t, respondWith(text))
 			a, err := newClient(t).Do(context.Background(), address, request("1"))
 			assert.NilError(t, err)
 			_, err = io.ReadAll(a.Body)
@@ -217,7 +218,7 @@
 
 func TestBodyWithoutLengthThatIsResetIsNotWhole(t *testing.T) {
 	address, _ := upstream(t, func(t *testing.T, conn net.Conn, reader *bufio.Reader) {
-		answers("HTTP/1.1 200 OK\r\nId: 1\r\n\r\nok")(t, conn, reader)
+		respondWith("HTTP/1.1 200 OK\r\nId: 1\r\n\r\nok")(t, conn, reader)
 		assert.Check(t, conn.(*net.TCPConn).SetLinger(0))
 	})
 	a, err := newClient(t).Do(context.Background(), address, request("1"))
@@ -226,83 +227,85 @@
 	assert.ErrorContains(t, err, "reset")
 }
 
-// TestEarlyAnswerEndsTheConnection: the upstream answers before it has read a long
-// body; bytes of another request must not stand where the rest of that body is due.
+// TestEarlyAnswerEndsTheConnection guards against reuse of a connection on which the upstream
+// responded before it had read a long body: it would read the next request as the remainder
+// of that body.
 func TestEarlyAnswerEndsTheConnection(t *testing.T) {
 	address, accepted := upstream(t, func(t *testing.T, conn net.Conn, reader *bufio.Reader) {
 		_, err := reader.ReadString('\n')
 		assert.Check(t, err)
-		_, err = io.WriteString(conn, answer1)
+		_, err = io.WriteString(conn, response1)
 		assert.Check(t, err)
 		_, _ = io.Copy(io.Discard, reader)
-	}, answers(answer2))
+	}, respondWith(response2))
 	c := newClient(t)
 	long := request("1")
 	long.Method = http.MethodPost
 	long.Body = []byte(strings.Repeat("x", 16<<20))
 	a, err := c.Do(context.Background(), address, long)
 	assert.NilError(t, err)
-	assert.Equal(t, whole(t, a), "ok")
+	assert.Equal(t, readAll(t, a), "ok")
 	a, err = c.Do(context.Background(), address, request("2"))
 	assert.NilError(t, err)
-	whole(t, a)
+	readAll(t, a)
 	assert.Equal(t, len(accepted), 2)
 }
 
 func TestEndOfTheContextEndsTheConnection(t *testing.T) {
-	left := make(chan struct{})
+	closed := make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
 	address, _ := upstream(t, func(t *testing.T, conn net.Conn, reader *bufio.Reader) {
 		readRequest(t, reader)
 		cancel()
 		_, err := reader.ReadByte()
 		assert.Check(t, err != nil)
-		close(left)
+		close(closed)
 	})
 	_, err := newClient(t).Do(ctx, address, request("1"))
 	assert.Assert(t, fault.Is(err, fault.DeadlineExceeded), "%v", err)
-	<-left
+	<-closed
 }
 
 func TestIdleConnectionNearItsLimitIsNotUsed(t *testing.T) {
-	address, accepted := upstream(t, waitsForEnd(answer1), answers(answer2))
+	address, accepted := upstream(t, respondAndWait(response1), respondWith(response2))
 	c := newClient(t)
 	a, err := c.Do(context.Background(), address, request("1"))
 	assert.NilError(t, err)
-	whole(t, a)
+	readAll(t, a)
 	c.Sweep(time.Now().Add(defaultIdle - idleMargin))
 	a, err = c.Do(context.Background(), address, request("2"))
 	assert.NilError(t, err)
-	whole(t, a)
+	readAll(t, a)
 	assert.Equal(t, len(accepted), 2)
 }
 
-// TestARequestThatIsNoLongerWantedIsNotSent: its connection is there for the next one.
+// TestARequestThatIsNoLongerWantedIsNotSent checks also that the connection is kept for the next
+// request.
 func TestARequestThatIsNoLongerWantedIsNotSent(t *testing.T) {
-	address, accepted := upstream(t, answers(answer2))
+	address, accepted := upstream(t, respondWith(response2))
 	c := newClient(t)
-	unwanted := request("1")
-	unwanted.Wanted = func() bool { return false }
-	_, err := c.Do(t.Context(), address, unwanted)
+	skipped := request("1")
+	skipped.ShouldSend = func() bool { return false }
+	_, err := c.Do(t.Context(), address, skipped)
 	assert.Assert(t, fault.Is(err, fault.Unavailable), "%v", err)
-	wanted := request("2")
-	wanted.Wanted = func() bool { return true }
-	answer, err := c.Do(t.Context(), address, wanted)
+	sent := request("2")
+	sent.ShouldSend = func() bool { return true }
+	response, err := c.Do(t.Context(), address, sent)
 	assert.NilError(t, err)
-	assert.Equal(t, whole(t, answer), "no")
+	assert.Equal(t, readAll(t, response), "no")
 	assert.Equal(t, len(accepted), 1)
 }
 
-// TestAnAddressListensIfItKeepsANewConnection: one that stands before an upstream that has ended
-// takes connections and closes them.
+// TestAnAddressListensIfItKeepsANewConnection: a proxy in front of an upstream that has ended
+// accepts connections and closes them, which must not count as listening.
 func TestAnAddressListensIfItKeepsANewConnection(t *testing.T) {
 	c := newClient(t)
-	open, accepted := upstream(t, answers(answer1))
+	open, accepted := upstream(t, respondWith(response1))
 	assert.Assert(t, c.Listens(t.Context(), open))
-	answer, err := c.Do(t.Context(), open, request("1"))
+	response, err := c.Do(t.Context(), open, request("1"))
 	assert.NilError(t, err)
-	assert.Equal(t, whole(t, answer), "ok")
-	assert.Equal(t, len(accepted), 1, "the connection is used")
+	assert.Equal(t, readAll(t, response), "ok")
+	assert.Equal(t, len(accepted), 1, "the connection is reused")
 
 	closing, _ := upstream(t, func(*testing.T, net.Conn, *bufio.Reader) {})
 	assert.Assert(t, !c.Listens(t.Context(), closing))
@@ -312,17 +315,18 @@
 	assert.Assert(t, !c.Listens(t.Context(), listener.Addr().String()))
 }
 
-// TestAnAnswerSaysWhetherItSaysWhereItEnds: by a length or in chunks, not by its connection.
-func TestAnAnswerSaysWhetherItSaysWhereItEnds(t *testing.T) {
+// TestResponseIsFramedIfItsHeadMarksItsEnd checks that a length or chunks mark the end of a
+// response, and the end of the connection does not.
+func TestResponseIsFramedIfItsHeadMarksItsEnd(t *testing.T) {
 	for text, framed := range map[string]bool{
-		answer1: true,
+		response1: true,
 		"HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n": true,
 		"HTTP/1.1 200 OK\r\nId: 1\r\n\r\nok":                                                 false,
 	} {
-		address, _ := upstream(t, answers(text))
-		answer, err := newClient(t).Do(t.Context(), address, request("1"))
+		address, _ := upstream(t, respondWith(text))
+		response, err := newClient(t).Do(t.Context(), address, request("1"))
 		assert.NilError(t, err)
-		assert.Equal(t, whole(t, answer), "ok")
-		assert.Equal(t, answer.Framed, framed, "%q", text)
+		assert.Equal(t, readAll(t, response), "ok")
+		assert.Equal(t, response.Framed, framed, "%q", text)
 	}
 }
--- a/gateway/httpconn/conn.go
+++ b/gateway/httpconn/conn.go
@@ -9,42 +9,42 @@
 	"golang.org/x/sys/unix"
 )
 
-// readBuffer is the size of a connection's buffer in bytes: an answer of a plain
-// service, or a score of stream events, in one read.
-const readBuffer = 4096
+// readBufferBytes is the size of a connection's read buffer. One read takes in a
+// response of a plain service, or about 20 stream events.
+const readBufferBytes = 4096
 
 // conn is one connection to an upstream.
 type conn struct {
 	net.Conn
 	addr   string
 	reader *bufio.Reader
-	// until is when an idle connection may no longer be used.
-	until time.Time
+	// expires is the time after which an idle connection must not be used.
+	expires time.Time
 }
 
-// newConn returns an open connection.
+// newConn wraps an open connection.
 func newConn(opened net.Conn, addr string) *conn {
-	return &conn{Conn: opened, addr: addr, reader: bufio.NewReaderSize(opened, readBuffer)}
+	return &conn{Conn: opened, addr: addr, reader: bufio.NewReaderSize(opened, readBufferBytes)}
 }
 
-// close closes the connection. A failure to close changes nothing: the connection is
-// not used again.
+// close closes the connection. Errors are ignored, as the connection is not used again.
 func (c *conn) close() { _ = c.Conn.Close() }
 
-// expired tells whether an idle connection is near the upstream's own limit.
-func (c *conn) expired(now time.Time) bool { return !now.Before(c.until) }
+// expired reports whether an idle connection is close to the upstream's idle limit.
+func (c *conn) expired(now time.Time) bool { return !now.Before(c.expires) }
 
-// usable tells whether an idle connection is open and has nothing to read: bytes
-// that come while no request is open belong to none.
+// usable reports whether an idle connection is open and has nothing to read: bytes that
+// arrive while no request is in flight belong to no request.
 func (c *conn) usable(now time.Time) bool {
 	if c.expired(now) || c.reader.Buffered() > 0 {
 		return false
 	}
-	return c.quiet()
+	return c.nothingToRead()
 }
 
-// quiet looks, without waiting, whether there is neither a byte nor an end to read.
-func (c *conn) quiet() bool {
+// nothingToRead reports, without blocking, whether neither data nor the end of the connection can
+// be read.
+func (c *conn) nothingToRead() bool {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return false
--- a/gateway/httpconn/exchange.go
+++ b/gateway/httpconn/exchange.go
@@ -12,58 +12,58 @@
 	"acaciawinch/core/fault"
 )
 
-// Limits of an exchange.
+// Limits of a request and its response.
 const (
-	// smallBody is the most bytes that are written before the answer is read; more
-	// could fill the link's window while the upstream has answered and reads no more.
-	smallBody = 2048
-	// maxForeign bounds the answers of other requests and the informational ones
-	// that are passed over before the answer that is waited for.
-	maxForeign = 4
-	// maxForeignBytes bounds the body of an answer that is passed over.
-	maxForeignBytes = 1 << 20
+	// maxInlineBody is the size up to which a body is written completely before the response
+	// is read. A larger one could fill the TCP window and block, while the upstream has
+	// already responded and reads no more.
+	maxInlineBody = 2048
+	// maxSkipped bounds the informational responses and the responses to other requests
+	// that are skipped before the expected response.
+	maxSkipped = 4
+	// maxSkippedBytes bounds the body of a skipped response.
+	maxSkippedBytes = 1 << 20
 )
 
-// Answer is an upstream's answer. Its body must be read to its end or given up by
-// Close.
-type Answer struct {
+// Response is an upstream's response. The caller must read Body to its end or call Close.
+type Response struct {
 	Status int
 	Header http.Header
-	// Body ends with io.EOF only if the whole body was read.
+	// Body returns io.EOF only after the complete body was read.
 	Body io.Reader
-	// Framed is set if the answer says where it ends. The end of another one is that of its
-	// connection, which the end of the upstream's process looks like.
+	// Framed is set if the head of the response marks the end of its body, by a length or as
+	// chunks. Otherwise the body ends with the connection, which can't be told from a crash
+	// of the upstream's process.
 	Framed bool
 
-	client *Client
-	conn   *conn
-	body   io.ReadCloser
-	idle   time.Duration
-	keep   bool
-	sent   *sender
-	stop   func() bool
-	ended  atomic.Bool
+	client   *Client
+	conn     *conn
+	body     io.ReadCloser
+	idle     time.Duration
+	reusable bool
+	writer   *requestWriter
+	stop     func() bool
+	finished atomic.Bool
 }
 
-// Do sends a request and waits for the head of its answer, until ctx ends. An error
-// with code Unavailable tells that nothing was sent; with any other code the request
-// may have run.
-func (c *Client) Do(ctx context.Context, addr string, r Request) (*Answer, error) {
-	taken, err := c.take(ctx, addr)
+// Do sends a request and waits for the head of its response until ctx ends. If an error
+// has the code Unavailable, nothing was sent; with any other code the request may have run.
+func (c *Client) Do(ctx context.Context, addr string, r Request) (*Response, error) {
+	acquired, err := c.acquire(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
-	if r.Wanted != nil && !r.Wanted() {
-		c.giveBack(taken)
-		return nil, fault.New(fault.Unavailable, "upstream.send", addr, "the upstream takes nothing any more")
+	if r.ShouldSend != nil && !r.ShouldSend() {
+		c.release(acquired)
+		return nil, fault.New(fault.Unavailable, "upstream.send", addr, "upstream no longer accepts requests")
 	}
-	stop := context.AfterFunc(ctx, taken.close)
-	sent := send(taken, r)
-	answer, err := c.receive(taken, r, sent)
+	stop := context.AfterFunc(ctx, acquired.close)
+	writer := startWrite(acquired, r)
+	response, err := c.receive(acquired, r, writer)
 	if err != nil {
 		stop()
-		taken.close()
-		if sent.nothing() {
+		acquired.close()
+		if writer.wroteNothing() {
 			return nil, fault.Wrap(fault.Unavailable, "upstream.send", addr, err)
 		}
 		if ctx.Err() != nil {
@@ -71,22 +71,23 @@
 		}
 		return nil, fault.Wrap(fault.Ambiguous, "upstream.receive", addr, err)
 	}
-	answer.stop = stop
-	return answer, nil
+	response.stop = stop
+	return response, nil
 }
 
-// sender writes one request.
-type sender struct {
+// requestWriter writes one request.
+type requestWriter struct {
 	written atomic.Int64
 	done    chan struct{}
 	err     error
 }
 
-// send begins to write a request; a small one is written when it returns.
-func send(to *conn, r Request) *sender {
-	s := &sender{done: make(chan struct{})}
-	head := encode(r)
-	if len(r.Body) <= smallBody {
+// startWrite starts to write a request. One with a body of at most maxInlineBody bytes is written
+// when it returns.
+func startWrite(to *conn, r Request) *requestWriter {
+	s := &requestWriter{done: make(chan struct{})}
+	head := encodeHead(r)
+	if len(r.Body) <= maxInlineBody {
 		s.write(to, append(head, r.Body...))
 		close(s.done)
 		return s
@@ -102,14 +103,14 @@
 }
 
 // write writes a part of the request.
-func (s *sender) write(to *conn, part []byte) {
+func (s *requestWriter) write(to *conn, part []byte) {
 	n, err := to.Write(part)
 	s.written.Add(int64(n))
 	s.err = err
 }
 
-// nothing tells whether the whole writing failed before its first byte.
-func (s *sender) nothing() bool {
+// wroteNothing reports whether writing has failed before the first byte.
+func (s *requestWriter) wroteNothing() bool {
 	select {
 	case <-s.done:
 		return s.err != nil && s.written.Load() == 0
@@ -118,8 +119,8 @@
 	}
 }
 
-// whole tells whether all was written without an error.
-func (s *sender) whole() bool {
+// wroteAll reports whether the complete request was written.
+func (s *requestWriter) wroteAll() bool {
 	select {
 	case <-s.done:
 		return s.err == nil
@@ -128,28 +129,28 @@
 	}
 }
 
-// encode returns the head of a request as it is sent.
-func encode(r Request) []byte {
+// encodeHead returns the head of a request in wire format.
+func encodeHead(r Request) []byte {
 	var head bytes.Buffer
 	head.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
 	if len(r.Body) > 0 || hasBody(r.Method) {
 		head.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
 	}
-	_ = r.Header.Write(&head) // a buffer never fails to write
+	_ = r.Header.Write(&head) // writing to a bytes.Buffer never fails
 	head.WriteString("\r\n")
 	return head.Bytes()
 }
 
-// hasBody tells whether requests of a method usually have a body, so that one
-// without any says so.
+// hasBody reports whether requests of a method usually have a body, so that an empty body
+// needs an explicit Content-Length.
 func hasBody(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// receive reads the head of the answer to a request. Informational answers and those
-// that name another request are passed over.
-func (c *Client) receive(from *conn, r Request, sent *sender) (*Answer, error) {
-	for range maxForeign {
+// receive reads the head of the response to a request. It skips informational responses and
+// those to other requests.
+func (c *Client) receive(from *conn, r Request, writer *requestWriter) (*Response, error) {
+	for range maxSkipped {
 		resp, err := http.ReadResponse(from.reader, &http.Request{Method: r.Method})
 		if err != nil {
 			return nil, err
@@ -159,65 +160,65 @@
 		}
 		echo := c.echo(resp.StatusCode, resp.Header)
 		if r.ID == "" || echo.ID == r.ID || (echo.ID == "" && echo.NotRun) {
-			return c.answer(from, resp, echo, sent), nil
+			return c.newResponse(from, resp, echo, writer), nil
 		}
-		if err := skip(resp); err != nil {
+		if err := discardBody(resp); err != nil {
 			return nil, err
 		}
 	}
-	return nil, fault.New(fault.Ambiguous, "upstream.receive", from.addr, "%d answers of other requests", maxForeign)
+	return nil, fault.New(fault.Ambiguous, "upstream.receive", from.addr, "%d responses belong to other requests", maxSkipped)
 }
 
-// skip reads an answer of another request to its end. One that ends with the
-// connection leaves no place for the answer that is waited for.
-func skip(resp *http.Response) error {
-	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxForeignBytes))
+// discardBody reads the response to another request to its end. It returns an error if that
+// response closes the connection, as the expected response can't follow then.
+func discardBody(resp *http.Response) error {
+	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxSkippedBytes))
 	if err != nil {
 		return err
 	}
-	if n == maxForeignBytes || resp.Close {
+	if n == maxSkippedBytes || resp.Close {
 		return io.ErrUnexpectedEOF
 	}
 	return nil
 }
 
-// answer returns the answer with its body unread.
-func (c *Client) answer(from *conn, resp *http.Response, echo Echo, sent *sender) *Answer {
-	a := &Answer{
-		Status: resp.StatusCode,
-		Header: resp.Header,
-		Framed: resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0,
-		client: c,
-		conn:   from,
-		body:   resp.Body,
-		idle:   echo.Idle,
-		keep:   !resp.Close && resp.StatusCode != http.StatusSwitchingProtocols,
-		sent:   sent,
-	}
-	a.Body = &body{answer: a}
+// newResponse returns the Response for resp, whose body is unread.
+func (c *Client) newResponse(from *conn, resp *http.Response, echo Echo, writer *requestWriter) *Response {
+	a := &Response{
+		Status:   resp.StatusCode,
+		Header:   resp.Header,
+		Framed:   resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0,
+		client:   c,
+		conn:     from,
+		body:     resp.Body,
+		idle:     echo.Idle,
+		reusable: !resp.Close && resp.StatusCode != http.StatusSwitchingProtocols,
+		writer:   writer,
+	}
+	a.Body = &responseBody{response: a}
 	return a
 }
 
-// body reads an answer's body and gives its connection back at the end.
-type body struct{ answer *Answer }
+// responseBody reads the body of a response and releases its connection at the end.
+type responseBody struct{ response *Response }
 
 // Read implements io.Reader.
-func (b *body) Read(p []byte) (int, error) {
-	n, err := b.answer.body.Read(p)
+func (b *responseBody) Read(p []byte) (int, error) {
+	n, err := b.response.body.Read(p)
 	if err == io.EOF {
-		b.answer.finish()
+		b.response.finish()
 	}
 	return n, err
 }
 
-// finish keeps the connection for the next request, if it may be used again: the
-// request was written whole, and nothing stands behind the answer.
-func (a *Answer) finish() {
-	if !a.ended.CompareAndSwap(false, true) {
+// finish keeps the connection for the next request if it can be reused: the request was
+// written completely, and no data follows the response.
+func (a *Response) finish() {
+	if !a.finished.CompareAndSwap(false, true) {
 		return
 	}
-	unbroken := a.stop == nil || a.stop()
-	if !unbroken || !a.keep || !a.sent.whole() || a.conn.reader.Buffered() > 0 {
+	active := a.stop == nil || a.stop()
+	if !active || !a.reusable || !a.writer.wroteAll() || a.conn.reader.Buffered() > 0 {
 		a.conn.close()
 		return
 	}
@@ -225,14 +226,14 @@
 	if idle == 0 {
 		idle = defaultIdle
 	}
-	a.conn.until = time.Now().Add(idle - idleMargin)
-	a.client.put(a.conn)
+	a.conn.expires = time.Now().Add(idle - idleMargin)
+	a.client.putIdle(a.conn)
 }
 
-// Close gives up what was not read; the connection ends, which tells the upstream to
-// stop its work. After the whole body it does nothing.
-func (a *Answer) Close() {
-	if !a.ended.CompareAndSwap(false, true) {
+// Close closes the connection if the body was not read completely, which tells the upstream
+// to stop working on the request. After the end of the body it does nothing.
+func (a *Response) Close() {
+	if !a.finished.CompareAndSwap(false, true) {
 		return
 	}
 	if a.stop != nil {
