--- a/gateway/events/reader.go
+++ b/gateway/events/reader.go
@@ -1,5 +1,5 @@
-// Package events cuts an event stream into its events, so that only whole events are
-// handed on and a stream can go on after the last one.
+// Package events splits a server-sent event stream into its events, so that only complete
+// events are passed on and a stream can be resumed after the last one.
 package events
 
 import (
@@ -11,30 +11,30 @@
 // maxEventBytes bounds one event.
 const maxEventBytes = 1 << 20
 
-// Event is one event as it stands on the wire, with the empty line that ends it.
+// Event is one event in wire format, including the empty line that ends it.
 type Event struct {
 	Bytes []byte
-	// ID is the event's id, empty if it has none.
+	// ID is the ID of the event, empty if it has none.
 	ID string
 }
 
-// Reader reads events.
+// Reader reads the events of a stream.
 type Reader struct {
-	from   *bufio.Reader
+	source *bufio.Reader
 	buffer []byte
 }
 
-// NewReader returns a Reader of a stream's body.
-func NewReader(body io.Reader) *Reader { return &Reader{from: bufio.NewReaderSize(body, 4096)} }
+// NewReader returns a Reader for the body of a stream.
+func NewReader(body io.Reader) *Reader { return &Reader{source: bufio.NewReaderSize(body, 4096)} }
 
-// Next returns the next event, valid until the next call. The error is io.EOF only if
-// the stream ended after a whole event; a part of an event is io.ErrUnexpectedEOF.
+// Next returns the next event, which is valid until the next call. It returns io.EOF only if
+// the stream ended after a complete event, and io.ErrUnexpectedEOF if it ended within one.
 func (r *Reader) Next() (Event, error) {
 	r.buffer = r.buffer[:0]
 	event := Event{}
 	lineStart := 0
 	for {
-		line, err := r.from.ReadSlice('\n')
+		line, err := r.source.ReadSlice('\n')
 		r.buffer = append(r.buffer, line...)
 		switch {
 		case err == bufio.ErrBufferFull && len(r.buffer) <= maxEventBytes:
--- a/gateway/events/reader_test.go
+++ b/gateway/events/reader_test.go
@@ -39,8 +39,8 @@
 	assert.Equal(t, event.ID, "7")
 }
 
-// FuzzReader: what is handed out, put together, is the beginning of the stream up to
-// the end of its last whole event.
+// FuzzReader checks that the returned events, concatenated, are a prefix of the stream, and the
+// whole stream if it ends after a complete event.
 func FuzzReader(f *testing.F) {
 	f.Add("id: 1\ndata: a\n\nid: 2\n\n")
 	f.Add("\n\n\r\n")
