--- a/gateway/clock/clock.go
+++ b/gateway/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock reads the clock that goes on while the machine is suspended. Ages
-// that bound what may still be trusted are measured with it: after a suspension
-// the usual monotonic clock would make old knowledge look fresh.
+// Package clock reads the monotonic clock that continues while the machine is suspended. It
+// measures ages that decide whether state may still be trusted: after a suspension, the
+// usual monotonic clock would make stale state look fresh.
 package clock
 
 import (
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot returns the time since the machine's start, suspensions included. A kernel
-// without this clock ends the process, as nothing could be trusted without it.
+// Boot returns the time since the machine booted, including suspensions. It panics if the
+// kernel lacks this clock, as no age could be trusted without it.
 func Boot() time.Duration {
 	var now unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &now); err != nil {
--- a/gateway/clock/sleep.go
+++ b/gateway/clock/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep waits for a time, or until ctx ends.
+// Sleep waits for the given duration, or until ctx ends.
 func Sleep(ctx context.Context, length time.Duration) {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
