--- a/gateway/events/reader.go
+++ b/gateway/events/reader.go
@@ -20,12 +20,12 @@
 
 // Reader reads the events of a stream.
 type Reader struct {
-	source *bufio.Reader
+	reader *bufio.Reader
 	buffer []byte
 }
 
 // NewReader returns a Reader for the body of a stream.
-func NewReader(body io.Reader) *Reader { return &Reader{source: bufio.NewReaderSize(body, 4096)} }
+func NewReader(body io.Reader) *Reader { return &Reader{reader: bufio.NewReaderSize(body, 4096)} }
 
 // Next returns the next event, which is valid until the next call. It returns io.EOF only if
 // the stream ended after a complete event, and io.ErrUnexpectedEOF if it ended within one.
@@ -34,7 +34,7 @@
 	event := Event{}
 	lineStart := 0
 	for {
-		line, err := r.source.ReadSlice('\n')
+		line, err := r.reader.ReadSlice('\n')
 		r.buffer = append(r.buffer, line...)
 		switch {
 		case err == bufio.ErrBufferFull && len(r.buffer) <= maxEventBytes:
