--- a/gateway/flow/send.go
+++ b/gateway/flow/send.go
@@ -160,7 +160,7 @@
 	return &sendFailure{mayHaveRun: true, closedByUpstream: rq.wasClosedByUpstream(err), err: err}
 }
 
-// countSend counts a send that reached an upstream. It uses up the crashPass, which holds for one
+// countSend counts a send that reached an upstream. It uses up the crashPass, as a trial is one
 // such send.
 func (rq *request) countSend() {
 	rq.sends++
