--- a/settings/decode.go
+++ b/settings/decode.go
@@ -11,19 +11,19 @@
 	"github.com/BurntSushi/toml"
 )
 
-// decoder fills structs key by key, so that one wrong key doesn't hide the next.
+// decoder decodes structs key by key, so that all problems of a file are found at once.
 type decoder struct {
 	metadata toml.MetaData
 	lines    *Lines
 	problems Problems
 }
 
-// reject records a problem.
-func (d *decoder) reject(key, format string, args ...any) {
+// addProblem records a problem of a key.
+func (d *decoder) addProblem(key, format string, args ...any) {
 	d.problems = append(d.problems, d.lines.Problem(key, fmt.Sprintf(format, args...)))
 }
 
-// table fills the struct dst from one table.
+// table decodes a table into the struct dst.
 func (d *decoder) table(path string, values map[string]toml.Primitive, dst reflect.Value) {
 	before := len(d.problems)
 	known := map[string]bool{}
@@ -39,13 +39,13 @@
 		}
 		d.absent(key, field, dst.Field(i))
 	}
-	d.unknown(path, values, known)
+	d.rejectUnknown(path, values, known)
 	if len(d.problems) == before {
 		d.validate(path, dst)
 	}
 }
 
-// keyOf returns the TOML key of a field.
+// keyOf returns the TOML key of a field: its tag, or else its name.
 func keyOf(field reflect.StructField) string {
 	name, _, _ := strings.Cut(field.Tag.Get("toml"), ",")
 	if name == "" {
@@ -54,11 +54,11 @@
 	return name
 }
 
-// absent handles a key that the file doesn't have. A table that is left out is
-// treated as an empty one, so that its required keys are missed too.
+// absent handles a field whose key is not in the file. A missing table is treated
+// as an empty one, so that its required keys are reported.
 func (d *decoder) absent(key string, field reflect.StructField, dst reflect.Value) {
 	if field.Tag.Get("required") == "true" {
-		d.reject(key, "missing")
+		d.addProblem(key, "missing")
 		return
 	}
 	if isTable(field.Type) {
@@ -66,8 +66,8 @@
 	}
 }
 
-// unknown rejects the keys that no field has.
-func (d *decoder) unknown(path string, values map[string]toml.Primitive, known map[string]bool) {
+// rejectUnknown records a problem for each key that has no field.
+func (d *decoder) rejectUnknown(path string, values map[string]toml.Primitive, known map[string]bool) {
 	names := make([]string, 0, len(known))
 	for name := range known {
 		names = append(names, name)
@@ -75,30 +75,30 @@
 	sort.Strings(names)
 	for name := range values {
 		if !known[name] {
-			d.reject(join(path, name), "unknown key; known here are %s", strings.Join(names, ", "))
+			d.addProblem(join(path, name), "unknown key; known here are %s", strings.Join(names, ", "))
 		}
 	}
 }
 
-// value fills one field.
+// value decodes a value into the field dst.
 func (d *decoder) value(key string, value toml.Primitive, dst reflect.Value) {
 	switch {
 	case isTable(dst.Type()):
 		var inner map[string]toml.Primitive
-		if d.leaf(key, value, &inner) && d.isTableValue(key, inner) {
+		if d.decode(key, value, &inner) && d.isTableValue(key, inner) {
 			d.table(key, inner, dst)
 		}
 	case dst.Kind() == reflect.Slice && isTable(dst.Type().Elem()):
 		var elements []map[string]toml.Primitive
-		if d.leaf(key, value, &elements) {
+		if d.decode(key, value, &elements) {
 			d.elements(key, elements, dst)
 		}
 	default:
-		d.leaf(key, value, dst.Addr().Interface())
+		d.decode(key, value, dst.Addr().Interface())
 	}
 }
 
-// elements fills a slice of structs.
+// elements decodes an array of tables into the slice of structs dst.
 func (d *decoder) elements(key string, elements []map[string]toml.Primitive, dst reflect.Value) {
 	dst.Set(reflect.MakeSlice(dst.Type(), len(elements), len(elements)))
 	for i, element := range elements {
@@ -109,40 +109,42 @@
 	}
 }
 
-// isTableValue rejects a value that is no table: the TOML library decodes it
-// into a nil map without an error.
+// isTableValue reports whether a decoded value is a table and records a problem if
+// not. The TOML library decodes a value of another type into a nil map without an
+// error.
 func (d *decoder) isTableValue(key string, inner map[string]toml.Primitive) bool {
 	if inner == nil {
-		d.reject(key, "must be a table")
+		d.addProblem(key, "must be a table")
 	}
 	return inner != nil
 }
 
-// mismatch matches the TOML library's message about a wrong type.
-var mismatch = regexp.MustCompile(`TOML value has type (\S+); destination has type (\S+)$`)
+// typeMismatch matches the TOML library's error message for a wrong type.
+var typeMismatch = regexp.MustCompile(`TOML value has type (\S+); destination has type (\S+)$`)
 
-// place matches what the TOML library puts before its other messages.
-var place = regexp.MustCompile(`^toml: (line \d+ )?(\(last key "[^"]*"\): )?`)
+// messagePrefix matches the position that the TOML library puts before its other
+// error messages.
+var messagePrefix = regexp.MustCompile(`^toml: (line \d+ )?(\(last key "[^"]*"\): )?`)
 
-// typeNames holds the TOML words for the library's names of types.
+// typeNames replaces the library's type names by those of TOML.
 var typeNames = strings.NewReplacer("int64", "integer", "float64", "float", "slice", "array", "bool", "boolean",
 	"map[string]interface", "table", "[]interface {}", "array", "[]map[string]interface", "array of tables")
 
-// leaf decodes one value and tells whether it could.
-func (d *decoder) leaf(key string, value toml.Primitive, dst any) bool {
+// decode decodes a value into dst and reports whether it succeeded.
+func (d *decoder) decode(key string, value toml.Primitive, dst any) bool {
 	err := d.metadata.PrimitiveDecode(value, dst)
 	if err == nil {
 		return true
 	}
-	if m := mismatch.FindStringSubmatch(err.Error()); m != nil {
-		d.reject(key, "must be of type %s, is %s", typeNames.Replace(m[2]), typeNames.Replace(m[1]))
+	if m := typeMismatch.FindStringSubmatch(err.Error()); m != nil {
+		d.addProblem(key, "must be of type %s, is %s", typeNames.Replace(m[2]), typeNames.Replace(m[1]))
 		return false
 	}
-	d.reject(key, "%s", place.ReplaceAllString(err.Error(), ""))
+	d.addProblem(key, "%s", messagePrefix.ReplaceAllString(err.Error(), ""))
 	return false
 }
 
-// validate lets dst check itself if it is a Validator.
+// validate records the problems that dst reports if it is a Validator.
 func (d *decoder) validate(path string, dst reflect.Value) {
 	validator, ok := dst.Addr().Interface().(Validator)
 	if !ok {
@@ -153,14 +155,15 @@
 		if e.Key != "" {
 			key = join(path, e.Key)
 		}
-		d.reject(key, "%s", e.Text)
+		d.addProblem(key, "%s", e.Text)
 	}
 }
 
-// textUnmarshaler is implemented by types that are written as strings.
+// textUnmarshaler is the type of the interface of values that are written as
+// strings.
 var textUnmarshaler = reflect.TypeFor[encoding.TextUnmarshaler]()
 
-// isTable tells whether values of t are written as tables.
+// isTable reports whether values of type t are written as tables.
 func isTable(t reflect.Type) bool {
 	return t.Kind() == reflect.Struct && !reflect.PointerTo(t).Implements(textUnmarshaler)
 }
--- a/settings/lines.go
+++ b/settings/lines.go
@@ -6,22 +6,23 @@
 	"strings"
 )
 
-// Lines tells on which line of a file each key stands. The TOML library checks
-// the syntax; Lines only finds keys in text that it accepted.
+// Lines holds the line of each key of a TOML file. The TOML library checks the
+// syntax; Lines only locates keys in text that the library accepted.
 type Lines struct {
-	file string
-	at   map[string]int
+	file  string
+	byKey map[string]int
 }
 
-// Problem returns a Problem at the line of key.
+// Problem returns a Problem at the line of the key.
 func (l *Lines) Problem(key, text string) Problem {
-	return Problem{File: l.file, Line: l.of(key), Key: key, Text: text}
+	return Problem{File: l.file, Line: l.lineOfKey(key), Key: key, Text: text}
 }
 
-// of returns the line of key, or of the nearest table around it, or 1.
-func (l *Lines) of(key string) int {
+// lineOfKey returns the line lineOfKey the key, else that lineOfKey its nearest known parent,
+// else 1.
+func (l *Lines) lineOfKey(key string) int {
 	for key != "" {
-		if line, ok := l.at[key]; ok {
+		if line, ok := l.byKey[key]; ok {
 			return line
 		}
 		key = parent(key)
@@ -29,20 +30,21 @@
 	return 1
 }
 
-// parent cuts the last index or the last name off a key.
+// parent returns the key without its last index or name.
 func parent(key string) string {
 	return key[:max(strings.LastIndexAny(key, ".["), 0)]
 }
 
-// tableHeader and keyLine match the first line of a table and of a key.
+// tableHeader matches the header line of a table; keyLine matches the first line
+// of a key and its value.
 var (
 	tableHeader = regexp.MustCompile(`^\s*(\[\[?)\s*([^\[\]]+?)\s*\]`)
 	keyLine     = regexp.MustCompile(`^\s*([A-Za-z0-9_."'-]+)\s*=`)
 )
 
-// locate finds the keys of a TOML text.
-func locate(file string, data []byte) *Lines {
-	l := &Lines{file: file, at: map[string]int{}}
+// scanKeys records the line of each key of a TOML text.
+func scanKeys(file string, data []byte) *Lines {
+	l := &Lines{file: file, byKey: map[string]int{}}
 	counts := map[string]int{}
 	prefix, quote := "", ""
 	for i, text := range strings.Split(string(data), "\n") {
@@ -52,29 +54,29 @@
 		}
 		if m := tableHeader.FindStringSubmatch(text); m != nil {
 			prefix = tablePath(unquote(m[2]), m[1] == "[[", counts)
-			l.note(prefix, i+1)
+			l.record(prefix, i+1)
 			continue
 		}
 		if m := keyLine.FindStringSubmatch(text); m != nil {
-			l.note(join(prefix, unquote(m[1])), i+1)
+			l.record(join(prefix, unquote(m[1])), i+1)
 			quote = openQuote(text)
 		}
 	}
 	return l
 }
 
-// note keeps the first line of a key, and of the tables around it unless they
-// have a line of their own already.
-func (l *Lines) note(key string, line int) {
+// record sets the line of a key, and of its parents, unless they already have one.
+func (l *Lines) record(key string, line int) {
 	for ; key != ""; key = parent(key) {
-		if _, ok := l.at[key]; !ok {
-			l.at[key] = line
+		if _, ok := l.byKey[key]; !ok {
+			l.byKey[key] = line
 		}
 	}
 }
 
-// tablePath returns the path of a table with the index of each array of tables
-// on the way. Counts holds how many elements each array has so far.
+// tablePath returns the path of a table, with an index for each array of tables in
+// it. element is true for a [[name]] header, which starts a new element. counts
+// holds the number of elements of each array so far.
 func tablePath(name string, element bool, counts map[string]int) string {
 	parts := strings.Split(name, ".")
 	path := ""
@@ -90,7 +92,7 @@
 	return path
 }
 
-// join adds a name to a path.
+// join appends a name to a path.
 func join(path, name string) string {
 	if path == "" {
 		return name
@@ -98,13 +100,13 @@
 	return path + "." + name
 }
 
-// unquote drops the quotes of a quoted key.
+// unquote removes the quotes of a quoted key.
 func unquote(key string) string {
 	return strings.NewReplacer(`"`, "", `'`, "").Replace(key)
 }
 
-// openQuote returns the delimiter of a multi-line string that text leaves open,
-// or "".
+// openQuote returns the delimiter of a multi-line string that begins but does not
+// end in text, or "".
 func openQuote(text string) string {
 	for _, quote := range []string{`"""`, "'''"} {
 		if strings.Count(text, quote)%2 == 1 {
@@ -114,7 +116,8 @@
 	return ""
 }
 
-// closeQuote returns quote, or "" if text ends the multi-line string.
+// closeQuote returns "" if text ends the multi-line string that quote delimits,
+// else quote.
 func closeQuote(text, quote string) string {
 	if strings.Count(text, quote)%2 == 1 {
 		return ""
@@ -122,5 +125,5 @@
 	return quote
 }
 
-// Element returns the key of element i of an array of tables.
+// Element returns the key of the element at index i of an array of tables.
 func Element(key string, i int) string { return fmt.Sprintf("%s[%d]", key, i) }
--- a/settings/problem.go
+++ b/settings/problem.go
@@ -6,14 +6,15 @@
 	"strings"
 )
 
-// Problem is one fault in a file.
+// Problem describes one invalid, unknown or missing key of a file.
 type Problem struct {
 	File string
-	// Line counts from 1. A missing key is reported where its table begins.
+	// Line is the line number, from 1. A missing key is reported at the first line
+	// of its table.
 	Line int
-	// Key is the full key, such as "listen.callers" or "templates[1].name".
+	// Key is the full path of the key, such as "listen.callers" or "templates[1].name".
 	Key string
-	// Text says what is wrong, for people.
+	// Text is a human-readable description.
 	Text string
 }
 
@@ -25,10 +26,11 @@
 	return fmt.Sprintf("%s:%d: %s: %s", p.File, p.Line, p.Key, p.Text)
 }
 
-// Problems are all faults found in a file. It is never empty when returned as an error.
+// Problems holds every problem found in a file. It is never empty when returned as
+// an error.
 type Problems []Problem
 
-// Error implements error: one problem on each line.
+// Error implements error. It returns one problem per line.
 func (p Problems) Error() string {
 	texts := make([]string, len(p))
 	for i, problem := range p {
@@ -37,7 +39,7 @@
 	return strings.Join(texts, "\n")
 }
 
-// sort orders the problems by line, then key.
+// sort sorts the problems by line, then by key.
 func (p Problems) sort() {
 	sort.SliceStable(p, func(i, j int) bool {
 		if p[i].Line != p[j].Line {
@@ -47,11 +49,11 @@
 	})
 }
 
-// KeyError is a value that a Validator rejects.
+// KeyError is the error for a value that a Validator rejects.
 type KeyError struct {
-	// Key is relative to the struct that is validated.
+	// Key is relative to the validated struct.
 	Key string
-	// Text says what is wrong, for people.
+	// Text is a human-readable description.
 	Text string
 }
 
@@ -63,8 +65,8 @@
 	return &KeyError{Key: key, Text: fmt.Sprintf(format, args...)}
 }
 
-// keyErrors takes a Validator's error apart into its KeyErrors. Any other error
-// is kept under an empty key.
+// keyErrors splits the error of a Validator into its KeyErrors. Any other error
+// becomes a KeyError with an empty key.
 func keyErrors(err error) []*KeyError {
 	switch e := err.(type) {
 	case nil:
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads TOML files strictly: unknown keys, wrong types, values
-// out of range and missing fields are errors that name file, line and key.
+// Package settings decodes TOML files strictly: unknown keys, wrong types, values
+// out of range and missing keys are errors that name the file, line and key.
 package settings
 
 import (
@@ -11,9 +11,9 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Validator is implemented by settings structs that check their own values. It
-// returns errors made by Invalid, joined by errors.Join if there are several,
-// with keys relative to the struct.
+// Validator is implemented by settings structs that check their own values.
+// Validate returns errors made by Invalid, with keys relative to the struct;
+// several errors are combined with errors.Join.
 type Validator interface {
 	Validate() error
 }
@@ -29,21 +29,21 @@
 }
 
 // Decode reads TOML data into dst, a pointer to a struct that holds the
-// defaults. Name is the file's name in messages.
+// defaults. name is the file name used in error messages.
 //
 // A field's key is its `toml` tag. A field tagged `required:"true"` must be
-// present. Every key that no field has is an error. After the decoding, each
-// struct that is a Validator checks itself, if its own keys were sound. All
-// problems are returned together, as a Problems in the order of their lines.
+// present. A key without a matching field is an error. Each struct that implements
+// Validator is validated after decoding, unless one of its keys had a problem. All
+// problems are returned together, as a Problems sorted by line.
 func Decode(name string, data []byte, dst any) error {
 	_, err := DecodeLines(name, data, dst)
 	return err
 }
 
-// DecodeLines is Decode, and also returns where each key stands, so that checks
-// over several files can name file and line too.
+// DecodeLines is like Decode and also returns the line of each key, so that checks
+// across several files can report file and line.
 func DecodeLines(name string, data []byte, dst any) (*Lines, error) {
-	lines := locate(name, data)
+	lines := scanKeys(name, data)
 	var root map[string]toml.Primitive
 	metadata, err := toml.Decode(string(data), &root)
 	if err != nil {
@@ -58,7 +58,7 @@
 	return lines, d.problems
 }
 
-// syntaxProblem turns a parser's error into a Problem.
+// syntaxProblem converts an error of the TOML parser to a Problem.
 func syntaxProblem(name string, data []byte, err error) Problem {
 	var parse toml.ParseError
 	if errors.As(err, &parse) {
@@ -67,8 +67,8 @@
 	return Problem{File: name, Line: 1, Text: err.Error()}
 }
 
-// lineOf returns the line of a parser's position. At the end of the data the
-// parser names the line before, or none, but the right byte.
+// lineOf returns the line of a parser position. At the end of the data the parser
+// reports the previous line or no line, but its byte offset is correct.
 func lineOf(position toml.Position, data []byte) int {
 	before := data[:min(max(position.Start, 0), len(data))]
 	return max(position.Line, 1+bytes.Count(before, []byte("\n")))
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// listen is a table with a required key and a range.
+// listen is a table with a required key and a key with a range.
 type listen struct {
 	Callers string `toml:"callers" required:"true"`
 	Backlog int    `toml:"backlog"`
@@ -27,14 +27,14 @@
 	Ratio float64
 }
 
-// file is a whole settings file.
+// file is the root of a settings file.
 type file struct {
 	Listen listen   `toml:"listen"`
 	Stages []stage  `toml:"stages"`
 	Peers  []string `toml:"peers"`
 }
 
-// defaults returns what a file starts from.
+// defaults returns the values for keys that a file leaves out.
 func defaults() file { return file{Listen: listen{Backlog: 10}} }
 
 func TestDecodeKeepsDefaultsAndFillsKeys(t *testing.T) {
