--- a/settings/lines.go
+++ b/settings/lines.go
@@ -18,7 +18,7 @@
 	return Problem{File: l.file, Line: l.lineOfKey(key), Key: key, Text: text}
 }
 
-// lineOfKey returns the line lineOfKey the key, else that lineOfKey its nearest known parent,
+// lineOfKey returns the line of the key, else that of its nearest known parent,
 // else 1.
 func (l *Lines) lineOfKey(key string) int {
 	for key != "" {
