--- a/observe/account/account.go
+++ b/observe/account/account.go
@@ -1,6 +1,6 @@
-// Package account tells from the log lines of gateways what became of the requests of each
-// route, and what held up those that were not on time. Lines of other programs, or cut ones,
-// are passed over and counted.
+// Package account summarizes the log lines of gateways: for each route it counts the
+// outcomes of requests and the causes of those that were late, refused or failed. Lines
+// that are not valid JSON, such as truncated ones, are skipped and counted.
 package account
 
 import (
@@ -12,53 +12,57 @@
 	"acaciawinch/observe/event"
 )
 
-// answerCause names the time from the last stage to an answer's first event.
-const answerCause = "answer"
+// responseCause is the cause of a response that was late because of the time outside its
+// stages, such as the time from the last stage to its first event.
+const responseCause = "answer"
 
-// Row is what became of one route's requests. A client that comes back counts anew.
+// Row holds the outcomes of the requests of one route. Each retry by a client counts as
+// a request.
 type Row struct {
 	Route string `json:"route"`
-	// InTime and Late were answered with success, within the objective and after it.
+	// InTime and Late count the successful responses within the latency objective and
+	// after it.
 	InTime int `json:"in_time"`
 	Late   int `json:"late"`
-	// Refused promised that nothing ran; Failed did not, or broke off; Left went by
-	// themselves.
+	// Refused counts requests that were refused before anything ran. Failed counts
+	// other failures and incomplete responses. Left counts requests whose client
+	// disconnected.
 	Refused int `json:"refused"`
 	Failed  int `json:"failed"`
 	Left    int `json:"left"`
-	// Causes are what took longest of the late ones, and the steps of the others, the most
-	// frequent first.
+	// Causes holds what took longest in late requests, and the failed step of the
+	// others, the most frequent cause first.
 	Causes []Cause `json:"causes"`
 }
 
-// Cause is a reason and how many requests it had.
+// Cause is a reason and the number of requests with it.
 type Cause struct {
 	Reason   string `json:"reason"`
 	Requests int    `json:"requests"`
 }
 
-// Account gathers lines. It is not safe for concurrent use.
+// Account collects log lines. It is not safe for concurrent use.
 type Account struct {
-	rows   map[string]*row
+	rows   map[string]*rowBuilder
 	stages map[string][]stage
-	// Unread counts the lines that are no log lines.
+	// Unread is the number of lines that could not be decoded.
 	Unread int
 }
 
-// row is a Row that is still added to.
-type row struct {
+// rowBuilder is a Row whose causes are still being counted.
+type rowBuilder struct {
 	Row
 	causes map[string]int
 }
 
-// stage is one stage of a request that is still open.
+// stage is a stage of a request that has not ended.
 type stage struct {
-	service string
-	took    time.Duration
+	service  string
+	duration time.Duration
 }
 
-// line is what is read of a log line.
-type line struct {
+// logLine holds the decoded fields of a log line.
+type logLine struct {
 	Fields struct {
 		Event       int    `json:"event"`
 		Request     string `json:"request"`
@@ -75,12 +79,13 @@
 
 // New returns an empty Account.
 func New() *Account {
-	return &Account{rows: make(map[string]*row), stages: make(map[string][]stage)}
+	return &Account{rows: make(map[string]*rowBuilder), stages: make(map[string][]stage)}
 }
 
-// Add takes one line. What stands before its first brace, as a time or a host, is left out.
+// Add adds one line. Anything before its first brace, such as a time or a host name, is
+// ignored.
 func (a *Account) Add(text []byte) {
-	var l line
+	var l logLine
 	start := bytes.IndexByte(text, '{')
 	if start < 0 || json.Unmarshal(text[start:], &l) != nil {
 		a.Unread++
@@ -89,25 +94,25 @@
 	f := l.Fields
 	switch f.Event {
 	case event.StageDone.Number, event.StageFailed.Number:
-		a.stages[f.Request] = append(a.stages[f.Request], stage{service: f.Service, took: time.Duration(f.DurationUS) * time.Microsecond})
+		a.stages[f.Request] = append(a.stages[f.Request], stage{service: f.Service, duration: time.Duration(f.DurationUS) * time.Microsecond})
 	case event.GatewayAnswered.Number:
 		a.answered(l)
 	case event.GatewayRefused.Number:
 		a.refused(l)
 	case event.GatewayBroken.Number:
-		a.end(l, func(r *row) { r.Failed++; r.causes["broken off"]++ })
+		a.end(l, func(r *rowBuilder) { r.Failed++; r.causes["broken off"]++ })
 	case event.GatewayLeft.Number:
-		a.end(l, func(r *row) { r.Left++ })
+		a.end(l, func(r *rowBuilder) { r.Left++ })
 	}
 }
 
-// answered takes an answer that a client has whole.
-func (a *Account) answered(l line) {
+// answered counts a response that was sent in full.
+func (a *Account) answered(l logLine) {
 	f := l.Fields
 	first := time.Duration(f.FirstUS) * time.Microsecond
 	since := first + time.Duration(f.UsedMS)*time.Millisecond
-	cause := a.longest(f.Request, first)
-	a.end(l, func(r *row) {
+	cause := a.longestPart(f.Request, first)
+	a.end(l, func(r *rowBuilder) {
 		switch {
 		case f.Status/100 != 2:
 			r.Failed++
@@ -124,11 +129,12 @@
 	})
 }
 
-// refused takes an answer of the gateway's own.
-func (a *Account) refused(l line) {
+// refused counts a response of the gateway itself: a refusal, or a failure of the
+// request.
+func (a *Account) refused(l logLine) {
 	const notRun, tooMany = 503, 429
 	f := l.Fields
-	a.end(l, func(r *row) {
+	a.end(l, func(r *rowBuilder) {
 		r.causes[f.Step]++
 		if f.Status == notRun || f.Status == tooMany {
 			r.Refused++
@@ -138,46 +144,47 @@
 	})
 }
 
-// longest returns what took most of the time to the first event: a stage, or the rest.
-func (a *Account) longest(request string, first time.Duration) string {
-	rest, longest, cause := first, time.Duration(0), answerCause
+// longestPart returns what took most of the time to the first event of the response: a
+// stage, or the remaining time.
+func (a *Account) longestPart(request string, first time.Duration) string {
+	remaining, longest, cause := first, time.Duration(0), responseCause
 	for _, s := range a.stages[request] {
-		rest -= s.took
-		if s.took > longest {
-			longest, cause = s.took, s.service
+		remaining -= s.duration
+		if s.duration > longest {
+			longest, cause = s.duration, s.service
 		}
 	}
-	if rest > longest {
-		return answerCause
+	if remaining > longest {
+		return responseCause
 	}
 	return cause
 }
 
-// end counts the end of a request.
-func (a *Account) end(l line, count func(*row)) {
+// end removes the stages of an ended request and counts it in the row of its route.
+func (a *Account) end(l logLine, count func(*rowBuilder)) {
 	delete(a.stages, l.Fields.Request)
 	r := a.rows[l.Fields.Route]
 	if r == nil {
-		r = &row{Row: Row{Route: l.Fields.Route}, causes: make(map[string]int)}
+		r = &rowBuilder{Row: Row{Route: l.Fields.Route}, causes: make(map[string]int)}
 		a.rows[l.Fields.Route] = r
 	}
 	count(r)
 }
 
-// Rows returns what became of the requests, by route.
+// Rows returns the outcomes of the requests, sorted by route.
 func (a *Account) Rows() []Row {
 	rows := make([]Row, 0, len(a.rows))
 	for _, r := range a.rows {
 		whole := r.Row
-		whole.Causes = sorted(r.causes)
+		whole.Causes = sortedCauses(r.causes)
 		rows = append(rows, whole)
 	}
 	sort.Slice(rows, func(i, j int) bool { return rows[i].Route < rows[j].Route })
 	return rows
 }
 
-// sorted returns causes, the most frequent first.
-func sorted(causes map[string]int) []Cause {
+// sortedCauses returns the causes, the most frequent first.
+func sortedCauses(causes map[string]int) []Cause {
 	list := make([]Cause, 0, len(causes))
 	for reason, requests := range causes {
 		list = append(list, Cause{Reason: reason, Requests: requests})
--- a/observe/account/account_test.go
+++ b/observe/account/account_test.go
@@ -6,8 +6,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// lines are of six requests: one in time, one late for a pool, one late at the engine, one
-// that came back, one refused, and one that broke off; and one that is no gateway's.
+// lines holds the log lines of six requests: one in time, one late in a pool, one late
+// at the engine, one late because of an earlier try of its client, one refused, and one
+// with an incomplete response. The last two lines are unreadable.
 var lines = []string{
 	`{"fields":{"event":10026,"request":"a","service":"enc","duration_us":300000}}`,
 	`  12.5 edge-1 {"fields":{"event":10023,"request":"a","route":"r","status":200,"first_us":400000,"objective_ms":1000}}`,
@@ -23,7 +24,7 @@
 	`{"fields":`,
 }
 
-func TestWhatBecameOfRequestsIsCountedByRouteAndCause(t *testing.T) {
+func TestOutcomesAreCountedByRouteAndCause(t *testing.T) {
 	a := New()
 	for _, text := range lines {
 		a.Add([]byte(text))
@@ -34,5 +35,5 @@
 		{Route: "r", InTime: 1, Late: 3, Refused: 1, Causes: []Cause{
 			{"answer", 1}, {"came back late", 1}, {"rank", 1}, {"stage.wait", 1}}},
 	})
-	assert.Equal(t, len(a.stages), 0, "nothing is kept of requests that ended")
+	assert.Equal(t, len(a.stages), 0, "stages of ended requests are still kept")
 }
--- a/observe/event/markdown.go
+++ b/observe/event/markdown.go
@@ -17,7 +17,7 @@
 |---|---|---|---|
 `
 
-// Markdown returns the catalogue as the text of docs/EVENTS.md, by number.
+// Markdown returns the text of docs/EVENTS.md: the catalogue, sorted by number.
 func Markdown() string {
 	events := Catalogue()
 	sort.Slice(events, func(i, j int) bool { return events[i].Number < events[j].Number })
--- a/observe/lifecycle/lifecycle.go
+++ b/observe/lifecycle/lifecycle.go
@@ -1,5 +1,5 @@
-// Package lifecycle follows a process of the fleet, entry or side, along the
-// process chart from its start to its end.
+// Package lifecycle tracks the state of an entry or side process, from start to
+// end, with the "process" state chart.
 package lifecycle
 
 import (
@@ -12,48 +12,50 @@
 	"acaciawinch/observe/event"
 )
 
-// processChart is the name of the chart.
+// processChart is the name of the state chart.
 const processChart = "process"
 
 // The events of the chart.
 const (
 	// Opened: the listeners are open.
 	Opened chart.Event = "opened"
-	// Synced: what the process must know before it serves is known.
+	// Synced: the process has the state that it needs to serve.
 	Synced chart.Event = "synced"
 	// Stop: a planned stop began.
 	Stop chart.Event = "stop"
 	// Emptied: all work in flight at the stop has finished.
 	Emptied chart.Event = "emptied"
-	// Expired: the time for a planned stop ran out.
+	// Expired: the timeout of a planned stop expired.
 	Expired chart.Event = "expired"
-	// Fail: the process can't go on.
+	// Fail: the process failed and ends.
 	Fail chart.Event = "fail"
 )
 
 // serving is the state in which the process is ready.
 const serving chart.State = "serving"
 
-// Lifecycle is the life of one process. It may be used by many goroutines.
+// Lifecycle is the state of one process. It is safe for concurrent use.
 type Lifecycle struct {
 	mu      sync.Mutex
 	machine *chart.Machine
 }
 
-// New returns the life of a process that is starting.
+// New returns the lifecycle of a starting process.
 func New(process string) *Lifecycle {
 	return &Lifecycle{machine: chart.MustLoad(processChart).Start(process)}
 }
 
-// Fire takes an event. One that the chart does not allow now is a *fault.Error.
+// Fire applies an event. It returns a *fault.Error if the chart does not allow the
+// event in the current state.
 func (l *Lifecycle) Fire(event chart.Event) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.machine.Fire(event)
 }
 
-// FireIfAllowed takes an event that may come too late to matter, as Synced does
-// when the process is stopping already. It then changes nothing.
+// FireIfAllowed applies an event that may be too late to matter, such as Synced in a
+// process that is already stopping. An event that the chart does not allow in the
+// current state is ignored.
 func (l *Lifecycle) FireIfAllowed(event chart.Event) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,17 +65,17 @@
 	return l.machine.Fire(event)
 }
 
-// Ready tells whether the process serves.
+// Ready reports whether the process is serving.
 func (l *Lifecycle) Ready() bool { return l.State() == serving }
 
-// State returns the present state.
+// State returns the current state.
 func (l *Lifecycle) State() chart.State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.machine.State()
 }
 
-// Identity says which process of the fleet it is.
+// Identity identifies a process of the fleet.
 type Identity struct {
 	Role        fleet.Role
 	Name        string
@@ -81,9 +83,8 @@
 	Incarnation core.Incarnation
 }
 
-// Log writes the lines of the process's start and end around serve and returns
-// its error. A failure moves the process to the end of the chart, unless the
-// chart has ended already.
+// Log logs the start of the process, runs serve, logs the end and returns the error
+// of serve. An error fires Fail, if the chart allows it.
 func (l *Lifecycle) Log(logger *observe.Logger, who Identity, serve func() error) error {
 	logger.Event(event.ProcessStarted, observe.Fields{
 		"role":        string(who.Role),
@@ -92,7 +93,7 @@
 		"incarnation": uint64(who.Incarnation),
 	})
 	if err := serve(); err != nil {
-		_ = l.FireIfAllowed(Fail) // the cause is err
+		_ = l.FireIfAllowed(Fail) // err is the error to report
 		logger.Warn(event.ProcessFailed, observe.Fields{"error": err.Error()})
 		return err
 	}
--- a/observe/log.go
+++ b/observe/log.go
@@ -1,4 +1,4 @@
-// Package observe sets up logs and metrics for every program: apex/log lines
+// Package observe provides logging and metrics for all programs: apex/log lines
 // with numbered events, and tally metrics for Prometheus.
 package observe
 
@@ -11,16 +11,16 @@
 	"acaciawinch/observe/event"
 )
 
-// Logger writes numbered events. It may be used by many goroutines.
+// Logger logs numbered events. It is safe for concurrent use.
 type Logger struct {
 	entry *log.Entry
 }
 
-// Fields are the named values of one log line.
+// Fields holds the named values of one log line.
 type Fields = log.Fields
 
-// NewLogger returns a logger that writes JSON lines to w, each with the
-// process's name. Level is one of debug, info, warn, error.
+// NewLogger returns a logger that writes JSON lines to w, each with the process
+// name. level is one of debug, info, warn, error.
 func NewLogger(w io.Writer, process, level string) (*Logger, error) {
 	parsed, err := log.ParseLevel(level)
 	if err != nil {
@@ -30,12 +30,12 @@
 	return &Logger{entry: base.WithField("process", process)}, nil
 }
 
-// Event writes one line of a catalogued event.
+// Event logs a catalogued event at level info.
 func (l *Logger) Event(e event.Event, fields Fields) {
 	l.entry.WithField("event", e.Number).WithFields(fields).Info(e.Name)
 }
 
-// Warn writes one line of a catalogued event that an operator should look at.
+// Warn logs a catalogued event that needs an operator's attention, at level warn.
 func (l *Logger) Warn(e event.Event, fields Fields) {
 	l.entry.WithField("event", e.Number).WithFields(fields).Warn(e.Name)
 }
--- a/observe/metrics.go
+++ b/observe/metrics.go
@@ -11,18 +11,19 @@
 	promreporter "github.com/uber-go/tally/v4/prometheus"
 )
 
-// reportInterval is how often buffered counters reach the Prometheus reporter.
+// reportInterval is the interval at which buffered metrics are passed to the
+// Prometheus reporter.
 const reportInterval = time.Second
 
-// Metrics is a process's root of metrics. It may be used by many goroutines.
+// Metrics holds the root metrics scope of a process. It is safe for concurrent use.
 type Metrics struct {
 	scope    tally.Scope
 	closer   io.Closer
 	reporter promreporter.Reporter
 }
 
-// NewMetrics returns metrics whose names begin with prefix. Those of the Go
-// runtime (heap, goroutines, collections) stand beside them under their usual names.
+// NewMetrics returns metrics whose names begin with prefix. The metrics of the Go
+// runtime (heap, goroutines, garbage collection) are added under their usual names.
 func NewMetrics(prefix string) *Metrics {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector())
@@ -40,8 +41,8 @@
 // Scope returns the root scope.
 func (m *Metrics) Scope() tally.Scope { return m.scope }
 
-// Handler serves the metrics in the Prometheus text format.
+// Handler returns a handler that serves the metrics in the Prometheus text format.
 func (m *Metrics) Handler() http.Handler { return m.reporter.HTTPHandler() }
 
-// Close reports what is buffered and stops the reporting.
+// Close reports the buffered metrics and stops reporting.
 func (m *Metrics) Close() error { return m.closer.Close() }
--- a/observe/queue.go
+++ b/observe/queue.go
@@ -5,13 +5,13 @@
 	"sync/atomic"
 )
 
-// queueLines bounds the lines that wait for a slow output: some seconds of a busy
-// process's lines, about 2 MB.
-const queueLines = 8192
+// maxQueuedLines is the maximum number of lines queued for a slow output: some seconds
+// of log lines of a busy process, about 2 MB.
+const maxQueuedLines = 8192
 
-// Queue writes log lines to an output in the background. A line is never waited for:
-// when the output is too slow, lines are dropped and counted. It may be used by many
-// goroutines.
+// Queue writes log lines to an output in the background. Writers never block: when
+// the output is too slow, lines are dropped and counted. It is safe for concurrent
+// use.
 type Queue struct {
 	lines   chan []byte
 	dropped atomic.Uint64
@@ -19,20 +19,20 @@
 	done    chan struct{}
 }
 
-// NewQueue returns a Queue that writes to out until Close.
+// NewQueue returns a Queue that writes to out until it is closed.
 func NewQueue(out io.Writer) *Queue {
-	q := &Queue{lines: make(chan []byte, queueLines), stop: make(chan struct{}), done: make(chan struct{})}
+	q := &Queue{lines: make(chan []byte, maxQueuedLines), stop: make(chan struct{}), done: make(chan struct{})}
 	go q.run(out)
 	return q
 }
 
-// run writes lines until Close, and then those that wait.
+// run writes lines until Close is called, then the lines still queued.
 func (q *Queue) run(out io.Writer) {
 	defer close(q.done)
 	for {
 		select {
 		case line := <-q.lines:
-			_, _ = out.Write(line) // an output that fails has nobody to be told
+			_, _ = out.Write(line) // there is nowhere to report a failure of the log output
 		case <-q.stop:
 			q.flush(out)
 			return
@@ -40,7 +40,7 @@
 	}
 }
 
-// flush writes the lines that wait.
+// flush writes the queued lines.
 func (q *Queue) flush(out io.Writer) {
 	for {
 		select {
@@ -52,8 +52,8 @@
 	}
 }
 
-// Write implements io.Writer. It copies p, returns at once and never fails. Lines that
-// come after Close are dropped.
+// Write implements io.Writer. It copies p, never blocks and never returns an error.
+// Lines written after Close are dropped.
 func (q *Queue) Write(p []byte) (int, error) {
 	line := append([]byte(nil), p...)
 	select {
@@ -64,10 +64,10 @@
 	return len(p), nil
 }
 
-// Dropped returns how many lines were dropped so far.
+// Dropped returns the number of lines dropped so far.
 func (q *Queue) Dropped() uint64 { return q.dropped.Load() }
 
-// Close writes what waits and ends the Queue.
+// Close writes the queued lines and stops the Queue.
 func (q *Queue) Close() {
 	close(q.stop)
 	<-q.done
--- a/observe/queue_test.go
+++ b/observe/queue_test.go
@@ -10,20 +10,20 @@
 	"acaciawinch/observe"
 )
 
-// blocked is an output that takes nothing until it is opened.
-type blocked struct {
+// blockedWriter is an output that blocks until open is closed.
+type blockedWriter struct {
 	open chan struct{}
 	text strings.Builder
 }
 
 // Write implements io.Writer.
-func (b *blocked) Write(p []byte) (int, error) {
+func (b *blockedWriter) Write(p []byte) (int, error) {
 	<-b.open
 	return b.text.Write(p)
 }
 
-func TestLinesAreNeverWaitedForAndDroppedOnesAreCounted(t *testing.T) {
-	out := &blocked{open: make(chan struct{})}
+func TestWriteNeverBlocksAndDroppedLinesAreCounted(t *testing.T) {
+	out := &blockedWriter{open: make(chan struct{})}
 	q := observe.NewQueue(out)
 	const lines = 100_000
 	for range lines {
@@ -38,7 +38,7 @@
 	assert.Equal(t, uint64(written)+dropped, uint64(lines))
 }
 
-func TestALineAfterTheEndIsDropped(t *testing.T) {
+func TestLineAfterCloseIsDropped(t *testing.T) {
 	q := observe.NewQueue(io.Discard)
 	q.Close()
 	_, err := q.Write([]byte("late\n"))
@@ -49,6 +49,6 @@
 	q := observe.NewQueue(io.Discard)
 	line := []byte(strings.Repeat("x", 300))
 	for b.Loop() {
-		_, _ = q.Write(line) // it never fails
+		_, _ = q.Write(line) // Write never returns an error
 	}
 }
