--- a/acaciawinchd/command.go
+++ b/acaciawinchd/command.go
@@ -14,13 +14,13 @@
 	"acaciawinch/side"
 )
 
-// settingsError is an error in the settings: nothing was started.
+// settingsError is an error in the settings, found before anything was started.
 type settingsError struct{ err error }
 
 // Error implements error.
 func (e settingsError) Error() string { return e.err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped error.
 func (e settingsError) Unwrap() error { return e.err }
 
 // sideCommand is `acaciawinchd side`.
@@ -71,30 +71,30 @@
 	return gateway.Run(ctx, loaded, c.load, os.Stdout)
 }
 
-// load reads the settings file as it is now.
+// load reads the settings file. gateway.Run calls it again to reload the settings.
 func (c *gatewayCommand) load() (gateway.Settings, error) {
 	loaded := gateway.Defaults()
 	err := settings.Load(c.Config, &loaded)
 	return loaded, err
 }
 
-// stopSignal returns a context that ends when the process is asked to stop. A
-// second signal ends the process at once, as the signal's default does.
+// stopSignal returns a context that is cancelled by SIGTERM or SIGINT. A second
+// signal has its default effect and kills the process at once.
 func stopSignal() (context.Context, context.CancelFunc) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	context.AfterFunc(ctx, stop)
 	return ctx, stop
 }
 
-// addCommands adds the roles to parser.
+// addCommands adds one command per role to the parser.
 func addCommands(parser *flags.Parser) {
 	mustAdd(parser, "entry", "Run the entry process of an entry host", &entryCommand{})
-	mustAdd(parser, "gateway", "Run the process that serves clients on the users' platform", &gatewayCommand{})
+	mustAdd(parser, "gateway", "Run the gateway process that serves clients on the platform", &gatewayCommand{})
 	mustAdd(parser, "side", "Run the side process of one upstream", &sideCommand{})
 }
 
-// mustAdd adds one command. It fails only on a wrong struct tag, which every
-// start of the program would show.
+// mustAdd adds one command. It panics only on an invalid struct tag, which would
+// fail at every start of the program.
 func mustAdd(parser *flags.Parser, name, description string, data any) {
 	if _, err := parser.AddCommand(name, description, "", data); err != nil {
 		panic(err)
--- a/acaciawinchd/fuzz_test.go
+++ b/acaciawinchd/fuzz_test.go
@@ -14,7 +14,7 @@
 	"acaciawinch/side"
 )
 
-// seeds are settings of both roles.
+// seeds holds settings of the entry and side roles, valid and invalid.
 var seeds = []string{
 	"[process]\nname = \"e\"\nzone = \"z\"\n[listen]\ncallers = \"127.0.0.1:1\"\nfleet = \"127.0.0.1:2\"\nadmin = \"127.0.0.1:3\"\n" +
 		"[platform]\nobjects = \"http://127.0.0.1:4\"\nhosts = \"http://127.0.0.1:5\"\n[fleet]\nkey = \"k\"\n",
@@ -26,32 +26,34 @@
 	"process = '''\n'''\n\"listen.callers\" = 0x7fffffffffffffff\n",
 }
 
-// FuzzSettings reads settings of any content as those of each role. A refusal names
-// a line of the file; what is accepted is accepted again as it was understood.
+// FuzzSettings decodes arbitrary settings files for the entry and side roles. Each
+// problem must name a line of the file; settings that are accepted must be accepted
+// again after they are encoded.
 func FuzzSettings(f *testing.F) {
 	for _, seed := range seeds {
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		ofEntry, ofSide := entry.Defaults(), side.Defaults()
-		verifyDecoded(t, text, &ofEntry, func(again []byte) error {
+		entrySettings, sideSettings := entry.Defaults(), side.Defaults()
+		verifyDecoded(t, text, &entrySettings, func(encoded []byte) error {
 			decoded := entry.Defaults()
-			return settings.Decode("again.toml", again, &decoded)
+			return settings.Decode("again.toml", encoded, &decoded)
 		})
-		verifyDecoded(t, text, &ofSide, func(again []byte) error {
+		verifyDecoded(t, text, &sideSettings, func(encoded []byte) error {
 			decoded := side.Defaults()
-			return settings.Decode("again.toml", again, &decoded)
+			return settings.Decode("again.toml", encoded, &decoded)
 		})
 	})
 }
 
-// verifyDecoded decodes settings into dst.
+// verifyDecoded decodes settings into dst and checks the problems, or that decode
+// accepts the encoded result.
 func verifyDecoded(t *testing.T, text []byte, dst any, decode func([]byte) error) {
 	err := settings.Decode("f.toml", text, dst)
 	if err == nil {
-		var printed bytes.Buffer
-		assert.NilError(t, toml.NewEncoder(&printed).Encode(dst))
-		assert.NilError(t, decode(printed.Bytes()), "%s", printed.String())
+		var encoded bytes.Buffer
+		assert.NilError(t, toml.NewEncoder(&encoded).Encode(dst))
+		assert.NilError(t, decode(encoded.Bytes()), "%s", encoded.String())
 		return
 	}
 	var problems settings.Problems
--- a/acaciawinchd/main.go
+++ b/acaciawinchd/main.go
@@ -1,5 +1,5 @@
-// Command acaciawinchd is the daemon of acaciawinch: the entry process of the
-// entry hosts, or the side process of one upstream.
+// Command acaciawinchd is the daemon of acaciawinch. It runs as an entry process, as
+// a gateway process, or as the side process (sidecar) of one upstream.
 package main
 
 import (
@@ -21,7 +21,7 @@
 	os.Exit(run(os.Args[1:]))
 }
 
-// run parses the command line, carries out the command and returns the exit code.
+// run parses the command line, runs the command and returns the exit code.
 func run(args []string) int {
 	parser := flags.NewParser(nil, flags.Default&^flags.PrintErrors)
 	parser.LongDescription = "The daemon of acaciawinch."
--- a/acaciawinchd/main_test.go
+++ b/acaciawinchd/main_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestWrongSettingsExitWithTheirCode(t *testing.T) {
+func TestInvalidSettingsAndUsageExitWithSettingsCode(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "bad.toml")
 	assert.NilError(t, os.WriteFile(file, []byte("[process]\nnam = 1\n"), 0o600))
 	for _, args := range [][]string{
