--- a/acaciawinchd/command.go
+++ b/acaciawinchd/command.go
@@ -89,7 +89,7 @@
 // addCommands adds one command per role to the parser.
 func addCommands(parser *flags.Parser) {
 	mustAdd(parser, "entry", "Run the entry process of an entry host", &entryCommand{})
-	mustAdd(parser, "gateway", "Run the gateway process that serves clients on the platform", &gatewayCommand{})
+	mustAdd(parser, "gateway", "Run the gateway process that serves clients on the users' platform", &gatewayCommand{})
 	mustAdd(parser, "side", "Run the side process of one upstream", &sideCommand{})
 }
 
