--- a/acaciawinch/accept.go
+++ b/acaciawinch/accept.go
@@ -19,78 +19,79 @@
 	"acaciawinch/platform/objects"
 )
 
-// Waits before a failed call is repeated: they double from the first up to the
-// longest, each by chance between half and the whole.
+// Backoff before a failed call is retried. It doubles from initialBackoff up to
+// maxBackoff; the actual wait is random between half of it and all of it.
 const (
-	firstWait   = 50 * time.Millisecond
-	longestWait = 2 * time.Second
+	initialBackoff   = 50 * time.Millisecond
+	maxBackoff = 2 * time.Second
 )
 
-// acceptChange runs the accept protocol and prints how it ended.
-func (e *env) acceptChange(api objects.API, request accept.Request, located func(config.Problem) string) error {
+// acceptChange runs the accept protocol and prints its result.
+func (e *env) acceptChange(api objects.API, request accept.Request, problemText func(config.Problem) string) error {
 	request.ChangeID = uuid.NewString()
 	request.Author = author()
 	request.Time = time.Now()
 	machine := accept.New(request)
-	drive(e.ctx, api, machine)
+	runMachine(e.ctx, api, machine)
 	result, _ := machine.Result()
-	return e.report(result, located)
+	return e.report(result, problemText)
 }
 
-// callsAtOnce bounds the calls that are carried out together.
-const callsAtOnce = 16
+// maxConcurrentCalls is the maximum number of concurrent calls of the object API.
+const maxConcurrentCalls = 16
 
-// drive carries out the machine's calls until it ends or ctx does.
-func drive(ctx context.Context, api objects.API, machine *accept.Machine) {
+// runMachine executes the calls of the machine until it ends or ctx is done.
+func runMachine(ctx context.Context, api objects.API, machine *accept.Machine) {
 	replies := map[string]accept.Reply{}
 	for {
 		if _, ended := machine.Result(); ended {
 			return
 		}
 		action := machine.Next()
-		if !wait(ctx, action.Failures) {
+		if !waitBackoff(ctx, action.Failures) {
 			machine.GiveUp()
 			return
 		}
 		if ahead := machine.Ahead(); len(replies) == 0 && len(ahead) > 1 {
-			replies = carryOutAll(ctx, api, ahead)
+			replies = executeAll(ctx, api, ahead)
 		}
-		reply, made := replies[action.Key]
-		if !made {
-			reply = carryOut(ctx, api, action)
+		reply, fetched := replies[action.Key]
+		if !fetched {
+			reply = execute(ctx, api, action)
 		}
 		delete(replies, action.Key)
 		machine.Handle(reply)
 	}
 }
 
-// carryOutAll makes calls on different keys, some at once, and returns the replies
-// by key.
-func carryOutAll(ctx context.Context, api objects.API, actions []accept.Action) map[string]accept.Reply {
+// executeAll makes calls on different keys concurrently and returns the replies by
+// key.
+func executeAll(ctx context.Context, api objects.API, actions []accept.Action) map[string]accept.Reply {
 	var mu sync.Mutex
 	replies := map[string]accept.Reply{}
 	var group errgroup.Group
-	group.SetLimit(callsAtOnce)
+	group.SetLimit(maxConcurrentCalls)
 	for _, action := range actions {
 		group.Go(func() error {
-			reply := carryOut(ctx, api, action)
+			reply := execute(ctx, api, action)
 			mu.Lock()
 			defer mu.Unlock()
 			replies[action.Key] = reply
 			return nil
 		})
 	}
-	_ = group.Wait() // its functions return nil
+	_ = group.Wait() // the functions always return nil
 	return replies
 }
 
-// wait sleeps before a call that follows failed ones. It returns false if ctx ended.
-func wait(ctx context.Context, failures int) bool {
+// waitBackoff sleeps before a retry, for a time that grows with the number of
+// failures. It returns false if ctx is done.
+func waitBackoff(ctx context.Context, failures int) bool {
 	if failures == 0 {
 		return ctx.Err() == nil
 	}
-	longest := min(firstWait<<(failures-1), longestWait)
-	timer := time.NewTimer(longest/2 + rand.N(longest/2))
+	backoff := min(initialBackoff<<(failures-1), maxBackoff)
+	timer := time.NewTimer(backoff/2 + rand.N(backoff/2))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -100,8 +101,8 @@
 	}
 }
 
-// carryOut makes one call of the object API.
-func carryOut(ctx context.Context, api objects.API, action accept.Action) accept.Reply {
+// execute makes one call of the object API.
+func execute(ctx context.Context, api objects.API, action accept.Action) accept.Reply {
 	var reply accept.Reply
 	var err error
 	switch action.Kind {
@@ -120,7 +121,7 @@
 	return reply
 }
 
-// author returns the name of the operator's account.
+// author returns the name of the current user account.
 func author() string {
 	account, err := user.Current()
 	if err != nil {
@@ -129,24 +130,24 @@
 	return account.Username
 }
 
-// report prints the end of a run and returns the error that sets the exit code.
-func (e *env) report(result accept.Result, located func(config.Problem) string) error {
-	text := describe(result, located)
+// report prints a result and returns the error that sets the exit code.
+func (e *env) report(result accept.Result, problemText func(config.Problem) string) error {
+	text := describe(result, problemText)
 	if err := e.print(result, text); err != nil {
 		return err
 	}
-	code := codeOf(result.Outcome)
-	if code == exitDone {
+	code := outcomeExitCode(result.Outcome)
+	if code == exitOK {
 		return nil
 	}
 	return &exitError{code: code, err: errors.New(text), printed: true}
 }
 
-// codeOf returns the exit code of an outcome.
-func codeOf(outcome accept.Outcome) int {
+// outcomeExitCode returns the exit code of an outcome.
+func outcomeExitCode(outcome accept.Outcome) int {
 	switch outcome {
 	case accept.Accepted, accept.Unchanged:
-		return exitDone
+		return exitOK
 	case accept.Conflict:
 		return exitConflict
 	case accept.Invalid:
@@ -157,11 +158,11 @@
 	return exitFailed
 }
 
-// itemsShown bounds the items in a text; the JSON holds all.
-const itemsShown = 40
+// maxItemsShown is the maximum number of items in text output; JSON has all of them.
+const maxItemsShown = 40
 
 // describe returns the text of a result.
-func describe(result accept.Result, located func(config.Problem) string) string {
+func describe(result accept.Result, problemText func(config.Problem) string) string {
 	var lines []string
 	switch result.Outcome {
 	case accept.Accepted:
@@ -178,19 +179,20 @@
 		lines = append(lines, string(result.Outcome)+": "+result.Detail)
 	}
 	for i, item := range result.Items {
-		if i == itemsShown {
-			lines = append(lines, fmt.Sprintf("  and %d more", len(result.Items)-itemsShown))
+		if i == maxItemsShown {
+			lines = append(lines, fmt.Sprintf("  and %d more", len(result.Items)-maxItemsShown))
 			break
 		}
 		lines = append(lines, "  "+item.String())
 	}
 	for _, problem := range result.Problems {
-		lines = append(lines, "  "+located(problem))
+		lines = append(lines, "  "+problemText(problem))
 	}
 	return strings.Join(lines, "\n")
 }
 
-// conflictLine names the change that a conflict is with.
+// conflictLine returns the line for a conflict, with the conflicting change if it is
+// known.
 func conflictLine(result accept.Result) string {
 	if result.Other == nil {
 		return "conflict: " + result.Detail
--- a/acaciawinch/account.go
+++ b/acaciawinch/account.go
@@ -11,7 +11,7 @@
 	"acaciawinch/observe/account"
 )
 
-// accountCommand tells from gateways' log lines what became of requests.
+// accountCommand summarizes the outcomes of requests from log lines of gateways.
 type accountCommand struct {
 	env *env
 	Log []string `long:"log" value-name:"FILE" required:"true" description:"file with log lines of gateways, - for standard input; may be given more than once"`
@@ -19,10 +19,10 @@
 
 // Limits of reading and printing.
 const (
-	// longestLine bounds a log line; longer ones end the command.
-	longestLine = 1 << 20
-	// shownCauses is how many causes of a route are printed as text.
-	shownCauses = 4
+	// maxLineBytes is the maximum length of a log line; a longer line is an error.
+	maxLineBytes = 1 << 20
+	// maxCausesShown is the maximum number of causes per route in the text output.
+	maxCausesShown = 4
 )
 
 // Execute implements flags.Commander.
@@ -41,7 +41,7 @@
 	return c.env.print(rows, text)
 }
 
-// read takes all lines of one file.
+// read adds all lines of one file to the account.
 func (c *accountCommand) read(a *account.Account, name string) error {
 	var in io.Reader = os.Stdin
 	if name != "-" {
@@ -49,11 +49,11 @@
 		if err != nil {
 			return err
 		}
-		defer func() { _ = file.Close() }() // it was only read
+		defer func() { _ = file.Close() }() // nothing was written
 		in = file
 	}
 	lines := bufio.NewScanner(in)
-	lines.Buffer(nil, longestLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		a.Add(lines.Bytes())
 	}
@@ -78,7 +78,7 @@
 	return text.String(), nil
 }
 
-// routeName returns how a route is printed.
+// routeName returns the name of a route as printed.
 func routeName(name string) string {
 	if name == "" {
 		return "(none)"
@@ -89,7 +89,7 @@
 // causesText returns the most frequent causes.
 func causesText(causes []account.Cause) string {
 	var texts []string
-	for _, cause := range causes[:min(shownCauses, len(causes))] {
+	for _, cause := range causes[:min(maxCausesShown, len(causes))] {
 		texts = append(texts, fmt.Sprintf("%s %d", cause.Reason, cause.Requests))
 	}
 	return strings.Join(texts, ", ")
--- a/acaciawinch/apply.go
+++ b/acaciawinch/apply.go
@@ -11,7 +11,7 @@
 	"acaciawinch/platform/objects"
 )
 
-// fileArguments are the operators' files.
+// fileArguments are the declaration files on the command line.
 type fileArguments struct {
 	Files []string `positional-arg-name:"FILE" required:"1"`
 }
@@ -22,8 +22,8 @@
 	Args fileArguments `positional-args:"yes" required:"yes"`
 }
 
-// validated is what validate prints as JSON.
-type validated struct {
+// validateOutput is the JSON output of validate.
+type validateOutput struct {
 	Templates  int `json:"templates"`
 	Models     int `json:"models"`
 	Workspaces int `json:"workspaces"`
@@ -38,10 +38,10 @@
 	if err := declared.check(config.ValidateDeclared(declared.shared(), declared.Workspaces)); err != nil {
 		return err
 	}
-	return c.env.print(validated{len(declared.Templates), len(declared.Models), len(declared.Workspaces)}, "valid")
+	return c.env.print(validateOutput{len(declared.Templates), len(declared.Models), len(declared.Workspaces)}, "valid")
 }
 
-// applyCommand makes files the configuration in force.
+// applyCommand puts the declarations of files into the configuration in force.
 type applyCommand struct {
 	env   *env
 	Base  uint64        `long:"base" value-name:"REVISION" description:"revision that the files were made from; what others changed since is a conflict"`
@@ -67,10 +67,10 @@
 	if err := c.prepare(c.env.ctx, store.NewReader(api), &request); err != nil {
 		return err
 	}
-	return c.env.acceptChange(api, request, declared.located)
+	return c.env.acceptChange(api, request, declared.problemText)
 }
 
-// prepare reads what --base and --prune need.
+// prepare sets the base revision of the request and, for --prune, adds the removals.
 func (c *applyCommand) prepare(ctx context.Context, reader store.Reader, request *accept.Request) error {
 	if c.Base == 0 && !c.Prune {
 		return nil
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// headAt returns the head of a revision, or the one in force for revision 0.
+// headAt returns the head of a revision; revision 0 is the one in force.
 func headAt(ctx context.Context, reader store.Reader, revision core.Revision) (config.Head, error) {
 	head, _, err := reader.Head(ctx)
 	if err != nil || revision == 0 {
@@ -116,7 +116,8 @@
 	return *found, nil
 }
 
-// snapshotAt returns the whole configuration of a revision, 0 for that in force.
+// snapshotAt returns the full configuration of a revision; revision 0 is the one in
+// force.
 func snapshotAt(ctx context.Context, api objects.API, revision core.Revision) (*config.Snapshot, config.Head, error) {
 	reader := store.NewReader(api)
 	head, err := headAt(ctx, reader, revision)
--- a/acaciawinch/charts.go
+++ b/acaciawinch/charts.go
@@ -13,24 +13,24 @@
 	Name string `long:"name" description:"only this chart"`
 }
 
-// shownChart is a chart as charts prints it in JSON.
-type shownChart struct {
+// chartOutput is the JSON output of one chart.
+type chartOutput struct {
 	Name        string            `json:"name"`
 	Means       string            `json:"means"`
 	Initial     chart.State       `json:"initial"`
-	States      []shownState      `json:"states"`
-	Transitions []shownTransition `json:"transitions"`
+	States      []stateOutput      `json:"states"`
+	Transitions []transitionOutput `json:"transitions"`
 }
 
-// shownState is one state of a chart.
-type shownState struct {
+// stateOutput is the JSON output of one state of a chart.
+type stateOutput struct {
 	Name  chart.State `json:"name"`
 	Means string      `json:"means"`
 	Final bool        `json:"final"`
 }
 
-// shownTransition is one transition of a chart.
-type shownTransition struct {
+// transitionOutput is the JSON output of one transition of a chart.
+type transitionOutput struct {
 	From  chart.State `json:"from"`
 	Event chart.Event `json:"event"`
 	To    chart.State `json:"to"`
@@ -43,27 +43,27 @@
 	if c.Name != "" {
 		names = []string{c.Name}
 	}
-	var shown []shownChart
+	var outputs []chartOutput
 	var texts []string
 	for _, name := range names {
 		loaded, err := chart.Load(name)
 		if err != nil {
 			return fault.New(fault.NotFound, "charts", "", "%v; the charts are %s", err, strings.Join(chart.Names(), ", "))
 		}
-		shown = append(shown, shownOf(loaded))
+		outputs = append(outputs, newChartOutput(loaded))
 		texts = append(texts, loaded.Markdown())
 	}
-	return c.env.print(shown, strings.Join(texts, "\n"))
+	return c.env.print(outputs, strings.Join(texts, "\n"))
 }
 
-// shownOf returns the JSON form of a chart.
-func shownOf(c *chart.Chart) shownChart {
-	shown := shownChart{Name: c.Name, Means: c.Means, Initial: c.Initial}
+// newChartOutput returns the JSON output of a chart.
+func newChartOutput(c *chart.Chart) chartOutput {
+	output := chartOutput{Name: c.Name, Means: c.Means, Initial: c.Initial}
 	for _, s := range c.States {
-		shown.States = append(shown.States, shownState(s))
+		output.States = append(output.States, stateOutput(s))
 	}
 	for _, t := range c.Transitions {
-		shown.Transitions = append(shown.Transitions, shownTransition(t))
+		output.Transitions = append(output.Transitions, transitionOutput(t))
 	}
-	return shown
+	return output
 }
--- a/acaciawinch/client.go
+++ b/acaciawinch/client.go
@@ -11,15 +11,16 @@
 	"acaciawinch/core/fault"
 )
 
-// Limits of the questions to entries.
+// Limits of the requests to admin listeners of entries.
 const (
-	askTimeout     = 3 * time.Second
-	maxAnswerBytes = 8 << 20
+	adminTimeout     = 3 * time.Second
+	maxResponseBytes = 8 << 20
 )
 
-// ask reads JSON from an admin listener. Errors are NotFound, or Unavailable.
-func ask(ctx context.Context, step, base, path string) (json.RawMessage, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// getJSON reads JSON from an admin listener. The error is Invalid for a malformed URL,
+// else NotFound or Unavailable.
+func getJSON(ctx context.Context, step, base, path string) (json.RawMessage, error) {
+	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, base+path, nil)
 	if err != nil {
@@ -29,8 +30,8 @@
 	if err != nil {
 		return nil, fault.Wrap(fault.Unavailable, step, base, err)
 	}
-	defer func() { _ = resp.Body.Close() }() // it was only read
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+	defer func() { _ = resp.Body.Close() }() // nothing was written
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return nil, fault.Wrap(fault.Unavailable, step, base, err)
 	}
@@ -43,14 +44,14 @@
 	return nil, fault.New(fault.Unavailable, step, base, "status %d", resp.StatusCode)
 }
 
-// admins returns the admin listeners that the settings name.
+// admins returns the URLs of the admin listeners in the settings.
 func (e *env) admins(step string) ([]string, error) {
 	s, err := e.settings()
 	if err != nil {
 		return nil, err
 	}
 	if len(s.Entries.Admin) == 0 {
-		return nil, fault.New(fault.Invalid, step, "", "%s: entries.admin: missing: it names the entries to ask", e.opts.Config)
+		return nil, fault.New(fault.Invalid, step, "", "%s: entries.admin: missing: it lists the admin URLs of the entries to query", e.opts.Config)
 	}
 	return s.Entries.Admin, nil
 }
--- a/acaciawinch/command.go
+++ b/acaciawinch/command.go
@@ -15,33 +15,34 @@
 
 // Exit codes.
 const (
-	exitDone        = 0
+	exitOK        = 0
 	exitFailed      = 1
 	exitBadInput    = 2
 	exitConflict    = 3
 	exitUnavailable = 4
 )
 
-// defaultTimeout bounds a whole command.
+// defaultTimeout is the timeout of a command while its flags are not parsed.
 const defaultTimeout = 30 * time.Second
 
-// options are the flags that every command has.
+// options holds the flags common to all commands.
 type options struct {
 	Config  string        `long:"config" value-name:"FILE" default:"acaciawinch.toml" description:"TOML file with the settings of this command"`
 	Output  string        `long:"output" choice:"text" choice:"json" default:"text" description:"form of what is printed"`
 	Timeout time.Duration `long:"timeout" default:"30s" description:"time for the whole command"`
 }
 
-// env is what a command works with.
+// env holds the context, options and outputs of a command.
 type env struct {
 	ctx  context.Context
 	opts options
 	out  io.Writer
-	// errOut takes what is no result.
+	// errOut is for messages that are not part of the result.
 	errOut io.Writer
 }
 
-// exitError ends the command with a code. Its text was printed if printed is set.
+// exitError is an error with an exit code. printed is set if its text has already been
+// printed.
 type exitError struct {
 	code    int
 	err     error
@@ -51,20 +52,20 @@
 // Error implements error.
 func (e *exitError) Error() string { return e.err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped error.
 func (e *exitError) Unwrap() error { return e.err }
 
-// badInput returns an error for what the operator must change.
+// badInput returns an error for input that the operator must correct.
 func badInput(err error) error { return &exitError{code: exitBadInput, err: err} }
 
-// run carries out one command line and returns the exit code.
+// run runs one command line and returns the exit code.
 func run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	e := &env{ctx: ctx, out: stdout, errOut: stderr, opts: options{Timeout: defaultTimeout}}
 	err := e.parse(args)
 	var help *flags.Error
 	if errors.As(err, &help) && help.Type == flags.ErrHelp {
 		fmt.Fprintln(stdout, help.Message)
-		return exitDone
+		return exitOK
 	}
 	var exit *exitError
 	if err != nil && !(errors.As(err, &exit) && exit.printed) {
@@ -85,33 +86,33 @@
 			return err
 		}
 	}
-	understood := false
-	parser.CommandHandler = func(command flags.Commander, rest []string) error {
-		understood = true
-		if len(rest) > 0 {
-			return badInput(fmt.Errorf("unexpected arguments %q", rest))
+	dispatched := false
+	parser.CommandHandler = func(command flags.Commander, extra []string) error {
+		dispatched = true
+		if len(extra) > 0 {
+			return badInput(fmt.Errorf("unexpected arguments %q", extra))
 		}
 		ctx, cancel := context.WithTimeout(e.ctx, e.opts.Timeout)
 		defer cancel()
 		e.ctx = ctx
-		return command.Execute(rest)
+		return command.Execute(extra)
 	}
 	_, err := parser.ParseArgs(args)
 	var usage *flags.Error
-	if err != nil && !understood && !errors.As(err, &usage) {
+	if err != nil && !dispatched && !errors.As(err, &usage) {
 		return badInput(fmt.Errorf("wrong argument: %w", err))
 	}
 	return err
 }
 
-// exitCode returns the code that err ends the command with.
+// exitCode returns the exit code for err.
 func exitCode(err error) int {
 	var exit *exitError
 	var usage *flags.Error
 	var problems settings.Problems
 	switch {
 	case err == nil:
-		return exitDone
+		return exitOK
 	case errors.As(err, &exit):
 		return exit.code
 	case errors.As(err, &usage), errors.As(err, &problems):
@@ -137,16 +138,16 @@
 // commands returns all commands.
 func commands(e *env) []commandSpec {
 	return []commandSpec{
-		{"validate", "check declarations without applying them", "Checks the files together, as if nothing else were declared.", &validateCommand{env: e}},
-		{"apply", "make declarations the configuration in force", "Adds or replaces what the files declare; the rest stays unless --prune is given.", &applyCommand{env: e}},
+		{"validate", "check declarations without applying them", "Checks the files together, without regard to the configuration in force.", &validateCommand{env: e}},
+		{"apply", "apply declarations to the configuration in force", "Adds or replaces what the files declare; other declarations stay unless --prune is given.", &applyCommand{env: e}},
 		{"get", "print the configuration", "Prints the configuration, as TOML that apply accepts or as JSON.", &getCommand{env: e}},
 		{"history", "list accepted changes", "Lists accepted changes, the latest first.", &historyCommand{env: e}},
-		{"rollback", "bring back an earlier configuration", "Accepts a new change with the content of an earlier revision.", &rollbackCommand{env: e}},
-		{"status", "show what is in force at the store and at entries", "Asks the store and the entries that the settings name.", &statusCommand{env: e}},
-		{"explain", "tell what was decided about a request and why", "Asks entries for the trace of a recent request.", &explainCommand{env: e}},
-		{"account", "tell from gateways' logs what became of requests and why", "Counts, by route, what was answered in time, late, refused or failed, and what held it up.", &accountCommand{env: e}},
-		{"drain", "take an upstream out of service", "Ends new work at the upstream; what is in flight finishes.", &drainCommand{env: e}},
-		{"undrain", "put a drained upstream back", "Allows new work at the upstream again.", &drainCommand{env: e, resume: true}},
+		{"rollback", "return to an earlier configuration", "Accepts a new change with the content of an earlier revision.", &rollbackCommand{env: e}},
+		{"status", "show the configuration at the store and the status of entries", "Queries the store and the entries listed in the settings.", &statusCommand{env: e}},
+		{"explain", "show the decisions about a request and their reasons", "Queries entries for the trace of a recent request.", &explainCommand{env: e}},
+		{"account", "summarize the outcomes of requests from logs of gateways", "Counts, by route, the requests that were in time, late, refused or failed, and the causes.", &accountCommand{env: e}},
+		{"drain", "take an upstream out of service", "Stops new work at the upstream; work in flight finishes.", &drainCommand{env: e}},
+		{"undrain", "put a drained upstream back into service", "Allows new work at the upstream again.", &drainCommand{env: e, resume: true}},
 		{"charts", "print the state charts", "Prints the state charts as Markdown with Mermaid diagrams.", &chartsCommand{env: e}},
 	}
 }
--- a/acaciawinch/declaration.go
+++ b/acaciawinch/declaration.go
@@ -8,33 +8,33 @@
 	"acaciawinch/settings"
 )
 
-// fileContent is one operators' file.
+// fileContent is the content of one declaration file.
 type fileContent struct {
 	Templates  []config.Template  `toml:"templates,omitempty" json:"templates"`
 	Models     []config.Model     `toml:"models,omitempty" json:"models"`
 	Workspaces []config.Workspace `toml:"workspaces,omitempty" json:"workspaces"`
 }
 
-// declaration is what several files declare together.
+// declaration holds the declarations of several files.
 type declaration struct {
 	fileContent
-	// lines tells where a declaration stands, by section and name.
-	lines map[place]origin
+	// locations holds the location of each declaration.
+	locations map[declarationKey]location
 }
 
-// place is one declaration.
-type place struct{ section, name string }
+// declarationKey identifies a declaration by section and name.
+type declarationKey struct{ section, name string }
 
-// origin is where a declaration stands.
-type origin struct {
+// location is the file and key of a declaration.
+type location struct {
 	lines *settings.Lines
 	// key is the path of the declaration in its file, such as "templates[2]".
 	key string
 }
 
-// readFiles decodes the files. The error names every problem of every file.
+// readFiles decodes the files. The error lists every problem of every file.
 func readFiles(paths []string) (*declaration, error) {
-	d := &declaration{lines: map[place]origin{}}
+	d := &declaration{locations: map[declarationKey]location{}}
 	var problems settings.Problems
 	for _, path := range paths {
 		data, err := os.ReadFile(path)
@@ -64,13 +64,13 @@
 		return err
 	}
 	for i, t := range content.Templates {
-		d.note(lines, config.SectionTemplates, t.Name, i)
+		d.recordLocation(lines, config.SectionTemplates, t.Name, i)
 	}
 	for i, m := range content.Models {
-		d.note(lines, config.SectionModels, m.Key(), i)
+		d.recordLocation(lines, config.SectionModels, m.Key(), i)
 	}
 	for i, w := range content.Workspaces {
-		d.note(lines, config.SectionWorkspaces, w.Name, i)
+		d.recordLocation(lines, config.SectionWorkspaces, w.Name, i)
 	}
 	d.Templates = append(d.Templates, content.Templates...)
 	d.Models = append(d.Models, content.Models...)
@@ -78,9 +78,9 @@
 	return nil
 }
 
-// note remembers where a declaration stands.
-func (d *declaration) note(lines *settings.Lines, section, name string, i int) {
-	d.lines[place{section, name}] = origin{lines: lines, key: settings.Element(section, i)}
+// recordLocation records the location of a declaration.
+func (d *declaration) recordLocation(lines *settings.Lines, section, name string, i int) {
+	d.locations[declarationKey{section, name}] = location{lines: lines, key: settings.Element(section, i)}
 }
 
 // shared returns the declared templates and models.
@@ -88,15 +88,15 @@
 	return config.Templates{Templates: d.Templates, Models: d.Models}
 }
 
-// change returns the change that puts everything declared.
+// change returns the change that puts all declarations.
 func (d *declaration) change() config.Change {
 	return config.Change{PutTemplates: d.Templates, PutModels: d.Models, PutWorkspaces: d.Workspaces}
 }
 
-// located returns the problem with file and line if the files declare its
-// subject, and as it is if the store does.
-func (d *declaration) located(p config.Problem) string {
-	at, found := d.lines[place{p.Section, p.Name}]
+// problemText returns the text of a problem, with file and line if the problem is in
+// a declaration of the files, not of the store.
+func (d *declaration) problemText(p config.Problem) string {
+	at, found := d.locations[declarationKey{p.Section, p.Name}]
 	if !found {
 		return p.String()
 	}
@@ -107,14 +107,14 @@
 	return at.lines.Problem(key, p.Text).String()
 }
 
-// check returns an error that names the problems, or nil if there are none.
+// check returns an error that lists the problems, or nil if there are none.
 func (d *declaration) check(problems []config.Problem) error {
 	if len(problems) == 0 {
 		return nil
 	}
 	var all []error
 	for _, p := range problems {
-		all = append(all, errors.New(d.located(p)))
+		all = append(all, errors.New(d.problemText(p)))
 	}
 	return badInput(errors.Join(all...))
 }
--- a/acaciawinch/drain.go
+++ b/acaciawinch/drain.go
@@ -15,13 +15,13 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// drainTimeout bounds the call to the side itself.
+// drainTimeout is the timeout of the direct call to the sidecar.
 const drainTimeout = 2 * time.Second
 
-// drainCommand takes an upstream out of service, or puts it back.
+// drainCommand drains an upstream, or undrains it.
 type drainCommand struct {
 	env *env
-	// resume puts the upstream back.
+	// resume undrains the upstream.
 	resume bool
 	Note   string `long:"note" description:"why, for the history"`
 	Args   struct {
@@ -29,21 +29,22 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute implements flags.Commander. The configuration makes the drain last and
-// tells everybody; the call to the side makes it hold at once. A drain calls the
-// side first, so that new work ends there also while the store is down. An undrain
-// calls it only after the change was accepted: until then the drain is in force.
+// Execute implements flags.Commander. The configuration change makes the drain
+// persistent and reaches the whole fleet; the call to the sidecar makes it effective
+// at once. A drain calls the sidecar first, so that it refuses new work even while the
+// store is down. An undrain calls it only after the change was accepted: until then
+// the drain is in force.
 func (c *drainCommand) Execute([]string) error {
 	s, err := c.env.settings()
 	if err != nil {
 		return err
 	}
-	host, err := c.find(s)
+	host, err := c.findHost(s)
 	if err != nil {
 		return err
 	}
 	if !c.resume {
-		c.remark(c.tell(s, host))
+		c.reportSideCall(c.callSide(s, host))
 	}
 	api, err := c.env.objects()
 	if err != nil {
@@ -54,21 +55,21 @@
 		return err
 	}
 	if c.resume {
-		c.remark(c.tell(s, host))
+		c.reportSideCall(c.callSide(s, host))
 	}
 	return nil
 }
 
-// remark tells the operator whether the side knows already.
-func (c *drainCommand) remark(told error) {
-	if told != nil {
-		fmt.Fprintf(c.env.errOut, "the side was not reached, the configuration will tell it: %v\n", told)
+// reportSideCall prints the result of the call to the sidecar.
+func (c *drainCommand) reportSideCall(callErr error) {
+	if callErr != nil {
+		fmt.Fprintf(c.env.errOut, "the sidecar could not be called; it will get the change with the configuration: %v\n", callErr)
 		return
 	}
-	fmt.Fprintf(c.env.errOut, "the side of %s was told\n", c.Args.Upstream)
+	fmt.Fprintf(c.env.errOut, "the sidecar of %s was notified\n", c.Args.Upstream)
 }
 
-// change returns the change of the configuration.
+// change returns the configuration change.
 func (c *drainCommand) change() config.Change {
 	if c.resume {
 		return config.Change{Undrain: []string{c.Args.Upstream}}
@@ -76,7 +77,7 @@
 	return config.Change{Drain: []string{c.Args.Upstream}}
 }
 
-// note returns why, for the history.
+// note returns the note for the history; without --note it names the operation.
 func (c *drainCommand) note() string {
 	switch {
 	case c.Note != "":
@@ -87,10 +88,10 @@
 	return "drain " + c.Args.Upstream
 }
 
-// find looks the upstream up in the host list. If the list says that there is no
-// such upstream, a drain is refused as a mistake; an undrain is not, since a
-// drained upstream may be gone. Without the list, the host is empty.
-func (c *drainCommand) find(s Settings) (fleet.Host, error) {
+// findHost looks up the upstream in the host list. A drain of an upstream that is not
+// in the list is refused as a mistake; an undrain is not, since a drained upstream may
+// be gone. The host is empty if it is not in the list or the list is unavailable.
+func (c *drainCommand) findHost(s Settings) (fleet.Host, error) {
 	if s.Platform.Hosts == "" {
 		return fleet.Host{}, nil
 	}
@@ -110,17 +111,17 @@
 	return fleet.Host{}, fault.New(fault.NotFound, "drain", "", "the host list has no upstream %q", c.Args.Upstream)
 }
 
-// tell calls the side of the upstream.
-func (c *drainCommand) tell(s Settings, host fleet.Host) error {
+// callSide drains or resumes the upstream at its sidecar.
+func (c *drainCommand) callSide(s Settings, host fleet.Host) error {
 	if host.Addr == "" || s.Fleet.Key == "" {
-		return fault.New(fault.Unavailable, "drain", c.Args.Upstream, "its address or the fleet's key is not known")
+		return fault.New(fault.Unavailable, "drain", c.Args.Upstream, "the address of the upstream or the fleet key is unknown")
 	}
 	ctx, cancel := context.WithTimeout(c.env.ctx, drainTimeout)
 	defer cancel()
 	dialer := link.NewDialer(s.Fleet.Key)
-	defer func() { _ = dialer.Close() }() // the command ends
+	defer func() { _ = dialer.Close() }() // the command ends after this call
 	conn := dialer.Conn(ctx, host.Addr)
-	defer func() { _ = conn.Close() }() // the call is over; a connection that fails to close is not used again
+	defer func() { _ = conn.Close() }() // the connection is not used again
 	_, err := wirepb.NewDRPCSideClient(conn).Drain(ctx, &wirepb.DrainRequest{Resume: c.resume, Reason: c.note()})
 	return fault.Wrap(fault.Unavailable, "drain", c.Args.Upstream, err)
 }
--- a/acaciawinch/explain.go
+++ b/acaciawinch/explain.go
@@ -10,7 +10,7 @@
 	"acaciawinch/entry/trace"
 )
 
-// explainCommand tells what was decided about a request, and why.
+// explainCommand prints the decisions about a request and their reasons.
 type explainCommand struct {
 	env  *env
 	Args struct {
@@ -18,8 +18,8 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute implements flags.Commander. Each entry finds the requests of every
-// other one, so the first that answers is enough.
+// Execute implements flags.Commander. Each entry can look up the requests of all
+// others, so the first successful response is enough.
 func (c *explainCommand) Execute([]string) error {
 	admins, err := c.env.admins("explain")
 	if err != nil {
@@ -27,35 +27,35 @@
 	}
 	var lastError error
 	for _, admin := range admins {
-		answer, err := ask(c.env.ctx, "explain", admin, "/v1/explain/"+url.PathEscape(c.Args.Request))
+		response, err := getJSON(c.env.ctx, "explain", admin, "/v1/explain/"+url.PathEscape(c.Args.Request))
 		if err != nil {
-			lastError = worse(lastError, err)
+			lastError = moreRelevantError(lastError, err)
 			continue
 		}
-		return c.show(answer)
+		return c.show(response)
 	}
 	return lastError
 }
 
-// worse returns an entry's failure to answer before another's word that it
-// doesn't know the request: that one might.
-func worse(a, b error) error {
+// moreRelevantError prefers a failure of one entry to a NotFound of another, because
+// the failed entry might know the request. Else it returns b, the later error.
+func moreRelevantError(a, b error) error {
 	if a == nil || fault.Is(a, fault.NotFound) {
 		return b
 	}
 	return a
 }
 
-// show prints one trace.
-func (c *explainCommand) show(answer json.RawMessage) error {
+// show prints the trace in a response.
+func (c *explainCommand) show(response json.RawMessage) error {
 	var found trace.Trace
-	if err := json.Unmarshal(answer, &found); err != nil {
+	if err := json.Unmarshal(response, &found); err != nil {
 		return fault.Wrap(fault.Internal, "explain", "", err)
 	}
-	return c.env.print(answer, traceText(found))
+	return c.env.print(response, traceText(found))
 }
 
-// traceText returns a trace as lines.
+// traceText returns a trace as text.
 func traceText(t trace.Trace) string {
 	lines := []string{
 		fmt.Sprintf("request %s: %s", t.RequestID, t.Outcome),
@@ -90,5 +90,5 @@
 	return lines
 }
 
-// milliseconds converts microseconds.
+// milliseconds converts microseconds to milliseconds.
 func milliseconds(us int64) float64 { return float64(us) / 1000 }
--- a/acaciawinch/fuzz_test.go
+++ b/acaciawinch/fuzz_test.go
@@ -12,8 +12,8 @@
 	"acaciawinch/settings"
 )
 
-// FuzzDeclarations reads operators' files of any content. A refusal names a line of
-// the file; what the rules of a configuration accept comes back from its own print.
+// FuzzDeclarations decodes arbitrary declaration files. Each problem must name a line
+// of the file; a valid configuration must stay the same when printed and read again.
 func FuzzDeclarations(f *testing.F) {
 	for _, file := range append(examples("institute"), examples("cascade-grind")...) {
 		text, err := os.ReadFile(file)
@@ -23,19 +23,19 @@
 	f.Add([]byte("[[workspaces]]\nname = \"a\"\nweight = 1\npipelines = [\"p\"]\n[[workspaces.stages]]\nprefix = '''\n'''\n"))
 	f.Add([]byte("templates = 1\n[[models]]\nname = \"\\u0000\"\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		d := &declaration{lines: map[place]origin{}}
+		d := &declaration{locations: map[declarationKey]location{}}
 		if err := d.add("f.toml", text); err != nil {
 			verifyProblems(t, text, err)
 			return
 		}
 		for _, problem := range config.Empty().Change(d.change(), 1, "c").Validate() {
-			assert.Assert(t, strings.Contains(d.located(problem), problem.Text))
+			assert.Assert(t, strings.Contains(d.problemText(problem), problem.Text))
 		}
 		verifyPrint(t, d)
 	})
 }
 
-// verifyProblems checks that each problem stands on a line of the text.
+// verifyProblems checks that each problem has a text and a line within the file.
 func verifyProblems(t *testing.T, text []byte, err error) {
 	var problems settings.Problems
 	assert.Assert(t, errors.As(err, &problems) && len(problems) > 0, "%v", err)
@@ -45,16 +45,16 @@
 	}
 }
 
-// verifyPrint checks that a sound configuration is the same after it was printed
-// and read again.
+// verifyPrint checks that a valid configuration is the same after it is printed and
+// read again.
 func verifyPrint(t *testing.T, d *declaration) {
 	snapshot := config.Empty().Change(d.change(), 1, "c")
 	if len(snapshot.Validate()) > 0 {
 		return
 	}
-	printed, err := asTOML(snapshot, wholeContent(snapshot))
+	printed, err := encodeTOML(snapshot, fullContent(snapshot))
 	assert.NilError(t, err)
-	again := &declaration{lines: map[place]origin{}}
+	again := &declaration{locations: map[declarationKey]location{}}
 	assert.NilError(t, again.add("printed.toml", []byte(printed)), "%s", printed)
 	assert.Equal(t, config.Empty().Change(again.change(), 1, "c").Digest(), snapshot.Digest(), "%s", printed)
 }
--- a/acaciawinch/get.go
+++ b/acaciawinch/get.go
@@ -13,7 +13,7 @@
 	"acaciawinch/core/fault"
 )
 
-// getCommand prints a configuration.
+// getCommand prints a configuration or a part of it.
 type getCommand struct {
 	env       *env
 	Revision  uint64 `long:"revision" description:"an earlier revision instead of the one in force"`
@@ -21,8 +21,8 @@
 	Template  string `long:"template" description:"only this template"`
 }
 
-// printed is what get prints as JSON.
-type printed struct {
+// configOutput is the JSON output of get.
+type configOutput struct {
 	Revision core.Revision `json:"revision"`
 	ChangeID string        `json:"change_id"`
 	fileContent
@@ -43,47 +43,47 @@
 	if err != nil {
 		return err
 	}
-	text, err := asTOML(snapshot, content)
+	text, err := encodeTOML(snapshot, content)
 	if err != nil {
 		return err
 	}
-	value := printed{Revision: snapshot.Revision(), ChangeID: snapshot.ChangeID(), fileContent: content,
+	value := configOutput{Revision: snapshot.Revision(), ChangeID: snapshot.ChangeID(), fileContent: content,
 		Drained: snapshot.Templates().Drained}
 	return c.env.print(value, text)
 }
 
-// content returns what the operator asked for.
+// content returns the selected declarations, or all if none are selected.
 func (c *getCommand) content(s *config.Snapshot) (fileContent, error) {
 	if c.Workspace == "" && c.Template == "" {
-		return wholeContent(s), nil
+		return fullContent(s), nil
 	}
 	var content fileContent
 	if c.Workspace != "" {
 		workspace, found := s.Workspace(c.Workspace)
 		if !found {
-			return content, fault.New(fault.NotFound, "config.get", "", "there is no workspace %q at revision %d", c.Workspace, s.Revision())
+			return content, fault.New(fault.NotFound, "config.get", "", "no workspace %q at revision %d", c.Workspace, s.Revision())
 		}
 		content.Workspaces = []config.Workspace{workspace}
 	}
 	if c.Template != "" {
 		template, found := s.Template(c.Template)
 		if !found {
-			return content, fault.New(fault.NotFound, "config.get", "", "there is no template %q at revision %d", c.Template, s.Revision())
+			return content, fault.New(fault.NotFound, "config.get", "", "no template %q at revision %d", c.Template, s.Revision())
 		}
 		content.Templates = []config.Template{template}
 	}
 	return content, nil
 }
 
-// wholeContent returns all declarations, in order of name.
-func wholeContent(s *config.Snapshot) fileContent {
+// fullContent returns all declarations, with the workspaces sorted by name.
+func fullContent(s *config.Snapshot) fileContent {
 	workspaces := s.Workspaces()
 	slices.SortFunc(workspaces, func(a, b config.Workspace) int { return cmp.Compare(a.Name, b.Name) })
 	return fileContent{Templates: s.Templates().Templates, Models: s.Templates().Models, Workspaces: workspaces}
 }
 
-// asTOML returns the content as a file that apply accepts.
-func asTOML(s *config.Snapshot, content fileContent) (string, error) {
+// encodeTOML returns the content as a TOML file that apply accepts.
+func encodeTOML(s *config.Snapshot, content fileContent) (string, error) {
 	var text bytes.Buffer
 	fmt.Fprintf(&text, "# revision %d, change %s\n", s.Revision(), s.ChangeID())
 	for _, upstream := range s.Templates().Drained {
--- a/acaciawinch/history.go
+++ b/acaciawinch/history.go
@@ -18,16 +18,16 @@
 	Limit int `long:"limit" default:"20" description:"how many changes are listed"`
 }
 
-// pastChange is one accepted change as history prints it.
-type pastChange struct {
+// historyEntry is one accepted change in the output of history.
+type historyEntry struct {
 	Revision core.Revision `json:"revision"`
 	ChangeID string        `json:"change_id"`
 	Author   string        `json:"author"`
 	Note     string        `json:"note,omitempty"`
-	// Accepted is when the change was made by its operator's clock.
+	// Accepted is the time of the change by the clock of its operator's machine.
 	Accepted time.Time `json:"accepted"`
-	// Parts counts the parts that differ from the change before; 0 if that one is
-	// no longer kept.
+	// Parts is the number of parts that differ from the previous change; 0 if that
+	// change is no longer kept.
 	Parts int `json:"parts,omitempty"`
 }
 
@@ -50,26 +50,26 @@
 	if err != nil {
 		return err
 	}
-	entries := entriesOf(heads, c.Limit)
+	entries := historyEntries(heads, c.Limit)
 	return c.env.print(entries, historyText(entries))
 }
 
-// entriesOf returns at most limit entries; heads may hold one more, to compare
-// the last one with.
-func entriesOf(heads []config.Head, limit int) []pastChange {
-	entries := []pastChange{}
+// historyEntries returns at most limit entries. heads may have one more head, which
+// the last entry is compared with.
+func historyEntries(heads []config.Head, limit int) []historyEntry {
+	entries := []historyEntry{}
 	for i, head := range heads {
 		if i == limit {
 			break
 		}
-		entries = append(entries, pastChange{head.Revision, head.ChangeID, head.Author, head.Note,
+		entries = append(entries, historyEntry{head.Revision, head.ChangeID, head.Author, head.Note,
 			time.Unix(head.AcceptedUnix, 0).UTC(), partsChanged(heads[i:])})
 	}
 	return entries
 }
 
-// partsChanged counts the parts in which the first of some heads differs from the
-// one before it, which comes second.
+// partsChanged returns the number of parts in which the first head differs from its
+// predecessor, the second. It returns 0 if the predecessor is no longer kept.
 func partsChanged(heads []config.Head) int {
 	after, before := heads[0], config.Empty().Head("", "", "")
 	switch {
@@ -90,8 +90,8 @@
 	return changed
 }
 
-// partsText returns the number of parts, or a hyphen if it is not known.
-func (p pastChange) partsText() string {
+// partsText returns the number of parts, or a hyphen if it is unknown.
+func (p historyEntry) partsText() string {
 	if p.Parts == 0 {
 		return "-"
 	}
@@ -99,7 +99,7 @@
 }
 
 // historyText returns one line for each entry.
-func historyText(entries []pastChange) string {
+func historyText(entries []historyEntry) string {
 	lines := []string{fmt.Sprintf("%8s  %-20s  %-36s  %-12s  %5s  %s", "REVISION", "ACCEPTED", "CHANGE", "AUTHOR", "PARTS", "NOTE")}
 	for _, e := range entries {
 		lines = append(lines, fmt.Sprintf("%8d  %-20s  %-36s  %-12s  %5s  %s", e.Revision, e.Accepted.Format(time.RFC3339), e.ChangeID, e.Author, e.partsText(), e.Note))
@@ -107,7 +107,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// rollbackCommand brings back an earlier configuration.
+// rollbackCommand restores an earlier configuration as a new change.
 type rollbackCommand struct {
 	env  *env
 	Note string `long:"note" description:"why the change is made, for the history"`
@@ -116,8 +116,8 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute implements flags.Commander. What drained upstreams the earlier
-// revision had is not brought back: a drain is about the present.
+// Execute implements flags.Commander. The drained upstreams of the earlier revision
+// are not restored: a drain is about the current state of an upstream.
 func (c *rollbackCommand) Execute([]string) error {
 	api, err := c.env.objects()
 	if err != nil {
--- a/acaciawinch/print.go
+++ b/acaciawinch/print.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// print writes value as JSON, or text, as the operator asked for.
+// print writes value as JSON or writes text, as the --output flag selects.
 func (e *env) print(value any, text string) error {
 	if e.opts.Output == "text" {
 		_, err := fmt.Fprintln(e.out, text)
--- a/acaciawinch/settings.go
+++ b/acaciawinch/settings.go
@@ -8,14 +8,14 @@
 	"acaciawinch/settings"
 )
 
-// Settings is the command's TOML file.
+// Settings is the content of the command's TOML file.
 type Settings struct {
 	Platform PlatformSettings `toml:"platform"`
 	Fleet    FleetSettings    `toml:"fleet"`
 	Entries  EntriesSettings  `toml:"entries"`
 }
 
-// PlatformSettings tells where the platform's services are.
+// PlatformSettings holds the URLs of the platform's services.
 type PlatformSettings struct {
 	// Objects is the URL of the object API.
 	Objects string `toml:"objects" required:"true"`
@@ -28,13 +28,13 @@
 	return errors.Join(checkURL("objects", p.Objects), checkURL("hosts", p.Hosts))
 }
 
-// FleetSettings holds what the fleet's processes share.
+// FleetSettings holds the settings shared by all processes of the fleet.
 type FleetSettings struct {
 	// Key is the shared key of the fleet; only drain and undrain need it.
 	Key string `toml:"key"`
 }
 
-// EntriesSettings tells where entries are asked for their status.
+// EntriesSettings holds the URLs at which entries report their status.
 type EntriesSettings struct {
 	// Admin holds the URLs of admin listeners; only status and explain need them.
 	Admin []string `toml:"admin"`
@@ -49,7 +49,7 @@
 	return errors.Join(all...)
 }
 
-// checkURL rejects what is no URL of a web server. Empty is allowed.
+// checkURL returns an error if text is neither empty nor an HTTP or HTTPS URL.
 func checkURL(key, text string) error {
 	if text == "" {
 		return nil
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// settings reads the command's settings.
+// settings reads the command's settings file.
 func (e *env) settings() (Settings, error) {
 	var s Settings
 	if err := settings.Load(e.opts.Config, &s); err != nil {
--- a/acaciawinch/settings_page_test.go
+++ b/acaciawinch/settings_page_test.go
@@ -16,31 +16,32 @@
 	"acaciawinch/side"
 )
 
-// row matches a key and its default in a table of the page.
-var row = regexp.MustCompile("(?m)^\\| `([^`]+)` \\| ([^|]*) \\|")
+// tableRow matches a key and its default in a table of the settings page.
+var tableRow = regexp.MustCompile("(?m)^\\| `([^`]+)` \\| ([^|]*) \\|")
 
-// documented returns the defaults by key of one section of the page.
-func documented(t *testing.T, section string) map[string]string {
+// documentedDefaults returns the defaults by key in one section of the page.
+func documentedDefaults(t *testing.T, section string) map[string]string {
 	page, err := os.ReadFile("../docs/SETTINGS.md")
 	assert.NilError(t, err)
 	_, after, found := strings.Cut(string(page), "\n## "+section+"\n")
 	assert.Assert(t, found, section)
 	text, _, _ := strings.Cut(after, "\n## ")
 	defaults := map[string]string{}
-	for _, match := range row.FindAllStringSubmatch(text, -1) {
+	for _, match := range tableRow.FindAllStringSubmatch(text, -1) {
 		defaults[match[1]] = match[2]
 	}
 	return defaults
 }
 
-// collect adds the keys below a struct with their defaults, as the page writes them.
-func collect(prefix string, value reflect.Value, defaults map[string]string) {
+// collectDefaults adds the keys of a settings struct and their defaults, in the
+// notation of the page.
+func collectDefaults(prefix string, value reflect.Value, defaults map[string]string) {
 	for i := range value.NumField() {
 		field := value.Type().Field(i)
 		key := prefix + field.Tag.Get("toml")
 		switch {
 		case field.Type.Kind() == reflect.Struct:
-			collect(key+".", value.Field(i), defaults)
+			collectDefaults(key+".", value.Field(i), defaults)
 		case field.Tag.Get("required") == "true":
 			defaults[key] = "required"
 		case value.Field(i).IsZero() && field.Type.Kind() != reflect.Int:
@@ -51,7 +52,7 @@
 	}
 }
 
-func TestThePageOfSettingsIsThatOfTheCode(t *testing.T) {
+func TestSettingsPageMatchesTheCode(t *testing.T) {
 	for section, defaults := range map[string]reflect.Value{
 		"acaciawinchd entry":   reflect.ValueOf(entry.Defaults()),
 		"acaciawinchd side":    reflect.ValueOf(side.Defaults()),
@@ -59,12 +60,12 @@
 		"acaciawinch":          reflect.ValueOf(Settings{}),
 	} {
 		want := map[string]string{}
-		collect("", defaults, want)
-		assert.DeepEqual(t, documented(t, section), want)
+		collectDefaults("", defaults, want)
+		assert.DeepEqual(t, documentedDefaults(t, section), want)
 	}
 }
 
-func TestTheExamplesOfSettingsAreSound(t *testing.T) {
+func TestExampleSettingsAreValid(t *testing.T) {
 	entryFile, sideFile, gatewayFile, own := entry.Defaults(), side.Defaults(), gateway.Defaults(), Settings{}
 	assert.NilError(t, settings.Load("../examples/gateway.toml", &gatewayFile))
 	assert.NilError(t, settings.Load("../examples/entry.toml", &entryFile))
--- a/acaciawinch/status.go
+++ b/acaciawinch/status.go
@@ -12,34 +12,37 @@
 	"acaciawinch/feed/store"
 )
 
-// statusCommand shows the configuration in force at the store and at entries.
+// statusCommand prints the configuration in force at the store and the status of the
+// entries.
 type statusCommand struct {
 	env *env
 }
 
-// fleetStatus is what status prints as JSON.
+// fleetStatus is the JSON output of status.
 type fleetStatus struct {
 	Store   storeStatus   `json:"store"`
 	Entries []entryStatus `json:"entries"`
 }
 
-// storeStatus is what the store says.
+// storeStatus is the head of the configuration in the store, or the error of reading
+// it.
 type storeStatus struct {
 	Revision core.Revision `json:"revision"`
 	ChangeID string        `json:"change_id,omitempty"`
 	Error    string        `json:"error,omitempty"`
 }
 
-// entryStatus is what one entry says, in whole and what the text shows of it.
+// entryStatus is the status of one entry: the full response, and the part shown as
+// text.
 type entryStatus struct {
 	Admin  string          `json:"admin"`
 	Status json.RawMessage `json:"status,omitempty"`
 	Error  string          `json:"error,omitempty"`
-	shown  shownStatus
+	summary  statusSummary
 }
 
-// shownStatus is the part of an entry's status that the text shows.
-type shownStatus struct {
+// statusSummary is the part of an entry's status that is shown as text.
+type statusSummary struct {
 	Name             string        `json:"name"`
 	Zone             string        `json:"zone"`
 	Ready            bool          `json:"ready"`
@@ -50,8 +53,8 @@
 	Feed             feed.Stats    `json:"feed"`
 }
 
-// text returns one line.
-func (s shownStatus) text() string {
+// text returns the summary as one line.
+func (s statusSummary) text() string {
 	line := fmt.Sprintf("%s (%s): ready %t, revision %d, hosts %d, placement %d", s.Name, s.Zone, s.Ready, s.Revision, s.Hosts, s.PlacementVersion)
 	if s.PlacementLease {
 		line += ", holds the placement lease"
@@ -60,7 +63,7 @@
 	case s.Feed.Relay:
 		line += fmt.Sprintf(", relay to %d", s.Feed.Subscribers)
 	case s.Feed.Direct:
-		line += ", reads the platform itself"
+		line += ", reads directly from the platform"
 	case s.Feed.Provider != "":
 		line += ", follows " + s.Feed.Provider
 	}
@@ -82,14 +85,14 @@
 	if err := c.env.print(status, status.text()); err != nil {
 		return err
 	}
-	if silent := status.silent(); silent > 0 {
+	if failed := status.unavailable(); failed > 0 {
 		return &exitError{code: exitUnavailable, printed: true,
-			err: fault.New(fault.Unavailable, "status", "", "%d gave no answer", silent)}
+			err: fault.New(fault.Unavailable, "status", "", "%d did not respond", failed)}
 	}
 	return nil
 }
 
-// store asks the store for the head.
+// store reads the head of the configuration from the store.
 func (c *statusCommand) store() storeStatus {
 	api, err := c.env.objects()
 	if err != nil {
@@ -102,12 +105,12 @@
 	return storeStatus{Revision: head.Revision, ChangeID: head.ChangeID}
 }
 
-// entry asks one entry.
+// entry requests the status of one entry.
 func (c *statusCommand) entry(admin string) entryStatus {
-	answer, err := ask(c.env.ctx, "status", admin, "/v1/status")
-	status := entryStatus{Admin: admin, Status: answer}
+	response, err := getJSON(c.env.ctx, "status", admin, "/v1/status")
+	status := entryStatus{Admin: admin, Status: response}
 	if err == nil {
-		err = json.Unmarshal(answer, &status.shown)
+		err = json.Unmarshal(response, &status.summary)
 	}
 	if err != nil {
 		status.Status, status.Error = nil, err.Error()
@@ -115,8 +118,8 @@
 	return status
 }
 
-// silent counts who gave no answer.
-func (s fleetStatus) silent() int {
+// unavailable returns how many of the store and the entries reported an error.
+func (s fleetStatus) unavailable() int {
 	count := 0
 	if s.Store.Error != "" {
 		count++
@@ -140,7 +143,7 @@
 			lines = append(lines, entry.Admin+": "+entry.Error)
 			continue
 		}
-		lines = append(lines, entry.shown.text())
+		lines = append(lines, entry.summary.text())
 	}
 	return strings.Join(lines, "\n")
 }
--- a/acaciawinch/store_test.go
+++ b/acaciawinch/store_test.go
@@ -18,16 +18,16 @@
 	mu      sync.Mutex
 	values  map[string][]byte
 	version map[string]uint64
-	// loseHead makes the answer to the next write of the head be lost, after the
-	// write took effect or, with dropHead, before it.
-	loseHead bool
-	dropHead bool
+	// loseHeadResponse drops the response to the next write of the head, after the
+	// write took effect; dropHeadRequest drops the write itself.
+	loseHeadResponse bool
+	dropHeadRequest bool
 	down     bool
-	// refused, if set, is called at each call while the store is down.
-	refused func()
+	// onUnavailable, if set, is called at each call while the store is down.
+	onUnavailable func()
 }
 
-// newFakeStore returns an empty store and its URL.
+// newFakeStore starts an empty store and returns it with its URL.
 func newFakeStore(t *testing.T) (*fakeStore, string) {
 	s := &fakeStore{values: map[string][]byte{}, version: map[string]uint64{}}
 	server := httptest.NewServer(s)
@@ -42,8 +42,8 @@
 	key := strings.TrimPrefix(r.URL.Path, "/v1/objects/")
 	switch {
 	case s.down:
-		if s.refused != nil {
-			s.refused()
+		if s.onUnavailable != nil {
+			s.onUnavailable()
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case r.Method == http.MethodGet:
@@ -53,7 +53,7 @@
 	}
 }
 
-// get answers a read.
+// get handles a read.
 func (s *fakeStore) get(w http.ResponseWriter, key string) {
 	if s.version[key] == 0 {
 		w.WriteHeader(http.StatusNotFound)
@@ -63,12 +63,12 @@
 	_, _ = w.Write(s.values[key])
 }
 
-// put answers a conditional write.
+// put handles a conditional write.
 func (s *fakeStore) put(w http.ResponseWriter, r *http.Request, key string) {
 	body, _ := io.ReadAll(r.Body)
 	isHead := key == "config/head"
-	if isHead && s.dropHead {
-		s.dropHead = false
+	if isHead && s.dropHeadRequest {
+		s.dropHeadRequest = false
 		panic(http.ErrAbortHandler)
 	}
 	condition := strings.Trim(r.Header.Get("If-Match"), `"`)
@@ -78,23 +78,23 @@
 	}
 	s.values[key] = body
 	s.version[key]++
-	if isHead && s.loseHead {
-		s.loseHead = false
+	if isHead && s.loseHeadResponse {
+		s.loseHeadResponse = false
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Object-Version", strconv.FormatUint(s.version[key], 10))
 }
 
-// change changes the store's behaviour.
-func (s *fakeStore) change(edit func(*fakeStore)) {
+// update edits the store under its lock.
+func (s *fakeStore) update(edit func(*fakeStore)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	edit(s)
 }
 
-// keepFrom does what the removal of old objects does: it notes the oldest
-// revision in the head and deletes the copies before it.
-func (s *fakeStore) keepFrom(oldest int) {
+// deleteBefore does the same as the cleanup of old configurations: it sets the oldest
+// revision in the head and deletes the copies of earlier revisions.
+func (s *fakeStore) deleteBefore(oldest int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	head := strings.Replace(string(s.values["config/head"]), "{", "{\"oldest\":"+strconv.Itoa(oldest)+",", 1)
