--- a/acaciawinch/accept.go
+++ b/acaciawinch/accept.go
@@ -22,8 +22,8 @@
 // Backoff before a failed call is retried. It doubles from initialBackoff up to
 // maxBackoff; the actual wait is random between half of it and all of it.
 const (
-	initialBackoff   = 50 * time.Millisecond
-	maxBackoff = 2 * time.Second
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = 2 * time.Second
 )
 
 // acceptChange runs the accept protocol and prints its result.
--- a/acaciawinch/charts.go
+++ b/acaciawinch/charts.go
@@ -15,9 +15,9 @@
 
 // chartOutput is the JSON output of one chart.
 type chartOutput struct {
-	Name        string            `json:"name"`
-	Means       string            `json:"means"`
-	Initial     chart.State       `json:"initial"`
+	Name        string             `json:"name"`
+	Means       string             `json:"means"`
+	Initial     chart.State        `json:"initial"`
 	States      []stateOutput      `json:"states"`
 	Transitions []transitionOutput `json:"transitions"`
 }
--- a/acaciawinch/command.go
+++ b/acaciawinch/command.go
@@ -15,14 +15,14 @@
 
 // Exit codes.
 const (
-	exitOK        = 0
+	exitOK          = 0
 	exitFailed      = 1
 	exitBadInput    = 2
 	exitConflict    = 3
 	exitUnavailable = 4
 )
 
-// defaultTimeout is the timeout of a command while its flags are not parsed.
+// defaultTimeout is the default timeout of a whole command.
 const defaultTimeout = 30 * time.Second
 
 // options holds the flags common to all commands.
--- a/acaciawinch/command_test.go
+++ b/acaciawinch/command_test.go
@@ -32,31 +32,31 @@
 // newHarness returns a harness whose settings file ends with the text more.
 func newHarness(t *testing.T, more string) *harness {
 	store, url := newFakeStore(t)
-	b := &harness{t: t, ctx: t.Context(), store: store, dir: t.TempDir()}
-	b.config = b.file("acaciawinch.toml", fmt.Sprintf("[platform]\nobjects = %q\n%s", url, more))
-	return b
+	h := &harness{t: t, ctx: t.Context(), store: store, dir: t.TempDir()}
+	h.config = h.file("acaciawinch.toml", fmt.Sprintf("[platform]\nobjects = %q\n%s", url, more))
+	return h
 }
 
 // file writes a file in the harness's directory and returns its path.
-func (b *harness) file(name, text string) string {
-	path := filepath.Join(b.dir, name)
-	assert.NilError(b.t, os.WriteFile(path, []byte(text), 0o600))
+func (h *harness) file(name, text string) string {
+	path := filepath.Join(h.dir, name)
+	assert.NilError(h.t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
 // run runs a command line and returns its exit code and output.
-func (b *harness) run(args ...string) (int, string) {
+func (h *harness) run(args ...string) (int, string) {
 	var out, errOut bytes.Buffer
-	code := run(b.ctx, append([]string{"--config", b.config}, args...), &out, &errOut)
+	code := run(h.ctx, append([]string{"--config", h.config}, args...), &out, &errOut)
 	return code, out.String() + errOut.String()
 }
 
 // expect runs a command line and checks its exit code and a part of its output.
-func (b *harness) expect(code int, text string, args ...string) string {
-	b.t.Helper()
-	got, printed := b.run(args...)
-	assert.Equal(b.t, got, code, printed)
-	assert.Assert(b.t, strings.Contains(printed, text), "output does not contain %q:\n%s", text, printed)
+func (h *harness) expect(code int, text string, args ...string) string {
+	h.t.Helper()
+	got, printed := h.run(args...)
+	assert.Equal(h.t, got, code, printed)
+	assert.Assert(h.t, strings.Contains(printed, text), "output does not contain %q:\n%s", text, printed)
 	return printed
 }
 
@@ -67,8 +67,8 @@
 
 // workspaceFile writes a file that declares one workspace of the "institute" example
 // with the given weight.
-func (b *harness) workspaceFile(weight int) string {
-	return b.file(fmt.Sprintf("w%d.toml", weight),
+func (h *harness) workspaceFile(weight int) string {
+	return h.file(fmt.Sprintf("w%d.toml", weight),
 		fmt.Sprintf("[[workspaces]]\nname = \"asesores\"\npipelines = [\"consulta\"]\nweight = %d\n", weight))
 }
 
@@ -79,63 +79,63 @@
 }
 
 func TestApplyGetHistoryAndRollback(t *testing.T) {
-	b := newHarness(t, "")
+	h := newHarness(t, "")
 	apply := append([]string{"apply", "--note", "first"}, examples("institute")...)
-	b.expect(exitOK, "accepted as revision 1", apply...)
-	b.expect(exitOK, "unchanged: revision 1", apply...)
-	b.expect(exitOK, "accepted as revision 2", "apply", b.workspaceFile(4))
-	b.expect(exitOK, "weight = 4", "get", "--workspace", "asesores")
-	b.expect(exitOK, "weight = 2", "get", "--workspace", "asesores", "--revision", "1")
-	b.expect(exitOK, "accepted as revision 3", "rollback", "1")
-	b.expect(exitOK, "weight = 2", "get", "--workspace", "asesores")
-	b.expect(exitOK, "rollback to revision 1", "history")
+	h.expect(exitOK, "accepted as revision 1", apply...)
+	h.expect(exitOK, "unchanged: revision 1", apply...)
+	h.expect(exitOK, "accepted as revision 2", "apply", h.workspaceFile(4))
+	h.expect(exitOK, "weight = 4", "get", "--workspace", "asesores")
+	h.expect(exitOK, "weight = 2", "get", "--workspace", "asesores", "--revision", "1")
+	h.expect(exitOK, "accepted as revision 3", "rollback", "1")
+	h.expect(exitOK, "weight = 2", "get", "--workspace", "asesores")
+	h.expect(exitOK, "rollback to revision 1", "history")
 
-	whole := b.file("whole.toml", b.expect(exitOK, "# revision 3", "get"))
-	b.expect(exitOK, "unchanged", "apply", "--prune", whole)
-	b.expect(exitOK, "workspace pensionistas", "apply", "--prune", examples("institute")[0], b.workspaceFile(5))
-	b.expect(exitBadInput, "no workspace", "get", "--workspace", "pensionistas")
+	whole := h.file("whole.toml", h.expect(exitOK, "# revision 3", "get"))
+	h.expect(exitOK, "unchanged", "apply", "--prune", whole)
+	h.expect(exitOK, "workspace pensionistas", "apply", "--prune", examples("institute")[0], h.workspaceFile(5))
+	h.expect(exitBadInput, "no workspace", "get", "--workspace", "pensionistas")
 }
 
 func TestConflictListsWhatChanged(t *testing.T) {
-	b := newHarness(t, "")
-	b.expect(exitOK, "accepted", append([]string{"apply"}, examples("institute")...)...)
-	b.expect(exitOK, "accepted", "apply", b.workspaceFile(4))
-	printed := b.expect(exitConflict, "conflict with revision 2", "apply", "--base", "1", b.workspaceFile(5))
+	h := newHarness(t, "")
+	h.expect(exitOK, "accepted", append([]string{"apply"}, examples("institute")...)...)
+	h.expect(exitOK, "accepted", "apply", h.workspaceFile(4))
+	printed := h.expect(exitConflict, "conflict with revision 2", "apply", "--base", "1", h.workspaceFile(5))
 	assert.Assert(t, strings.Contains(printed, "workspace asesores"), printed)
 }
 
 func TestConcurrentChangesOfDifferentWorkspacesAllSucceed(t *testing.T) {
-	b := newHarness(t, "")
-	b.expect(exitOK, "accepted", append([]string{"apply"}, examples("institute")...)...)
+	h := newHarness(t, "")
+	h.expect(exitOK, "accepted", append([]string{"apply"}, examples("institute")...)...)
 	var group sync.WaitGroup
 	const operators = 6
 	codes := make([]int, operators)
 	for i := range operators {
-		file := b.file(fmt.Sprintf("own%d.toml", i), fmt.Sprintf("[[workspaces]]\nname = \"own-%d\"\npipelines = [\"consulta\"]\nweight = 1\n", i))
-		group.Go(func() { codes[i], _ = b.run("apply", file) })
+		file := h.file(fmt.Sprintf("own%d.toml", i), fmt.Sprintf("[[workspaces]]\nname = \"own-%d\"\npipelines = [\"consulta\"]\nweight = 1\n", i))
+		group.Go(func() { codes[i], _ = h.run("apply", file) })
 	}
 	group.Wait()
 	assert.DeepEqual(t, codes, make([]int, operators))
-	b.expect(exitOK, fmt.Sprintf("# revision %d,", 1+operators), "get")
+	h.expect(exitOK, fmt.Sprintf("# revision %d,", 1+operators), "get")
 	for i := range operators {
-		b.expect(exitOK, "weight = 1", "get", "--workspace", fmt.Sprintf("own-%d", i))
+		h.expect(exitOK, "weight = 1", "get", "--workspace", fmt.Sprintf("own-%d", i))
 	}
 }
 
 func TestBadInputNamesFileLineAndKey(t *testing.T) {
-	b := newHarness(t, "")
-	b.expect(exitBadInput, "w0.toml:4: workspaces[0].weight: must be 1 to 1000, is 0", "validate", b.workspaceFile(0))
-	b.expect(exitBadInput, "w0.toml:4: workspaces[0].weight: must be 1 to 1000, is 0", "apply", examples("institute")[0], b.workspaceFile(0))
-	twice := b.file("twice.toml", "[[workspaces]]\nname = \"a\"\n[[workspaces]]\nname = \"a\"\n")
-	b.expect(exitBadInput, "twice.toml:4: workspaces[1].name: stands twice", "apply", twice)
-	b.expect(exitBadInput, "unknown.toml:1: pipes: unknown key", "apply", b.file("unknown.toml", "pipes = 1\n"))
-	b.expect(exitBadInput, "no such file", "apply", "absent.toml")
-	b.expect(exitBadInput, "there is no revision 9", "get", "--revision", "9")
-	b.expect(exitBadInput, "Unknown command", "nothing")
-	b.expect(exitBadInput, "unexpected arguments", "history", "more")
-	b.expect(exitBadInput, "wrong argument", "rollback", "x")
-	b.config = b.file("broken.toml", "[platform]\nobject = \"x\"\n")
-	b.expect(exitBadInput, "broken.toml:2: platform.object: unknown key", "get")
+	h := newHarness(t, "")
+	h.expect(exitBadInput, "w0.toml:4: workspaces[0].weight: must be 1 to 1000, is 0", "validate", h.workspaceFile(0))
+	h.expect(exitBadInput, "w0.toml:4: workspaces[0].weight: must be 1 to 1000, is 0", "apply", examples("institute")[0], h.workspaceFile(0))
+	twice := h.file("twice.toml", "[[workspaces]]\nname = \"a\"\n[[workspaces]]\nname = \"a\"\n")
+	h.expect(exitBadInput, "twice.toml:4: workspaces[1].name: stands twice", "apply", twice)
+	h.expect(exitBadInput, "unknown.toml:1: pipes: unknown key", "apply", h.file("unknown.toml", "pipes = 1\n"))
+	h.expect(exitBadInput, "no such file", "apply", "absent.toml")
+	h.expect(exitBadInput, "there is no revision 9", "get", "--revision", "9")
+	h.expect(exitBadInput, "Unknown command", "nothing")
+	h.expect(exitBadInput, "unexpected arguments", "history", "more")
+	h.expect(exitBadInput, "wrong argument", "rollback", "x")
+	h.config = h.file("broken.toml", "[platform]\nobject = \"x\"\n")
+	h.expect(exitBadInput, "broken.toml:2: platform.object: unknown key", "get")
 }
 
 func TestLostResponseOfHeadWriteIsResolved(t *testing.T) {
@@ -144,26 +144,26 @@
 		"before it":       func(s *fakeStore) { s.dropHeadRequest = true },
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newHarness(t, "")
-			b.store.update(lose)
-			b.expect(exitOK, "accepted as revision 1", append([]string{"apply"}, examples("institute")...)...)
+			h := newHarness(t, "")
+			h.store.update(lose)
+			h.expect(exitOK, "accepted as revision 1", append([]string{"apply"}, examples("institute")...)...)
 		})
 	}
 }
 
 func TestUnavailableStoreIsReported(t *testing.T) {
-	b := newHarness(t, "")
-	b.store.update(func(s *fakeStore) { s.down = true })
-	b.expect(exitUnavailable, "unavailable", "get")
-	b.expect(exitUnavailable, "not accepted", "--timeout", "300ms", "apply", b.workspaceFile(1))
+	h := newHarness(t, "")
+	h.store.update(func(s *fakeStore) { s.down = true })
+	h.expect(exitUnavailable, "unavailable", "get")
+	h.expect(exitUnavailable, "not accepted", "--timeout", "300ms", "apply", h.workspaceFile(1))
 }
 
 func TestDrainAndUndrainAreChanges(t *testing.T) {
-	b := newHarness(t, "")
-	b.expect(exitOK, "drained upstream tesoreria-1", "drain", "tesoreria-1")
-	b.expect(exitOK, "# drained: tesoreria-1", "get")
-	b.expect(exitOK, "accepted as revision 2", "undrain", "tesoreria-1")
-	b.expect(exitOK, "drain tesoreria-1", "history")
+	h := newHarness(t, "")
+	h.expect(exitOK, "drained upstream tesoreria-1", "drain", "tesoreria-1")
+	h.expect(exitOK, "# drained: tesoreria-1", "get")
+	h.expect(exitOK, "accepted as revision 2", "undrain", "tesoreria-1")
+	h.expect(exitOK, "drain tesoreria-1", "history")
 }
 
 func TestDrainOfUnknownUpstreamIsRefused(t *testing.T) {
@@ -171,9 +171,9 @@
 		_, _ = w.Write([]byte(`{"version":1,"hosts":[]}`))
 	}))
 	defer hosts.Close()
-	b := newHarness(t, fmt.Sprintf("hosts = %q\n", hosts.URL))
-	b.expect(exitBadInput, `no upstream "tesoreria-9"`, "drain", "tesoreria-9")
-	b.expect(exitOK, "unchanged", "undrain", "tesoreria-9")
+	h := newHarness(t, fmt.Sprintf("hosts = %q\n", hosts.URL))
+	h.expect(exitBadInput, `no upstream "tesoreria-9"`, "drain", "tesoreria-9")
+	h.expect(exitOK, "unchanged", "undrain", "tesoreria-9")
 }
 
 // recordingSide is a sidecar that records the drain requests that it gets.
@@ -208,24 +208,24 @@
 		_, _ = fmt.Fprintf(w, `{"version":1,"hosts":[{"name":"tesoreria-1","role":"upstream","addr":%q}]}`, address)
 	}))
 	defer hosts.Close()
-	b := newHarness(t, fmt.Sprintf("hosts = %q\n[fleet]\nkey = \"k\"\n", hosts.URL))
-	down := func(down bool) { b.store.update(func(s *fakeStore) { s.down = down }) }
+	h := newHarness(t, fmt.Sprintf("hosts = %q\n[fleet]\nkey = \"k\"\n", hosts.URL))
+	down := func(down bool) { h.store.update(func(s *fakeStore) { s.down = down }) }
 	down(true)
 	// The context is cancelled when the store fails; the sidecar was notified before.
 	var giveUp context.CancelFunc
-	b.ctx, giveUp = context.WithCancel(t.Context())
-	b.store.update(func(s *fakeStore) { s.onUnavailable = giveUp })
-	b.expect(exitUnavailable, "the sidecar of tesoreria-1 was notified", "drain", "tesoreria-1")
+	h.ctx, giveUp = context.WithCancel(t.Context())
+	h.store.update(func(s *fakeStore) { s.onUnavailable = giveUp })
+	h.expect(exitUnavailable, "the sidecar of tesoreria-1 was notified", "drain", "tesoreria-1")
 	assert.Equal(t, <-side.drains, true)
-	b.ctx = t.Context()
+	h.ctx = t.Context()
 	down(false)
-	b.expect(exitOK, "the sidecar of tesoreria-1 was notified", "drain", "tesoreria-1")
+	h.expect(exitOK, "the sidecar of tesoreria-1 was notified", "drain", "tesoreria-1")
 	assert.Equal(t, <-side.drains, true)
 	down(true)
-	b.expect(exitUnavailable, "not accepted", "--timeout", "300ms", "undrain", "tesoreria-1")
+	h.expect(exitUnavailable, "not accepted", "--timeout", "300ms", "undrain", "tesoreria-1")
 	assert.Equal(t, len(side.drains), 0, "the sidecar got an undrain that was not accepted")
 	down(false)
-	b.expect(exitOK, "the sidecar of tesoreria-1 was notified", "undrain", "tesoreria-1")
+	h.expect(exitOK, "the sidecar of tesoreria-1 was notified", "undrain", "tesoreria-1")
 	assert.Equal(t, <-side.drains, false)
 }
 
@@ -246,49 +246,49 @@
 
 func TestStatusAndExplainQueryEntries(t *testing.T) {
 	entry := newEntry(t)
-	b := newHarness(t, fmt.Sprintf("[entries]\nadmin = [%q]\n", entry))
-	b.expect(exitOK, "entry-1 (z): ready true, revision 7, hosts 3, placement 2, relay to 4", "status")
-	printed := b.expect(exitOK, "route_chosen  encode/1  u1: least wait", "explain", "entry-1-ab")
+	h := newHarness(t, fmt.Sprintf("[entries]\nadmin = [%q]\n", entry))
+	h.expect(exitOK, "entry-1 (z): ready true, revision 7, hosts 3, placement 2, relay to 4", "status")
+	printed := h.expect(exitOK, "route_chosen  encode/1  u1: least wait", "explain", "entry-1-ab")
 	assert.Assert(t, strings.Contains(printed, "not u2: slower"), printed)
-	b.expect(exitBadInput, "not found", "explain", "entry-1-none")
+	h.expect(exitBadInput, "not found", "explain", "entry-1-none")
 
-	b = newHarness(t, fmt.Sprintf("[entries]\nadmin = [%q, \"http://127.0.0.1:1\"]\n", entry))
-	b.expect(exitUnavailable, "revision 7", "status")
-	b.expect(exitUnavailable, "unavailable", "explain", "entry-1-none")
-	b = newHarness(t, fmt.Sprintf("[entries]\nadmin = [\"http://127.0.0.1:1\", %q]\n", entry))
-	b.expect(exitUnavailable, "unavailable", "explain", "entry-1-none")
-	b.expect(exitOK, "route_chosen", "explain", "entry-1-ab")
-	b = newHarness(t, "")
-	b.expect(exitBadInput, "entries.admin: missing", "status")
+	h = newHarness(t, fmt.Sprintf("[entries]\nadmin = [%q, \"http://127.0.0.1:1\"]\n", entry))
+	h.expect(exitUnavailable, "revision 7", "status")
+	h.expect(exitUnavailable, "unavailable", "explain", "entry-1-none")
+	h = newHarness(t, fmt.Sprintf("[entries]\nadmin = [\"http://127.0.0.1:1\", %q]\n", entry))
+	h.expect(exitUnavailable, "unavailable", "explain", "entry-1-none")
+	h.expect(exitOK, "route_chosen", "explain", "entry-1-ab")
+	h = newHarness(t, "")
+	h.expect(exitBadInput, "entries.admin: missing", "status")
 }
 
 func TestEveryCommandPrintsValidJSON(t *testing.T) {
-	b := newHarness(t, fmt.Sprintf("[entries]\nadmin = [%q]\n", newEntry(t)))
+	h := newHarness(t, fmt.Sprintf("[entries]\nadmin = [%q]\n", newEntry(t)))
 	for _, args := range [][]string{
 		append([]string{"validate"}, examples("institute")...), append([]string{"apply"}, examples("institute")...),
 		{"get"}, {"history"}, {"rollback", "1"}, {"status"}, {"explain", "entry-1-ab"}, {"charts"}, {"undrain", "u"},
 	} {
 		var out, errOut bytes.Buffer
-		code := run(context.Background(), append([]string{"--config", b.config, "--output", "json"}, args...), &out, &errOut)
+		code := run(context.Background(), append([]string{"--config", h.config, "--output", "json"}, args...), &out, &errOut)
 		assert.Equal(t, code, exitOK, errOut.String())
 		assert.Assert(t, json.Valid(out.Bytes()), "%v printed %s", args, out.String())
 	}
 }
 
 func TestDeletedRevisionsAreReported(t *testing.T) {
-	b := newHarness(t, "")
-	b.expect(exitOK, "accepted", append([]string{"apply"}, examples("institute")...)...)
-	b.expect(exitOK, "accepted", "apply", b.workspaceFile(4))
-	b.expect(exitOK, "accepted", "apply", b.workspaceFile(5))
-	b.store.deleteBefore(2)
+	h := newHarness(t, "")
+	h.expect(exitOK, "accepted", append([]string{"apply"}, examples("institute")...)...)
+	h.expect(exitOK, "accepted", "apply", h.workspaceFile(4))
+	h.expect(exitOK, "accepted", "apply", h.workspaceFile(5))
+	h.store.deleteBefore(2)
 	const gone = "revision 1 is no longer kept; the oldest is 2"
-	b.expect(exitBadInput, gone, "get", "--revision", "1")
-	b.expect(exitBadInput, gone, "rollback", "1")
-	b.expect(exitBadInput, gone, "apply", "--base", "1", b.workspaceFile(6))
-	printed := b.expect(exitOK, "    -  ", "history")
+	h.expect(exitBadInput, gone, "get", "--revision", "1")
+	h.expect(exitBadInput, gone, "rollback", "1")
+	h.expect(exitBadInput, gone, "apply", "--base", "1", h.workspaceFile(6))
+	printed := h.expect(exitOK, "    -  ", "history")
 	assert.Equal(t, strings.Count(printed, "\n"), 3, printed)
-	b.expect(exitOK, "accepted as revision 4", "rollback", "2")
-	b.expect(exitBadInput, gone, "get", "--revision", "1")
+	h.expect(exitOK, "accepted as revision 4", "rollback", "2")
+	h.expect(exitBadInput, gone, "get", "--revision", "1")
 }
 
 func TestAccountCountsTheLinesOfAFile(t *testing.T) {
--- a/acaciawinch/explain.go
+++ b/acaciawinch/explain.go
@@ -37,8 +37,8 @@
 	return lastError
 }
 
-// moreRelevantError prefers a failure of one entry to a NotFound of another, because
-// the failed entry might know the request. Else it returns b, the later error.
+// moreRelevantError returns a, the earlier error, unless it is nil or NotFound; then it
+// returns b. An entry that failed might know a request that another did not find.
 func moreRelevantError(a, b error) error {
 	if a == nil || fault.Is(a, fault.NotFound) {
 		return b
--- a/acaciawinch/status.go
+++ b/acaciawinch/status.go
@@ -35,10 +35,10 @@
 // entryStatus is the status of one entry: the full response, and the part shown as
 // text.
 type entryStatus struct {
-	Admin  string          `json:"admin"`
-	Status json.RawMessage `json:"status,omitempty"`
-	Error  string          `json:"error,omitempty"`
-	summary  statusSummary
+	Admin   string          `json:"admin"`
+	Status  json.RawMessage `json:"status,omitempty"`
+	Error   string          `json:"error,omitempty"`
+	summary statusSummary
 }
 
 // statusSummary is the part of an entry's status that is shown as text.
--- a/acaciawinch/store_test.go
+++ b/acaciawinch/store_test.go
@@ -21,8 +21,8 @@
 	// loseHeadResponse drops the response to the next write of the head, after the
 	// write took effect; dropHeadRequest drops the write itself.
 	loseHeadResponse bool
-	dropHeadRequest bool
-	down     bool
+	dropHeadRequest  bool
+	down             bool
 	// onUnavailable, if set, is called at each call while the store is down.
 	onUnavailable func()
 }
