--- a/core/routing/cost_test.go
+++ b/core/routing/cost_test.go
@@ -7,9 +7,9 @@
 	"acaciawinch/core/fleet"
 )
 
-// letterHosts returns the letter's fleet: 1,100 upstreams of five services in
-// 11 zones of 4 regions, seen from zone "a" of region "r".
-func letterHosts() []fleet.Host {
+// targetFleet returns a fleet of the size the project is designed for: 1,100 upstreams of
+// five services in 11 zones of 4 regions, seen from zone "a" of region "r".
+func targetFleet() []fleet.Host {
 	var hosts []fleet.Host
 	for i := range 1100 {
 		zone := fmt.Sprint("zone-", i%11)
@@ -25,26 +25,26 @@
 	return hosts
 }
 
-// BenchmarkDecision is the processor time of one decision with its answers, at
-// the letter's size.
+// BenchmarkDecision measures the processor time of one decision with its replies in the
+// target fleet.
 func BenchmarkDecision(b *testing.B) {
-	queries := map[string]Query{"plain": plain, "prefix": {Service: "llm", Engine: true, Prefix: 7}}
+	queries := map[string]Query{"plain": plainQuery, "prefix": {Service: "llm", Engine: true, Prefix: 7}}
 	for name, q := range queries {
 		b.Run(name, func(b *testing.B) {
-			w := newWorld(Probe2, 1, letterHosts()...)
+			h := newHarness(Probe2, 1, targetFleet()...)
 			b.ReportAllocs()
 			for b.Loop() {
-				w.now = w.now.Add(100 * ms)
-				w.choose(q)
-				w.asked = w.asked[:0]
+				h.now = h.now.Add(100 * ms)
+				h.choose(q)
+				h.probed = h.probed[:0]
 			}
 		})
 	}
 }
 
-// BenchmarkPicker is the processor time of taking over a changed host list.
+// BenchmarkPicker measures the processor time of applying a changed host list.
 func BenchmarkPicker(b *testing.B) {
-	source := sourceOf(letterHosts()...)
+	source := sourceOf(targetFleet()...)
 	b.ReportAllocs()
 	for b.Loop() {
 		NewPicker(source)
--- a/core/routing/decide.go
+++ b/core/routing/decide.go
@@ -2,143 +2,147 @@
 
 import "time"
 
-// Constants of the choice among answers.
+// Thresholds of the choice among candidates.
 const (
-	// spillMargin is how much longer than the way to another zone the own zone's
-	// wait may be before other zones are asked.
+	// spillMargin is by how much the wait in the own zone may exceed the extra latency of
+	// another zone before other zones are probed. The limit on slow service has the same
+	// margin.
 	spillMargin = 5 * time.Millisecond
-	// slowFactor times the usual service time makes an answer not good enough.
-	slowFactor = 3
-	// affinitySlack is how much more a warm upstream may be expected to take
-	// than the best answer, as a share and at least as a time.
+	// slowServiceFactor is the multiple of the usual service time above which a candidate
+	// counts as slow and more upstreams are probed.
+	slowServiceFactor = 3
+	// affinitySlack is how much longer than the best candidate a warm upstream may be
+	// expected to take, as a share of the best candidate's time. The allowance is never
+	// less than affinitySlackFloor.
 	affinitySlack      = 0.25
 	affinitySlackFloor = 5 * time.Millisecond
-	// idleShare of its capacity is what an upstream may always hold of a
-	// prefix's work, however little the others hold.
-	idleShare = 0.5
-	// Bounds of the time after which a refused caller should come back.
+	// mostlyIdleShare is the share of its capacity up to which an upstream is always within
+	// the load bound of prefix affinity, however little work the others have.
+	mostlyIdleShare = 0.5
+	// minRetryAfter and defaultRetryAfter are the least and the default delay after which a
+	// refused caller should retry.
 	minRetryAfter     = 100 * time.Millisecond
 	defaultRetryAfter = time.Second
 )
 
-// DecideByScore takes the usable answer with the lowest score, or for a stage
-// with a prefix the warm one if it is nearly as good.
+// DecideByScore accepts the usable candidate with the lowest score. For a stage with a
+// prompt prefix it prefers a warm upstream that is nearly as good.
 func (r *Round) DecideByScore() Decision {
-	weighed := r.judgeAll()
-	best := bestOf(weighed)
+	candidates := r.evaluateAll()
+	best := lowestScore(candidates)
 	if best < 0 {
-		return refusal(weighed)
+		return refusal(candidates)
 	}
 	reason := "lowest expected completion"
-	if len(weighed) == 1 {
+	if len(candidates) == 1 {
 		reason = "only answer"
 	}
-	if warm := r.warm(weighed, weighed[best]); warm >= 0 && warm != best {
+	if warm := r.affinityChoice(candidates, candidates[best]); warm >= 0 && warm != best {
 		best, reason = warm, "prefix affinity within bound"
 	}
-	return take(weighed, best, reason)
+	return accept(candidates, best, reason)
 }
 
-// judgeAll weighs all answers.
-func (r *Round) judgeAll() []Weighed {
-	weighed := make([]Weighed, len(r.Answers))
+// evaluateAll evaluates all replies.
+func (r *Round) evaluateAll() []Weighed {
+	candidates := make([]Weighed, len(r.Answers))
 	for i, answer := range r.Answers {
-		weighed[i] = r.judge(answer)
+		candidates[i] = r.evaluate(answer)
 	}
-	return weighed
+	return candidates
 }
 
-// bestOf returns the index of the usable one with the lowest score, or -1.
-func bestOf(weighed []Weighed) int {
+// lowestScore returns the index of the usable candidate with the lowest score, or -1.
+func lowestScore(candidates []Weighed) int {
 	best := -1
-	for i, w := range weighed {
-		if w.Usable && (best < 0 || w.score < weighed[best].score) {
+	for i, w := range candidates {
+		if w.Usable && (best < 0 || w.score < candidates[best].score) {
 			best = i
 		}
 	}
 	return best
 }
 
-// warm returns the index of the first upstream in the prefix's ranking that is
-// within the bound on load and nearly as good as best, or -1. Only the tier of
-// best counts: a ranking holds for one zone. A cached prefix saves no more than the
-// time to the first chunk, so the work must not queue longer than that for it.
-func (r *Round) warm(weighed []Weighed, best Weighed) int {
+// affinityChoice returns the index of the first upstream in the prefix's ranking that is
+// within the load bound and nearly as good as best, or -1. Only the tier of best counts,
+// because a ranking holds for one zone. A cached prefix saves at most the time to the first
+// chunk, so the work must not queue longer than that for it.
+func (r *Round) affinityChoice(candidates []Weighed, best Weighed) int {
 	if !r.hasAffinity() {
 		return -1
 	}
-	limit := best.score + max(affinitySlackFloor, time.Duration(affinitySlack*float64(best.Expected)))
-	queueing := best.queueing() + max(affinitySlackFloor, best.Answer.Load.FirstP50)
-	byID := make(map[Upstream]int)
-	var near []Upstream
-	for i, w := range weighed {
+	maxScore := best.score + max(affinitySlackFloor, time.Duration(affinitySlack*float64(best.Expected)))
+	maxQueueCost := best.queueCost() + max(affinitySlackFloor, best.Answer.Load.FirstP50)
+	indexes := make(map[Upstream]int)
+	var eligible []Upstream
+	for i, w := range candidates {
 		u := w.Answer.Upstream
-		nearlyAsGood := w.score <= limit && w.queueing() <= queueing
+		nearlyAsGood := w.score <= maxScore && w.queueCost() <= maxQueueCost
 		if w.Usable && nearlyAsGood && u.Tier == best.Answer.Upstream.Tier {
-			byID[u] = i
-			near = append(near, u)
+			indexes[u] = i
+			eligible = append(eligible, u)
 		}
 	}
-	ranked := rank(prefixKey(r.Query), near)
+	ranked := rank(prefixKey(r.Query), eligible)
 	for _, u := range r.withinBound(ranked, 1) {
-		return byID[u]
+		return indexes[u]
 	}
 	return -1
 }
 
-// hasAffinity tells whether the stage has a prefix that an engine may keep.
+// hasAffinity reports whether the stage has a prompt prefix that an engine may have cached.
 func (r *Round) hasAffinity() bool { return r.Query.Engine && r.Query.Prefix != 0 }
 
-// withinBound returns at most n upstreams of a ranking whose work is within the
-// bound on load. What is not known counts as within, and so does an upstream
-// that is mostly idle: moving its prefixes would gain nothing.
+// withinBound returns the first upstreams of a ranking, at most n, whose pending work is
+// within the load bound. An upstream whose load is unknown counts as within the bound, and
+// so does one that is mostly idle, because moving its prefixes would gain nothing.
 func (r *Round) withinBound(ranked []Upstream, n int) []Upstream {
 	total, known := 0.0, 0
 	for _, u := range r.Picker.queryGroup(r.Query).tiers[OwnZone] {
-		if held, _, ok := r.Table.work(u.ID, r.Now); ok {
-			total += float64(held)
+		if pending, _, ok := r.Table.pendingWork(u.ID, r.Now); ok {
+			total += float64(pending)
 			known++
 		}
 	}
-	bound := boundOf(total, known)
+	bound := loadBound(total, known)
 	return firstWithin(ranked, n, bound, func(u Upstream) float64 {
-		held, capacity, ok := r.Table.work(u.ID, r.Now)
-		if !ok || float64(held+1) <= idleShare*float64(capacity) {
+		pending, capacity, ok := r.Table.pendingWork(u.ID, r.Now)
+		if !ok || float64(pending+1) <= mostlyIdleShare*float64(capacity) {
 			return 0
 		}
-		return float64(held)
+		return float64(pending)
 	})
 }
 
-// take returns the decision for the upstream at index chosen.
-func take(weighed []Weighed, chosen int, reason string) Decision {
-	d := Decision{OK: true, Chosen: weighed[chosen], Reason: reason}
+// accept returns the decision for the candidate at index chosen.
+func accept(candidates []Weighed, chosen int, reason string) Decision {
+	d := Decision{OK: true, Chosen: candidates[chosen], Reason: reason}
 	d.Spilled = d.Chosen.Answer.Upstream.Tier != OwnZone
-	for i, w := range weighed {
+	for i, w := range candidates {
 		if i == chosen {
 			continue
 		}
 		if w.Usable {
-			w.Reason = comparison(w, d.Chosen)
+			w.Reason = lossReason(w, d.Chosen)
 		}
 		d.Others = append(d.Others, w)
 	}
 	return d
 }
 
-// comparison says why w was not taken and chosen was.
-func comparison(w, chosen Weighed) string {
+// lossReason returns why chosen was preferred to w.
+func lossReason(w, chosen Weighed) string {
 	if w.score < chosen.score {
 		return "better by load, not warm"
 	}
 	return "expected later"
 }
 
-// refusal returns the decision that nobody can take the work.
-func refusal(weighed []Weighed) Decision {
-	d := Decision{Others: weighed, Reason: "no upstream answers", RetryAfter: defaultRetryAfter}
+// refusal returns the decision when no candidate can take the work.
+func refusal(candidates []Weighed) Decision {
+	d := Decision{Others: candidates, Reason: "no upstream answers", RetryAfter: defaultRetryAfter}
 	shortest := time.Duration(-1)
-	for _, w := range weighed {
+	for _, w := range candidates {
 		if w.Answer.Answered {
 			d.Reason = "no upstream can take the work"
 		}
--- a/core/routing/driver_test.go
+++ b/core/routing/driver_test.go
@@ -13,47 +13,47 @@
 
 const ms = time.Millisecond
 
-// epoch is when the tests' time begins.
+// epoch is the start of simulated time.
 var epoch = time.Unix(1000, 0)
 
-// world is one entry's routing before upstreams that a test controls.
-type world struct {
+// harness runs the routing of one entry against upstreams that a test controls.
+type harness struct {
 	picker *Picker
 	table  *Table
 	policy Policy
 	random *rand.Rand
 	now    time.Time
 	usual  latency.Estimate
-	// reply returns what an upstream answers now; not answered means silence.
+	// reply returns what an upstream replies to a probe now; Answered is unset for silence.
 	reply func(Upstream) Answer
-	// asked lists all upstreams that were probed.
-	asked []core.UpstreamID
+	// probed lists the upstreams that were probed, in order.
+	probed []core.UpstreamID
 }
 
-// newWorld returns a world in zone a of region r.
-func newWorld(policy string, seed uint64, hosts ...fleet.Host) *world {
+// newHarness returns a harness for an entry in zone a of region r.
+func newHarness(policy string, seed uint64, hosts ...fleet.Host) *harness {
 	chosen, err := NewPolicy(policy)
 	if err != nil {
 		panic(err)
 	}
-	w := &world{
+	h := &harness{
 		table:  NewTable(),
 		policy: chosen,
 		random: rand.New(rand.NewPCG(seed, seed)),
 		now:    epoch,
 		reply:  func(u Upstream) Answer { return Answer{Upstream: u, Answered: true, Load: idle()} },
 	}
-	w.picker = NewPicker(sourceOf(hosts...))
-	return w
+	h.picker = NewPicker(sourceOf(hosts...))
+	return h
 }
 
-// sourceOf returns a source without drains and placement.
+// sourceOf returns a source without drains or placement.
 func sourceOf(hosts ...fleet.Host) Source {
 	return Source{Zone: "a", Region: "r", Hosts: hosts, Drained: func(string) bool { return false }}
 }
 
-// assign gives the engines with the names a model to hold.
-func assign(source Source, model Model, names ...string) Source {
+// withAssignments assigns a model to the named engines.
+func withAssignments(source Source, model Model, names ...string) Source {
 	for _, name := range names {
 		source.Assignments = append(source.Assignments, placement.Assignment{
 			Upstream: core.UpstreamID(name), Model: model.Name, Version: model.Version,
@@ -78,57 +78,57 @@
 	return hosts
 }
 
-// choose takes one decision as the entry does.
-func (w *world) choose(q Query) Decision {
+// choose takes one decision in the way the entry does.
+func (h *harness) choose(q Query) Decision {
 	var answers []Answer
 	var decision Decision
 	for number := 0; ; number++ {
-		ask := w.policy.Ask(w.round(q, number, answers))
+		ask := h.policy.Ask(h.round(q, number, answers))
 		if number > 0 && len(ask.Upstreams) == 0 {
 			break
 		}
 		for _, u := range ask.Background {
-			w.probe(u)
+			h.probe(u)
 		}
 		for _, u := range ask.Upstreams {
-			answers = append(answers, w.answer(u, ask))
+			answers = append(answers, h.rememberedOrProbe(u, ask))
 		}
-		decision = w.policy.Decide(w.round(q, number, answers))
+		decision = h.policy.Decide(h.round(q, number, answers))
 		if !decision.Widen {
 			break
 		}
 	}
 	if decision.OK {
-		w.table.Chosen(decision.Chosen.Answer.Upstream.ID, w.now)
+		h.table.Chosen(decision.Chosen.Answer.Upstream.ID, h.now)
 	}
 	return decision
 }
 
-// answer returns a remembered answer if ask allows it, else that of a probe.
-func (w *world) answer(u Upstream, ask Ask) Answer {
-	if known, ok := w.table.Remembered(u.ID, w.now, ask.Age, ask.Uses); ok {
+// rememberedOrProbe returns a remembered reply if ask allows it, else probes u.
+func (h *harness) rememberedOrProbe(u Upstream, ask Ask) Answer {
+	if known, ok := h.table.Remembered(u.ID, h.now, ask.Age, ask.Uses); ok {
 		return known
 	}
-	return w.probe(u)
+	return h.probe(u)
 }
 
-// probe asks u and keeps what came of it.
-func (w *world) probe(u Upstream) Answer {
-	w.asked = append(w.asked, u.ID)
-	answer := w.reply(u)
-	answer.SentAt = w.now
+// probe probes u and records the result.
+func (h *harness) probe(u Upstream) Answer {
+	h.probed = append(h.probed, u.ID)
+	answer := h.reply(u)
+	answer.SentAt = h.now
 	if answer.Answered {
-		w.table.Answered(answer, w.now)
+		h.table.Answered(answer, h.now)
 	} else {
-		w.table.Silent(u.ID, SilentProbe, w.now, w.random)
+		h.table.Silent(u.ID, SilentProbe, h.now, h.random)
 	}
 	return answer
 }
 
-// round returns what the policy reads.
-func (w *world) round(q Query, number int, answers []Answer) *Round {
+// round returns the input of the policy.
+func (h *harness) round(q Query, number int, answers []Answer) *Round {
 	return &Round{
-		Query: q, Picker: w.picker, Table: w.table, Random: w.random,
-		Now: w.now, Usual: w.usual, Number: number, Answers: answers,
+		Query: q, Picker: h.picker, Table: h.table, Random: h.random,
+		Now: h.now, Usual: h.usual, Number: number, Answers: answers,
 	}
 }
--- a/core/routing/failures.go
+++ b/core/routing/failures.go
@@ -5,67 +5,70 @@
 	"time"
 )
 
-// Constants of the failure ratio.
+// Constants of the failure ratio and of the decay of service times.
 const (
-	// failureWindow is how many attempts the ratio mostly rests on.
+	// failureWindow is the number of recent attempts that dominate the failure ratio.
 	failureWindow = 20
-	// failureHalfLife halves the ratio of an upstream that finishes nothing, so
-	// that it is tried again some time.
+	// failureHalfLife is the half-life of the failure ratio of an upstream that finishes
+	// nothing. The ratio decays so that the upstream is eventually tried again.
 	failureHalfLife = 5 * time.Second
-	// quantileHalfLife does the same with the reported service times.
+	// quantileHalfLife is the half-life with which the reported service times of such an
+	// upstream decay towards the usual ones.
 	quantileHalfLife = 5 * time.Second
 )
 
-// progress follows the two counters that a side reports: how many attempts
-// ended and how many of them failed. It also tells how long nothing has ended,
-// because quantiles of an idle upstream are old news.
-type progress struct {
+// attemptStats follows the two counters that a sidecar reports: how many attempts ended,
+// and how many of them failed. It also records when the last one ended, because the
+// quantiles of an idle upstream are stale.
+type attemptStats struct {
 	finished, failed uint64
-	ratio            float64
-	// moved is when finished was last seen to rise.
-	moved time.Time
+	ratioAtFinish    float64
+	// lastFinish is when finished was last seen to rise.
+	lastFinish time.Time
 }
 
-// observe takes over newly reported counters.
-func (p *progress) observe(load Load, now time.Time) {
-	if load.Finished < p.finished || load.Failed < p.failed {
-		*p = progress{}
+// observe applies newly reported counters. Counters that fell are those of a restarted
+// sidecar.
+func (a *attemptStats) observe(load Load, now time.Time) {
+	if load.Finished < a.finished || load.Failed < a.failed {
+		*a = attemptStats{}
 	}
-	ended := load.Finished - p.finished
+	ended := load.Finished - a.finished
 	if ended == 0 {
 		return
 	}
-	recent := min(1, float64(load.Failed-p.failed)/float64(ended))
+	recent := min(1, float64(load.Failed-a.failed)/float64(ended))
 	weight := min(1, float64(ended)/failureWindow)
-	decayed := p.failureRatio(now)
-	*p = progress{
-		finished: load.Finished,
-		failed:   load.Failed,
-		ratio:    decayed + weight*(recent-decayed),
-		moved:    now,
+	decayed := a.failureRatio(now)
+	*a = attemptStats{
+		finished:      load.Finished,
+		failed:        load.Failed,
+		ratioAtFinish: decayed + weight*(recent-decayed),
+		lastFinish:    now,
 	}
 }
 
-// failureRatio returns the recent share of failures.
-func (p *progress) failureRatio(now time.Time) float64 {
-	return p.ratio * halved(now.Sub(p.moved), failureHalfLife)
+// failureRatio returns the recent share of failed attempts.
+func (a *attemptStats) failureRatio(now time.Time) float64 {
+	return a.ratioAtFinish * halfLifeDecay(now.Sub(a.lastFinish), failureHalfLife)
 }
 
-// blend moves a service time of an upstream that holds no work and has finished
-// nothing for long towards what its service usually takes. Without it a straggler
-// that gets no work would keep its bad figures and never be tried again.
-func (p *progress) blend(load Load, slow, usual time.Duration, now time.Time) time.Duration {
-	if slow == 0 || usual == 0 {
-		return max(slow, usual)
+// decayToUsual returns the service time of an upstream. If the upstream has no pending
+// work, the reported time decays towards the usual one of the service with the time since
+// an attempt last ended there. Otherwise a straggler that gets no work would keep its slow
+// quantiles and never be tried again.
+func (a *attemptStats) decayToUsual(load Load, reported, usual time.Duration, now time.Time) time.Duration {
+	if reported == 0 || usual == 0 {
+		return max(reported, usual)
 	}
 	if load.Queued+load.InFlight > 0 {
-		return slow
+		return reported
 	}
-	share := halved(now.Sub(p.moved), quantileHalfLife)
-	return usual + time.Duration(share*float64(slow-usual))
+	share := halfLifeDecay(now.Sub(a.lastFinish), quantileHalfLife)
+	return usual + time.Duration(share*float64(reported-usual))
 }
 
-// halved returns 1 at age zero and half as much after each half-life.
-func halved(age, halfLife time.Duration) float64 {
+// halfLifeDecay returns 1 at age zero and halves with each half-life.
+func halfLifeDecay(age, halfLife time.Duration) float64 {
 	return math.Exp2(-float64(max(0, age)) / float64(halfLife))
 }
--- a/core/routing/herd/entry.go
+++ b/core/routing/herd/entry.go
@@ -8,8 +8,7 @@
 	"acaciawinch/core/routing"
 )
 
-// entry is one entry process: its own knowledge and nothing shared but the
-// host list.
+// entry is one entry process. It shares nothing with the others but the host list.
 type entry struct {
 	policy routing.Policy
 	picker *routing.Picker
@@ -28,7 +27,7 @@
 		Table:  e.table,
 		Random: e.random,
 		Now:    now,
-		Usual:  latency.Estimate{ServiceP50: service},
+		Usual:  latency.Estimate{ServiceP50: serviceTime},
 	}
 	var decision routing.Decision
 	for {
@@ -40,7 +39,7 @@
 			e.probe(now, upstream)
 		}
 		for _, upstream := range ask.Upstreams {
-			round.Answers = append(round.Answers, e.answer(now, upstream, ask))
+			round.Answers = append(round.Answers, e.rememberedOrProbe(now, upstream, ask))
 		}
 		decision = e.policy.Decide(round)
 		if !decision.Widen {
@@ -53,23 +52,23 @@
 	return chosen
 }
 
-// answer returns what is remembered of an upstream if ask allows that, else the
-// answer to a probe.
-func (e *entry) answer(now time.Time, upstream routing.Upstream, ask routing.Ask) routing.Answer {
+// rememberedOrProbe returns the remembered reply of an upstream if ask allows it, else
+// probes the upstream.
+func (e *entry) rememberedOrProbe(now time.Time, upstream routing.Upstream, ask routing.Ask) routing.Answer {
 	if known, ok := e.table.Remembered(upstream.ID, now, ask.Age, ask.Uses); ok {
 		return known
 	}
 	return e.probe(now, upstream)
 }
 
-// probe asks an upstream.
+// probe probes an upstream.
 func (e *entry) probe(now time.Time, upstream routing.Upstream) routing.Answer {
 	e.probes++
-	return e.tell(now, upstream)
+	return e.update(now, upstream)
 }
 
-// tell gives the entry an upstream's present load.
-func (e *entry) tell(now time.Time, upstream routing.Upstream) routing.Answer {
+// update records the present load of an upstream in the entry's table.
+func (e *entry) update(now time.Time, upstream routing.Upstream) routing.Answer {
 	answer := routing.Answer{Upstream: upstream, Answered: true, Load: e.load(upstream), SentAt: now}
 	e.table.Answered(answer, now)
 	return answer
--- a/core/routing/herd/figures.go
+++ b/core/routing/herd/figures.go
@@ -5,40 +5,41 @@
 	"time"
 )
 
-// counts tells whether a call arrived after the warm-up.
-func (s *simulation) counts(r request) bool { return r.at.Sub(s.start) >= warmUp }
+// afterWarmUp reports whether a call arrived after the warm-up.
+func (s *simulation) afterWarmUp(r callEvent) bool { return r.at.Sub(s.start) >= warmUp }
 
-// wait records how long a call has waited.
-func (s *simulation) wait(r request) {
-	if !s.counts(r) {
+// recordWait records how long a call has waited.
+func (s *simulation) recordWait(r callEvent) {
+	if !s.afterWarmUp(r) {
 		return
 	}
 	s.waits = append(s.waits, s.now.Sub(r.at))
 	if r.upstream == 0 {
-		s.first++
+		s.firstCount++
 	}
 }
 
-// sample records the most work held over the mean.
-func (s *simulation) sample() {
+// recordImbalance records the ratio of the most pending work of an upstream to the mean.
+func (s *simulation) recordImbalance() {
 	most, total := 0, 0
 	for _, server := range s.servers {
-		most = max(most, server.held())
-		total += server.held()
+		most = max(most, server.pending())
+		total += server.pending()
 	}
-	s.peaks = append(s.peaks, float64(most*Upstreams)/float64(max(1, total)))
+	s.imbalances = append(s.imbalances, float64(most*Upstreams)/float64(max(1, total)))
 }
 
-// draw returns an exponentially distributed time.
-func (s *simulation) draw(mean time.Duration) time.Duration {
+// exponential returns a random time with an exponential distribution.
+func (s *simulation) exponential(mean time.Duration) time.Duration {
 	return time.Duration(s.random.ExpFloat64() * float64(mean))
 }
 
-// figures sums up. Calls that still wait count with the time they have waited.
-func (s *simulation) figures(length time.Duration) Figures {
+// results summarises the simulation. Calls that are still queued count with the time they
+// have waited so far.
+func (s *simulation) results(length time.Duration) Results {
 	for _, server := range s.servers {
 		for _, r := range server.queue {
-			s.wait(r)
+			s.recordWait(r)
 		}
 	}
 	slices.Sort(s.waits)
@@ -46,17 +47,17 @@
 	for _, e := range s.entries {
 		probes += e.probes
 	}
-	peaks := 0.0
-	for _, peak := range s.peaks {
-		peaks += peak
+	sum := 0.0
+	for _, ratio := range s.imbalances {
+		sum += ratio
 	}
 	calls := float64(len(s.waits))
-	return Figures{
-		MaxOverMean: peaks / float64(len(s.peaks)),
+	return Results{
+		MaxOverMean: sum / float64(len(s.imbalances)),
 		WaitP50:     s.waits[len(s.waits)/2],
 		WaitP99:     s.waits[len(s.waits)*99/100],
-		Probes:      float64(probes) / (perSecond * length.Seconds()),
-		First:       float64(s.first) / calls,
-		Cached:      float64(s.hits) / calls,
+		Probes:      float64(probes) / (requestsPerSecond * length.Seconds()),
+		First:       float64(s.firstCount) / calls,
+		Cached:      float64(s.cacheHits) / calls,
 	}
 }
--- a/core/routing/herd/herd.go
+++ b/core/routing/herd/herd.go
@@ -11,79 +11,82 @@
 	"acaciawinch/core/routing"
 )
 
-// The size: the letter's entries and peak rate before one service of a hundred
-// upstreams that is 71% busy.
+// Size of the simulation: the entries and the peak rate the project is designed for, and one
+// service of a hundred upstreams that is 71% busy.
 const (
 	Entries   = 340
 	Upstreams = 100
-	// perSecond is the rate of requests, capacity what an upstream runs at once.
-	perSecond = 810
-	capacity  = 4
-	service   = 350 * time.Millisecond
-	// exponentialTail is the 95th percentile over the mean, about.
-	exponentialTail = 3
-	// halfTrip is how old a probe's answer is when the work arrives.
-	halfTrip = 500 * time.Microsecond
-	// warmUp is played but doesn't count.
+	// requestsPerSecond is the arrival rate of requests, capacity how many of them an
+	// upstream runs at once.
+	requestsPerSecond = 810
+	capacity          = 4
+	serviceTime       = 350 * time.Millisecond
+	// p95OverMean is the approximate ratio of the 95th percentile to the mean of an
+	// exponential distribution.
+	p95OverMean = 3
+	// oneWayDelay is the age of a probe reply when the request arrives at the upstream.
+	oneWayDelay = 500 * time.Microsecond
+	// warmUp is simulated but left out of the results.
 	warmUp = 3 * time.Second
-	// sampling is how often the work held is looked at.
-	sampling = 100 * time.Millisecond
-	// prefixes are drawn by a Zipf law with an exponent of skew.
-	prefixes = 2000
-	skew     = 1.1
-	// cachedPrefixes is how many an upstream keeps.
+	// sampleInterval is how often the pending work is sampled.
+	sampleInterval = 100 * time.Millisecond
+	// prefixes is how many prefixes there are. They are drawn from a Zipf distribution with
+	// exponent zipfExponent.
+	prefixes     = 2000
+	zipfExponent = 1.1
+	// cachedPrefixes is how many prefixes an upstream caches.
 	cachedPrefixes = 32
 	serviceName    = "llm"
 )
 
-// simulation is one case being played.
+// simulation is the state of a running case.
 type simulation struct {
-	c       Case
-	random  *rand.Rand
-	zipf    *rand.Zipf
-	start   time.Time
-	now     time.Time
-	pending requests
-	servers []*server
-	entries []*entry
-	all     []routing.Upstream
-	waits   []time.Duration
-	peaks   []float64
-	first   int
-	hits    int
+	c          Case
+	random     *rand.Rand
+	zipf       *rand.Zipf
+	start      time.Time
+	now        time.Time
+	events     eventHeap
+	servers    []*server
+	entries    []*entry
+	upstreams  []routing.Upstream
+	waits      []time.Duration
+	imbalances []float64
+	firstCount int
+	cacheHits  int
 }
 
-// Run plays a case for a length of simulated time.
-func Run(c Case, length time.Duration, seed uint64) Figures {
+// Run simulates a case for the given length of simulated time.
+func Run(c Case, length time.Duration, seed uint64) Results {
 	s := newSimulation(c, seed)
-	s.play(length)
-	return s.figures(length)
+	s.run(length)
+	return s.results(length)
 }
 
-// newSimulation sets a case up.
+// newSimulation returns the initial state of a case.
 func newSimulation(c Case, seed uint64) *simulation {
 	random := rand.New(rand.NewPCG(seed, seed))
 	s := &simulation{c: c, random: random, start: time.Unix(0, 0), now: time.Unix(0, 0)}
-	s.zipf = rand.NewZipf(random, skew, 1, prefixes-1)
-	places := make(map[routing.Upstream]int)
-	picker := s.addServers(places)
+	s.zipf = rand.NewZipf(random, zipfExponent, 1, prefixes-1)
+	indexes := make(map[routing.Upstream]int)
+	picker := s.addServers(indexes)
 	for i := range Entries {
 		s.entries = append(s.entries, &entry{
 			policy: c.Policy(),
 			picker: picker,
 			table:  routing.NewTable(),
 			random: rand.New(rand.NewPCG(seed, uint64(i))),
-			load:   func(u routing.Upstream) routing.Load { return s.servers[places[u]].load() },
+			load:   func(u routing.Upstream) routing.Load { return s.servers[indexes[u]].load() },
 		})
 	}
 	return s
 }
 
-// addServers makes the upstreams and notes their places.
-func (s *simulation) addServers(places map[routing.Upstream]int) *routing.Picker {
+// addServers creates the upstreams and stores their indexes.
+func (s *simulation) addServers(indexes map[routing.Upstream]int) *routing.Picker {
 	var hosts []fleet.Host
 	for i := range Upstreams {
-		mean := service
+		mean := serviceTime
 		if s.c.Slow && i == 0 {
 			mean *= 10
 		}
@@ -94,15 +97,15 @@
 	picker := routing.NewPicker(routing.Source{
 		Zone: "zone", Hosts: hosts, Drained: func(string) bool { return false },
 	})
-	s.all = picker.Service(serviceName)
-	for i, upstream := range s.all {
-		places[upstream] = i
+	s.upstreams = picker.Service(serviceName)
+	for i, upstream := range s.upstreams {
+		indexes[upstream] = i
 	}
 	return picker
 }
 
-// play runs all events of the given length.
-func (s *simulation) play(length time.Duration) {
+// run processes all events within the given length.
+func (s *simulation) run(length time.Duration) {
 	end := s.start.Add(length)
 	arrival, sample, push := s.start, s.start.Add(warmUp), s.start
 	if s.c.Push == 0 {
@@ -110,18 +113,18 @@
 	}
 	for s.now.Before(end) {
 		next := earliest(arrival, sample, push)
-		if len(s.pending) > 0 && s.pending[0].at.Before(next) {
-			s.move(heap.Pop(&s.pending).(request))
+		if len(s.events) > 0 && s.events[0].at.Before(next) {
+			s.handle(heap.Pop(&s.events).(callEvent))
 			continue
 		}
 		s.now = next
 		switch next {
 		case arrival:
-			s.arrive()
-			arrival = arrival.Add(s.draw(time.Second / perSecond))
+			s.dispatch()
+			arrival = arrival.Add(s.exponential(time.Second / requestsPerSecond))
 		case sample:
-			s.sample()
-			sample = sample.Add(sampling)
+			s.recordImbalance()
+			sample = sample.Add(sampleInterval)
 		case push:
 			s.push()
 			push = push.Add(s.c.Push)
@@ -129,53 +132,54 @@
 	}
 }
 
-// earliest returns the first of some times.
+// earliest returns the earliest of some times.
 func earliest(times ...time.Time) time.Time { return slices.MinFunc(times, time.Time.Compare) }
 
-// arrive lets one entry decide; its call reaches the upstream half a trip later.
-func (s *simulation) arrive() {
+// dispatch lets one entry decide about a new request. The call reaches the upstream after
+// oneWayDelay.
+func (s *simulation) dispatch() {
 	prefix := s.zipf.Uint64() + 1
 	query := routing.Query{Service: serviceName}
 	if s.c.Affinity {
 		query.Engine, query.Prefix = true, prefix
 	}
 	chosen := s.entries[s.random.IntN(Entries)].choose(s.now, query)
-	place := slices.Index(s.all, chosen)
-	heap.Push(&s.pending, request{at: s.now.Add(halfTrip), upstream: place, prefix: prefix})
+	index := slices.Index(s.upstreams, chosen)
+	heap.Push(&s.events, callEvent{at: s.now.Add(oneWayDelay), upstream: index, prefix: prefix})
 }
 
-// move plays an arrival at an upstream, or an end.
-func (s *simulation) move(r request) {
+// handle processes the arrival of a call at an upstream or its completion there.
+func (s *simulation) handle(r callEvent) {
 	s.now = r.at
 	server := s.servers[r.upstream]
-	if r.ends {
+	if r.completion {
 		server.running--
 		server.finished++
 	} else {
 		server.queue = append(server.queue, r)
 	}
 	for server.running < capacity && len(server.queue) > 0 {
-		s.begin(server, server.queue[0])
+		s.startCall(server, server.queue[0])
 		server.queue = server.queue[1:]
 	}
 }
 
-// begin starts a call.
-func (s *simulation) begin(server *server, r request) {
+// startCall starts a queued call.
+func (s *simulation) startCall(server *server, r callEvent) {
 	server.running++
-	cached := server.use(r.prefix)
-	if cached && s.counts(r) {
-		s.hits++
+	cached := server.touchPrefix(r.prefix)
+	if cached && s.afterWarmUp(r) {
+		s.cacheHits++
 	}
-	s.wait(r)
-	heap.Push(&s.pending, request{at: s.now.Add(s.draw(server.mean)), upstream: r.upstream, ends: true})
+	s.recordWait(r)
+	heap.Push(&s.events, callEvent{at: s.now.Add(s.exponential(server.mean)), upstream: r.upstream, completion: true})
 }
 
 // push gives every entry the load of every upstream.
 func (s *simulation) push() {
 	for _, e := range s.entries {
-		for _, upstream := range s.all {
-			e.tell(s.now, upstream)
+		for _, upstream := range s.upstreams {
+			e.update(s.now, upstream)
 		}
 	}
 }
--- a/core/routing/herd/herd_test.go
+++ b/core/routing/herd/herd_test.go
@@ -10,39 +10,40 @@
 	"acaciawinch/core/routing/herd"
 )
 
-// seed fixes all draws.
+// seed fixes all random draws.
 const seed = 42
 
-// TestHerd produces the herd that pushed loads make, and beats it.
+// TestHerd checks that pushed loads make a thundering herd and that probing avoids it. It
+// also checks that a straggler gets almost no work, and that prefix affinity raises the
+// cache hits without overloading an upstream.
 func TestHerd(t *testing.T) {
 	const length = 8 * time.Second
-	run := func(c herd.Case) herd.Figures {
+	run := func(c herd.Case) herd.Results {
 		f := herd.Run(c, length, seed)
 		t.Logf("%s: %+v", c.Name, f)
 		return f
 	}
-	crowd := run(herd.PushedToAll("pushed", time.Second))
-	probed := run(herd.Named(routing.Probe2))
-	assert.Assert(t, crowd.MaxOverMean > 2*probed.MaxOverMean, "there was no herd")
-	assert.Assert(t, crowd.WaitP99 > time.Second && probed.WaitP99 < 50*time.Millisecond)
+	pushed := run(herd.PushedLeastOfAll("pushed", time.Second))
+	probed := run(herd.PolicyCase(routing.Probe2))
+	assert.Assert(t, pushed.MaxOverMean > 2*probed.MaxOverMean, "pushed loads made no herd")
+	assert.Assert(t, pushed.WaitP99 > time.Second && probed.WaitP99 < 50*time.Millisecond)
 
-	slow := herd.Named(routing.Probe2)
+	slow := herd.PolicyCase(routing.Probe2)
 	slow.Slow = true
 	assert.Assert(t, run(slow).First < 0.002, "the straggler got work")
 
-	warm := herd.Named(routing.Probe2)
+	warm := herd.PolicyCase(routing.Probe2)
 	warm.Affinity = true
 	cached := run(warm)
-	assert.Assert(t, cached.Cached > 1.5*probed.Cached, "affinity did not pay")
-	assert.Assert(t, cached.MaxOverMean < 2 && cached.WaitP99 < 100*time.Millisecond, "affinity went over the bound")
+	assert.Assert(t, cached.Cached > 1.5*probed.Cached, "affinity did not raise the cache hits enough")
+	assert.Assert(t, cached.MaxOverMean < 2 && cached.WaitP99 < 100*time.Millisecond, "affinity overloaded an upstream")
 }
 
-// BenchmarkHerd prints the figures of docs/design/routing.md; run it with
-// -benchtime 1x.
+// BenchmarkHerd prints the results in docs/design/routing.md; run it with -benchtime 1x.
 func BenchmarkHerd(b *testing.B) {
 	for _, c := range herd.Cases() {
 		b.Run(c.Name, func(b *testing.B) {
-			var f herd.Figures
+			var f herd.Results
 			for b.Loop() {
 				f = herd.Run(c, 25*time.Second, seed)
 			}
--- a/core/routing/herd/server.go
+++ b/core/routing/herd/server.go
@@ -8,55 +8,55 @@
 	"acaciawinch/core/routing"
 )
 
-// request is one stage call on its way.
-type request struct {
+// callEvent is the arrival of a stage call at an upstream or its completion there.
+type callEvent struct {
 	at       time.Time
 	upstream int
 	prefix   uint64
-	// ends is set when the call leaves the upstream instead of arriving there.
-	ends bool
+	// completion is set when the call leaves the upstream instead of arriving there.
+	completion bool
 }
 
-// requests is a heap by time; it implements heap.Interface.
-type requests []request
+// eventHeap is a heap ordered by time; it implements heap.Interface.
+type eventHeap []callEvent
 
 // Len implements heap.Interface.
-func (q requests) Len() int { return len(q) }
+func (q eventHeap) Len() int { return len(q) }
 
 // Less implements heap.Interface.
-func (q requests) Less(a, b int) bool { return q[a].at.Before(q[b].at) }
+func (q eventHeap) Less(a, b int) bool { return q[a].at.Before(q[b].at) }
 
 // Swap implements heap.Interface.
-func (q requests) Swap(a, b int) { q[a], q[b] = q[b], q[a] }
+func (q eventHeap) Swap(a, b int) { q[a], q[b] = q[b], q[a] }
 
 // Push implements heap.Interface.
-func (q *requests) Push(x any) { *q = append(*q, x.(request)) }
+func (q *eventHeap) Push(x any) { *q = append(*q, x.(callEvent)) }
 
 // Pop implements heap.Interface.
-func (q *requests) Pop() any {
+func (q *eventHeap) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-// server is an upstream with a queue in the order of arrival.
+// server is an upstream with a FIFO queue.
 type server struct {
 	mean     time.Duration
 	running  int
 	finished uint64
-	queue    []request
-	// prefixes are the last distinct ones, the latest at the end.
+	queue    []callEvent
+	// prefixes are the last distinct prefixes, the most recent at the end.
 	prefixes []uint64
 }
 
-// load returns what the server's side reports at this moment.
+// load returns what the sidecar of the server reports at this moment.
 func (s *server) load() routing.Load {
 	wait := time.Duration(0)
 	if s.running == capacity {
 		wait = time.Duration(len(s.queue)+1) * s.mean / capacity
 	}
 	return routing.Load{
-		Estimate: latency.Estimate{Wait: wait, ServiceP50: s.mean, ServiceP95: s.mean * exponentialTail},
+		Estimate: latency.Estimate{Wait: wait, ServiceP50: s.mean, ServiceP95: s.mean * p95OverMean},
 		Queued:   len(s.queue),
 		InFlight: s.running,
 		Capacity: capacity,
@@ -64,18 +64,18 @@
 	}
 }
 
-// held returns how many calls the server has.
-func (s *server) held() int { return s.running + len(s.queue) }
+// pending returns how many calls are queued or running.
+func (s *server) pending() int { return s.running + len(s.queue) }
 
-// use notes a prefix and tells whether it was still kept.
-func (s *server) use(prefix uint64) bool {
-	at := slices.Index(s.prefixes, prefix)
-	if at >= 0 {
-		s.prefixes = slices.Delete(s.prefixes, at, at+1)
+// touchPrefix records the use of a prefix and reports whether it was cached.
+func (s *server) touchPrefix(prefix uint64) bool {
+	index := slices.Index(s.prefixes, prefix)
+	if index >= 0 {
+		s.prefixes = slices.Delete(s.prefixes, index, index+1)
 	}
 	s.prefixes = append(s.prefixes, prefix)
 	if len(s.prefixes) > cachedPrefixes {
 		s.prefixes = slices.Delete(s.prefixes, 0, 1)
 	}
-	return at >= 0
+	return index >= 0
 }
--- a/core/routing/load_test.go
+++ b/core/routing/load_test.go
@@ -10,11 +10,12 @@
 	"acaciawinch/core/latency"
 )
 
-// TestFailingFastIsNotQuick avoids an upstream that fails at once.
-func TestFailingFastIsNotQuick(t *testing.T) {
-	w := newWorld(Probe2, 1, hostsIn("a", 2)...)
-	w.usual.ServiceP50 = 100 * ms
-	w.reply = func(u Upstream) Answer {
+// TestUpstreamThatFailsFastIsAvoided guards against preferring an upstream that fails
+// immediately because its service time looks short.
+func TestUpstreamThatFailsFastIsAvoided(t *testing.T) {
+	h := newHarness(Probe2, 1, hostsIn("a", 2)...)
+	h.usual.ServiceP50 = 100 * ms
+	h.reply = func(u Upstream) Answer {
 		load := idle()
 		load.Finished = 40
 		if u.ID == "a-1" {
@@ -23,14 +24,15 @@
 		}
 		return Answer{Upstream: u, Answered: true, Load: load}
 	}
-	assert.Equal(t, w.choose(plain).Chosen.Answer.Upstream.ID, core.UpstreamID("a-0"))
-	w.now = w.now.Add(time.Minute)
-	assert.Equal(t, w.choose(plain).Chosen.Answer.Upstream.ID, core.UpstreamID("a-1"), "it is tried again some time")
+	assert.Equal(t, h.choose(plainQuery).Chosen.Answer.Upstream.ID, core.UpstreamID("a-0"))
+	h.now = h.now.Add(time.Minute)
+	assert.Equal(t, h.choose(plainQuery).Chosen.Answer.Upstream.ID, core.UpstreamID("a-1"), "the failure ratio decays")
 }
 
-// TestOwnWaitOfTheQueryGoesBeforeThatOfAnother orders by what the sides say of the
-// query itself, but not once the answer is remembered for another query.
-func TestOwnWaitOfTheQueryGoesBeforeThatOfAnother(t *testing.T) {
+// TestWaitOfTheQueryOverridesReportedWait checks that the wait that a sidecar reports for
+// the query itself counts before that of a workspace without pending work, but not once the
+// reply is remembered for another query.
+func TestWaitOfTheQueryOverridesReportedWait(t *testing.T) {
 	answer := Answer{Load: idle(), OwnWait: time.Second, Asked: true}
 	answer.Load.Wait = ms
 	assert.Equal(t, answer.wait(), time.Second)
@@ -38,7 +40,7 @@
 	table := NewTable()
 	table.Answered(answer, time.Unix(100, 0))
 	_, ok := table.Remembered(answer.Upstream.ID, time.Unix(100, 0), time.Hour, 1)
-	assert.Assert(t, !ok, "it is too old: it was sent at the zero time")
+	assert.Assert(t, !ok, "stale: SentAt is the zero time")
 	answer.SentAt = time.Unix(100, 0)
 	table.Answered(answer, time.Unix(100, 0))
 	remembered, ok := table.Remembered(answer.Upstream.ID, time.Unix(100, 0), time.Hour, 1)
@@ -46,12 +48,12 @@
 	assert.Equal(t, remembered.wait(), ms)
 }
 
-// TestOwnWaitCountsAndNotWhatIsServedBehindIt takes the upstream where the query's
-// turn comes soonest, though much of another workspace waits there.
-func TestOwnWaitCountsAndNotWhatIsServedBehindIt(t *testing.T) {
-	w := newWorld(Probe2, 1, hostsIn("a", 2)...)
-	w.usual.ServiceP50 = 100 * ms
-	w.reply = func(u Upstream) Answer {
+// TestWaitOfTheQueryOverridesBacklog checks that the upstream with the shorter wait for the
+// query is chosen although more work of another workspace is queued there.
+func TestWaitOfTheQueryOverridesBacklog(t *testing.T) {
+	h := newHarness(Probe2, 1, hostsIn("a", 2)...)
+	h.usual.ServiceP50 = 100 * ms
+	h.reply = func(u Upstream) Answer {
 		load := idle()
 		load.InFlight = load.Capacity
 		load.Queued = 3
@@ -62,14 +64,15 @@
 		}
 		return Answer{Upstream: u, Answered: true, Load: load, OwnWait: wait, Asked: true}
 	}
-	assert.Equal(t, w.choose(plain).Chosen.Answer.Upstream.ID, core.UpstreamID("a-1"))
+	assert.Equal(t, h.choose(plainQuery).Chosen.Answer.Upstream.ID, core.UpstreamID("a-1"))
 }
 
-// TestIdleStragglerIsTriedAgain forgets old service times of an upstream without work.
+// TestIdleStragglerIsTriedAgain checks that slow service times of an upstream without work
+// decay.
 func TestIdleStragglerIsTriedAgain(t *testing.T) {
-	w := newWorld(Probe2, 1, hostsIn("a", 2)...)
-	w.usual.ServiceP50 = 100 * ms
-	w.reply = func(u Upstream) Answer {
+	h := newHarness(Probe2, 1, hostsIn("a", 2)...)
+	h.usual.ServiceP50 = 100 * ms
+	h.reply = func(u Upstream) Answer {
 		load := idle()
 		load.Finished = 40
 		if u.ID == "a-1" {
@@ -79,17 +82,18 @@
 		}
 		return Answer{Upstream: u, Answered: true, Load: load}
 	}
-	assert.Equal(t, w.choose(plain).Chosen.Answer.Upstream.ID, core.UpstreamID("a-0"))
-	w.now = w.now.Add(time.Minute)
-	assert.Equal(t, w.choose(plain).Chosen.Answer.Upstream.ID, core.UpstreamID("a-1"))
+	assert.Equal(t, h.choose(plainQuery).Chosen.Answer.Upstream.ID, core.UpstreamID("a-0"))
+	h.now = h.now.Add(time.Minute)
+	assert.Equal(t, h.choose(plainQuery).Chosen.Answer.Upstream.ID, core.UpstreamID("a-1"))
 }
 
-// TestLateChunksShowAStraggler before its whole answers do, and while it works.
+// TestLateChunksShowAStraggler checks that late chunks count before the upstream has
+// completed slow results.
 func TestLateChunksShowAStraggler(t *testing.T) {
-	w := newWorld(Probe2, 1, hostsIn("a", 2)...)
-	w.usual = latency.Estimate{ServiceP50: 100 * ms, FirstP50: 20 * ms, GapP95: 10 * ms}
+	h := newHarness(Probe2, 1, hostsIn("a", 2)...)
+	h.usual = latency.Estimate{ServiceP50: 100 * ms, FirstP50: 20 * ms, GapP95: 10 * ms}
 	late := latency.Estimate{}
-	w.reply = func(u Upstream) Answer {
+	h.reply = func(u Upstream) Answer {
 		load := idle()
 		load.GapP95 = 10 * ms
 		load.InFlight = 2
@@ -101,8 +105,8 @@
 		return Answer{Upstream: u, Answered: true, Load: load}
 	}
 	chosen := func() core.UpstreamID {
-		w.now = w.now.Add(time.Minute)
-		return w.choose(plain).Chosen.Answer.Upstream.ID
+		h.now = h.now.Add(time.Minute)
+		return h.choose(plainQuery).Chosen.Answer.Upstream.ID
 	}
 	assert.Equal(t, chosen(), core.UpstreamID("a-1"))
 	late = latency.Estimate{FirstP50: 200 * ms}
@@ -113,11 +117,12 @@
 	assert.Equal(t, chosen(), core.UpstreamID("a-1"))
 }
 
-// TestUnusuallySlowAnswersMakeItAskMore leaves two stragglers in the own zone.
-func TestUnusuallySlowAnswersMakeItAskMore(t *testing.T) {
-	w := newWorld(Probe2, 1, append(hostsIn("a", 2), hostsIn("b", 2)...)...)
-	w.usual.ServiceP50 = 100 * ms
-	w.reply = func(u Upstream) Answer {
+// TestSlowOwnZoneWidensTheSearch checks that other zones are probed when the own zone has
+// only stragglers.
+func TestSlowOwnZoneWidensTheSearch(t *testing.T) {
+	h := newHarness(Probe2, 1, append(hostsIn("a", 2), hostsIn("b", 2)...)...)
+	h.usual.ServiceP50 = 100 * ms
+	h.reply = func(u Upstream) Answer {
 		load := idle()
 		load.Finished = 10
 		if u.Zone == "a" {
@@ -125,54 +130,58 @@
 		}
 		return Answer{Upstream: u, Answered: true, Load: load}
 	}
-	assert.Equal(t, w.choose(plain).Chosen.Answer.Upstream.Zone, "b")
+	assert.Equal(t, h.choose(plainQuery).Chosen.Answer.Upstream.Zone, "b")
 }
 
-// TestRestartedSideCountsFromZero starts the failure ratio anew.
+// TestRestartedSideCountsFromZero checks that the failure ratio restarts with the counters
+// of the sidecar.
 func TestRestartedSideCountsFromZero(t *testing.T) {
-	var p progress
-	p.observe(Load{Finished: 100, Failed: 100}, epoch)
-	assert.Assert(t, p.failureRatio(epoch) == 1)
-	p.observe(Load{Finished: 20, Failed: 5}, epoch)
-	assert.Assert(t, p.failureRatio(epoch) == 0.25)
+	var stats attemptStats
+	stats.observe(Load{Finished: 100, Failed: 100}, epoch)
+	assert.Assert(t, stats.failureRatio(epoch) == 1)
+	stats.observe(Load{Finished: 20, Failed: 5}, epoch)
+	assert.Assert(t, stats.failureRatio(epoch) == 0.25)
 }
 
-// TestWarmChoicesAreComparedWithARandomOne leaves a slow pair of warm upstreams.
+// TestWarmChoicesAreComparedWithARandomOne checks that a random upstream is chosen if both
+// warm ones are slow.
 func TestWarmChoicesAreComparedWithARandomOne(t *testing.T) {
 	q := Query{Service: "llm", Engine: true, Prefix: 77}
-	w := newWorld(Probe2, 1, hostsIn("a", 20)...)
-	warm := ids(rank(prefixKey(q), w.picker.serviceGroup("llm").tiers[OwnZone])[:2])
-	w.reply = func(u Upstream) Answer {
+	h := newHarness(Probe2, 1, hostsIn("a", 20)...)
+	warm := ids(rank(prefixKey(q), h.picker.serviceGroup("llm").tiers[OwnZone])[:2])
+	h.reply = func(u Upstream) Answer {
 		load := idle()
 		if u.ID == warm[0] || u.ID == warm[1] {
 			load.ServiceP50, load.ServiceP95 = 200*ms, 200*ms
 		}
 		return Answer{Upstream: u, Answered: true, Load: load}
 	}
-	d := w.choose(q)
+	d := h.choose(q)
 	assert.Assert(t, d.Chosen.Expected == 100*ms)
-	assert.Equal(t, len(w.asked), 3)
+	assert.Equal(t, len(h.probed), 3)
 }
 
-// TestColdServiceIsSpreadByWork orders upstreams before any service time is known.
+// TestColdServiceIsSpreadByWork checks that upstreams are ordered by pending work before
+// any service time is known.
 func TestColdServiceIsSpreadByWork(t *testing.T) {
-	w := newWorld(Probe2, 1, hostsIn("a", 2)...)
-	w.reply = func(u Upstream) Answer {
+	h := newHarness(Probe2, 1, hostsIn("a", 2)...)
+	h.reply = func(u Upstream) Answer {
 		load := Load{Capacity: 4}
 		if u.ID == "a-0" {
 			load.InFlight = 2
 		}
 		return Answer{Upstream: u, Answered: true, Load: load}
 	}
-	assert.Equal(t, w.choose(plain).Chosen.Answer.Upstream.ID, core.UpstreamID("a-1"))
-	assert.Equal(t, w.choose(plain).Chosen.Answer.Upstream.ID, core.UpstreamID("a-1"))
+	assert.Equal(t, h.choose(plainQuery).Chosen.Answer.Upstream.ID, core.UpstreamID("a-1"))
+	assert.Equal(t, h.choose(plainQuery).Chosen.Answer.Upstream.ID, core.UpstreamID("a-1"))
 }
 
-// TestBurstIsSpreadByItsBacklog though a fair queue lets a newcomer in at once.
+// TestBurstIsSpreadByItsBacklog checks that the backlog counts although a fair queue would
+// serve a workspace without pending work at once.
 func TestBurstIsSpreadByItsBacklog(t *testing.T) {
-	w := newWorld(Probe2, 1, append(hostsIn("a", 2), hostsIn("b", 2)...)...)
+	h := newHarness(Probe2, 1, append(hostsIn("a", 2), hostsIn("b", 2)...)...)
 	queued := map[string]int{"a": 24, "b": 4}
-	w.reply = func(u Upstream) Answer {
+	h.reply = func(u Upstream) Answer {
 		load := idle()
 		load.InFlight, load.Queued = 4, queued[u.Zone]
 		if u.Zone == "a" {
@@ -181,18 +190,18 @@
 		return Answer{Upstream: u, Answered: true, Load: load}
 	}
 	q := Query{Service: "llm", Remaining: 300 * ms}
-	d := w.choose(q)
-	assert.Assert(t, d.OK, "a backlog alone refuses nobody")
+	d := h.choose(q)
+	assert.Assert(t, d.OK, "a backlog alone must not cause a refusal")
 	assert.Equal(t, d.Chosen.Answer.Upstream.Zone, "b")
 	queued["b"] = 40
-	assert.Assert(t, w.choose(q).OK, "a backlog alone refuses nobody")
+	assert.Assert(t, h.choose(q).OK, "a backlog alone must not cause a refusal")
 }
 
-// TestWaitOfANewcomerCountsMoreThanWhatIsServedBehindIt though the other
-// upstream has less work in all.
-func TestWaitOfANewcomerCountsMoreThanWhatIsServedBehindIt(t *testing.T) {
-	w := newWorld(Probe2, 1, hostsIn("a", 2)...)
-	w.reply = func(u Upstream) Answer {
+// TestReportedWaitOutweighsBacklog checks that the upstream with the shorter reported wait
+// is chosen although the other one has less queued work.
+func TestReportedWaitOutweighsBacklog(t *testing.T) {
+	h := newHarness(Probe2, 1, hostsIn("a", 2)...)
+	h.reply = func(u Upstream) Answer {
 		load := idle()
 		load.InFlight, load.Queued = load.Capacity, 24
 		if u.ID == "a-0" {
@@ -200,22 +209,23 @@
 		}
 		return Answer{Upstream: u, Answered: true, Load: load}
 	}
-	assert.Equal(t, w.choose(plain).Chosen.Answer.Upstream.ID, core.UpstreamID("a-1"))
+	assert.Equal(t, h.choose(plainQuery).Chosen.Answer.Upstream.ID, core.UpstreamID("a-1"))
 }
 
-// TestOwnChoicesCountBeforeTheSideReportsThem spreads choices made at one moment.
+// TestOwnChoicesCountBeforeTheSideReportsThem checks that choices made between two reports
+// are spread.
 func TestOwnChoicesCountBeforeTheSideReportsThem(t *testing.T) {
-	w := newWorld(Probe2, 1, hostsIn("a", 2)...)
-	taken := make(map[core.UpstreamID]int)
+	h := newHarness(Probe2, 1, hostsIn("a", 2)...)
+	counts := make(map[core.UpstreamID]int)
 	for i := range 16 {
-		taken[w.choose(plain).Chosen.Answer.Upstream.ID]++
+		counts[h.choose(plainQuery).Chosen.Answer.Upstream.ID]++
 		if i%2 == 1 {
-			assert.Equal(t, taken["a-0"], taken["a-1"])
+			assert.Equal(t, counts["a-0"], counts["a-1"])
 		}
 	}
-	alone := newWorld(Probe2, 1, hostsIn("a", 1)...)
+	single := newHarness(Probe2, 1, hostsIn("a", 1)...)
 	for i := range 6 {
 		waiting := time.Duration(max(0, i-idle().Capacity))
-		assert.Equal(t, alone.choose(plain).Chosen.Wait, waiting*25*ms)
+		assert.Equal(t, single.choose(plainQuery).Chosen.Wait, waiting*25*ms)
 	}
 }
--- a/core/routing/picker.go
+++ b/core/routing/picker.go
@@ -8,12 +8,12 @@
 	"acaciawinch/core/placement"
 )
 
-// Source is the state of the fleet from which a Picker is built.
+// Source is the fleet state from which a Picker is built.
 type Source struct {
-	// Zone and Region are the entry's own.
+	// Zone and Region are those of the entry.
 	Zone, Region string
 	Hosts        []fleet.Host
-	// Drained tells whether operators have taken an upstream out.
+	// Drained reports whether operators have drained an upstream.
 	Drained     func(upstream string) bool
 	Assignments []placement.Assignment
 }
@@ -22,29 +22,29 @@
 type Picker struct {
 	zone     string
 	services map[string]*group
-	holders  map[holderKey]*group
+	assigned map[assignmentKey]*group
 	byID     map[core.UpstreamID]Upstream
 	excluded int
 }
 
-// group is a set of upstreams by nearness.
+// group is a set of upstreams by tier.
 type group struct {
 	tiers [tierCount][]Upstream
 }
 
-// holderKey names the engines of a service that are assigned a model version.
-type holderKey struct {
+// assignmentKey identifies the engines of a service that are assigned a model version.
+type assignmentKey struct {
 	service string
 	model   Model
 }
 
-// NewPicker returns the snapshot of source. Hosts that are leaving or drained
-// are left out: they get no new work from now on.
+// NewPicker returns the snapshot of source. Upstreams that are leaving or drained are left
+// out, so that they get no new work.
 func NewPicker(source Source) *Picker {
 	p := &Picker{
 		zone:     source.Zone,
 		services: make(map[string]*group),
-		holders:  make(map[holderKey]*group),
+		assigned: make(map[assignmentKey]*group),
 		byID:     make(map[core.UpstreamID]Upstream),
 	}
 	for _, host := range source.Hosts {
@@ -56,7 +56,7 @@
 	return p
 }
 
-// addHost enters an upstream's host unless it must get no new work.
+// addHost adds host if it is an upstream that may get new work.
 func (p *Picker) addHost(source Source, host fleet.Host) {
 	if host.Role != fleet.RoleUpstream {
 		return
@@ -78,14 +78,14 @@
 	addTo(p.services, host.Service, upstream)
 }
 
-// addAssignment enters an upstream as a holder of a model version.
+// addAssignment adds an upstream to those that are assigned a model version.
 func (p *Picker) addAssignment(assignment placement.Assignment) {
 	upstream, ok := p.byID[assignment.Upstream]
 	if !ok {
 		return
 	}
 	model := Model{Name: assignment.Model, Version: assignment.Version}
-	addTo(p.holders, holderKey{service: upstream.Service, model: model}, upstream)
+	addTo(p.assigned, assignmentKey{service: upstream.Service, model: model}, upstream)
 }
 
 // addTo adds upstream to the group of key.
@@ -98,7 +98,7 @@
 	g.tiers[upstream.Tier] = append(g.tiers[upstream.Tier], upstream)
 }
 
-// tierOf tells how near host is to the entry.
+// tierOf returns how near host is to the entry.
 func tierOf(source Source, host fleet.Host) Tier {
 	switch {
 	case host.Zone == source.Zone:
@@ -116,7 +116,7 @@
 // Excluded returns how many upstreams are left out as leaving or drained.
 func (p *Picker) Excluded() int { return p.excluded }
 
-// Upstream returns the member with the name id.
+// Upstream returns the upstream with the given ID.
 func (p *Picker) Upstream(id core.UpstreamID) (Upstream, bool) {
 	upstream, ok := p.byID[id]
 	return upstream, ok
@@ -139,13 +139,13 @@
 	return &group{}
 }
 
-// queryGroup returns the upstreams to try first: for an engine stage those that
-// the placement assigns the model, if there are any, else the whole service.
-// The placement is desired state and may run ahead of the engines, so a probe's
-// answer has the last word.
+// queryGroup returns the upstreams to try first: for an engine stage those to which the
+// placement assigns the model, if there are any, else the whole service. The placement is
+// desired state and may be ahead of what the engines have loaded, so the reply to a probe
+// takes precedence.
 func (p *Picker) queryGroup(q Query) *group {
 	if q.Engine {
-		if g, ok := p.holders[holderKey{service: q.Service, model: q.Model}]; ok {
+		if g, ok := p.assigned[assignmentKey{service: q.Service, model: q.Model}]; ok {
 			return g
 		}
 	}
--- a/core/routing/policy.go
+++ b/core/routing/policy.go
@@ -9,57 +9,57 @@
 	"acaciawinch/core/latency"
 )
 
-// Round is all that a policy reads for one step of one decision.
+// Round is the input of a policy for one step of a decision.
 type Round struct {
 	Query  Query
 	Picker *Picker
 	Table  *Table
 	Random *rand.Rand
 	Now    time.Time
-	// Usual is what is expected of the service over all its upstreams.
+	// Usual is the estimate for the service over all its upstreams.
 	Usual latency.Estimate
 	// Number counts the steps of the decision from zero.
 	Number int
-	// Answers are those of all steps so far.
+	// Answers are the results of the probes of all steps so far.
 	Answers []Answer
 }
 
-// Ask says what has to be known before a decision.
+// Ask lists the upstreams to probe before a decision.
 type Ask struct {
-	// Upstreams are asked in parallel; the decision waits for them.
+	// Upstreams are probed in parallel; the decision waits for them.
 	Upstreams []Upstream
-	// Age allows an answer remembered for at most so long instead of a probe,
-	// if at most Uses choices have rested on it.
+	// Age allows a remembered reply of at most this age instead of a probe, if fewer than
+	// Uses choices have relied on it.
 	Age  time.Duration
 	Uses int
 	// Background upstreams are probed without waiting for them.
 	Background []Upstream
 }
 
-// Decision is what a policy made of the answers.
+// Decision is the result of a policy for one step of a decision.
 type Decision struct {
-	// OK is true if Chosen is to be taken.
+	// OK is true if Chosen is to be used.
 	OK     bool
 	Chosen Weighed
 	Reason string
-	// Spilled is set if Chosen lies outside the own zone.
+	// Spilled is set if Chosen is outside the zone of the entry.
 	Spilled bool
-	// Others were weighed and not taken, each with its reason.
+	// Others are the candidates that were not chosen, each with its reason.
 	Others []Weighed
-	// Widen asks for another step: the answers so far are not good enough. If
-	// that step asks nobody, this decision stands.
+	// Widen requests another step, because the replies so far are not good enough. If that
+	// step probes no upstream, this decision stands.
 	Widen bool
-	// RetryAfter is when a refused caller should come back.
+	// RetryAfter is the delay after which a refused caller should retry.
 	RetryAfter time.Duration
 }
 
-// Policy chooses upstreams. Implementations belong to one entry; their calls
-// are serialised with those of the Table.
+// Policy chooses upstreams. An implementation belongs to one entry, and its calls are
+// serialised with those of the Table.
 type Policy interface {
 	Name() string
-	// Ask names the upstreams to ask in this step.
+	// Ask returns the upstreams to probe in this step.
 	Ask(r *Round) Ask
-	// Decide picks from the answers.
+	// Decide chooses an upstream based on the replies.
 	Decide(r *Round) Decision
 }
 
@@ -72,7 +72,7 @@
 	LeastLocal = "least_local"
 )
 
-// NewPolicy returns the policy with a name. The error has code Invalid.
+// NewPolicy returns the policy with the given name. The error has code Invalid.
 func NewPolicy(name string) (Policy, error) {
 	switch name {
 	case Probe2:
@@ -80,18 +80,18 @@
 	case ProbePool:
 		return probePool{}, nil
 	case Random:
-		return blind{name: Random, pick: pickRandom}, nil
+		return baseline{name: Random, pick: pickRandom}, nil
 	case RoundRobin:
-		return blind{name: RoundRobin, pick: newRoundRobin()}, nil
+		return baseline{name: RoundRobin, pick: newRoundRobin()}, nil
 	case LeastLocal:
-		return blind{name: LeastLocal, pick: pickLeastLocal}, nil
+		return baseline{name: LeastLocal, pick: pickLeastLocal}, nil
 	default:
-		return nil, fault.New(fault.Invalid, "routing.policy", name, "there is no such policy")
+		return nil, fault.New(fault.Invalid, "routing.policy", name, "unknown policy")
 	}
 }
 
-// asked tells whether an earlier step has asked an upstream.
-func (r *Round) asked(id core.UpstreamID) bool {
+// probed reports whether an earlier step has probed an upstream.
+func (r *Round) probed(id core.UpstreamID) bool {
 	for _, answer := range r.Answers {
 		if answer.Upstream.ID == id {
 			return true
@@ -100,44 +100,44 @@
 	return false
 }
 
-// Eligible returns the upstreams of a tier that may be asked for the query now:
-// those that are neither suspected nor known to refuse.
+// Eligible returns the upstreams of a tier that may be probed for the query now: those that
+// are neither suspected nor known to be draining or stalled.
 func (r *Round) Eligible(tier Tier) []Upstream {
 	return r.eligible(r.Picker.queryGroup(r.Query), tier)
 }
 
-// eligible returns the upstreams of a tier of g that may be asked now.
+// eligible returns the upstreams of a tier of g that may be probed now.
 func (r *Round) eligible(g *group, tier Tier) []Upstream {
 	return r.filter(g.tiers[tier], func(u Upstream) bool {
-		return !r.Table.Suspected(u.ID) && !r.Table.refusing(u.ID, r.Now)
+		return !r.Table.Suspected(u.ID) && !r.Table.unavailable(u.ID, r.Now)
 	})
 }
 
-// avoided returns the upstreams of all tiers that eligible leaves out, nearest
-// tier first. They are the last resort: suspicion alone refuses nobody.
+// avoided returns the upstreams of all tiers that eligible leaves out, nearest tier first.
+// They are the last resort: suspicion alone must not make a request fail.
 func (r *Round) avoided(g *group) []Upstream {
 	var list []Upstream
 	for tier := range tierCount {
 		list = append(list, r.filter(g.tiers[tier], func(u Upstream) bool {
-			return r.Table.Suspected(u.ID) || r.Table.refusing(u.ID, r.Now)
+			return r.Table.Suspected(u.ID) || r.Table.unavailable(u.ID, r.Now)
 		})...)
 	}
 	return list
 }
 
-// filter returns the upstreams that the query allows, that have not been asked
-// yet and that keep accepts.
+// filter returns the upstreams that the query allows, that have not been probed yet and
+// that keep accepts.
 func (r *Round) filter(upstreams []Upstream, keep func(Upstream) bool) []Upstream {
 	var list []Upstream
 	for _, u := range upstreams {
-		if !r.Query.excludes(u.ID) && !r.asked(u.ID) && keep(u) {
+		if !r.Query.excludes(u.ID) && !r.probed(u.ID) && keep(u) {
 			list = append(list, u)
 		}
 	}
 	return list
 }
 
-// Sample draws at most n upstreams from list, whose order it changes.
+// Sample draws at most n upstreams from list at random. It changes the order of list.
 func (r *Round) Sample(list []Upstream, n int) []Upstream {
 	n = min(n, len(list))
 	for i := range n {
--- a/core/routing/pool.go
+++ b/core/routing/pool.go
@@ -4,17 +4,17 @@
 
 // Constants of the probe pool.
 const (
-	// poolAge is how long a pooled answer may be used.
-	poolAge = time.Second
-	// poolUses is how many choices may rest on one answer. Each use counts as
-	// one more attempt in flight until the next probe.
-	poolUses = 3
-	// poolProbes is how many probes each choice sends for the coming ones.
-	poolProbes = 2
+	// poolMaxAge is the maximum age of a pooled reply.
+	poolMaxAge = time.Second
+	// poolMaxUses is how many choices may rely on one reply. Each use counts as one more
+	// attempt in flight until the next probe.
+	poolMaxUses = 3
+	// poolBackgroundProbes is how many probes each choice sends for later choices.
+	poolBackgroundProbes = 2
 )
 
-// probePool decides on answers to probes that earlier choices sent, so that no
-// decision waits. With an empty pool it asks like probe2.
+// probePool decides by the replies to probes that earlier choices sent, so that no decision
+// waits for a probe. With an empty pool it probes like probe2.
 type probePool struct{}
 
 // Name implements Policy.
@@ -25,29 +25,29 @@
 	if r.Number > 0 {
 		return probe2{}.Ask(r)
 	}
-	var pooled, fresh []Upstream
+	var pooled, unpooled []Upstream
 	for _, tier := range []Tier{OwnZone, OwnRegion} {
 		for _, u := range r.Eligible(tier) {
-			if _, ok := r.Table.Remembered(u.ID, r.Now, poolAge, poolUses); ok {
+			if _, ok := r.Table.Remembered(u.ID, r.Now, poolMaxAge, poolMaxUses); ok {
 				pooled = append(pooled, u)
 			} else {
-				fresh = append(fresh, u)
+				unpooled = append(unpooled, u)
 			}
 		}
-		if len(pooled)+len(fresh) >= choices {
+		if len(pooled)+len(unpooled) >= firstProbes {
 			break
 		}
 	}
-	background := r.Sample(fresh, poolProbes)
+	background := r.Sample(unpooled, poolBackgroundProbes)
 	if len(pooled) == 0 {
 		return Ask{Upstreams: r.firstChoices()}
 	}
-	return Ask{Upstreams: pooled, Age: poolAge, Uses: poolUses, Background: background}
+	return Ask{Upstreams: pooled, Age: poolMaxAge, Uses: poolMaxUses, Background: background}
 }
 
 // Decide implements Policy.
 func (probePool) Decide(r *Round) Decision {
 	d := r.DecideByScore()
-	d.Widen = r.Number+1 < steps && r.unsatisfied(d)
+	d.Widen = r.Number+1 < maxSteps && r.shouldWiden(d)
 	return d
 }
--- a/core/routing/probe2.go
+++ b/core/routing/probe2.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Numbers of upstreams asked.
+// Numbers of upstreams to probe.
 const (
-	// choices is how many are asked at first. Two give most of what asking
-	// everybody would give, and cost bytes for two.
-	choices = 2
-	// warmChoices is how many of a prefix's ranking are asked; one more is drawn
-	// at random as a yardstick.
-	warmChoices = 2
-	// wideChoices is how many are asked in each later step, per tier.
-	wideChoices = 2
-	// lastChoices is how many avoided upstreams are tried as a last resort.
-	lastChoices = 3
-	// steps bounds how often one decision asks.
-	steps = 3
+	// firstProbes is how many upstreams are probed in the first step. Two give most of the
+	// benefit of probing all, at the network cost of two.
+	firstProbes = 2
+	// warmProbes is how many of the first upstreams in a prefix's ranking are probed; one
+	// more is drawn at random for comparison.
+	warmProbes = 2
+	// widerProbes is how many upstreams are probed per tier in each later step.
+	widerProbes = 2
+	// lastResortProbes is how many avoided upstreams are tried as a last resort.
+	lastResortProbes = 3
+	// maxSteps bounds the probing steps of one decision.
+	maxSteps = 3
 )
 
-// probe2 asks two upstreams at the moment of the decision and takes the one
-// that is expected to finish first. Own zone first; other zones are asked when
-// its wait is longer than the way there, when its answers are unusually slow, or
-// when nobody in it can take the work.
+// probe2 probes two upstreams at the time of the decision and chooses the one that is
+// expected to finish first. It starts in the zone of the entry. It probes other zones when
+// the wait in its own exceeds their extra latency, when the candidates of its own are
+// unusually slow, or when none of them can take the work.
 type probe2 struct{}
 
 // Name implements Policy.
@@ -44,7 +44,7 @@
 // Decide implements Policy.
 func (probe2) Decide(r *Round) Decision {
 	d := r.DecideByScore()
-	d.Widen = r.Number+1 < steps && r.unsatisfied(d)
+	d.Widen = r.Number+1 < maxSteps && r.shouldWiden(d)
 	return d
 }
 
@@ -55,10 +55,10 @@
 	if r.hasAffinity() {
 		list = r.warmFirst(own)
 	} else {
-		list = r.Sample(own, choices)
+		list = r.Sample(own, firstProbes)
 	}
-	for tier := OwnRegion; tier < tierCount && len(list) < choices; tier++ {
-		list = append(list, r.Sample(r.Eligible(tier), choices-len(list))...)
+	for tier := OwnRegion; tier < tierCount && len(list) < firstProbes; tier++ {
+		list = append(list, r.Sample(r.Eligible(tier), firstProbes-len(list))...)
 	}
 	if len(list) == 0 {
 		return r.lastResort()
@@ -66,48 +66,49 @@
 	return list
 }
 
-// warmFirst returns the first of the prefix's ranking and one other at random.
+// warmFirst returns the first upstreams in the prefix's ranking that are within the load
+// bound, and one other drawn at random.
 func (r *Round) warmFirst(own []Upstream) []Upstream {
-	list := r.withinBound(rank(prefixKey(r.Query), own), warmChoices)
-	var rest []Upstream
+	list := r.withinBound(rank(prefixKey(r.Query), own), warmProbes)
+	var others []Upstream
 	for _, u := range own {
 		if !contains(list, u) {
-			rest = append(rest, u)
+			others = append(others, u)
 		}
 	}
-	return append(list, r.Sample(rest, 1)...)
+	return append(list, r.Sample(others, 1)...)
 }
 
-// widerChoices draws again from the own zone and from the own region.
+// widerChoices draws again from the own zone, and from the other zones of the region.
 func (r *Round) widerChoices() []Upstream {
-	list := r.Sample(r.Eligible(OwnZone), wideChoices)
-	list = append(list, r.Sample(r.Eligible(OwnRegion), wideChoices)...)
+	list := r.Sample(r.Eligible(OwnZone), widerProbes)
+	list = append(list, r.Sample(r.Eligible(OwnRegion), widerProbes)...)
 	if len(list) == 0 {
 		return r.lastResort()
 	}
 	return list
 }
 
-// lastResort draws from other regions, from the service's upstreams that the
-// placement does not name, and, if nobody was found so far, from those that are
-// avoided.
+// lastResort draws from other regions, then from the upstreams of the service that the
+// placement does not assign, and, if no usable upstream was found so far, from those that
+// are avoided.
 func (r *Round) lastResort() []Upstream {
 	all := r.Picker.serviceGroup(r.Query.Service)
-	list := r.Sample(r.Eligible(OtherRegion), wideChoices)
+	list := r.Sample(r.Eligible(OtherRegion), widerProbes)
 	for tier := range tierCount {
-		if len(list) < wideChoices {
-			unnamed := r.without(r.eligible(all, tier), list)
-			list = append(list, r.Sample(unnamed, wideChoices-len(list))...)
+		if len(list) < widerProbes {
+			unassigned := r.without(r.eligible(all, tier), list)
+			list = append(list, r.Sample(unassigned, widerProbes-len(list))...)
 		}
 	}
-	if len(list) == 0 && !r.found() {
-		list = r.Sample(r.avoided(all), lastChoices)
+	if len(list) == 0 && !r.anyUsable() {
+		list = r.Sample(r.avoided(all), lastResortProbes)
 	}
 	return list
 }
 
-// found tells whether somebody asked so far can take work at all.
-func (r *Round) found() bool {
+// anyUsable reports whether an upstream probed so far can take the work, whatever its load.
+func (r *Round) anyUsable() bool {
 	for _, answer := range r.Answers {
 		if r.Query.Obstacle(answer) == "" {
 			return true
@@ -116,42 +117,42 @@
 	return false
 }
 
-// unsatisfied tells whether asking more upstreams may pay.
-func (r *Round) unsatisfied(d Decision) bool {
+// shouldWiden reports whether probing more upstreams may improve the decision.
+func (r *Round) shouldWiden(d Decision) bool {
 	if !d.OK {
 		return true
 	}
 	chosen := d.Chosen
 	usual := r.Usual.ServiceP50
-	slow := usual > 0 && chosen.Expected > slowFactor*usual+spillMargin
-	wait := chosen.Backlog > r.awayLatency()+spillMargin
-	return slow || wait
+	slow := usual > 0 && chosen.Expected > slowServiceFactor*usual+spillMargin
+	backlogged := chosen.Backlog > r.regionLatency()+spillMargin
+	return slow || backlogged
 }
 
-// awayLatency returns the extra latency of the nearest other zone of the region.
-func (r *Round) awayLatency() time.Duration {
+// regionLatency returns the extra latency of the nearest other zone of the region.
+func (r *Round) regionLatency() time.Duration {
 	least := time.Duration(-1)
 	for _, u := range r.Picker.queryGroup(r.Query).tiers[OwnRegion] {
-		away := r.Table.distance(r.Picker.zone, u)
-		if least < 0 || away < least {
-			least = away
+		extra := r.Table.extraLatency(r.Picker.zone, u)
+		if least < 0 || extra < least {
+			least = extra
 		}
 	}
 	return max(0, least)
 }
 
-// without returns list less the members of taken.
-func (r *Round) without(list, taken []Upstream) []Upstream {
-	var rest []Upstream
+// without returns the members of list that are not in excluded.
+func (r *Round) without(list, excluded []Upstream) []Upstream {
+	var remaining []Upstream
 	for _, u := range list {
-		if !contains(taken, u) {
-			rest = append(rest, u)
+		if !contains(excluded, u) {
+			remaining = append(remaining, u)
 		}
 	}
-	return rest
+	return remaining
 }
 
-// contains tells whether list has u.
+// contains reports whether list has an upstream with the ID of u.
 func contains(list []Upstream, u Upstream) bool {
 	for _, member := range list {
 		if member.ID == u.ID {
--- a/core/routing/suspicion.go
+++ b/core/routing/suspicion.go
@@ -7,44 +7,44 @@
 
 // Bounds of suspicion.
 const (
-	firstSuspicion   = 250 * time.Millisecond
-	longestSuspicion = 10 * time.Second
-	// suspicionJitter spreads the entries' attempts to come back: the time is
-	// drawn from 1 ± suspicionJitter of its nominal length.
+	minSuspicion = 250 * time.Millisecond
+	maxSuspicion = 10 * time.Second
+	// suspicionJitter spreads the probes with which entries retry a suspected upstream: the
+	// length is drawn from 1 ± suspicionJitter of its nominal value.
 	suspicionJitter = 0.25
-	// maxDoublings keeps a shift in range; the longest time is reached before.
+	// maxDoublings keeps a shift in range; maxSuspicion is reached before.
 	maxDoublings = 16
 )
 
-// Cause tells which silence made an upstream suspect.
+// Cause is the kind of silence that made an upstream suspected.
 type Cause string
 
 // The causes of suspicion.
 const (
-	// SilentProbe: the side did not answer a probe. Any answer clears it.
+	// SilentProbe: the sidecar did not reply to a probe. Any reply clears the suspicion.
 	SilentProbe Cause = "silent_probe"
-	// SilentWork: an attempt went silent in the middle. The side may answer
-	// probes all the while, so the time must pass, and only finished work takes
-	// back the strikes.
+	// SilentWork: an attempt went silent before its end. The sidecar may go on replying to
+	// probes, so the suspicion lasts its full length, and only finished work resets the
+	// strikes.
 	SilentWork Cause = "silent_work"
 )
 
-// Suspicion says whether and for how long an upstream is avoided.
+// Suspicion describes whether and for how long an upstream is avoided.
 type Suspicion struct {
 	Active bool
 	Cause  Cause
 	// Strikes counts the silences since the upstream last proved healthy.
 	Strikes int
-	// Until is when the upstream is due for a probe that may clear it.
+	// Until is when the upstream is due for a probe that may end the suspicion.
 	Until time.Time
 	// Length is the time from the last strike to Until.
 	Length time.Duration
 }
 
-// strike returns the suspicion after one more silence at now. Its length
-// doubles with each.
+// strike returns the suspicion after another silence at now. Its nominal length doubles
+// with each strike.
 func (s Suspicion) strike(cause Cause, now time.Time, random *rand.Rand) Suspicion {
-	nominal := min(longestSuspicion, firstSuspicion<<min(s.Strikes, maxDoublings))
+	nominal := min(maxSuspicion, minSuspicion<<min(s.Strikes, maxDoublings))
 	factor := 1 - suspicionJitter + 2*suspicionJitter*random.Float64()
 	length := time.Duration(float64(nominal) * factor)
 	return Suspicion{
@@ -56,8 +56,8 @@
 	}
 }
 
-// answered returns the suspicion after the side answered a probe at now.
-func (s Suspicion) answered(now time.Time) Suspicion {
+// afterReply returns the suspicion after the sidecar replied to a probe at now.
+func (s Suspicion) afterReply(now time.Time) Suspicion {
 	if s.Cause != SilentWork {
 		return Suspicion{}
 	}
--- a/core/routing/suspicion_test.go
+++ b/core/routing/suspicion_test.go
@@ -10,118 +10,124 @@
 	"acaciawinch/core"
 )
 
-// silence returns a reply function in which the named upstreams don't answer.
-func silence(silent *[]core.UpstreamID) func(Upstream) Answer {
+// repliesExcept returns a reply function in which the listed upstreams do not reply.
+func repliesExcept(silent *[]core.UpstreamID) func(Upstream) Answer {
 	return func(u Upstream) Answer {
 		return Answer{Upstream: u, Answered: !slices.Contains(*silent, u.ID), Load: idle()}
 	}
 }
 
-// TestEachSilentUpstreamIsMetOnce loses half of a zone at one moment.
-func TestEachSilentUpstreamIsMetOnce(t *testing.T) {
-	w := newWorld(Probe2, 1, hostsIn("a", 20)...)
-	silent := ids(w.picker.serviceGroup("llm").tiers[OwnZone])[:10]
-	w.reply = silence(&silent)
+// TestSilentUpstreamIsProbedOnce checks that each of many upstreams that fall silent
+// together costs at most one probe.
+func TestSilentUpstreamIsProbedOnce(t *testing.T) {
+	h := newHarness(Probe2, 1, hostsIn("a", 20)...)
+	silent := ids(h.picker.serviceGroup("llm").tiers[OwnZone])[:10]
+	h.reply = repliesExcept(&silent)
 	for range 200 {
-		assert.Assert(t, w.choose(plain).OK)
+		assert.Assert(t, h.choose(plainQuery).OK)
 	}
-	met := make(map[core.UpstreamID]int)
-	for _, id := range w.asked {
-		met[id]++
+	probes := make(map[core.UpstreamID]int)
+	for _, id := range h.probed {
+		probes[id]++
 	}
 	for _, id := range silent {
-		assert.Assert(t, met[id] <= 1, "%s was asked %d times", id, met[id])
+		assert.Assert(t, probes[id] <= 1, "%s was probed %d times", id, probes[id])
 	}
-	assert.Equal(t, w.table.SuspectedCount(), 10)
+	assert.Equal(t, h.table.SuspectedCount(), 10)
 }
 
-// TestAllSuspectedAreTriedAnyway refuses nobody out of suspicion alone.
+// TestAllSuspectedAreTriedAnyway checks that suspicion alone does not cause a refusal.
 func TestAllSuspectedAreTriedAnyway(t *testing.T) {
-	for _, name := range policies {
-		w := newWorld(name, 1, append(hostsIn("a", 2), hostsIn("b", 2)...)...)
-		silent := ids(append(w.picker.serviceGroup("llm").tiers[OwnZone], w.picker.serviceGroup("llm").tiers[OwnRegion]...))
-		w.reply = silence(&silent)
+	for _, name := range policyNames {
+		h := newHarness(name, 1, append(hostsIn("a", 2), hostsIn("b", 2)...)...)
+		silent := ids(append(h.picker.serviceGroup("llm").tiers[OwnZone], h.picker.serviceGroup("llm").tiers[OwnRegion]...))
+		h.reply = repliesExcept(&silent)
 		for range 4 {
-			assert.Assert(t, !w.choose(plain).OK, name)
+			assert.Assert(t, !h.choose(plainQuery).OK, name)
 		}
-		assert.Equal(t, w.table.SuspectedCount(), 4, name)
+		assert.Equal(t, h.table.SuspectedCount(), 4, name)
 		silent = nil
-		assert.Assert(t, w.choose(plain).OK, name)
+		assert.Assert(t, h.choose(plainQuery).OK, name)
 	}
 }
 
-// TestSuspicionGrowsAndEnds follows one upstream.
+// TestSuspicionGrowsAndEnds checks the length of repeated suspicions and that a reply ends
+// them.
 func TestSuspicionGrowsAndEnds(t *testing.T) {
-	w := newWorld(Probe2, 1, hostsIn("a", 1)...)
-	u, _ := w.picker.Upstream("a-0")
+	h := newHarness(Probe2, 1, hostsIn("a", 1)...)
+	u, _ := h.picker.Upstream("a-0")
 	previous := time.Duration(0)
 	for strikes := 1; strikes <= 5; strikes++ {
-		s, struck := w.table.Silent(u.ID, SilentProbe, w.now, w.random)
-		assert.Assert(t, struck)
+		s, added := h.table.Silent(u.ID, SilentProbe, h.now, h.random)
+		assert.Assert(t, added)
 		assert.Equal(t, s.Strikes, strikes)
 		assert.Assert(t, s.Length > previous)
 		previous = s.Length
-		_, struck = w.table.Silent(u.ID, SilentProbe, w.now, w.random)
-		assert.Assert(t, !struck, "the same silence counts once")
-		assert.Equal(t, len(w.table.Due(s.Until.Add(-1), 9)), 0)
-		assert.DeepEqual(t, w.table.Due(s.Until, 9), []core.UpstreamID{u.ID})
-		w.now = s.Until
+		_, added = h.table.Silent(u.ID, SilentProbe, h.now, h.random)
+		assert.Assert(t, !added, "the same silence counts once")
+		assert.Equal(t, len(h.table.Due(s.Until.Add(-1), 9)), 0)
+		assert.DeepEqual(t, h.table.Due(s.Until, 9), []core.UpstreamID{u.ID})
+		h.now = s.Until
 	}
 	for range 20 {
-		s, _ := w.table.Silent(u.ID, SilentProbe, w.now, w.random)
-		w.now = s.Until
-		assert.Assert(t, s.Length <= longestSuspicion*5/4)
+		s, _ := h.table.Silent(u.ID, SilentProbe, h.now, h.random)
+		h.now = s.Until
+		assert.Assert(t, s.Length <= maxSuspicion*5/4)
 	}
-	assert.Assert(t, w.table.Answered(Answer{Upstream: u, Answered: true}, w.now))
-	assert.Assert(t, !w.table.Suspected(u.ID))
+	assert.Assert(t, h.table.Answered(Answer{Upstream: u, Answered: true}, h.now))
+	assert.Assert(t, !h.table.Suspected(u.ID))
 }
 
-// TestEntriesComeBackAtDifferentTimes shows the jitter.
-func TestEntriesComeBackAtDifferentTimes(t *testing.T) {
+// TestSuspicionIsJittered checks that entries retry a suspected upstream at different
+// times.
+func TestSuspicionIsJittered(t *testing.T) {
 	lengths := make(map[time.Duration]bool)
 	for seed := range uint64(50) {
-		w := newWorld(Probe2, seed, hostsIn("a", 1)...)
-		s, _ := w.table.Silent("a-0", SilentProbe, w.now, w.random)
-		assert.Assert(t, s.Length >= firstSuspicion*3/4 && s.Length <= firstSuspicion*5/4)
+		h := newHarness(Probe2, seed, hostsIn("a", 1)...)
+		s, _ := h.table.Silent("a-0", SilentProbe, h.now, h.random)
+		assert.Assert(t, s.Length >= minSuspicion*3/4 && s.Length <= minSuspicion*5/4)
 		lengths[s.Length] = true
 	}
 	assert.Assert(t, len(lengths) > 40)
 }
 
-// TestSilentWorkOutlastsAnsweredProbes: a side may answer while its upstream hangs.
-func TestSilentWorkOutlastsAnsweredProbes(t *testing.T) {
-	w := newWorld(Probe2, 1, hostsIn("a", 1)...)
-	u, _ := w.picker.Upstream("a-0")
-	alive := Answer{Upstream: u, Answered: true}
-	s, _ := w.table.Silent(u.ID, SilentWork, w.now, w.random)
-	assert.Assert(t, !w.table.Answered(alive, w.now))
-	assert.Assert(t, w.table.Suspected(u.ID))
-	w.now = s.Until
-	assert.Assert(t, w.table.Answered(alive, w.now))
-	assert.Assert(t, !w.table.Suspected(u.ID))
-	s, _ = w.table.Silent(u.ID, SilentWork, w.now, w.random)
-	assert.Equal(t, s.Strikes, 2, "an answered probe takes no strike back")
-	w.table.Ended(u.ID, true)
-	assert.Assert(t, !w.table.Suspected(u.ID))
-	s, _ = w.table.Silent(u.ID, SilentWork, w.now, w.random)
-	assert.Equal(t, s.Strikes, 1, "finished work does")
+// TestSilentWorkSuspicionOutlastsAnsweredProbes covers an upstream that hangs while its
+// sidecar goes on replying to probes.
+func TestSilentWorkSuspicionOutlastsAnsweredProbes(t *testing.T) {
+	h := newHarness(Probe2, 1, hostsIn("a", 1)...)
+	u, _ := h.picker.Upstream("a-0")
+	reply := Answer{Upstream: u, Answered: true}
+	s, _ := h.table.Silent(u.ID, SilentWork, h.now, h.random)
+	assert.Assert(t, !h.table.Answered(reply, h.now))
+	assert.Assert(t, h.table.Suspected(u.ID))
+	h.now = s.Until
+	assert.Assert(t, h.table.Answered(reply, h.now))
+	assert.Assert(t, !h.table.Suspected(u.ID))
+	s, _ = h.table.Silent(u.ID, SilentWork, h.now, h.random)
+	assert.Equal(t, s.Strikes, 2, "a probe reply resets no strikes")
+	h.table.Ended(u.ID, true)
+	assert.Assert(t, !h.table.Suspected(u.ID))
+	s, _ = h.table.Silent(u.ID, SilentWork, h.now, h.random)
+	assert.Equal(t, s.Strikes, 1, "finished work resets the strikes")
 }
 
-// TestAnotherHostUnderTheSameNameIsNotSuspected follows the host list.
+// TestAnotherHostUnderTheSameNameIsNotSuspected checks that a changed address clears the
+// suspicion.
 func TestAnotherHostUnderTheSameNameIsNotSuspected(t *testing.T) {
 	hosts := hostsIn("a", 2)
-	w := newWorld(Probe2, 1, hosts...)
-	for _, u := range w.picker.serviceGroup("llm").tiers[OwnZone] {
-		w.probe(u)
-		w.table.Silent(u.ID, SilentProbe, w.now, w.random)
+	h := newHarness(Probe2, 1, hosts...)
+	for _, u := range h.picker.serviceGroup("llm").tiers[OwnZone] {
+		h.probe(u)
+		h.table.Silent(u.ID, SilentProbe, h.now, h.random)
 	}
 	hosts[0].Addr = "elsewhere"
-	w.table.Keep(NewPicker(sourceOf(hosts...)))
-	assert.Assert(t, !w.table.Suspected("a-0"))
-	assert.Assert(t, w.table.Suspected("a-1"))
+	h.table.Keep(NewPicker(sourceOf(hosts...)))
+	assert.Assert(t, !h.table.Suspected("a-0"))
+	assert.Assert(t, h.table.Suspected("a-1"))
 }
 
-// TestPatienceFollowsTheHostsLoad grows with late answers and shrinks again.
+// TestPatienceFollowsTheHostsLoad checks that the expected reply time grows with late
+// replies and shrinks again.
 func TestPatienceFollowsTheHostsLoad(t *testing.T) {
 	table := NewTable()
 	assert.Equal(t, table.Patience("a"), time.Duration(0))
@@ -131,12 +137,12 @@
 		}
 		return table.Patience("a")
 	}
-	calm := after(100, ms, ms+ms/10)
-	assert.Assert(t, calm < 3*ms/2, "%s", calm)
-	busy := after(100, 2*ms, 40*ms)
-	assert.Assert(t, busy > 40*ms, "%s", busy)
-	assert.Assert(t, table.RTT("a") < 3*ms, "the distance is not the load")
-	steady := after(100, 30*ms)
-	assert.Assert(t, steady >= 30*ms && steady < 35*ms, "%s", steady)
+	idleHosts := after(100, ms, ms+ms/10)
+	assert.Assert(t, idleHosts < 3*ms/2, "%s", idleHosts)
+	busyHosts := after(100, 2*ms, 40*ms)
+	assert.Assert(t, busyHosts > 40*ms, "%s", busyHosts)
+	assert.Assert(t, table.RTT("a") < 3*ms, "load must not raise the minimum round trip")
+	slowPath := after(100, 30*ms)
+	assert.Assert(t, slowPath >= 30*ms && slowPath < 35*ms, "%s", slowPath)
 	assert.Assert(t, after(100, ms) < 3*ms/2)
 }
--- a/core/routing/table.go
+++ b/core/routing/table.go
@@ -9,176 +9,175 @@
 	"acaciawinch/core"
 )
 
-// Constants of what a Table remembers.
+// Limits of what a Table remembers.
 const (
-	// loadLife is how long a remembered load says anything about occupancy.
-	loadLife = 10 * time.Second
-	// refusalLife is how long a reported drain or stall keeps an upstream out
-	// without asking again.
-	refusalLife = 2 * time.Second
-	// keptChoices bounds the remembered choices of one upstream.
-	keptChoices = 64
+	// loadTTL is how long a remembered load is used to estimate occupancy.
+	loadTTL = 10 * time.Second
+	// unavailableTTL is how long an upstream that reported a drain or a stall is avoided
+	// without a new probe.
+	unavailableTTL = 2 * time.Second
+	// maxRecentChoices bounds the remembered choices of one upstream.
+	maxRecentChoices = 64
 )
 
-// Table is what one entry has learnt about the upstreams. It is not safe for
-// concurrent use.
+// Table holds what one entry has observed of the upstreams. It is not safe for concurrent
+// use.
 type Table struct {
-	known map[core.UpstreamID]*knowledge
-	paths map[string]path
+	states map[core.UpstreamID]*upstreamState
+	paths  map[string]pathRTT
 }
 
-// knowledge is what is known of one upstream.
-type knowledge struct {
+// upstreamState is the view of one upstream.
+type upstreamState struct {
 	addr string
-	// answer is the last answer, Answered unset before the first; its load may
-	// be newer than the answer if one came with another message.
+	// answer is the last reply; Answered is unset before the first. Its load may be newer
+	// than the rest if another message carried one.
 	answer Answer
 	loadAt time.Time
-	// uses counts the choices that rested on answer.
-	uses      int
-	inFlight  int
-	choices   []time.Time
-	progress  progress
-	suspicion Suspicion
+	// uses counts the choices that relied on answer.
+	uses          int
+	inFlight      int
+	recentChoices []time.Time
+	attempts      attemptStats
+	suspicion     Suspicion
 }
 
 // NewTable returns an empty Table.
 func NewTable() *Table {
 	return &Table{
-		known: make(map[core.UpstreamID]*knowledge),
-		paths: make(map[string]path),
+		states: make(map[core.UpstreamID]*upstreamState),
+		paths:  make(map[string]pathRTT),
 	}
 }
 
-// Keep forgets the upstreams that picker does not have, and whatever was known
-// of one whose address changed: it is another process on another host.
+// Keep removes the upstreams that picker does not have and those whose address changed. A
+// new address means another process on another host.
 func (t *Table) Keep(picker *Picker) {
-	for id, k := range t.known {
+	for id, state := range t.states {
 		upstream, ok := picker.Upstream(id)
-		if !ok || (k.addr != "" && k.addr != upstream.Addr) {
-			delete(t.known, id)
+		if !ok || (state.addr != "" && state.addr != upstream.Addr) {
+			delete(t.states, id)
 		}
 	}
 }
 
-// Answered stores the answer to a probe. It returns true if that ended a suspicion.
+// Answered stores the reply to a probe. It reports whether the reply ended a suspicion.
 func (t *Table) Answered(answer Answer, now time.Time) bool {
-	k := t.of(answer.Upstream.ID)
-	k.addr = answer.Upstream.Addr
-	k.answer = answer
-	k.uses = 0
-	t.loaded(k, answer.Load, now)
+	state := t.stateOf(answer.Upstream.ID)
+	state.addr = answer.Upstream.Addr
+	state.answer = answer
+	state.uses = 0
+	t.setLoad(state, answer.Load, now)
 	t.observeRTT(answer.Upstream.Zone, answer.RTT)
-	suspected := k.suspicion.Active
-	k.suspicion = k.suspicion.answered(now)
-	return suspected && !k.suspicion.Active
+	suspected := state.suspicion.Active
+	state.suspicion = state.suspicion.afterReply(now)
+	return suspected && !state.suspicion.Active
 }
 
-// Loaded stores a load that came with another message of a side.
+// Loaded stores a load that another message of a sidecar carried.
 func (t *Table) Loaded(id core.UpstreamID, load Load, now time.Time) {
-	t.loaded(t.of(id), load, now)
+	t.setLoad(t.stateOf(id), load, now)
 }
 
-// loaded stores a load.
-func (t *Table) loaded(k *knowledge, load Load, now time.Time) {
-	k.answer.Load = load
-	k.loadAt = now
-	k.progress.observe(load, now)
+func (t *Table) setLoad(state *upstreamState, load Load, now time.Time) {
+	state.answer.Load = load
+	state.loadAt = now
+	state.attempts.observe(load, now)
 }
 
-// Chosen records that an attempt is on its way to an upstream.
+// Chosen records the start of an attempt at an upstream.
 func (t *Table) Chosen(id core.UpstreamID, now time.Time) {
-	k := t.of(id)
-	k.inFlight++
-	k.uses++
-	if len(k.choices) == keptChoices {
-		k.choices = slices.Delete(k.choices, 0, 1)
+	state := t.stateOf(id)
+	state.inFlight++
+	state.uses++
+	if len(state.recentChoices) == maxRecentChoices {
+		state.recentChoices = slices.Delete(state.recentChoices, 0, 1)
 	}
-	k.choices = append(k.choices, now)
+	state.recentChoices = append(state.recentChoices, now)
 }
 
-// Ended records that an attempt chosen before is over. Finished work takes back
-// every suspicion.
+// Ended records the end of an attempt recorded with Chosen. Finished work clears the
+// suspicion with its strikes.
 func (t *Table) Ended(id core.UpstreamID, finished bool) {
-	k := t.of(id)
-	k.inFlight = max(0, k.inFlight-1)
+	state := t.stateOf(id)
+	state.inFlight = max(0, state.inFlight-1)
 	if finished {
-		k.suspicion = Suspicion{}
+		state.suspicion = Suspicion{}
 	}
 }
 
-// Silent records that an upstream did not answer. It returns the suspicion, and
-// whether this silence added a strike: one within a running suspicion is the
-// same silence seen twice.
+// Silent records that an upstream did not reply. It returns the suspicion, and whether this
+// silence added a strike. A silence during an active suspicion adds none: it is the same
+// silence observed twice.
 func (t *Table) Silent(id core.UpstreamID, cause Cause, now time.Time, random *rand.Rand) (Suspicion, bool) {
-	k := t.of(id)
-	if k.suspicion.Active && now.Before(k.suspicion.Until) {
-		return k.suspicion, false
+	state := t.stateOf(id)
+	if state.suspicion.Active && now.Before(state.suspicion.Until) {
+		return state.suspicion, false
 	}
-	k.suspicion = k.suspicion.strike(cause, now, random)
-	return k.suspicion, true
+	state.suspicion = state.suspicion.strike(cause, now, random)
+	return state.suspicion, true
 }
 
-// Due returns at most n suspected upstreams whose time to be probed has come,
-// the longest due first.
+// Due returns at most n suspected upstreams that are due for a probe, the longest overdue
+// first.
 func (t *Table) Due(now time.Time, n int) []core.UpstreamID {
 	var due []core.UpstreamID
-	for id, k := range t.known {
-		if k.suspicion.Active && !now.Before(k.suspicion.Until) {
+	for id, state := range t.states {
+		if state.suspicion.Active && !now.Before(state.suspicion.Until) {
 			due = append(due, id)
 		}
 	}
 	slices.SortFunc(due, func(a, b core.UpstreamID) int {
-		return cmp.Or(t.known[a].suspicion.Until.Compare(t.known[b].suspicion.Until), cmp.Compare(a, b))
+		return cmp.Or(t.states[a].suspicion.Until.Compare(t.states[b].suspicion.Until), cmp.Compare(a, b))
 	})
 	return due[:min(n, len(due))]
 }
 
-// Suspected tells whether an upstream is suspected.
+// Suspected reports whether an upstream is suspected.
 func (t *Table) Suspected(id core.UpstreamID) bool {
-	k, ok := t.known[id]
-	return ok && k.suspicion.Active
+	state, ok := t.states[id]
+	return ok && state.suspicion.Active
 }
 
 // SuspectedCount returns how many upstreams are suspected.
 func (t *Table) SuspectedCount() int {
 	count := 0
-	for _, k := range t.known {
-		if k.suspicion.Active {
+	for _, state := range t.states {
+		if state.suspicion.Active {
 			count++
 		}
 	}
 	return count
 }
 
-// Remembered returns the last answer of an upstream if it is at most age old
-// and at most uses choices have rested on it.
+// Remembered returns the last reply of an upstream if it is at most age old and fewer than
+// uses choices have relied on it.
 func (t *Table) Remembered(id core.UpstreamID, now time.Time, age time.Duration, uses int) (Answer, bool) {
-	k, ok := t.known[id]
-	if !ok || !k.answer.Answered || k.uses >= uses || now.Sub(k.answer.SentAt) > age {
+	state, ok := t.states[id]
+	if !ok || !state.answer.Answered || state.uses >= uses || now.Sub(state.answer.SentAt) > age {
 		return Answer{}, false
 	}
-	remembered := k.answer
-	remembered.Asked = false // it was asked for another request
+	remembered := state.answer
+	remembered.Asked = false // the probe was for another query
 	return remembered, true
 }
 
-// InFlight returns how many attempts of this entry an upstream holds.
+// InFlight returns how many attempts of this entry are in flight at an upstream.
 func (t *Table) InFlight(id core.UpstreamID) int {
-	if k, ok := t.known[id]; ok {
-		return k.inFlight
+	if state, ok := t.states[id]; ok {
+		return state.inFlight
 	}
 	return 0
 }
 
-// since counts the choices of an upstream at or after a time.
-func (t *Table) since(id core.UpstreamID, at time.Time) int {
-	k, ok := t.known[id]
+// choicesSince counts the choices of an upstream at or after a time.
+func (t *Table) choicesSince(id core.UpstreamID, at time.Time) int {
+	state, ok := t.states[id]
 	if !ok {
 		return 0
 	}
 	count := 0
-	for _, chosen := range k.choices {
+	for _, chosen := range state.recentChoices {
 		if !chosen.Before(at) {
 			count++
 		}
@@ -186,40 +185,40 @@
 	return count
 }
 
-// refusing tells whether an upstream lately said that it takes no work.
-func (t *Table) refusing(id core.UpstreamID, now time.Time) bool {
-	k, ok := t.known[id]
-	if !ok || now.Sub(k.loadAt) > refusalLife {
+// unavailable reports whether an upstream recently reported that it is draining or stalled.
+func (t *Table) unavailable(id core.UpstreamID, now time.Time) bool {
+	state, ok := t.states[id]
+	if !ok || now.Sub(state.loadAt) > unavailableTTL {
 		return false
 	}
-	return k.answer.Load.Draining || k.answer.Load.Stalled
+	return state.answer.Load.Draining || state.answer.Load.Stalled
 }
 
-// work returns the attempts that an upstream holds as far as is lately known,
-// its capacity, and whether they are known.
-func (t *Table) work(id core.UpstreamID, now time.Time) (held, capacity int, ok bool) {
-	k, found := t.known[id]
-	if !found || k.loadAt.IsZero() || now.Sub(k.loadAt) > loadLife {
+// pendingWork returns the number of attempts at an upstream, queued included, and its
+// capacity, and reports whether a recent load is known.
+func (t *Table) pendingWork(id core.UpstreamID, now time.Time) (pending, capacity int, ok bool) {
+	state, found := t.states[id]
+	if !found || state.loadAt.IsZero() || now.Sub(state.loadAt) > loadTTL {
 		return 0, 0, false
 	}
-	load := k.answer.Load
-	return load.Queued + load.InFlight + t.since(id, k.loadAt), load.Capacity, true
+	load := state.answer.Load
+	return load.Queued + load.InFlight + t.choicesSince(id, state.loadAt), load.Capacity, true
 }
 
-// progressOf returns what is known of an upstream's recent ends.
-func (t *Table) progressOf(id core.UpstreamID) *progress {
-	if k, ok := t.known[id]; ok {
-		return &k.progress
+// attemptsOf returns the attempt statistics of an upstream.
+func (t *Table) attemptsOf(id core.UpstreamID) *attemptStats {
+	if state, ok := t.states[id]; ok {
+		return &state.attempts
 	}
-	return &progress{}
+	return &attemptStats{}
 }
 
-// of returns the knowledge of an upstream, made if need be.
-func (t *Table) of(id core.UpstreamID) *knowledge {
-	k, ok := t.known[id]
+// stateOf returns the state of an upstream and creates it if needed.
+func (t *Table) stateOf(id core.UpstreamID) *upstreamState {
+	state, ok := t.states[id]
 	if !ok {
-		k = &knowledge{}
-		t.known[id] = k
+		state = &upstreamState{}
+		t.states[id] = state
 	}
-	return k
+	return state
 }
--- a/core/routing/upstream.go
+++ b/core/routing/upstream.go
@@ -8,7 +8,7 @@
 	"acaciawinch/core/latency"
 )
 
-// Tier tells how near an upstream is to the entry.
+// Tier is how near an upstream is to the entry.
 type Tier int
 
 // The tiers, nearest first.
@@ -23,46 +23,46 @@
 type Upstream struct {
 	ID      core.UpstreamID
 	Service string
-	// Addr is the IP:port of the upstream's side.
+	// Addr is the IP:port of the upstream's sidecar.
 	Addr   string
 	Zone   string
 	Region string
 	Tier   Tier
-	// hash places the upstream in rendezvous rankings.
+	// hash identifies the upstream in rendezvous rankings.
 	hash uint64
 }
 
-// Model names what an engine has loaded.
+// Model names a model that an engine has loaded.
 type Model struct {
 	Name, Version string
 }
 
-// Load is what a side reported about its upstream.
+// Load is the report of a sidecar about its upstream.
 type Load struct {
-	// Estimate is of the upstream's own recent work. Its ServiceP50 and ServiceP95
-	// are zero if the side has no recent sample.
+	// Estimate covers the recent work of the upstream. Its ServiceP50 and ServiceP95 are
+	// zero if the sidecar has no recent sample.
 	latency.Estimate
 	Queued, InFlight, Capacity int
 	Draining, Stalled          bool
 	Models                     []Model
-	// Finished and Failed count attempts since the side started.
+	// Finished and Failed count attempts since the sidecar started.
 	Finished, Failed uint64
 }
 
-// holds tells whether the engine reports the model as loaded. A model without a
-// version is held in any version, and the empty model by everybody.
-func (l Load) holds(model Model) bool {
+// hasModel reports whether the engine has loaded the model. A model without a version
+// matches any version, and the empty model matches any engine.
+func (l Load) hasModel(model Model) bool {
 	return model.Name == "" || slices.ContainsFunc(l.Models, func(loaded Model) bool {
 		return loaded.Name == model.Name && (model.Version == "" || loaded.Version == model.Version)
 	})
 }
 
-// occupancy is the work held, queued included, as a share of the capacity.
+// occupancy returns the pending work, queued included, as a share of the capacity.
 func (l Load) occupancy() float64 {
 	return float64(l.Queued+l.InFlight) / float64(max(1, l.Capacity))
 }
 
-// Query is what one stage asks for.
+// Query describes the needs of one stage.
 type Query struct {
 	Service string
 	// Engine is set if the stage needs Model to be loaded.
@@ -70,16 +70,16 @@
 	Model  Model
 	// Prefix is the hash of the prompt's prefix, zero if there is none.
 	Prefix uint64
-	// MaxTokens bounds the answer's chunks, zero if unknown.
+	// MaxTokens bounds the number of chunks of the result, zero if unknown.
 	MaxTokens int
-	// Remaining is the time left for the stage, zero if there is no bound.
+	// Remaining is the time remaining for the stage, zero if there is no bound.
 	Remaining time.Duration
-	// Exclude names upstreams that must not be chosen.
+	// Exclude lists upstreams that must not be chosen.
 	Exclude []core.UpstreamID
 }
 
-// Obstacle says why the upstream that gave an answer can take no work whatever
-// its load, or "" if it can.
+// Obstacle returns why the upstream that was probed cannot take the work whatever its load,
+// or "" if it can.
 func (q Query) Obstacle(answer Answer) string {
 	switch {
 	case !answer.Answered:
@@ -90,14 +90,14 @@
 		return "draining"
 	case answer.Load.Stalled:
 		return "stalled"
-	case q.Engine && !answer.Load.holds(q.Model):
+	case q.Engine && !answer.Load.hasModel(q.Model):
 		return "model not loaded"
 	default:
 		return ""
 	}
 }
 
-// excludes tells whether the query rules an upstream out.
+// excludes reports whether the query excludes an upstream.
 func (q Query) excludes(id core.UpstreamID) bool { return slices.Contains(q.Exclude, id) }
 
 // wait returns the expected wait in the queue.
@@ -108,21 +108,22 @@
 	return a.Load.Wait
 }
 
-// Answer is what came of asking one upstream.
+// Answer is the result of probing one upstream.
 type Answer struct {
 	Upstream Upstream
-	// Answered is false if no answer came in time.
+	// Answered is false if no reply came in time.
 	Answered     bool
 	Load         Load
 	Incarnation  core.Incarnation
 	ClockUS      uint64
 	PrefixCached bool
-	// OwnWait is the expected wait of the query's own workspace and priority, if Asked
-	// is set. Else only that of a workspace without work there is known, in Load.
+	// OwnWait is the expected wait for the workspace and priority of the query, if Asked is
+	// set. Otherwise only the wait of a workspace without pending work there is known, in
+	// Load.
 	OwnWait time.Duration
 	Asked   bool
-	// SentAt is when the probe was sent. Choices made since then may not be in Load.
+	// SentAt is when the probe was sent. Choices made since then may be missing from Load.
 	SentAt time.Time
-	// RTT is the time from sending the probe to its answer.
+	// RTT is the time from sending the probe to its reply.
 	RTT time.Duration
 }
