--- a/core/latency/estimate.go
+++ b/core/latency/estimate.go
@@ -1,25 +1,25 @@
-// Package latency turns the quantiles that sides report into what an entry
-// expects of a service: how a deadline is split over stages, when a hedge pays,
-// and how long a silence may last.
+// Package latency derives the expected latency of a service from the quantiles that
+// sidecars report: how a deadline is split over stages, when a hedge pays, and how long
+// an upstream may be silent.
 package latency
 
 import "time"
 
-// Estimate is what is expected of one service. A zero duration is not known.
+// Estimate is the expected latency of one service. A zero duration means unknown.
 type Estimate struct {
 	// Wait is the expected time in an upstream's queue.
 	Wait time.Duration
-	// ServiceP50 and ServiceP95 run from dispatch to the whole result.
+	// ServiceP50 and ServiceP95 run from dispatch to the complete result.
 	ServiceP50, ServiceP95 time.Duration
 	// FirstP50 and FirstP95 run from dispatch to the first chunk.
 	FirstP50, FirstP95 time.Duration
 	// GapP95 is the time between two chunks.
 	GapP95 time.Duration
-	// Reporters is the number of upstreams that the estimate rests on.
+	// Reporters is the number of upstreams on whose reports the estimate is based.
 	Reporters int
 }
 
-// OrDeclared fills what is not known from a declared median service time.
+// OrDeclared fills in a declared median service time if none is known.
 func (e Estimate) OrDeclared(median time.Duration) Estimate {
 	if e.ServiceP50 > 0 {
 		return e
@@ -29,13 +29,13 @@
 	return e
 }
 
-// declaredSpread is the ratio of the 95th percentile to the median that is
-// assumed of a service of which only the median is declared.
+// declaredSpread is the assumed ratio of the 95th percentile to the median for a service of
+// which only the median is declared.
 const declaredSpread = 2
 
-// ForTokens returns the estimate for an answer of at most count chunks. The
-// service's quantiles are over answers of all lengths; the first chunk and that
-// many gaps may show that this one takes less. A count of zero is no bound.
+// ForTokens returns the estimate for a response of at most count chunks. The quantiles of
+// the service cover responses of all lengths; the time to the first chunk and that many
+// gaps may show that this one takes less. A count of zero is no bound.
 func (e Estimate) ForTokens(count int) Estimate {
 	if count <= 0 || e.FirstP50 == 0 || e.GapP95 == 0 {
 		return e
@@ -46,8 +46,8 @@
 	return e
 }
 
-// need is the time that a stage takes in the median, its queue included.
-func (e Estimate) need() time.Duration { return e.Wait + e.ServiceP50 }
+// median returns the median time that a stage takes, its queue included.
+func (e Estimate) median() time.Duration { return e.Wait + e.ServiceP50 }
 
-// spread is how much longer than the median a slow call of the stage takes.
+// spread returns how much longer than the median a slow call of the stage takes.
 func (e Estimate) spread() time.Duration { return max(0, e.ServiceP95-e.ServiceP50) }
--- a/core/latency/latency_test.go
+++ b/core/latency/latency_test.go
@@ -14,21 +14,22 @@
 
 const ms = time.Millisecond
 
-// epoch is when the tests' time begins.
+// epoch is the start of simulated time.
 var epoch = time.Unix(0, 0)
 
-// steady returns the estimate of a stage with the given quantiles.
-func steady(p50, p95 time.Duration) latency.Estimate {
+// estimateOf returns the estimate of a stage with the given quantiles.
+func estimateOf(p50, p95 time.Duration) latency.Estimate {
 	return latency.Estimate{ServiceP50: p50, ServiceP95: p95}
 }
 
-// TestOneStragglerDoesNotMoveTheEstimate merges four equal upstreams and a slow one.
+// TestOneStragglerDoesNotMoveTheEstimate merges the reports of four equal upstreams and a
+// slow one.
 func TestOneStragglerDoesNotMoveTheEstimate(t *testing.T) {
 	table := latency.NewTable()
 	for i := range 5 {
-		report := latency.Report{Estimate: steady(10*ms, 20*ms), Finished: 50, At: epoch}
+		report := latency.Report{Estimate: estimateOf(10*ms, 20*ms), Finished: 50, At: epoch}
 		if i == 0 {
-			report.Estimate = steady(100*ms, 200*ms)
+			report.Estimate = estimateOf(100*ms, 200*ms)
 		}
 		table.Observe("encoder", core.UpstreamID(fmt.Sprint("u", i)), report)
 	}
@@ -38,21 +39,23 @@
 	assert.Equal(t, got.Reporters, 5)
 }
 
-// TestReportsWithoutSamplesAndOldOnesDoNotCount leaves only one report to go by.
-func TestReportsWithoutSamplesAndOldOnesDoNotCount(t *testing.T) {
+// TestStaleAndEmptyReportsDoNotCount checks that the estimate follows the only fresh report
+// with samples.
+func TestStaleAndEmptyReportsDoNotCount(t *testing.T) {
 	table := latency.NewTable()
 	now := epoch.Add(2 * time.Minute)
-	table.Observe("llm", "old", latency.Report{Estimate: steady(900*ms, 900*ms), Finished: 500, At: epoch})
+	table.Observe("llm", "old", latency.Report{Estimate: estimateOf(900*ms, 900*ms), Finished: 500, At: epoch})
 	table.Observe("llm", "idle", latency.Report{At: now})
 	table.Observe("llm", "idle too", latency.Report{At: now})
-	table.Observe("llm", "busy", latency.Report{Estimate: steady(10*ms, 30*ms), Finished: 1, At: now})
+	table.Observe("llm", "busy", latency.Report{Estimate: estimateOf(10*ms, 30*ms), Finished: 1, At: now})
 	got := table.Estimate("llm", now)
 	assert.Equal(t, got.ServiceP50, 10*ms)
 	assert.Equal(t, got.Reporters, 3)
 	assert.Equal(t, table.Estimate("unheard", now), latency.Estimate{})
 }
 
-// TestSplitKeepsWhatLaterStagesNeed checks the split of any deadline.
+// TestSplitKeepsWhatLaterStagesNeed checks the bounds of the budget for any deadline and
+// any stages.
 func TestSplitKeepsWhatLaterStagesNeed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 6).Draw(t, "stages")
@@ -61,7 +64,7 @@
 		for i := range stages {
 			p50 := time.Duration(rapid.IntRange(0, 500).Draw(t, "p50")) * ms
 			tail := time.Duration(rapid.IntRange(0, 500).Draw(t, "tail")) * ms
-			stages[i] = steady(p50, p50+tail)
+			stages[i] = estimateOf(p50, p50+tail)
 			stages[i].Wait = time.Duration(rapid.IntRange(0, 50).Draw(t, "wait")) * ms
 			medians[i] = stages[i].Wait + p50
 		}
@@ -76,14 +79,14 @@
 		if !ok {
 			return
 		}
-		assert.Assert(t, budget >= medians[i], "the stage itself can't make it in %s", budget)
-		assert.Assert(t, budget <= remaining-later, "the later stages can't make it after %s", budget)
+		assert.Assert(t, budget >= medians[i], "the budget %s is below the median of the stage", budget)
+		assert.Assert(t, budget <= remaining-later, "the budget %s leaves too little for the later stages", budget)
 	})
 }
 
-// TestSplitGivesTheLastStageAllAndEarlierStagesTheSlack shows two plain cases.
-func TestSplitGivesTheLastStageAllAndEarlierStagesTheSlack(t *testing.T) {
-	stages := []latency.Estimate{steady(10*ms, 20*ms), steady(100*ms, 400*ms)}
+// TestSplitGivesSlackToCurrentStage checks the split of one deadline at both of two stages.
+func TestSplitGivesSlackToCurrentStage(t *testing.T) {
+	stages := []latency.Estimate{estimateOf(10*ms, 20*ms), estimateOf(100*ms, 400*ms)}
 	got, ok := latency.Split(3000*ms, stages, 1)
 	assert.Assert(t, ok)
 	assert.Equal(t, got, 3000*ms)
@@ -92,9 +95,10 @@
 	assert.Equal(t, got, 2600*ms)
 }
 
-// TestHedgeOnlyWhenItCanFinish shows the delay and its refusal.
+// TestHedgeOnlyWhenItCanFinish checks the hedge delay, and that there is no hedge without
+// the time for it or without quantiles.
 func TestHedgeOnlyWhenItCanFinish(t *testing.T) {
-	e := steady(100*ms, 150*ms)
+	e := estimateOf(100*ms, 150*ms)
 	delay, ok := latency.HedgeDelay(e, 300*ms)
 	assert.Assert(t, ok)
 	assert.Equal(t, delay, 150*ms)
@@ -104,7 +108,7 @@
 	assert.Assert(t, !ok)
 }
 
-// TestSilenceBounds shows that a bound never falls below its floor.
+// TestSilenceBounds checks the default, the floor and the factor of the bounds.
 func TestSilenceBounds(t *testing.T) {
 	assert.Equal(t, latency.FirstBound(latency.Estimate{}), 2*time.Second)
 	assert.Equal(t, latency.FirstBound(latency.Estimate{FirstP95: 5 * ms}), 250*ms)
@@ -112,10 +116,11 @@
 	assert.Equal(t, latency.GapBound(latency.Estimate{GapP95: 100 * ms}), 400*ms)
 }
 
-// TestForTokensOnlyShortens bounds an answer by its length.
+// TestForTokensOnlyShortens checks that a bound on the chunks can lower the estimate but
+// not raise it.
 func TestForTokensOnlyShortens(t *testing.T) {
-	e := steady(900*ms, 1800*ms)
-	assert.Equal(t, e.ForTokens(4), e, "nothing is known of chunks")
+	e := estimateOf(900*ms, 1800*ms)
+	assert.Equal(t, e.ForTokens(4), e, "no chunk times are known")
 	e.FirstP50, e.FirstP95, e.GapP95 = 100*ms, 200*ms, 30*ms
 	short := e.ForTokens(11)
 	assert.Equal(t, short.ServiceP50, 400*ms)
--- a/core/latency/split.go
+++ b/core/latency/split.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Split gives stage i its part of the time that remains of a request's deadline.
-// The later stages keep their median times, and the slack is shared by spread:
-// while there is enough of it, the later stages keep a joint margin of the root
-// of their squared spreads (stages are slow independently of one another), and
-// stage i gets all the rest.
+// Split returns the part of a request's remaining time that stage i may use. The later
+// stages keep their median times, and the slack is shared in proportion to the spreads.
+// While there is enough slack, the later stages keep a joint margin of the root of their
+// squared spreads (stages are slow independently of one another), and stage i gets the
+// remainder.
 //
-// It returns false if the remaining stages don't fit even at their medians: the
-// request can't make it and should be refused before stage i costs anything.
+// It returns false if the remaining stages do not fit even at their medians: the request
+// cannot meet its deadline and should be refused before stage i costs anything.
 func Split(remaining time.Duration, stages []Estimate, i int) (time.Duration, bool) {
-	own := stages[i].need()
-	later, margin := laterNeeds(stages[i+1:])
+	own := stages[i].median()
+	later, margin := mediansAndMargin(stages[i+1:])
 	slack := remaining - own - later
 	if slack < 0 {
 		return 0, false
@@ -24,18 +24,18 @@
 	return own + slack - reserve, true
 }
 
-// laterNeeds returns the summed medians of stages and their joint margin.
-func laterNeeds(stages []Estimate) (medians, margin time.Duration) {
+// mediansAndMargin returns the summed medians of stages and their joint margin.
+func mediansAndMargin(stages []Estimate) (medians, margin time.Duration) {
 	squares := 0.0
 	for _, stage := range stages {
-		medians += stage.need()
+		medians += stage.median()
 		squares += math.Pow(float64(stage.spread()), 2)
 	}
 	return medians, time.Duration(math.Sqrt(squares))
 }
 
-// share returns the part of slack that falls to margin when it is divided
-// between margin and spread in proportion.
+// share returns the part of slack that margin gets when slack is divided between margin and
+// spread in proportion.
 func share(slack, margin, spread time.Duration) time.Duration {
 	if margin <= 0 {
 		return 0
--- a/core/latency/table.go
+++ b/core/latency/table.go
@@ -8,18 +8,19 @@
 	"acaciawinch/core"
 )
 
-// reportLife is how long a report counts. Upstreams that an entry has not heard
-// of for longer say nothing about the service any more.
-const reportLife = 60 * time.Second
+// reportTTL is how long a report counts. An upstream without a report for longer says
+// nothing about the present latency of the service.
+const reportTTL = 60 * time.Second
 
-// maxWeight bounds the weight of one reporter, so that a long-lived upstream
-// does not outvote the rest.
-const maxWeight = 100
+// maxReporterWeight bounds the weight of one upstream, so that a long-running one does not
+// outvote the others.
+const maxReporterWeight = 100
 
-// Report is what one upstream's side told about its recent work.
+// Report is the report of one sidecar about the recent work of its upstream.
 type Report struct {
 	Estimate
-	// Finished is how many attempts the side has seen end; it is the weight.
+	// Finished is how many attempts the sidecar has seen end. It is the weight of the
+	// report.
 	Finished uint64
 	At       time.Time
 }
@@ -45,23 +46,23 @@
 	reports[upstream] = report
 }
 
-// Estimate merges the reports of a service that are not older than a minute.
-// Each quantile is the weighted median over the upstreams, so one straggler
-// among three or more doesn't move it.
+// Estimate merges the reports of a service that are not older than reportTTL. Each quantile
+// is the weighted median over the upstreams, so that one straggler among three or more does
+// not move it.
 func (t *Table) Estimate(service string, now time.Time) Estimate {
-	var live []Report
+	var fresh []Report
 	for upstream, report := range t.services[service] {
-		if now.Sub(report.At) > reportLife {
+		if now.Sub(report.At) > reportTTL {
 			delete(t.services[service], upstream)
 			continue
 		}
-		live = append(live, report)
+		fresh = append(fresh, report)
 	}
-	return merge(live)
+	return merge(fresh)
 }
 
-// merge returns the weighted median of every field over reports. A zero wait is
-// a fact; any other zero means that the side had no recent sample.
+// merge returns the weighted median of every field over reports. A zero wait is a measured
+// value; any other zero means that the sidecar had no recent sample.
 func merge(reports []Report) Estimate {
 	median := func(field func(Report) time.Duration) time.Duration {
 		return weightedMedian(reports, field, false)
@@ -83,25 +84,25 @@
 	weight float64
 }
 
-// weightedMedian returns the smallest value up to which half of the weight lies.
-// Zeros are left out unless they count.
-func weightedMedian(reports []Report, field func(Report) time.Duration, zeros bool) time.Duration {
+// weightedMedian returns the smallest value at or below which half of the weight lies.
+// Zeros are left out unless includeZeros is set.
+func weightedMedian(reports []Report, field func(Report) time.Duration, includeZeros bool) time.Duration {
 	var samples []sample
 	total := 0.0
 	for _, report := range reports {
 		value := field(report)
-		if value == 0 && !zeros {
+		if value == 0 && !includeZeros {
 			continue
 		}
-		weight := float64(min(report.Finished+1, maxWeight))
+		weight := float64(min(report.Finished+1, maxReporterWeight))
 		samples = append(samples, sample{value: value, weight: weight})
 		total += weight
 	}
 	slices.SortFunc(samples, func(a, b sample) int { return cmp.Compare(a.value, b.value) })
-	below := 0.0
+	cumulative := 0.0
 	for _, s := range samples {
-		below += s.weight
-		if 2*below >= total {
+		cumulative += s.weight
+		if 2*cumulative >= total {
 			return s.value
 		}
 	}
