--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -1,6 +1,7 @@
-// Package relay decides which entries relay the platform's state to the rest of
-// the fleet, and whom each process asks for it. Every process decides from its
-// own copy of the host list; lists that differ for a while cost a detour at most.
+// Package relay decides which entries relay the platform's state to the other
+// processes of the fleet, and to which entries each process subscribes for it. Every
+// process decides from its own copy of the host list. While the copies differ, an
+// update may at worst take a longer path.
 package relay
 
 import (
@@ -13,11 +14,11 @@
 	"acaciawinch/core/fleet"
 )
 
-// Relays returns the relays of every zone: of its entries that are not leaving
-// the perZone ones that score highest for the zone. One that comes or goes
-// changes at most one relay of its zone. The order is by zone, then score.
+// Relays returns the relays of every zone: the perZone entries that score highest for the
+// zone, leaving ones excluded. An entry that joins or leaves changes at most one relay of
+// its zone. The result is ordered by zone, then by score.
 func Relays(hosts []fleet.Host, perZone int) []fleet.Host {
-	entries := liveEntries(hosts)
+	entries := activeEntries(hosts)
 	slices.SortFunc(entries, func(a, b fleet.Host) int {
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone), compareScores(a.Zone, a.Name, b.Name))
 	})
@@ -35,36 +36,37 @@
 	return relays
 }
 
-// IsRelay tells whether the entry is one of the relays.
+// IsRelay reports whether the entry with the given name is a relay.
 func IsRelay(name string, hosts []fleet.Host, perZone int) bool {
 	return slices.ContainsFunc(Relays(hosts, perZone), func(h fleet.Host) bool { return h.Name == name })
 }
 
-// Subscriber is a process that looks for a relay.
+// Subscriber is a process that needs a relay.
 type Subscriber struct {
 	Name, Zone, Region string
 }
 
-// Order returns whom the subscriber asks, the best first: relays before other
-// entries, among these its own zone before its region before the rest, among
-// these by its own rendezvous scores, so that subscribers spread evenly and move
-// evenly when a relay goes. The subscriber itself is left out.
+// Order returns the entries to which the subscriber may subscribe, best first. Relays come
+// before other entries; within these, entries of its zone come before those of its region
+// and all others. Ties are ordered by the rendezvous scores for the subscriber's name, so
+// that subscribers spread evenly and move evenly when a relay goes. The subscriber itself
+// is left out.
 func (s Subscriber) Order(hosts []fleet.Host, perZone int) []fleet.Host {
 	relays := map[string]bool{}
 	for _, host := range Relays(hosts, perZone) {
 		relays[host.Name] = true
 	}
-	order := slices.DeleteFunc(liveEntries(hosts), func(h fleet.Host) bool { return h.Name == s.Name })
+	order := slices.DeleteFunc(activeEntries(hosts), func(h fleet.Host) bool { return h.Name == s.Name })
 	slices.SortFunc(order, func(a, b fleet.Host) int {
 		return cmp.Or(
-			cmp.Compare(distance(relays[a.Name], s.farness(a)), distance(relays[b.Name], s.farness(b))),
+			cmp.Compare(preference(relays[a.Name], s.zoneDistance(a)), preference(relays[b.Name], s.zoneDistance(b))),
 			compareScores(s.Name, a.Name, b.Name))
 	})
 	return order
 }
 
-// farness is 0 in the subscriber's zone, 1 in its region, 2 elsewhere.
-func (s Subscriber) farness(h fleet.Host) int {
+// zoneDistance returns 0 for a host in the subscriber's zone, 1 in its region, 2 elsewhere.
+func (s Subscriber) zoneDistance(h fleet.Host) int {
 	switch {
 	case h.Zone == s.Zone:
 		return 0
@@ -74,16 +76,16 @@
 	return 2
 }
 
-// distance orders relays before others, then by farness.
-func distance(isRelay bool, farness int) int {
+// preference returns the sort key of an entry: relays before others, then by zone distance.
+func preference(isRelay bool, zoneDistance int) int {
 	if isRelay {
-		return farness
+		return zoneDistance
 	}
-	return farness + 3
+	return zoneDistance + 3
 }
 
-// liveEntries returns the entries that are not leaving.
-func liveEntries(hosts []fleet.Host) []fleet.Host {
+// activeEntries returns the entries that are not leaving.
+func activeEntries(hosts []fleet.Host) []fleet.Host {
 	var entries []fleet.Host
 	for _, host := range hosts {
 		if host.Role == fleet.RoleEntry && !host.Leaving {
@@ -93,19 +95,19 @@
 	return entries
 }
 
-// compareScores orders two hosts by their rendezvous scores for a key, the
-// highest first, and by name if these are equal.
+// compareScores compares two hosts by their rendezvous scores for a key, highest first,
+// then by name.
 func compareScores(key, a, b string) int {
 	return cmp.Or(cmp.Compare(score(key, b), score(key, a)), cmp.Compare(a, b))
 }
 
-// score is the rendezvous hash of a host for a key.
+// score returns the rendezvous score of a host for a key.
 func score(key, host string) uint64 {
 	var length [8]byte
 	binary.LittleEndian.PutUint64(length[:], uint64(len(key)))
 	hash := xxhash.New()
-	_, _ = hash.Write(length[:])  // a hash takes every byte
-	_, _ = hash.WriteString(key)  // a hash takes every byte
-	_, _ = hash.WriteString(host) // a hash takes every byte
+	_, _ = hash.Write(length[:])  // hash writes never fail
+	_, _ = hash.WriteString(key)  // hash writes never fail
+	_, _ = hash.WriteString(host) // hash writes never fail
 	return hash.Sum64()
 }
--- a/core/relay/relay_test.go
+++ b/core/relay/relay_test.go
@@ -11,9 +11,8 @@
 	"acaciawinch/core/fleet"
 )
 
-// fleetOf returns entries spread over zones, two zones to a region, and some
-// upstreams beside them.
-func fleetOf(zones, perZone int) []fleet.Host {
+// hostsOf returns entries spread over zones, two zones to a region, and as many upstreams.
+func hostsOf(zones, perZone int) []fleet.Host {
 	var hosts []fleet.Host
 	for z := range zones {
 		for i := range perZone {
@@ -27,7 +26,7 @@
 	return hosts
 }
 
-// names returns the hosts' names.
+// names returns the names of hosts.
 func names(hosts []fleet.Host) []string {
 	var all []string
 	for _, host := range hosts {
@@ -37,7 +36,7 @@
 }
 
 func TestEveryZoneHasItsRelaysWhateverTheOrderOfTheList(t *testing.T) {
-	hosts := fleetOf(4, 10)
+	hosts := hostsOf(4, 10)
 	want := names(Relays(hosts, 3))
 	assert.Equal(t, len(want), 12)
 	counts := map[string]int{}
@@ -53,7 +52,7 @@
 }
 
 func TestARelayThatLeavesIsReplacedAndNoOtherChanges(t *testing.T) {
-	hosts := fleetOf(2, 10)
+	hosts := hostsOf(2, 10)
 	before := names(Relays(hosts, 3))
 	i := slices.IndexFunc(hosts, func(h fleet.Host) bool { return h.Name == before[1] })
 	hosts[i].Leaving = true
@@ -66,27 +65,27 @@
 }
 
 func TestASubscriberPrefersNearRelaysThenOtherEntries(t *testing.T) {
-	hosts := fleetOf(4, 5)
+	hosts := hostsOf(4, 5)
 	order := Subscriber{Name: "e0-1", Zone: "z0", Region: "r0"}.Order(hosts, 2)
 	assert.Equal(t, len(order), 19)
 	assert.Assert(t, !slices.Contains(names(order), "e0-1"))
 	relays := names(Relays(hosts, 2))
 	rank := func(h fleet.Host) int {
-		far := map[string]int{"z0": 0, "z1": 1}
-		farness, near := far[h.Zone]
-		if !near {
-			farness = 2
+		distances := map[string]int{"z0": 0, "z1": 1}
+		distance, known := distances[h.Zone]
+		if !known {
+			distance = 2
 		}
 		if !slices.Contains(relays, h.Name) {
-			farness += 3
+			distance += 3
 		}
-		return farness
+		return distance
 	}
 	assert.Assert(t, slices.IsSortedFunc(order, func(a, b fleet.Host) int { return rank(a) - rank(b) }))
 }
 
 func TestSubscribersSpreadOverTheRelaysOfTheirZone(t *testing.T) {
-	hosts := fleetOf(2, 20)
+	hosts := hostsOf(2, 20)
 	counts := map[string]int{}
 	for i := range 400 {
 		order := Subscriber{Name: fmt.Sprint("s", i), Zone: "z1", Region: "r0"}.Order(hosts, 4)
@@ -100,6 +99,6 @@
 }
 
 func TestAZoneWithoutEntriesUsesItsRegion(t *testing.T) {
-	order := Subscriber{Name: "u", Zone: "z9", Region: "r1"}.Order(fleetOf(4, 3), 1)
+	order := Subscriber{Name: "u", Zone: "z9", Region: "r1"}.Order(hostsOf(4, 3), 1)
 	assert.Equal(t, order[0].Region, "r1")
 }
