--- a/core/placement/bench_test.go
+++ b/core/placement/bench_test.go
@@ -7,10 +7,10 @@
 	"acaciawinch/core/placement"
 )
 
-// BenchmarkPropose measures one round's planning at the size of the long-run
-// letter: 1,100 engines in 11 zones, 8 models with 130 replicas each.
+// BenchmarkPropose measures one planning round at the size of the target deployment for
+// long runs: 1,100 engines in 11 zones, 8 models with 130 replicas each.
 func BenchmarkPropose(b *testing.B) {
-	f := newBench(1100, 11, placement.Rules{MaxLoads: 2000, ModelsPerEngine: 1})
+	f := newTestFleet(1100, 11, placement.Rules{MaxLoads: 2000, ModelsPerEngine: 1})
 	for i := range 8 {
 		f.want(fmt.Sprintf("model-%d", i), "1", 130)
 	}
--- a/core/placement/input.go
+++ b/core/placement/input.go
@@ -7,65 +7,66 @@
 	"acaciawinch/core/config"
 )
 
-// Engine is what a proposer knows of one model engine that takes part.
+// Engine is a proposer's view of one model engine that takes part in placement.
 type Engine struct {
 	Upstream core.UpstreamID
 	Service  string
 	Zone     string
-	// Loaded is what the engine holds, by its side's answer.
+	// Loaded lists the model versions on the engine, as last reported by its sidecar.
 	Loaded []ModelVersion
-	// Known is set if the side answered. Nothing new is loaded on an engine that
-	// is not known, but what it is assigned stays.
+	// Known is set if the sidecar responded. An engine that is not known gets no new
+	// assignments but keeps those that it has.
 	Known bool
 }
 
-// Input is all that a plan follows from.
+// Input is everything from which a plan is derived.
 type Input struct {
-	// Revision is the configuration's, from which Models come.
+	// Revision is the revision of the configuration that Models are from.
 	Revision core.Revision
 	Models   []config.Model
-	// Engines are those that are neither leaving, drained nor given up.
+	// Engines are the engines that are neither leaving, drained nor unresponsive for
+	// too long.
 	Engines []Engine
-	// Present is the plan in force; the zero Plan if there is none.
-	Present Plan
-	// Stuck are assignments whose loads took too long; they are placed elsewhere.
+	// Current is the current plan; the zero Plan if there is none.
+	Current Plan
+	// Stuck lists the assignments whose loads timed out; they are placed on other engines.
 	Stuck []Assignment
 	Rules Rules
-	// Proposer is the name of the process that plans.
+	// Proposer is the name of the planning process.
 	Proposer string
 }
 
-// Rules are the operators' bounds.
+// Rules are limits configured by operators.
 type Rules struct {
-	// MaxLoads bounds the loads from the weight store at once over the fleet.
+	// MaxLoads limits the concurrent loads from the weight store over the whole fleet.
 	MaxLoads int
-	// ModelsPerEngine bounds what one engine holds.
+	// ModelsPerEngine limits the model versions on one engine.
 	ModelsPerEngine int
 }
 
-// Action says what becomes of one assignment.
+// Action is the kind of a Decision.
 type Action string
 
 // The actions.
 const (
-	// ActionLoad: the engine is told to load the model version.
+	// ActionLoad: the engine is to load the model version.
 	ActionLoad Action = "load"
-	// ActionAssign: the engine holds the model version already and is told to keep it.
+	// ActionAssign: the engine has the model version loaded already and is to keep it.
 	ActionAssign Action = "assign"
-	// ActionDrop: the engine no longer has to hold it.
+	// ActionDrop: the engine may unload the model version.
 	ActionDrop Action = "drop"
-	// ActionDefer: the load waits for a later wave.
+	// ActionDefer: the load is deferred to a later wave.
 	ActionDefer Action = "defer"
-	// ActionShort: no engine can hold a replica that is wanted.
+	// ActionShort: no engine has capacity for a wanted replica.
 	ActionShort Action = "short"
 )
 
-// Decision is one change, for the log.
+// Decision is one change of the plan and its reason, for the log.
 type Decision struct {
 	Action     Action
 	Assignment Assignment
 	Reason     string
-	// Alternatives are the other engines that were weighed, the best first.
+	// Alternatives are the other candidate engines, best first.
 	Alternatives []core.UpstreamID
 }
 
@@ -73,32 +74,33 @@
 type fleet struct {
 	input   Input
 	engines map[core.UpstreamID]Engine
-	// held counts the assignments of each engine in the plan being made.
-	held map[core.UpstreamID]int
+	// assigned counts the assignments of each engine in the new plan.
+	assigned map[core.UpstreamID]int
 }
 
-// newFleet returns the index of an input.
+// newFleet returns a fleet without assignments for an input.
 func newFleet(in Input) *fleet {
-	f := &fleet{input: in, engines: make(map[core.UpstreamID]Engine), held: make(map[core.UpstreamID]int)}
+	f := &fleet{input: in, engines: make(map[core.UpstreamID]Engine), assigned: make(map[core.UpstreamID]int)}
 	for _, engine := range in.Engines {
 		f.engines[engine.Upstream] = engine
 	}
 	return f
 }
 
-// loaded tells whether the engine of an assignment is known to hold it.
+// loaded reports whether the engine of an assignment is known to have the model version
+// loaded.
 func (f *fleet) loaded(a Assignment) bool {
 	engine, ok := f.engines[a.Upstream]
 	return ok && slices.Contains(engine.Loaded, a.Holds())
 }
 
-// stuck tells whether a load was given up.
+// stuck reports whether the load of an assignment timed out.
 func (f *fleet) stuck(a Assignment) bool { return slices.Contains(f.input.Stuck, a) }
 
-// full tells whether an engine can take no more.
+// full reports whether an engine is at its limit of assignments.
 func (f *fleet) full(upstream core.UpstreamID) bool {
-	return f.held[upstream] >= f.input.Rules.ModelsPerEngine
+	return f.assigned[upstream] >= f.input.Rules.ModelsPerEngine
 }
 
-// zoneOf returns an engine's zone.
+// zoneOf returns the zone of an assignment's engine.
 func (f *fleet) zoneOf(a Assignment) string { return f.engines[a.Upstream].Zone }
--- a/core/placement/lease.go
+++ b/core/placement/lease.go
@@ -6,63 +6,65 @@
 
 // LeaseRecord is the value of the lease object.
 type LeaseRecord struct {
-	// Holder is the name of the process that proposes; empty if it gave the lease up.
+	// Holder is the name of the proposer that holds the lease; empty if it released the
+	// lease.
 	Holder string `json:"holder"`
-	// Term is a random number that the holder chose when it took the lease.
+	// Term is a random number that identifies one incarnation of the holder.
 	Term uint64 `json:"term"`
-	// Renewal rises with each renewal, so that each writes another value.
+	// Renewal increases with each renewal, so that each renewal changes the value.
 	Renewal uint64 `json:"renewal"`
 }
 
-// LeaseStep is what to do with the lease object after a read.
+// LeaseStep is the write, if any, to make to the lease object after a read.
 type LeaseStep struct {
-	// Write tells to write Record: by a create if Version is zero, else by an
-	// update of that version.
+	// Write is set if Record is to be written: by a create if Version is zero, else by
+	// an update conditional on that version.
 	Write   bool
 	Record  LeaseRecord
 	Version uint64
 }
 
-// Lease is one process's view of the lease. It is pure: the clock is the
-// process's own monotonic one, and no two processes' clocks are compared. A
-// process takes the lease over when it has seen it unchanged for the whole TTL.
+// Lease is one process's view of the lease. It does no I/O: callers pass in the times of
+// the process's own monotonic clock, and clocks of different processes are never
+// compared. A process takes over the lease after it has observed the lease unchanged for
+// the whole TTL.
 //
-// The lease only saves effort. Two processes that both believe to hold it can do
-// no harm, because plans are written under the condition of the plan object's
-// version, and a new holder's first write moves that version.
+// The lease only avoids duplicate work. Two processes that both believe that they hold it
+// do no harm, because writes of the plan are conditional on the plan object's version,
+// and a new holder's first write changes that version.
 type Lease struct {
 	self string
 	ttl  time.Duration
-	// term is the process's own; each process draws one when it starts.
+	// term is this process's term, chosen at random when the process starts.
 	term    uint64
 	renewal uint64
 
 	seenVersion uint64
 	seenAt      time.Duration
 	seen        bool
-	// heldSince is the moment before the write that last proved the lease held.
+	// heldSince is the time before the latest write that acquired or renewed the lease.
 	held      bool
 	heldSince time.Duration
-	// lostAt is the moment before the first write whose effect is not known.
-	lost   bool
-	lostAt time.Duration
-	// fresh is set from taking the lease until the first plan was written.
+	// unconfirmedAt is the time before the first write whose result is unknown.
+	unconfirmed   bool
+	unconfirmedAt time.Duration
+	// fresh is set from the acquisition of the lease until the first plan is written.
 	fresh bool
 }
 
-// NewLease returns the view of a process that does not hold the lease. Term is a
-// random number of the process.
+// NewLease returns the view of a process that does not hold the lease. The term is a
+// random number chosen by the process.
 func NewLease(self string, term uint64, ttl time.Duration) *Lease {
 	return &Lease{self: self, term: term, ttl: ttl}
 }
 
-// Absent hands in that a read at now found no lease object.
+// Absent records that a read at now found no lease object, and returns the write to make.
 func (l *Lease) Absent(now time.Duration) LeaseStep {
-	l.lose()
+	l.drop()
 	return LeaseStep{Write: true, Record: l.next()}
 }
 
-// Found hands in what a read at now found, and returns what to do.
+// Found records the lease object found by a read at now, and returns the write to make.
 func (l *Lease) Found(now time.Duration, record LeaseRecord, version uint64) LeaseStep {
 	if !l.seen || l.seenVersion != version {
 		l.seen = true
@@ -73,64 +75,66 @@
 		l.readBack(record)
 		return LeaseStep{Write: true, Record: l.next(), Version: version}
 	}
-	l.lose()
+	l.drop()
 	if record.Holder != "" && now-l.seenAt < l.ttl {
 		return LeaseStep{}
 	}
 	return LeaseStep{Write: true, Record: l.next(), Version: version}
 }
 
-// readBack notes that the object carries the process's own term. If the write's
-// answer was lost then this is how it learns that it holds the lease. The time
-// held counts from before that write, because others may have read it soon after.
+// readBack records that the lease object has the process's own term. If the response to
+// a write was lost, this is how the process learns that it holds the lease. The holding
+// time counts from before that write, because other processes may have read the object
+// right after the write.
 func (l *Lease) readBack(record LeaseRecord) {
 	l.renewal = max(l.renewal, record.Renewal)
 	if !l.held {
-		l.take(l.lostAt)
+		l.acquire(l.unconfirmedAt)
 	}
 }
 
-// Wrote hands in that the write took effect; before is the moment before it was
-// sent, from which the time held counts.
+// Wrote records that the write took effect; before is the time before the write was sent,
+// from which the holding time counts.
 func (l *Lease) Wrote(before time.Duration, version uint64) {
 	l.seen = true
 	l.seenVersion = version
 	l.seenAt = before
 	if !l.held {
-		l.take(before)
+		l.acquire(before)
 	}
 	l.heldSince = before
-	l.lost = false
+	l.unconfirmed = false
 }
 
-// Lost hands in that the answer to a write was lost; before is the moment before
-// it was sent. The next read tells what became of it.
-func (l *Lease) Lost(before time.Duration) {
-	if !l.lost {
-		l.lost = true
-		l.lostAt = before
+// Unconfirmed records that the response to a write was lost, so that its result is
+// unknown until the next read; before is the time before the write was sent.
+func (l *Lease) Unconfirmed(before time.Duration) {
+	if !l.unconfirmed {
+		l.unconfirmed = true
+		l.unconfirmedAt = before
 	}
 }
 
-// Holds tells whether the process believes to hold the lease at now.
+// Holds reports whether the process believes that it holds the lease at now.
 func (l *Lease) Holds(now time.Duration) bool {
 	return l.held && now-l.heldSince < l.ttl
 }
 
-// Fresh tells whether the holder has not written a plan since it took the lease.
-// It must then write one even without a change: that moves the plan's version, so
-// that whatever an earlier holder still has in hand fails.
+// Fresh reports whether the holder has not written a plan since it acquired the lease.
+// It must then write one even without a change: that changes the plan's version, so that
+// pending writes of an earlier holder fail.
 func (l *Lease) Fresh() bool { return l.fresh }
 
-// Planned hands in that a plan was written.
+// Planned records that a plan was written.
 func (l *Lease) Planned() { l.fresh = false }
 
-// Release returns the write that gives the lease up, if it is held.
+// Release gives up the lease and returns the write that releases it; no write if the
+// lease is not held.
 func (l *Lease) Release() LeaseStep {
 	if !l.held {
 		return LeaseStep{}
 	}
-	l.lose()
+	l.drop()
 	return LeaseStep{Write: true, Record: LeaseRecord{Term: l.term}, Version: l.seenVersion}
 }
 
@@ -140,15 +144,15 @@
 	return LeaseRecord{Holder: l.self, Term: l.term, Renewal: l.renewal}
 }
 
-// take begins to hold the lease.
-func (l *Lease) take(now time.Duration) {
+// acquire records that the lease is held since now.
+func (l *Lease) acquire(now time.Duration) {
 	l.held = true
 	l.fresh = true
 	l.heldSince = now
 }
 
-// lose ends to hold the lease.
-func (l *Lease) lose() {
+// drop records that the lease is not held.
+func (l *Lease) drop() {
 	l.held = false
 	l.fresh = false
 }
--- a/core/placement/lease_test.go
+++ b/core/placement/lease_test.go
@@ -14,83 +14,85 @@
 	"acaciawinch/core/placement"
 )
 
-// leaseMutation disables one mechanism, so that a test can see the checker fail.
+// leaseMutation disables one mechanism, to verify that the checker detects it.
 type leaseMutation int
 
 const (
-	leaseWhole leaseMutation = iota
+	noLeaseMutation leaseMutation = iota
 	planUnconditional
 	noFirstWrite
 	noWaitForTTL
-	heldFromAnswer
+	heldFromResponse
 	noRevisionGuard
 	leaseMutations
 )
 
-// Sizes of one interleaving.
+// Parameters of the simulated interleavings.
 const (
 	leaseTTL      = 10 * time.Second
-	proposers     = 3
-	leaseSteps    = 150
-	calmRounds    = 350
+	proposerCount = 3
+	leaseEvents   = 150
+	settleSteps   = 350
 	leaseRuns     = 10000
-	leaseSearches = 100000
+	mutationSeeds = 100000
 )
 
-// held is one object of the store.
-type held[T any] struct {
+// object is one object of the store.
+type object[T any] struct {
 	value   T
 	version uint64
 }
 
-// proposer is one entry that may place. It makes one effect or reception a step.
+// proposer is one entry that takes part in placement. Each step either makes a call or
+// receives its response.
 type proposer struct {
 	name     string
 	lease    *placement.Lease
 	round    *placement.Round
-	answer   func()
+	receive  func()
 	revision core.Revision
-	// term counts when it took the lease, among all takings that took effect.
+	// term is the sequence number of its latest acquisition of the lease among all
+	// acquisitions that took effect.
 	term int
 }
 
-// leaseWorld is a store and proposers on one clock rate.
-type leaseWorld struct {
+// leaseCluster simulates a store and proposers whose clocks run at the same rate.
+type leaseCluster struct {
 	pick      func(label string, n int) int
 	broken    leaseMutation
-	calm      bool
+	faultless bool
 	now       time.Duration
 	revision  core.Revision
 	version   uint64
-	lease     *held[placement.LeaseRecord]
-	plan      *held[placement.Plan]
-	all       []*proposer
-	late      []func()
+	lease     *object[placement.LeaseRecord]
+	plan      *object[placement.Plan]
+	proposers []*proposer
+	delayed   []func()
 	terms     int
 	completed int
-	problem   string
+	violation string
 }
 
-// fail notes the first violation.
-func (w *leaseWorld) fail(format string, args ...any) {
-	if w.problem == "" {
-		w.problem = fmt.Sprintf(format, args...)
+// fail records the first violation.
+func (cl *leaseCluster) fail(format string, args ...any) {
+	if cl.violation == "" {
+		cl.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// put makes a conditional write with the faults of the store: the effect may be
-// lost, late, or take place with its answer lost.
-func (w *leaseWorld) put(apply func() bool, answered func(ok bool), lost func()) func() {
+// put makes a conditional write with injected faults of the store: the write may be lost,
+// delayed, or take effect with its response lost.
+func (cl *leaseCluster) put(apply func() bool, answered func(ok bool), lost func()) func() {
 	fault := 0
-	if !w.calm {
-		fault = w.pick("write fault", 10)
+	if !cl.faultless {
+		fault = cl.pick("write fault", 10)
 	}
 	switch fault {
 	case 7:
 		apply()
 		return lost
 	case 8:
-		w.late = append(w.late, func() { apply() })
+		cl.delayed = append(cl.delayed, func() { apply() })
 		return lost
 	case 9:
 		return lost
@@ -100,49 +102,50 @@
 	}
 }
 
-// applyLease carries out a write of the lease.
-func (w *leaseWorld) applyLease(p *proposer, step placement.RoundStep) bool {
+// applyLease executes a write of the lease.
+func (cl *leaseCluster) applyLease(p *proposer, step placement.RoundStep) bool {
 	current := uint64(0)
-	if w.lease != nil {
-		current = w.lease.version
+	if cl.lease != nil {
+		current = cl.lease.version
 	}
 	if current != step.Version {
 		return false
 	}
-	if w.lease == nil || w.lease.value.Term != step.Lease.Term {
-		w.terms++
-		p.term = w.terms
+	if cl.lease == nil || cl.lease.value.Term != step.Lease.Term {
+		cl.terms++
+		p.term = cl.terms
 	}
-	w.version++
-	w.lease = &held[placement.LeaseRecord]{value: step.Lease, version: w.version}
+	cl.version++
+	cl.lease = &object[placement.LeaseRecord]{value: step.Lease, version: cl.version}
 	return true
 }
 
-// applyPlan carries out a write of the plan and checks that it does no harm.
-func (w *leaseWorld) applyPlan(p *proposer, term int, step placement.RoundStep) bool {
+// applyPlan executes a write of the plan and checks that the writer's term and revision
+// are not superseded.
+func (cl *leaseCluster) applyPlan(p *proposer, term int, step placement.RoundStep) bool {
 	current, revision := uint64(0), core.Revision(0)
-	if w.plan != nil {
-		current, revision = w.plan.version, w.plan.value.Revision
+	if cl.plan != nil {
+		current, revision = cl.plan.version, cl.plan.value.Revision
 	}
-	if current != step.Version && w.broken != planUnconditional {
+	if current != step.Version && cl.broken != planUnconditional {
 		return false
 	}
-	if term < w.completed {
-		w.fail("%s wrote a plan in term %d after a round of term %d ended", p.name, term, w.completed)
+	if term < cl.completed {
+		cl.fail("%s wrote a plan in term %d after a round of term %d had ended", p.name, term, cl.completed)
 	}
 	if step.Plan.Revision < revision {
-		w.fail("%s took the plan from revision %d back to %d", p.name, revision, step.Plan.Revision)
+		cl.fail("%s reverted the plan from revision %d to %d", p.name, revision, step.Plan.Revision)
 	}
-	w.version++
-	w.plan = &held[placement.Plan]{value: step.Plan, version: w.version}
+	cl.version++
+	cl.plan = &object[placement.Plan]{value: step.Plan, version: cl.version}
 	return true
 }
 
 // step makes one step of a proposer.
-func (w *leaseWorld) step(p *proposer) {
-	if p.answer != nil {
-		receive := p.answer
-		p.answer = nil
+func (cl *leaseCluster) step(p *proposer) {
+	if p.receive != nil {
+		receive := p.receive
+		p.receive = nil
 		receive()
 		return
 	}
@@ -150,41 +153,41 @@
 		p.round = placement.NewRound(p.lease)
 	}
 	round, step := p.round, p.round.Next()
-	before := w.now
+	before := cl.now
 	switch step.Call {
 	case placement.RoundEnd:
 		p.round = nil
 	case placement.RoundReadLease:
-		w.readLease(p, round)
+		cl.readLease(p, round)
 	case placement.RoundWriteLease:
 		written := uint64(0)
 		answered := func(ok bool) {
-			if w.broken == heldFromAnswer {
-				before = w.now
+			if cl.broken == heldFromResponse {
+				before = cl.now
 			}
 			if !ok {
 				round.NotWritten()
 				return
 			}
 			round.LeaseWritten(before, written)
-			if w.broken == noFirstWrite {
+			if cl.broken == noFirstWrite {
 				p.lease.Planned()
 			}
 		}
 		apply := func() bool {
-			ok := w.applyLease(p, step)
-			written = w.version
+			ok := cl.applyLease(p, step)
+			written = cl.version
 			return ok
 		}
-		p.answer = w.put(apply, answered, func() { round.LeaseLost(before) })
+		p.receive = cl.put(apply, answered, func() { round.LeaseLost(before) })
 	case placement.RoundReadPlan:
 		plan, version := placement.Plan{}, uint64(0)
-		if w.plan != nil {
-			plan, version = w.plan.value, w.plan.version
+		if cl.plan != nil {
+			plan, version = cl.plan.value, cl.plan.version
 		}
-		p.answer = func() { round.PlanRead(plan, version) }
+		p.receive = func() { round.PlanRead(plan, version) }
 	case placement.RoundGather:
-		w.gather(p, round)
+		cl.gather(p, round)
 	case placement.RoundWritePlan:
 		term := p.term
 		answered := func(ok bool) {
@@ -193,22 +196,22 @@
 				return
 			}
 			round.PlanWritten()
-			w.completed = max(w.completed, term)
+			cl.completed = max(cl.completed, term)
 		}
-		p.answer = w.put(func() bool { return w.applyPlan(p, term, step) }, answered, round.NotWritten)
+		p.receive = cl.put(func() bool { return cl.applyPlan(p, term, step) }, answered, round.NotWritten)
 	}
 }
 
 // readLease reads the lease object.
-func (w *leaseWorld) readLease(p *proposer, round *placement.Round) {
-	found := w.lease
-	p.answer = func() {
-		now := w.now
+func (cl *leaseCluster) readLease(p *proposer, round *placement.Round) {
+	found := cl.lease
+	p.receive = func() {
+		now := cl.now
 		if found == nil {
 			round.LeaseAbsent(now)
 			return
 		}
-		if w.broken == noWaitForTTL {
+		if cl.broken == noWaitForTTL {
 			round.LeaseFound(now, found.value, found.version)
 			now += leaseTTL
 		}
@@ -216,12 +219,13 @@
 	}
 }
 
-// gather hands in what the proposer knows: its own revision of the configuration,
-// which may lag, and one engine that has loaded whatever it was told to.
-func (w *leaseWorld) gather(p *proposer, round *placement.Round) {
+// gather passes the proposer's input to its round: the proposer's revision of the
+// configuration, which may lag behind, and one engine that has loaded all that is assigned
+// to it.
+func (cl *leaseCluster) gather(p *proposer, round *placement.Round) {
 	loaded := []placement.ModelVersion{}
-	if w.plan != nil {
-		for _, a := range w.plan.value.Assignments {
+	if cl.plan != nil {
+		for _, a := range cl.plan.value.Assignments {
 			loaded = append(loaded, a.Holds())
 		}
 	}
@@ -232,134 +236,135 @@
 		Rules:    placement.Rules{MaxLoads: 1, ModelsPerEngine: 2},
 		Proposer: p.name,
 	}
-	if w.broken == noRevisionGuard {
+	if cl.broken == noRevisionGuard {
 		in.Revision = 1 << 20
 	}
-	holds := p.lease.Holds(w.now)
-	round.Gathered(w.now, in)
-	if w.broken == noRevisionGuard && round.Next().Call == placement.RoundWritePlan {
-		p.answer = func() { round.NotWritten() }
+	holds := p.lease.Holds(cl.now)
+	round.Gathered(cl.now, in)
+	if cl.broken == noRevisionGuard && round.Next().Call == placement.RoundWritePlan {
+		p.receive = func() { round.NotWritten() }
 		step := round.Next()
 		step.Plan.Revision = p.revision
-		w.applyPlan(p, p.term, step)
+		cl.applyPlan(p, p.term, step)
 	}
-	if holds && round.Next().Call == placement.RoundEnd && p.revision >= planRevision(w) {
-		w.completed = max(w.completed, p.term)
+	if holds && round.Next().Call == placement.RoundEnd && p.revision >= planRevision(cl) {
+		cl.completed = max(cl.completed, p.term)
 	}
 }
 
-// planRevision returns the revision of the plan in force.
-func planRevision(w *leaseWorld) core.Revision {
-	if w.plan == nil {
+// planRevision returns the revision of the current plan.
+func planRevision(cl *leaseCluster) core.Revision {
+	if cl.plan == nil {
 		return 0
 	}
-	return w.plan.value.Revision
+	return cl.plan.value.Revision
 }
 
-// oneHolder fails if two proposers believe to hold the lease.
-func (w *leaseWorld) oneHolder() {
+// checkOneHolder fails if two proposers believe that they hold the lease.
+func (cl *leaseCluster) checkOneHolder() {
 	holders := 0
-	for _, p := range w.all {
-		if p.lease.Holds(w.now) {
+	for _, p := range cl.proposers {
+		if p.lease.Holds(cl.now) {
 			holders++
 		}
 	}
 	if holders > 1 {
-		w.fail("%d proposers hold the lease at once", holders)
+		cl.fail("%d proposers hold the lease at once", holders)
 	}
 }
 
-// playLease runs one interleaving with faults, then without.
-func playLease(pick func(string, int) int, broken leaseMutation) *leaseWorld {
-	w := &leaseWorld{pick: pick, broken: broken, revision: 1}
-	for i := range proposers {
+// runLease runs one interleaving with faults, then settles without faults.
+func runLease(pick func(string, int) int, broken leaseMutation) *leaseCluster {
+	cl := &leaseCluster{pick: pick, broken: broken, revision: 1}
+	for i := range proposerCount {
 		name := fmt.Sprintf("entry-%d", i)
-		w.all = append(w.all, &proposer{name: name, revision: 1, lease: placement.NewLease(name, uint64(i+1), leaseTTL)})
+		cl.proposers = append(cl.proposers, &proposer{name: name, revision: 1, lease: placement.NewLease(name, uint64(i+1), leaseTTL)})
 	}
-	for range leaseSteps {
-		w.turn()
-		w.oneHolder()
-		if w.problem != "" {
-			return w
+	for range leaseEvents {
+		cl.runEvent()
+		cl.checkOneHolder()
+		if cl.violation != "" {
+			return cl
 		}
 	}
-	w.settle()
-	return w
+	cl.settle()
+	return cl
 }
 
-// turn lets one thing happen. Whoever is not picked is as if paused.
-func (w *leaseWorld) turn() {
-	switch n := w.pick("turn", 16); {
-	case n == 0 && len(w.late) > 0:
-		deliver := w.late[0]
-		w.late = w.late[1:]
+// runEvent runs one random event. A proposer that is not picked is effectively paused.
+func (cl *leaseCluster) runEvent() {
+	switch n := cl.pick("turn", 16); {
+	case n == 0 && len(cl.delayed) > 0:
+		deliver := cl.delayed[0]
+		cl.delayed = cl.delayed[1:]
 		deliver()
 	case n == 1:
-		w.now += time.Duration(w.pick("seconds", 15)) * time.Second
+		cl.now += time.Duration(cl.pick("seconds", 15)) * time.Second
 	case n == 2:
-		w.revision++
+		cl.revision++
 	case n <= 4:
-		w.all[w.pick("who", proposers)].revision = w.revision
+		cl.proposers[cl.pick("who", proposerCount)].revision = cl.revision
 	default:
-		w.step(w.all[w.pick("who", proposers)])
+		cl.step(cl.proposers[cl.pick("who", proposerCount)])
 	}
 }
 
-// settle ends the faults and expects the newest configuration to be planned.
-func (w *leaseWorld) settle() {
-	w.calm = true
-	for _, deliver := range w.late {
+// settle ends the faults and checks that the newest configuration is planned.
+func (cl *leaseCluster) settle() {
+	cl.faultless = true
+	for _, deliver := range cl.delayed {
 		deliver()
 	}
-	for i := range calmRounds {
-		p := w.all[i%proposers]
-		p.revision = w.revision
-		w.step(p)
-		w.now += 100 * time.Millisecond
-		w.oneHolder()
+	for i := range settleSteps {
+		p := cl.proposers[i%proposerCount]
+		p.revision = cl.revision
+		cl.step(p)
+		cl.now += 100 * time.Millisecond
+		cl.checkOneHolder()
 	}
-	if planRevision(w) != w.revision {
-		w.fail("the plan is of revision %d, not %d", planRevision(w), w.revision)
+	if planRevision(cl) != cl.revision {
+		cl.fail("the plan has revision %d, want %d", planRevision(cl), cl.revision)
 	}
 }
 
-// TestPausedHolderDoesNoHarm plays interleavings of proposers that pause anywhere,
-// lose answers and lag behind in configuration. It checks that one holds the
-// lease at a time, that nobody writes a plan after a later holder has planned,
-// that plans never go back in revision, and that the newest comes into force.
+// TestPausedHolderDoesNoHarm runs interleavings of proposers that pause anywhere, lose
+// responses and lag behind in configuration. It checks that at most one proposer holds
+// the lease at a time, that no proposer writes a plan after a later holder has planned,
+// that the revision of the plan never decreases, and that the newest configuration is
+// planned eventually.
 func TestPausedHolderDoesNoHarm(t *testing.T) {
-	terms, played := 0, 0
+	terms, runs := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := playLease(func(label string, n int) int { return rapid.IntRange(0, n-1).Draw(t, label) }, leaseWhole)
-		if w.problem != "" {
-			t.Fatal(w.problem)
+		cl := runLease(func(label string, n int) int { return rapid.IntRange(0, n-1).Draw(t, label) }, noLeaseMutation)
+		if cl.violation != "" {
+			t.Fatal(cl.violation)
 		}
-		played++
-		terms += w.terms
+		runs++
+		terms += cl.terms
 	})
-	t.Logf("%d interleavings, the lease was taken %d times", played, terms)
-	assert.Assert(t, terms > 2*played, "the lease hardly ever changes hands")
+	t.Logf("%d interleavings, the lease was acquired %d times", runs, terms)
+	assert.Assert(t, terms > 2*runs, "the lease rarely changes its holder")
 }
 
-// TestCheckerSeesEachLeaseMutation disables one mechanism at a time and expects
-// the same checker to find a violation.
+// TestCheckerSeesEachLeaseMutation disables one mechanism at a time and expects the checks
+// of TestPausedHolderDoesNoHarm to detect a violation.
 func TestCheckerSeesEachLeaseMutation(t *testing.T) {
 	names := map[leaseMutation]string{
 		planUnconditional: "plans written without condition", noFirstWrite: "no first write by a new holder",
-		noWaitForTTL: "no wait for the TTL", heldFromAnswer: "time held counts from the answer",
+		noWaitForTTL: "no wait for the TTL", heldFromResponse: "time held counts from the answer",
 		noRevisionGuard: "no revision guard",
 	}
-	for broken := leaseWhole + 1; broken < leaseMutations; broken++ {
+	for broken := noLeaseMutation + 1; broken < leaseMutations; broken++ {
 		t.Run(names[broken], func(t *testing.T) {
-			for seed := range uint64(leaseSearches) {
+			for seed := range uint64(mutationSeeds) {
 				rng := rand.New(rand.NewPCG(seed, 1))
-				w := playLease(func(_ string, n int) int { return rng.IntN(n) }, broken)
-				if w.problem != "" {
-					t.Logf("interleaving %d: %s", seed, w.problem)
+				cl := runLease(func(_ string, n int) int { return rng.IntN(n) }, broken)
+				if cl.violation != "" {
+					t.Logf("interleaving %d: %s", seed, cl.violation)
 					return
 				}
 			}
-			t.Fatal("the checker found nothing")
+			t.Fatal("the checker found no violation")
 		})
 	}
 }
--- a/core/placement/plan.go
+++ b/core/placement/plan.go
@@ -1,8 +1,8 @@
-// Package placement decides which engine holds which model version. A proposer
-// works out the next plan from what the engines hold, the plan in force and what
-// the operators want; a lease decides who does so, only to save effort. The plan
-// is one object under conditional update, and the version of that object is the
-// fencing number of the orders that follow from it.
+// Package placement decides which engine holds which model version. A proposer derives
+// the next plan from the models loaded on the engines, the current plan and the
+// configured models. A lease selects the proposer, but only to avoid duplicate work. The
+// plan is one object that is written by conditional updates, and the version of that
+// object is the fencing token of the orders that follow from the plan.
 package placement
 
 import (
@@ -12,30 +12,31 @@
 	"acaciawinch/core"
 )
 
-// PlanKey and LeaseKey name the objects of the plan and the lease.
+// PlanKey and LeaseKey are the keys of the plan object and the lease object.
 const (
 	PlanKey  = "placement/plan"
 	LeaseKey = "lease/placement"
 )
 
-// Assignment tells one upstream's engine to hold a model version.
+// Assignment assigns a model version to the engine of an upstream.
 type Assignment struct {
 	Upstream core.UpstreamID `json:"upstream"`
 	Model    string          `json:"model"`
 	Version  string          `json:"version"`
 }
 
-// Plan is the desired placement. It is kept as one object; the version of the
-// object is the fencing number of the orders that follow from it.
+// Plan is the desired placement. It is stored as one object; the version of the object
+// is the fencing token of the orders that follow from the plan.
 type Plan struct {
-	// Sequence rises with each plan and is for people; fencing uses the object's version.
+	// Sequence increases with each plan. It is informational; fencing uses the version
+	// of the object.
 	Sequence    uint64        `json:"sequence"`
 	Revision    core.Revision `json:"revision"`
 	Proposer    string        `json:"proposer"`
 	Assignments []Assignment  `json:"assignments"`
 }
 
-// ModelVersion names one version of a model.
+// ModelVersion identifies one version of a model.
 type ModelVersion struct {
 	Model   string
 	Version string
@@ -44,7 +45,7 @@
 // String returns "model@version".
 func (m ModelVersion) String() string { return m.Model + "@" + m.Version }
 
-// Holds returns what the assignment tells the engine to hold.
+// Holds returns the model version that is assigned to the engine.
 func (a Assignment) Holds() ModelVersion { return ModelVersion{Model: a.Model, Version: a.Version} }
 
 // compareAssignments orders assignments by model, version and upstream.
@@ -56,7 +57,7 @@
 	)
 }
 
-// sameAssignments tells whether two plans assign the same, in any order.
+// sameAssignments reports whether a and b have the same assignments, in any order.
 func sameAssignments(a, b []Assignment) bool {
 	a = slices.SortedFunc(slices.Values(a), compareAssignments)
 	b = slices.SortedFunc(slices.Values(b), compareAssignments)
--- a/core/placement/wave.go
+++ b/core/placement/wave.go
@@ -4,18 +4,18 @@
 	"slices"
 )
 
-// Propose returns the next plan, what changes with it and why, and whether it
-// differs from the plan in force.
+// Propose returns the next plan, its changes with their reasons, and whether it differs
+// from the current plan.
 //
-// The plan in force goes towards the target in waves: it never names more loads
-// that are not finished than the rules allow, so that the weight store's rate is
-// not passed, and what is to be dropped stays until its replacement serves.
+// The plan moves towards the target in waves: it never has more unfinished loads than the
+// rules allow, so that the weight store's rate limit is not exceeded, and an assignment
+// that is to be dropped stays until its replacements serve.
 //
-// A proposer whose configuration is older than that of the plan in force changes
-// nothing: it would undo what a better informed one decided.
+// A proposer whose configuration is older than that of the current plan changes nothing,
+// because it would undo decisions based on the newer configuration.
 func Propose(in Input) (Plan, []Decision, bool) {
-	if in.Revision < in.Present.Revision {
-		return in.Present, nil, false
+	if in.Revision < in.Current.Revision {
+		return in.Current, nil, false
 	}
 	target, decisions := newFleet(in).target()
 	w := newWave(in, target)
@@ -24,9 +24,9 @@
 	w.retain()
 	decisions = w.explain(decisions)
 	slices.SortFunc(w.next, compareAssignments)
-	changed := !sameAssignments(w.next, in.Present.Assignments)
+	changed := !sameAssignments(w.next, in.Current.Assignments)
 	plan := Plan{
-		Sequence:    in.Present.Sequence + 1,
+		Sequence:    in.Current.Sequence + 1,
 		Revision:    in.Revision,
 		Proposer:    in.Proposer,
 		Assignments: w.next,
@@ -34,7 +34,7 @@
 	return plan, decisions, changed
 }
 
-// wave is one step from the plan in force towards the target.
+// wave is one step from the current plan towards the target.
 type wave struct {
 	*fleet
 	target []Assignment
@@ -44,34 +44,35 @@
 	deferred []Assignment
 }
 
-// newWave returns an empty step.
+// newWave returns a wave without assignments.
 func newWave(in Input, target []Assignment) *wave {
 	return &wave{fleet: newFleet(in), target: target}
 }
 
-// add puts an assignment into the next plan.
+// add adds an assignment to the next plan.
 func (w *wave) add(a Assignment) {
 	w.next = append(w.next, a)
-	w.held[a.Upstream]++
+	w.assigned[a.Upstream]++
 	if !w.loaded(a) {
 		w.loads++
 	}
 }
 
-// keep takes over what is in force and in the target.
+// keep adds the assignments that are in the current plan and in the target.
 func (w *wave) keep() {
 	for _, a := range w.target {
-		if slices.Contains(w.input.Present.Assignments, a) {
+		if slices.Contains(w.input.Current.Assignments, a) {
 			w.add(a)
 		}
 	}
 }
 
-// unfinished counts what is in force, not loaded, and no longer wanted. Its
-// engine may go on loading until it hears of the next plan.
-func (w *wave) unfinished() int {
+// abandonedLoads counts the assignments in the current plan that are not loaded and no
+// longer in the target. Their engines may continue to load until they receive the next
+// plan.
+func (w *wave) abandonedLoads() int {
 	count := 0
-	for _, a := range w.input.Present.Assignments {
+	for _, a := range w.input.Current.Assignments {
 		_, takesPart := w.engines[a.Upstream]
 		if takesPart && !slices.Contains(w.target, a) && !w.loaded(a) {
 			count++
@@ -80,10 +81,11 @@
 	return count
 }
 
-// load adds what the target has beyond the plan in force, as far as the bound on
-// loads allows. What is loaded already costs nothing.
+// load adds the assignments that are in the target but not in the current plan, as far as
+// the limit on concurrent loads allows. Those that are loaded already don't count towards
+// the limit.
 func (w *wave) load() {
-	w.loads += w.unfinished()
+	w.loads += w.abandonedLoads()
 	for _, a := range w.target {
 		if slices.Contains(w.next, a) {
 			continue
@@ -96,11 +98,11 @@
 	}
 }
 
-// retain takes over what is in force and serves, but is not in the target, as
-// long as the target's replicas of the model don't all serve and the engine has
-// room beside them. It counts as loaded and needs no load.
+// retain adds the assignments that are in the current plan and serve but are not in the
+// target, as long as not all of the target's replicas of the model serve and the engine
+// has capacity left. They are loaded already and need no load.
 func (w *wave) retain() {
-	for _, a := range w.input.Present.Assignments {
+	for _, a := range w.input.Current.Assignments {
 		if slices.Contains(w.next, a) || !w.loaded(a) {
 			continue
 		}
@@ -111,8 +113,8 @@
 	}
 }
 
-// replaced tells whether the target's replicas of a model all serve, in whatever
-// version. A model that the target lacks has none to wait for.
+// replaced reports whether all of the target's replicas of a model serve, in any version.
+// It is true for a model without replicas in the target.
 func (w *wave) replaced(a Assignment) bool {
 	for _, want := range w.target {
 		if want.Model == a.Model && !w.loaded(want) {
@@ -122,18 +124,18 @@
 	return true
 }
 
-// explain returns the decisions that take part in this step: loads that are in
-// it, loads that wait, and drops.
+// explain returns the decisions of this wave: planned decisions, with the loads that are
+// deferred marked as such, and drops.
 func (w *wave) explain(planned []Decision) []Decision {
 	var decisions []Decision
 	for _, d := range planned {
 		if d.Action == ActionLoad && slices.Contains(w.deferred, d.Assignment) {
 			d.Action = ActionDefer
-			d.Reason += "; the bound on loads at once is reached"
+			d.Reason += "; the limit on concurrent loads is reached"
 		}
 		decisions = append(decisions, d)
 	}
-	for _, a := range w.input.Present.Assignments {
+	for _, a := range w.input.Current.Assignments {
 		if !slices.Contains(w.next, a) {
 			decisions = append(decisions, Decision{Action: ActionDrop, Assignment: a, Reason: w.dropReason(a)})
 		}
@@ -141,7 +143,7 @@
 	return decisions
 }
 
-// dropReason says why an assignment is not in the next plan.
+// dropReason returns the reason why an assignment is not in the next plan.
 func (w *wave) dropReason(a Assignment) string {
 	_, takesPart := w.engines[a.Upstream]
 	switch {
@@ -150,10 +152,10 @@
 	case w.stuck(a):
 		return "the load took too long"
 	case w.replaced(a):
-		return "its replacements serve, or it is not wanted"
+		return "its replacements serve, or the model is not wanted"
 	case !w.loaded(a):
 		return "it is not loaded and not wanted here"
 	default:
-		return "the engine's place is needed"
+		return "the engine's capacity is needed"
 	}
 }
