--- a/core/share/check_test.go
+++ b/core/share/check_test.go
@@ -5,52 +5,52 @@
 	"strings"
 )
 
-// partBound returns the bound of the part that a home's key names. While host lists
-// differ in their regions, parts differ too.
-func (w *world) partBound(key string) int {
+// partBound returns the largest bound, over all host lists, of the part in a home's key.
+// The division into parts depends on the regions in the host list.
+func (cl *cluster) partBound(key string) int {
 	part, _ := strconv.Atoi(key[strings.LastIndexByte(key, '/')+1:])
-	most := 0
+	largest := 0
 	for gone := range entries + 1 {
 		homes := views[gone][0]
-		if part < homes.Parts(w.bound) {
-			most = max(most, homes.PartBound(w.bound, part))
+		if part < homes.Parts(cl.bound) {
+			largest = max(largest, homes.PartBound(cl.bound, part))
 		}
 	}
-	return most
+	return largest
 }
 
-// check checks the bounds at this moment.
-func (w *world) check() {
-	running, aloneAll := 0, 0
-	by, alone := map[string]int{}, map[int]int{}
-	for _, c := range w.calls {
-		if !c.runs {
+// checkBounds fails the run if a bound is exceeded now.
+func (cl *cluster) checkBounds() {
+	running, localTotal := 0, 0
+	byHome, localByEntry := map[string]int{}, map[int]int{}
+	for _, c := range cl.requests {
+		if !c.running {
 			continue
 		}
 		running++
-		if c.alone {
-			if !c.dead {
-				alone[c.at]++
+		if c.local {
+			if !c.crashed {
+				localByEntry[c.entry]++
 			}
-			aloneAll++
+			localTotal++
 		} else {
-			by[c.grantedBy]++
+			byHome[c.grantedBy]++
 		}
 	}
-	for key, count := range by {
-		if bound := w.partBound(key); count > bound {
-			w.fail("%d of %d run by %s", count, bound, key)
+	for key, count := range byHome {
+		if bound := cl.partBound(key); count > bound {
+			cl.fail("%d requests run with a bound of %d by permits of %s", count, bound, key)
 		}
 	}
-	for at, count := range alone {
-		if count > max((w.bound+entries-2)/(entries-1), 1) {
-			w.fail("%d run alone at %d", count, at)
+	for entry, count := range localByEntry {
+		if count > max((cl.bound+entries-2)/(entries-1), 1) {
+			cl.fail("%d locally admitted requests run at entry %d", count, entry)
 		}
 	}
-	if !w.faulty && running > w.bound {
-		w.fail("%d of %d run without any fault", running, w.bound)
+	if !cl.faulty && running > cl.bound {
+		cl.fail("%d requests run without any fault, the bound is %d", running, cl.bound)
 	}
-	if running > w.bound*len(by)+aloneAll {
-		w.fail("%d of %d run by %d homes and %d alone", running, w.bound, len(by), aloneAll)
+	if running > cl.bound*len(byHome)+localTotal {
+		cl.fail("%d requests run, the bound is %d: %d homes granted permits, %d requests were admitted locally", running, cl.bound, len(byHome), localTotal)
 	}
 }
--- a/core/share/homes.go
+++ b/core/share/homes.go
@@ -10,22 +10,21 @@
 	"acaciawinch/core/rendezvous"
 )
 
-// Size of the parts into which a bound is divided, so that no home has to answer
-// for all requests of a busy workspace, and each region has a part of its own if
-// the bound allows it.
+// A bound is divided into parts so that no single home has to serve all requests of a
+// busy workspace, and so that each region has a part of its own if the bound allows it.
 const (
-	// partSize is the least bound of one part while there are more than regions.
+	// partSize is the smallest bound of a part if there are more parts than regions.
 	partSize = 8
 	maxParts = 16
 )
 
-// Parts returns into how many parts a bound is divided.
+// Parts returns the number of parts into which a bound is divided.
 func (h *Homes) Parts(bound int) int {
 	parts := max(bound/partSize, min(bound, len(h.regions)), 1)
 	return min(parts, maxParts)
 }
 
-// PartBound returns the bound of one part; all parts add up to bound.
+// PartBound returns the bound of one part. The bounds of all parts add up to bound.
 func (h *Homes) PartBound(bound, part int) int {
 	parts := h.Parts(bound)
 	if part < bound%parts {
@@ -34,7 +33,7 @@
 	return bound / parts
 }
 
-// Home is an entry that may keep a ledger.
+// Home is an entry that may keep ledgers.
 type Home struct {
 	Name string
 	// Addr is the IP:port of its drpc listener.
@@ -43,31 +42,31 @@
 	hash   uint64
 }
 
-// Homes are the entries of one host list that may keep ledgers, as they are seen
-// from a region.
+// Homes are the entries of one host list that may keep ledgers. The order in which
+// parts are tried depends on the region of the entry that requests permits.
 type Homes struct {
-	own     string
-	regions []string
-	// byRegion are the entries of each of regions.
+	ownRegion string
+	regions   []string
+	// byRegion lists the entries of each region, in the order of regions.
 	byRegion [][]Home
 	count    int
 }
 
-// NewHomes returns the entries of a host list that are not leaving, as they are
-// seen from a region.
-func NewHomes(hosts []fleet.Host, own string) *Homes {
-	h := &Homes{own: own}
+// NewHomes returns the entries of a host list that are not leaving, for an entry in
+// the region ownRegion.
+func NewHomes(hosts []fleet.Host, ownRegion string) *Homes {
+	h := &Homes{ownRegion: ownRegion}
 	for _, host := range hosts {
 		if host.Role != fleet.RoleEntry || host.Leaving {
 			continue
 		}
-		at, known := slices.BinarySearch(h.regions, host.Region)
+		region, known := slices.BinarySearch(h.regions, host.Region)
 		if !known {
-			h.regions = slices.Insert(h.regions, at, host.Region)
-			h.byRegion = slices.Insert(h.byRegion, at, []Home(nil))
+			h.regions = slices.Insert(h.regions, region, host.Region)
+			h.byRegion = slices.Insert(h.byRegion, region, []Home(nil))
 		}
 		home := Home{Name: host.Name, Addr: host.Addr, Region: host.Region, hash: xxhash.Sum64String(host.Name)}
-		h.byRegion[at] = append(h.byRegion[at], home)
+		h.byRegion[region] = append(h.byRegion[region], home)
 		h.count++
 	}
 	return h
@@ -76,66 +75,68 @@
 // Len returns the number of entries.
 func (h *Homes) Len() int { return h.count }
 
-// Of returns who may count one part of a workspace's bound, in the order in which
-// they are asked: its home by rendezvous hash over the entries of the part's region,
-// the home's deputy there, and then the first of each other region, in an order that
-// all entries share: so those that reach each other agree when regions are cut off.
-// Another entry that comes or goes moves only what it leads.
+// Of returns the candidates for the home of one part of a workspace's bound, in the
+// order in which they are queried: the part's home, by rendezvous hashing over the
+// entries of the part's region; the home's backup in that region; then the
+// highest-ranked entry of each other region. All entries use the same order, so during
+// a network partition those that reach each other agree on the home. An entry that
+// joins or leaves moves only the parts whose home it is.
 func (h *Homes) Of(workspace string, part int) []Home {
 	if h.count == 0 {
 		return nil
 	}
 	key := xxhash.Sum64String(workspace + "\x00" + strconv.Itoa(part))
-	at := h.regionOf(workspace, part)
-	best := first(h.byRegion[at], homesOfPart, key)
+	region := h.regionOf(workspace, part)
+	candidates := top(h.byRegion[region], candidatesInPartRegion, key)
 	for i := 1; i < len(h.regions); i++ {
-		best = append(best, first(h.byRegion[(at+i)%len(h.regions)], 1, key)...)
+		candidates = append(candidates, top(h.byRegion[(region+i)%len(h.regions)], 1, key)...)
 	}
-	return best
+	return candidates
 }
 
-// regionOf returns the region of a part: each workspace begins with another one.
+// regionOf returns the index of a part's region. Consecutive parts are in consecutive
+// regions; the region of a workspace's first part follows from a hash of its name.
 func (h *Homes) regionOf(workspace string, part int) int {
 	return int((xxhash.Sum64String(workspace) + uint64(part)) % uint64(len(h.regions)))
 }
 
-// order returns the parts of a workspace's bound as they are asked: those of the own
-// region first, then the others, each from a random one on.
+// order returns the parts of a workspace's bound in the order in which they are tried:
+// those of the own region first, then the others, each group starting at a random part.
 func (h *Homes) order(workspace string, bound int, random uint64) []int {
 	parts := h.Parts(bound)
-	var near, far []int
+	var local, remote []int
 	for i := range parts {
 		part := int((random + uint64(i)) % uint64(parts))
-		if h.count > 0 && h.regions[h.regionOf(workspace, part)] == h.own {
-			near = append(near, part)
+		if h.count > 0 && h.regions[h.regionOf(workspace, part)] == h.ownRegion {
+			local = append(local, part)
 		} else {
-			far = append(far, part)
+			remote = append(remote, part)
 		}
 	}
-	return append(near, far...)
+	return append(local, remote...)
 }
 
-// homesOfPart counts the home and its deputy in the part's region.
-const homesOfPart = 2
+// candidatesInPartRegion counts the home and its backup in the part's region.
+const candidatesInPartRegion = 2
 
-// first returns the first n homes by their score for key.
-func first(homes []Home, n int, key uint64) []Home {
+// top returns the n homes with the highest scores for key, best first.
+func top(homes []Home, n int, key uint64) []Home {
 	var best []Home
 	for _, home := range homes {
-		at := 0
-		for at < len(best) && before(best[at], home, key) {
-			at++
+		rank := 0
+		for rank < len(best) && ranksBefore(best[rank], home, key) {
+			rank++
 		}
-		if at < n {
-			best = slices.Insert(best, at, home)
+		if rank < n {
+			best = slices.Insert(best, rank, home)
 			best = best[:min(len(best), n)]
 		}
 	}
 	return best
 }
 
-// before tells whether a goes before b for key.
-func before(a, b Home, key uint64) bool {
+// ranksBefore reports whether a ranks before b for key.
+func ranksBefore(a, b Home, key uint64) bool {
 	scoreA, scoreB := rendezvous.Score(key, a.hash), rendezvous.Score(key, b.hash)
 	return scoreA > scoreB || scoreA == scoreB && a.Name < b.Name
 }
--- a/core/share/ledger.go
+++ b/core/share/ledger.go
@@ -2,146 +2,148 @@
 
 import "time"
 
-// Times of a ledger.
+// Durations and rates of a ledger.
 const (
-	// Grace is how long a permit outlives its request's deadline, for answers on
-	// their way and clocks that don't run alike.
+	// Grace is how long a permit outlives its request's deadline, to allow for responses
+	// in transit and clock drift.
 	Grace = time.Second
-	// tombstoneLife is how long a late ask for a released permit is recognised.
-	tombstoneLife = 10 * time.Second
-	// leastHold and mostHold bound how long a refused entry is told not to ask again
-	// for the workspace; refusalRate is how many refusals a second a home of one
-	// part aims at.
-	leastHold   = 250 * time.Millisecond
-	mostHold    = 5 * time.Second
+	// tombstoneTTL is how long a delayed request for a released permit is recognised.
+	tombstoneTTL = 10 * time.Second
+	// minHold and maxHold bound the time for which a refused entry must not request
+	// permits of the workspace again; refusalRate is the number of refusals per second
+	// that a home aims at for one part.
+	minHold     = 250 * time.Millisecond
+	maxHold     = 5 * time.Second
 	refusalRate = 20
-	// sweepEvery is the time between two looks for what has expired.
-	sweepEvery = 10 * time.Second
+	// sweepInterval is the time between two removals of expired permits and tombstones.
+	sweepInterval = 10 * time.Second
 )
 
-// PermitID names a permit. Entries draw it at random.
+// PermitID identifies a permit. Entries choose it at random.
 type PermitID uint64
 
-// Ask asks for a permit.
+// Ask is a request for a permit.
 type Ask struct {
 	Workspace string
-	// Part is the part of the workspace's bound, and Bound the bound of this part.
+	// Part is the index of a part of the workspace's bound, and Bound that part's bound.
 	Part  int
 	Bound int
-	// Permit stays the same when the ask is repeated.
+	// Permit is the same in each retry, which makes the request idempotent.
 	Permit PermitID
-	// Life is how long the permit holds unless it is released.
+	// Life is the time after which the permit expires unless it is released.
 	Life time.Duration
-	// Running is set if the request runs already, by the permit of another home
-	// or of none: it is counted without regard to the bound.
+	// Running is set if the request is running already, because another home granted
+	// it or it was admitted locally. It is then counted even beyond the bound.
 	Running bool
 }
 
-// Answer is the answer to an Ask.
+// Answer is the response to an Ask.
 type Answer struct {
 	Granted bool
-	// Hold is how long not to ask again, if no permit was granted: the longer, the
-	// more refusals the home has to give.
+	// Hold is the time for which the entry must not request again if no permit was
+	// granted. It grows with the home's rate of refusals.
 	Hold time.Duration
 }
 
-// Ledger is what a home knows of the requests in flight. It is for one goroutine
-// at a time.
+// Ledger records the permits that a home granted to requests in flight. It is not safe
+// for concurrent use.
 type Ledger struct {
-	books    map[bookKey]*book
-	released map[PermitID]time.Time
-	swept    time.Time
+	parts      map[partKey]*partLedger
+	tombstones map[PermitID]time.Time
+	lastSweep  time.Time
 }
 
-// bookKey names one part of a workspace's bound.
-type bookKey struct {
+// partKey identifies one part of a workspace's bound.
+type partKey struct {
 	workspace string
 	part      int
 }
 
-// book is what is known of one part.
-type book struct {
-	// permits are those that are out, with their ends.
+// partLedger is the ledger of one part.
+type partLedger struct {
+	// permits maps the granted permits to their expiry times.
 	permits map[PermitID]time.Time
-	// refusals counts since second began, and before in the second before.
-	second           time.Time
-	refusals, before int
+	// refusals counts the refusals since windowStart, and lastRefusals those of the
+	// window before. A window lasts at least one second.
+	windowStart            time.Time
+	refusals, lastRefusals int
 }
 
 // NewLedger returns an empty Ledger.
 func NewLedger() *Ledger {
-	return &Ledger{books: make(map[bookKey]*book), released: make(map[PermitID]time.Time)}
+	return &Ledger{parts: make(map[partKey]*partLedger), tombstones: make(map[PermitID]time.Time)}
 }
 
-// Acquire grants a permit if the part's bound allows it. A repeated ask gets the
-// same permit; one that comes behind its own release gets none.
+// Acquire grants a permit if the part's bound allows it. A retry of a request gets the
+// same permit. A request that arrives after the release of its permit gets none.
 func (l *Ledger) Acquire(now time.Time, a Ask) Answer {
 	l.sweep(now)
-	if _, released := l.released[a.Permit]; released {
+	if _, released := l.tombstones[a.Permit]; released {
 		return Answer{}
 	}
-	b := l.book(bookKey{a.Workspace, a.Part})
+	b := l.part(partKey{a.Workspace, a.Part})
 	_, known := b.permits[a.Permit]
 	if !known && !a.Running && b.full(now, a.Bound) {
-		return Answer{Hold: b.refused(now)}
+		return Answer{Hold: b.refuse(now)}
 	}
 	b.permits[a.Permit] = now.Add(a.Life)
 	return Answer{Granted: true}
 }
 
-// book returns the book of a part.
-func (l *Ledger) book(key bookKey) *book {
-	b, ok := l.books[key]
+// part returns the ledger of a part, which it creates if there is none.
+func (l *Ledger) part(key partKey) *partLedger {
+	b, ok := l.parts[key]
 	if !ok {
-		b = &book{permits: make(map[PermitID]time.Time)}
-		l.books[key] = b
+		b = &partLedger{permits: make(map[PermitID]time.Time)}
+		l.parts[key] = b
 	}
 	return b
 }
 
-// full tells whether no further permit is left within bound.
-func (b *book) full(now time.Time, bound int) bool {
+// full reports whether the permits in use reach bound.
+func (b *partLedger) full(now time.Time, bound int) bool {
 	if len(b.permits) >= bound {
 		b.expire(now)
 	}
 	return len(b.permits) >= bound
 }
 
-// refused counts a refusal and returns its Hold.
-func (b *book) refused(now time.Time) time.Duration {
-	if age := now.Sub(b.second); age >= time.Second {
-		b.before = 0
+// refuse counts a refusal and returns its Hold.
+func (b *partLedger) refuse(now time.Time) time.Duration {
+	if age := now.Sub(b.windowStart); age >= time.Second {
+		b.lastRefusals = 0
 		if age < 2*time.Second {
-			b.before = b.refusals
+			b.lastRefusals = b.refusals
 		}
-		b.second, b.refusals = now, 0
+		b.windowStart, b.refusals = now, 0
 	}
 	b.refusals++
-	hold := time.Duration(max(b.before, b.refusals)) * time.Second / refusalRate
-	return min(max(hold, leastHold), mostHold)
+	hold := time.Duration(max(b.lastRefusals, b.refusals)) * time.Second / refusalRate
+	return min(max(hold, minHold), maxHold)
 }
 
-// Release gives a permit back. It may come before its ask, or again.
+// Release releases a permit. It is idempotent, and it may arrive before the request
+// for the permit, which then gets none.
 func (l *Ledger) Release(now time.Time, workspace string, part int, permit PermitID) {
-	if b, ok := l.books[bookKey{workspace, part}]; ok {
+	if b, ok := l.parts[partKey{workspace, part}]; ok {
 		delete(b.permits, permit)
 	}
-	l.released[permit] = now.Add(tombstoneLife)
+	l.tombstones[permit] = now.Add(tombstoneTTL)
 	l.sweep(now)
 }
 
-// Permits returns how many permits are out, those that expired and were not
-// looked at since included.
+// Permits returns the number of granted permits, including those that have expired but
+// are not removed yet.
 func (l *Ledger) Permits() int {
 	count := 0
-	for _, b := range l.books {
+	for _, b := range l.parts {
 		count += len(b.permits)
 	}
 	return count
 }
 
-// expire drops the permits whose time is over.
-func (b *book) expire(now time.Time) {
+// expire removes the expired permits.
+func (b *partLedger) expire(now time.Time) {
 	for permit, end := range b.permits {
 		if !now.Before(end) {
 			delete(b.permits, permit)
@@ -149,21 +151,21 @@
 	}
 }
 
-// sweep drops all that has expired, now and then.
+// sweep removes expired permits and tombstones, at most once in sweepInterval.
 func (l *Ledger) sweep(now time.Time) {
-	if now.Sub(l.swept) < sweepEvery {
+	if now.Sub(l.lastSweep) < sweepInterval {
 		return
 	}
-	l.swept = now
-	for key, b := range l.books {
+	l.lastSweep = now
+	for key, b := range l.parts {
 		b.expire(now)
 		if len(b.permits) == 0 {
-			delete(l.books, key)
+			delete(l.parts, key)
 		}
 	}
-	for permit, end := range l.released {
+	for permit, end := range l.tombstones {
 		if !now.Before(end) {
-			delete(l.released, permit)
+			delete(l.tombstones, permit)
 		}
 	}
 }
--- a/core/share/property_test.go
+++ b/core/share/property_test.go
@@ -15,40 +15,41 @@
 )
 
 const (
-	turns          = 70
-	interleavings  = 10000
-	mutationSearch = 20000
+	eventsPerRun  = 70
+	interleavings = 10000
+	mutationSeeds = 20000
 )
 
-// turn lets one thing happen. Faults happen only if allowed.
-func (w *world) turn(faults bool) {
-	switch n := w.pick("turn", 20); {
+// runEvent runs one random event. Faults happen only if allowed.
+func (cl *cluster) runEvent(faults bool) {
+	switch n := cl.pick("turn", 20); {
 	case n < 4:
-		if !w.within || w.open() < w.bound {
-			w.begin(w.pick("entry", entries))
+		if !cl.withinBound || cl.open() < cl.bound {
+			cl.begin(cl.pick("entry", entries))
 		}
 	case n < 6:
-		w.finish()
+		cl.finish()
 	case n == 6:
-		w.pass(time.Duration(w.pick("ms", 1500)) * time.Millisecond)
+		cl.advance(time.Duration(cl.pick("ms", 1500)) * time.Millisecond)
 	case n == 7:
-		w.move()
+		cl.move()
 	case n >= 14 && n < 18 && faults:
-		w.faulty = true
-		w.fault()
-	case len(w.messages) > 0:
-		w.deliver(w.pick("message", len(w.messages)), faults)
+		cl.faulty = true
+		cl.injectFault()
+	case len(cl.messages) > 0:
+		cl.deliver(cl.pick("message", len(cl.messages)), faults)
 	}
-	w.check()
+	cl.checkBounds()
 }
 
-// open counts the requests that run, search, or whose release is on its way.
-func (w *world) open() int {
+// open counts the requests that run, search for a permit, or whose release has not
+// arrived at every home that received their permit request.
+func (cl *cluster) open() int {
 	count := 0
-	for _, c := range w.calls {
-		open := c.searching || c.runs
-		for _, back := range c.asked {
-			open = open || !back
+	for _, c := range cl.requests {
+		open := c.searching || c.running
+		for _, released := range c.released {
+			open = open || !released
 		}
 		if open {
 			count++
@@ -58,146 +59,151 @@
 }
 
 // finish ends one of the running requests.
-func (w *world) finish() {
-	var running []*call
-	for _, c := range w.calls {
-		if c.runs {
+func (cl *cluster) finish() {
+	var running []*request
+	for _, c := range cl.requests {
+		if c.running {
 			running = append(running, c)
 		}
 	}
 	if len(running) > 0 {
-		w.end(running[w.pick("call", len(running))])
+		cl.end(running[cl.pick("call", len(running))])
 	}
 }
 
-// pass lets time pass; requests end at their deadlines.
-func (w *world) pass(d time.Duration) {
-	w.now = w.now.Add(d)
-	for _, c := range w.calls {
-		if !c.over && !w.now.Before(c.deadline) {
-			w.end(c)
+// advance advances the clock and ends the requests whose deadlines have passed.
+func (cl *cluster) advance(d time.Duration) {
+	cl.now = cl.now.Add(d)
+	for _, c := range cl.requests {
+		if !c.ended && !cl.now.Before(c.deadline) {
+			cl.end(c)
 		}
 	}
 }
 
-// move registers permits with the homes that should count them.
-func (w *world) move() {
-	for _, c := range w.calls {
-		n := w.nodes[c.at]
-		if !c.runs || c.dead {
+// move requests that the right homes count the running requests.
+func (cl *cluster) move() {
+	for _, c := range cl.requests {
+		n := cl.nodes[c.entry]
+		if !c.running || c.crashed {
 			continue
 		}
-		if home, ask, ok := n.asker.Move(w.now, n.homes, c.held); ok {
-			w.ask(c, home, ask)
+		if home, ask, ok := n.asker.Move(cl.now, n.homes, c.held); ok {
+			cl.ask(c, home, ask)
 		}
 	}
 }
 
-// deliver delivers one message; with faults perhaps twice.
-func (w *world) deliver(i int, faults bool) {
-	m := w.messages[i]
-	if !faults || w.pick("twice", 8) > 0 {
-		w.messages = append(w.messages[:i:i], w.messages[i+1:]...)
+// deliver delivers one message. With faults it may stay in transit for a duplicate
+// delivery.
+func (cl *cluster) deliver(i int, faults bool) {
+	m := cl.messages[i]
+	if !faults || cl.pick("twice", 8) > 0 {
+		cl.messages = append(cl.messages[:i:i], cl.messages[i+1:]...)
 	}
 	m()
 }
 
-// fault lets one thing go wrong.
-func (w *world) fault() {
-	at := w.pick("node", entries)
-	switch w.pick("fault", 8) {
-	case 0: // the process is killed and started again; its requests go on upstream
-		n := w.nodes[at]
+// injectFault injects one random fault.
+func (cl *cluster) injectFault() {
+	entry := cl.pick("node", entries)
+	switch cl.pick("fault", 8) {
+	case 0: // the process crashes and restarts; its requests continue at the upstreams
+		n := cl.nodes[entry]
 		n.ledger, n.asker = share.NewLedger(), share.NewAsker()
 		n.incarnation += core.Incarnation(entries)
-		for _, c := range w.calls {
-			if c.at == at {
-				c.dead, c.searching = true, false
+		for _, c := range cl.requests {
+			if c.entry == entry {
+				c.crashed, c.searching = true, false
 			}
 		}
-	case 1: // its host list changes
-		w.nodes[at].homes = views[w.pick("gone", entries+1)][at]
+	case 1: // an entry's host list changes
+		cl.nodes[entry].homes = views[cl.pick("gone", entries+1)][entry]
 	case 2, 3: // a message is lost
-		if len(w.messages) > 0 {
-			i := w.pick("lost", len(w.messages))
-			w.messages = append(w.messages[:i:i], w.messages[i+1:]...)
+		if len(cl.messages) > 0 {
+			i := cl.pick("lost", len(cl.messages))
+			cl.messages = append(cl.messages[:i:i], cl.messages[i+1:]...)
 		}
-	default: // answers are waited for no longer
-		for _, c := range w.calls {
+	default: // all pending permit requests time out
+		for _, c := range cl.requests {
 			if c.searching {
-				w.step(c, c.search.Silent(w.now))
+				cl.step(c, c.search.Silent(cl.now))
 			}
 		}
 	}
 }
 
-// settle ends the faults and lets all permits expire. Then exactly the bound is
-// granted.
-func (w *world) settle() {
-	w.messages = nil
-	w.pass(time.Minute)
-	w.messages = nil
-	w.faulty = false
-	for i, n := range w.nodes {
+// settle ends the faults and lets all permits expire, then checks that exactly as many
+// requests as the bound allows are admitted.
+func (cl *cluster) settle() {
+	cl.messages = nil
+	cl.advance(time.Minute)
+	cl.messages = nil
+	cl.faulty = false
+	for i, n := range cl.nodes {
 		n.homes = views[entries][i]
 	}
-	for i := range w.bound + 1 {
-		before := w.refusals
-		w.begin(i % entries)
-		for len(w.messages) > 0 {
-			w.deliver(0, false)
+	for i := range cl.bound + 1 {
+		refusalsBefore := cl.refusals
+		cl.begin(i % entries)
+		for len(cl.messages) > 0 {
+			cl.deliver(0, false)
 		}
-		w.check()
-		if refused := w.refusals > before; refused != (i == w.bound) {
-			w.fail("request %d of %d after all is quiet: refused %t", i+1, w.bound, refused)
+		cl.checkBounds()
+		if refused := cl.refusals > refusalsBefore; refused != (i == cl.bound) {
+			cl.fail("request %d with bound %d after the faults ended: refused = %t", i+1, cl.bound, refused)
 		}
 	}
 }
 
-// play plays one interleaving.
-func play(pick func(string, int) int, broken mutation) *world {
-	w := newWorld(pick, broken)
+// run runs one interleaving.
+func run(pick func(string, int) int, broken mutation) *cluster {
+	cl := newCluster(pick, broken)
 	faults := pick("faults", 3) > 0
-	w.within = !faults && pick("within", 2) == 0
-	for range turns {
-		w.turn(faults)
+	cl.withinBound = !faults && pick("within", 2) == 0
+	for range eventsPerRun {
+		cl.runEvent(faults)
 	}
-	w.within = false
-	w.settle()
-	return w
+	cl.withinBound = false
+	cl.settle()
+	return cl
 }
 
+// TestTheBoundHolds checks the bounds in random interleavings of requests, messages and
+// faults.
 func TestTheBoundHolds(t *testing.T) {
 	assert.NilError(t, flag.Set("rapid.checks", strconv.Itoa(interleavings)))
 	assert.NilError(t, flag.Set("rapid.seed", "1"))
-	played, refused, alone := 0, 0, 0
+	runs, refused, local := 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := play(func(label string, n int) int { return rapid.IntRange(0, n-1).Draw(t, label) }, none)
-		if w.problem != "" {
-			t.Fatal(w.problem)
+		cl := run(func(label string, n int) int { return rapid.IntRange(0, n-1).Draw(t, label) }, noMutation)
+		if cl.violation != "" {
+			t.Fatal(cl.violation)
 		}
-		played++
-		refused += w.refusals
-		for _, c := range w.calls {
-			if c.alone {
-				alone++
+		runs++
+		refused += cl.refusals
+		for _, c := range cl.requests {
+			if c.local {
+				local++
 			}
 		}
 	})
-	t.Logf("%d interleavings, %d refusals, %d requests without a home", played, refused, alone)
-	assert.Assert(t, played >= interleavings && refused > interleavings && alone > interleavings)
+	t.Logf("%d interleavings, %d refusals, %d requests admitted locally", runs, refused, local)
+	assert.Assert(t, runs >= interleavings && refused > interleavings && local > interleavings)
 }
 
-func TestTheChecksCanFail(t *testing.T) {
-	for broken := oneTooMany; broken <= lostRelease; broken++ {
+// TestChecksDetectMutations breaks one mechanism at a time and expects the checks of
+// TestTheBoundHolds to fail.
+func TestChecksDetectMutations(t *testing.T) {
+	for broken := boundPlusOne; broken <= droppedRelease; broken++ {
 		found := ""
-		for seed := range uint64(mutationSearch) {
+		for seed := range uint64(mutationSeeds) {
 			random := rand.New(rand.NewPCG(seed, 1))
-			if found = play(func(_ string, n int) int { return random.IntN(n) }, broken).problem; found != "" {
+			if found = run(func(_ string, n int) int { return random.IntN(n) }, broken).violation; found != "" {
 				t.Logf("mutation %d, seed %d: %s", broken, seed, found)
 				break
 			}
 		}
-		assert.Assert(t, found != "", "mutation %d was not found", broken)
+		assert.Assert(t, found != "", "the checks did not detect mutation %d", broken)
 	}
 }
--- a/core/share/share_test.go
+++ b/core/share/share_test.go
@@ -11,7 +11,7 @@
 	"acaciawinch/core/share"
 )
 
-// TestPartsAddUp grants exactly the bound over all of its parts.
+// TestPartsAddUp checks that the parts of a bound together grant exactly the bound.
 func TestPartsAddUp(t *testing.T) {
 	hosts := []fleet.Host{{Name: "u", Role: fleet.RoleUpstream}, {Name: "gone", Role: fleet.RoleEntry, Leaving: true}}
 	for i := range 5 {
@@ -41,48 +41,50 @@
 	}
 }
 
-// TestAHomeThatGoesMovesOnlyItsOwn removes one of twenty homes.
-func TestAHomeThatGoesMovesOnlyItsOwn(t *testing.T) {
+// TestRemovedHomeMovesOnlyItsParts removes one of twenty homes: only its parts move, to
+// their backups.
+func TestRemovedHomeMovesOnlyItsParts(t *testing.T) {
 	var hosts []fleet.Host
 	for i := range 20 {
 		hosts = append(hosts, fleet.Host{Name: fmt.Sprint("e", i), Role: fleet.RoleEntry})
 	}
 	before, after := share.NewHomes(hosts, ""), share.NewHomes(hosts[1:], "")
-	led := 0
+	moved := 0
 	for i := range 2000 {
 		workspace := fmt.Sprint("w", i)
-		old, now := before.Of(workspace, 0), after.Of(workspace, 0)
-		if old[0].Name != "e0" {
-			assert.Equal(t, now[0].Name, old[0].Name)
+		oldHomes, newHomes := before.Of(workspace, 0), after.Of(workspace, 0)
+		if oldHomes[0].Name != "e0" {
+			assert.Equal(t, newHomes[0].Name, oldHomes[0].Name)
 			continue
 		}
-		led++
-		assert.Equal(t, now[0].Name, old[1].Name, "the deputy does not follow")
+		moved++
+		assert.Equal(t, newHomes[0].Name, oldHomes[1].Name, "the part did not move to its backup")
 	}
-	assert.Assert(t, led > 50 && led < 200, "e0 led %d of 2000", led)
+	assert.Assert(t, moved > 50 && moved < 200, "e0 was the home of %d of 2000 parts", moved)
 }
 
-// TestACutOffRegionAgrees takes one of three regions away: after a few silences all
-// entries of the region ask the same home, one of their own.
-func TestACutOffRegionAgrees(t *testing.T) {
+// TestIsolatedRegionAgreesOnHome isolates one of three regions: after a few failures all
+// entries of the region request permits from the same home, which is in their region.
+func TestIsolatedRegionAgreesOnHome(t *testing.T) {
 	var hosts []fleet.Host
 	for i := range 30 {
 		hosts = append(hosts, fleet.Host{Name: fmt.Sprint("e", i), Role: fleet.RoleEntry, Region: fmt.Sprint(i % 3)})
 	}
 	homes := share.NewHomes(hosts, "0")
-	one, two := share.NewAsker(), share.NewAsker()
+	askerA, askerB := share.NewAsker(), share.NewAsker()
 	now := time.Unix(1000, 0)
 	for i := range 50 {
 		workspace := fmt.Sprint("w", i)
-		a, b := findHome(now, one, homes, workspace), findHome(now, two, homes, workspace)
-		if i >= 4 { // by then two homes of each lost region were silent
+		a, b := findHome(now, askerA, homes, workspace), findHome(now, askerB, homes, workspace)
+		if i >= 4 { // two homes of each unreachable region have failed to respond
 			assert.Equal(t, a.Region, "0")
 			assert.Equal(t, a.Name, b.Name)
 		}
 	}
 }
 
-// findHome returns the home that answers an entry of region 0, empty if none does.
+// findHome returns the first home in region 0 that an entry of that region queries; the
+// other regions do not respond. It returns the zero Home if there is none.
 func findHome(now time.Time, asker *share.Asker, homes *share.Homes, workspace string) share.Home {
 	search, step := asker.Begin(now, homes, workspace, 1, 0)
 	for step.Kind == share.StepAsk {
--- a/core/share/sim/case.go
+++ b/core/share/sim/case.go
@@ -1,7 +1,8 @@
-// Package sim simulates the bounds of workspaces at the letter's size, with a
-// balancer that spreads connections unevenly, and a fixed seed. It shows how often
-// ways to share a bound refuse a workspace that keeps within it, how far one that
-// passes it is let beyond, and what that costs in messages.
+// Package sim simulates the enforcement of workspaces' bounds at the size of the target
+// deployment, with a load balancer that spreads connections unevenly, and a fixed seed.
+// It compares strategies for sharing a bound between entries: how often a strategy
+// refuses requests of a workspace that stays within its bound, how far a workspace can
+// exceed its bound, and what the strategy costs in messages.
 package sim
 
 import (
@@ -10,115 +11,118 @@
 	"acaciawinch/core/fleet"
 )
 
-// Case is one way to share bounds.
+// Case is one simulated scenario: a strategy for sharing bounds and the faults.
 type Case struct {
 	Name string
-	// Calm leaves out the workspace that floods.
-	Calm bool
-	// Cut separates one region from the three others between faultFrom and faultTo.
-	Cut bool
-	// Restart starts one home of the flooding workspace anew at faultFrom.
-	Restart bool
-	make    func(*simulation) way
+	// NoFlood leaves out the flooding workspace.
+	NoFlood bool
+	// Partition isolates one region from the three others between faultStart and
+	// faultEnd.
+	Partition bool
+	// Restart restarts one home of the flooding workspace at faultStart.
+	Restart     bool
+	newStrategy func(*simulation) strategy
 }
 
-// Figures are what a case comes to.
+// Figures are the results of a case.
 type Figures struct {
-	// WrongQuiet and WrongBusy are the shares of requests that were refused though
-	// fewer than the bound were in flight, of workspaces with the smallest bound and
-	// with larger ones. The flooding workspace is left out.
+	// WrongQuiet and WrongBusy are the ratios of requests that were refused although
+	// fewer requests than the bound were in flight: WrongQuiet for workspaces with the
+	// smallest bound, WrongBusy for those with larger bounds. The flooding workspace is
+	// not included.
 	WrongQuiet, WrongBusy float64
-	// Over is the most that was in flight of any workspace, over its bound, and
-	// OverFlood that of the workspace that floods.
+	// Over is the highest ratio of requests in flight to the bound of any workspace, and
+	// OverFlood that of the flooding workspace.
 	Over, OverFlood float64
-	// OverTime is the share of the arrivals at which their workspace had more than its
-	// bound in flight.
+	// OverTime is the ratio of arrivals at which the workspace had more requests in
+	// flight than its bound.
 	OverTime float64
-	// UsedFlood is how much of its bound the flooding workspace had in flight in the
-	// mean, sampled at its arrivals.
+	// UsedFlood is the mean ratio of requests in flight to the bound of the flooding
+	// workspace, sampled at its arrivals.
 	UsedFlood float64
-	// Calls and Bytes are per second and entry, in the mean: the calls that an entry
-	// makes, and the bytes of these and of those that it answers.
+	// Calls is the mean number of calls that an entry makes per second. Bytes is the
+	// mean number of bytes per second and entry of the calls that it makes and serves.
 	Calls, Bytes float64
-	// BusiestHome is the bytes a second of the home that answers most, and OneHome the
-	// calls a second of the workspace that has most, which one home would answer
-	// alone.
+	// BusiestHome is the bytes per second of the calls served by the busiest home.
+	// OneHome is the calls per second of the busiest workspace, which a single home
+	// would have to serve if bounds were not divided into parts.
 	BusiestHome, OneHome float64
-	// WaitP50 and WaitP99 are how long permits were waited for.
+	// WaitP50 and WaitP99 are percentiles of the time until a permit was acquired.
 	WaitP50, WaitP99 time.Duration
 }
 
-// Even splits each bound evenly, with at least one for each entry.
-func Even() Case { return Case{Name: "even split", make: newEven} }
+// EvenSplit splits each bound evenly over the entries, with at least one for each.
+func EvenSplit() Case { return Case{Name: "even split", newStrategy: newEvenSplit} }
 
-// Exchange moves unused shares through a bank to where more is wanted.
-// No entry's share counts as less than least.
-func Exchange(name string, every time.Duration, least int) Case {
-	return Case{Name: name, make: func(s *simulation) way { return newExchange(s, every, least) }}
+// Exchange moves unused shares of a bound periodically through a bank to the entries
+// that need more. An entry admits at least minShare requests whatever its share.
+func Exchange(name string, period time.Duration, minShare int) Case {
+	return Case{Name: name, newStrategy: func(s *simulation) strategy { return newExchange(s, period, minShare) }}
 }
 
-// Homes asks the home of each part of a bound.
-func Homes() Case { return Case{Name: "homes", make: newHomes} }
+// Homes acquires permits from the home of each part of a bound.
+func Homes() Case { return Case{Name: "homes", newStrategy: newHomes} }
 
-// Cases returns the ways that docs/design/limits.md compares.
+// Cases returns the cases that docs/design/limits.md compares.
 func Cases() []Case {
-	calm := Homes()
-	calm.Name, calm.Calm = "homes, no flood", true
-	cut := Homes()
-	cut.Name, cut.Cut = "homes, a region cut off", true
+	noFlood := Homes()
+	noFlood.Name, noFlood.NoFlood = "homes, no flood", true
+	partition := Homes()
+	partition.Name, partition.Partition = "homes, a region cut off", true
 	restart := Homes()
 	restart.Name, restart.Restart = "homes, one started anew", true
 	return []Case{
-		Even(),
+		EvenSplit(),
 		Exchange("exchange every 5 s", 5*time.Second, 0),
 		Exchange("exchange every 1 s", time.Second, 0),
 		Exchange("exchange every 1 s, at least 1 each", time.Second, 1),
 		Homes(),
-		calm,
-		cut,
+		noFlood,
+		partition,
 		restart,
 	}
 }
 
-// way is how entries share bounds. It calls admit or refuse once for each request.
-type way interface {
+// strategy is a way in which entries share bounds. For each request it calls
+// simulation.admit or simulation.refuse once.
+type strategy interface {
 	arrive(r *request)
 	ended(r *request)
-	// tick is called every tickEvery.
+	// tick is called once in tickInterval.
 	tick()
 }
 
-// even is the even split.
-type even struct {
+// evenSplit is the strategy of EvenSplit.
+type evenSplit struct {
 	s     *simulation
-	inUse map[place]int
+	inUse map[usageKey]int
 }
 
-// place is one workspace at one entry.
-type place struct{ workspace, entry int }
+// usageKey identifies one workspace on one entry.
+type usageKey struct{ workspace, entry int }
 
-func newEven(s *simulation) way { return &even{s: s, inUse: make(map[place]int)} }
+func newEvenSplit(s *simulation) strategy { return &evenSplit{s: s, inUse: make(map[usageKey]int)} }
 
-func (e *even) arrive(r *request) {
+func (e *evenSplit) arrive(r *request) {
 	bound := e.s.bounds[r.workspace]
-	part := bound / Entries
+	limit := bound / Entries
 	if r.entry < bound%Entries {
-		part++
+		limit++
 	}
-	at := place{r.workspace, r.entry}
-	if e.inUse[at] >= max(part, 1) {
+	key := usageKey{r.workspace, r.entry}
+	if e.inUse[key] >= max(limit, 1) {
 		e.s.refuse(r)
 		return
 	}
-	e.inUse[at]++
+	e.inUse[key]++
 	e.s.admit(r)
 }
 
-func (e *even) ended(r *request) { e.inUse[place{r.workspace, r.entry}]-- }
+func (e *evenSplit) ended(r *request) { e.inUse[usageKey{r.workspace, r.entry}]-- }
 
-func (e *even) tick() {}
+func (e *evenSplit) tick() {}
 
-// hostList returns the entries.
+// hostList returns the host list of all entries.
 func hostList() []fleet.Host {
 	hosts := make([]fleet.Host, Entries)
 	for i := range hosts {
--- a/core/share/sim/exchange.go
+++ b/core/share/sim/exchange.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// recordBytes is taken for one share in a message among others.
+// recordBytes is the assumed size of one workspace's share in a batched message.
 const recordBytes = 40
 
-// exchange is the bank-assisted share exchange: after each period an entry gives
-// what it did not use to the bank and asks for what it lacked, and the bank deals
-// out what it has in proportion.
+// exchange is a bank-assisted exchange of shares: after each period an entry returns
+// the part of its share that it did not use to the bank and requests what it lacked.
+// The bank distributes its balance in proportion to the requests.
 type exchange struct {
-	s     *simulation
-	every int
-	least float64
-	ticks int
-	banks map[int]*bank
+	s           *simulation
+	periodTicks int
+	minShare    float64
+	ticks       int
+	banks       map[int]*bank
 }
 
 // bank holds the shares of one workspace's bound.
@@ -21,15 +21,16 @@
 	balance float64
 	shares  [Entries]float64
 	inUse   [Entries]int
-	// peak and refused are of the present period.
+	// peak is the most requests in flight, and refused the number of refusals, of each
+	// entry in the current period.
 	peak, refused [Entries]int
 }
 
-func newExchange(s *simulation, every time.Duration, least int) *exchange {
-	return &exchange{s: s, every: int(every / tickEvery), least: float64(least), banks: make(map[int]*bank)}
+func newExchange(s *simulation, period time.Duration, minShare int) *exchange {
+	return &exchange{s: s, periodTicks: int(period / tickInterval), minShare: float64(minShare), banks: make(map[int]*bank)}
 }
 
-// bank returns a workspace's bank; its bound is split evenly at first.
+// bank returns a workspace's bank. Initially the bound is split evenly.
 func (x *exchange) bank(workspace int) *bank {
 	b, ok := x.banks[workspace]
 	if !ok {
@@ -44,7 +45,7 @@
 
 func (x *exchange) arrive(r *request) {
 	b := x.bank(r.workspace)
-	if float64(b.inUse[r.entry]+1) > max(b.shares[r.entry], x.least) {
+	if float64(b.inUse[r.entry]+1) > max(b.shares[r.entry], x.minShare) {
 		b.refused[r.entry]++
 		x.s.refuse(r)
 		return
@@ -58,40 +59,40 @@
 
 func (x *exchange) tick() {
 	x.ticks++
-	if x.ticks%x.every != 0 {
+	if x.ticks%x.periodTicks != 0 {
 		return
 	}
 	for workspace := range Workspaces {
 		if b, ok := x.banks[workspace]; ok {
-			x.deal(workspace, b)
+			x.redistribute(workspace, b)
 		}
 	}
 }
 
-// deal collects excess shares and deals them out among those that lack some.
-func (x *exchange) deal(workspace int, b *bank) {
-	var lacks [Entries]float64
-	total := 0.0
+// redistribute collects unused shares and distributes them to the entries that lack some.
+func (x *exchange) redistribute(workspace int, b *bank) {
+	var deficits [Entries]float64
+	totalDeficit := 0.0
 	for i := range b.shares {
 		wanted := float64(b.peak[i] + b.refused[i])
-		if excess := b.shares[i] - wanted; excess > 0 {
-			b.balance += excess
+		if unused := b.shares[i] - wanted; unused > 0 {
+			b.balance += unused
 			b.shares[i] = wanted
 			x.s.count(i, 0, recordBytes)
 		}
-		lacks[i] = max(wanted-b.shares[i], 0)
-		total += lacks[i]
+		deficits[i] = max(wanted-b.shares[i], 0)
+		totalDeficit += deficits[i]
 		b.peak[i], b.refused[i] = b.inUse[i], 0
 	}
-	if total == 0 {
+	if totalDeficit == 0 {
 		return
 	}
-	part := min(1, b.balance/total)
-	for i, lack := range lacks {
-		if lack > 0 {
-			b.shares[i] += lack * part
+	fraction := min(1, b.balance/totalDeficit)
+	for i, deficit := range deficits {
+		if deficit > 0 {
+			b.shares[i] += deficit * fraction
 			x.s.count(i, 0, recordBytes)
 		}
 	}
-	b.balance -= total * part
+	b.balance -= totalDeficit * fraction
 }
--- a/core/share/sim/homes.go
+++ b/core/share/sim/homes.go
@@ -9,55 +9,55 @@
 	"acaciawinch/core/share"
 )
 
-// homes asks the homes of bounds, by the decisions of core/share.
+// homes is the strategy of core/share: permits from the homes of bounds.
 type homes struct {
 	s *simulation
-	// seen are the homes as each region sees them.
-	seen    [regions]*share.Homes
-	askers  []*share.Asker
-	ledgers []*share.Ledger
-	// lives are the homes' incarnations.
-	lives []core.Incarnation
-	// running are the requests that run, in the order of their numbers.
+	// byRegion holds the homes from the view of each region.
+	byRegion     [regions]*share.Homes
+	askers       []*share.Asker
+	ledgers      []*share.Ledger
+	incarnations []core.Incarnation
+	// running lists the running requests in the order of their admission.
 	running []*request
-	// used is when a connection was used last.
-	used map[link]time.Time
+	// lastUsed is the time at which each connection was last used.
+	lastUsed map[link]time.Time
 }
 
-// link is the connection between two entries, from the one that opened it.
+// link identifies the connection that entry from opened to entry to.
 type link struct{ from, to int }
 
-func newHomes(s *simulation) way {
-	h := &homes{s: s, lives: make([]core.Incarnation, Entries), used: make(map[link]time.Time)}
+func newHomes(s *simulation) strategy {
+	h := &homes{s: s, incarnations: make([]core.Incarnation, Entries), lastUsed: make(map[link]time.Time)}
 	for region := range regions {
-		h.seen[region] = share.NewHomes(hostList(), nameOf(region))
+		h.byRegion[region] = share.NewHomes(hostList(), nameOf(region))
 	}
 	for range Entries {
 		h.askers = append(h.askers, share.NewAsker())
 		h.ledgers = append(h.ledgers, share.NewLedger())
 	}
 	if s.c.Restart {
-		s.after(faultFrom, h.restart)
+		s.after(faultStart, h.restart)
 	}
 	return h
 }
 
-// restart starts the home of the flooding workspace's first part anew.
+// restart restarts the home of the flooding workspace's first part, which loses its
+// ledger.
 func (h *homes) restart() {
-	home := indexOf(h.seen[0].Of(nameOf(flooding), 0)[0].Name)
+	home := indexOf(h.byRegion[0].Of(nameOf(floodingRank), 0)[0].Name)
 	h.ledgers[home] = share.NewLedger()
-	h.lives[home]++
+	h.incarnations[home]++
 }
 
 func (h *homes) arrive(r *request) {
-	homes := h.seen[r.entry%regions]
-	search, step := h.askers[r.entry].Begin(h.s.now, homes, nameOf(r.workspace), h.s.bounds[r.workspace], h.s.random.Uint64())
+	view := h.byRegion[r.entry%regions]
+	search, step := h.askers[r.entry].Begin(h.s.now, view, nameOf(r.workspace), h.s.bounds[r.workspace], h.s.random.Uint64())
 	r.search = search
-	r.held = share.Held{Workspace: nameOf(r.workspace), Permit: share.PermitID(r.number), End: h.s.now.Add(longest + share.Grace)}
+	r.held = share.Held{Workspace: nameOf(r.workspace), Permit: share.PermitID(r.number), End: h.s.now.Add(maxDuration + share.Grace)}
 	h.step(r, step)
 }
 
-// step carries out a step of a request's search.
+// step executes a step of a request's search.
 func (h *homes) step(r *request, step share.Step) {
 	r.held.Part, r.held.Bound = step.Part, step.Bound
 	switch step.Kind {
@@ -70,34 +70,35 @@
 			Life:      r.held.End.Sub(h.s.now),
 		})
 	case share.StepGranted, share.StepAlone:
-		r.alone = step.Kind == share.StepAlone
+		r.local = step.Kind == share.StepAlone
 		h.running = append(h.running, r)
-		h.s.waited(r)
+		h.s.recordWait(r)
 		h.s.admit(r)
 	default:
 		h.s.refuse(r)
 	}
 }
 
-// ask lets a home answer after the way there, and the entry learn it after the way
-// back, or its silence after the timeout.
+// ask sends a permit request to a home. The home handles it after the one-way delay, and
+// the entry receives the response after the same delay again. If the home is unreachable
+// the request times out.
 func (h *homes) ask(r *request, to share.Home, a share.Ask) {
 	home := indexOf(to.Name)
-	trip := trip(r.entry, home)
-	opening := h.call(r, home)
-	if h.cut(r.entry, home) {
-		h.s.after(share.AskTimeout, func() { h.silent(r, to, a) })
+	delay := oneWayDelay(r.entry, home)
+	openDelay := h.call(r, home)
+	if h.partitioned(r.entry, home) {
+		h.s.after(share.AskTimeout, func() { h.timedOut(r, to, a) })
 		return
 	}
-	h.s.after(opening+trip, func() {
-		answer, life := h.ledgers[home].Acquire(h.s.now, a), h.lives[home]
+	h.s.after(openDelay+delay, func() {
+		answer, incarnation := h.ledgers[home].Acquire(h.s.now, a), h.incarnations[home]
 		if answer.Granted {
-			r.counting = append(r.counting, home)
+			r.countedBy = append(r.countedBy, home)
 		}
-		h.s.after(trip, func() {
-			h.askers[r.entry].Heard(to.Name, life)
+		h.s.after(delay, func() {
+			h.askers[r.entry].Heard(to.Name, incarnation)
 			if answer.Granted {
-				r.held.Home, r.held.Incarnation = to.Name, life
+				r.held.Home, r.held.Incarnation = to.Name, incarnation
 			}
 			if !a.Running {
 				h.step(r, r.search.Answered(h.s.now, answer))
@@ -106,47 +107,47 @@
 	})
 }
 
-// silent tells an entry that a home did not answer.
-func (h *homes) silent(r *request, to share.Home, a share.Ask) {
+// timedOut records at an entry that a home did not respond.
+func (h *homes) timedOut(r *request, to share.Home, a share.Ask) {
 	if a.Running {
-		h.askers[r.entry].Silent(h.s.now, h.seen[r.entry%regions], to)
+		h.askers[r.entry].Silent(h.s.now, h.byRegion[r.entry%regions], to)
 		return
 	}
 	h.step(r, r.search.Silent(h.s.now))
 }
 
 func (h *homes) ended(r *request) {
-	h.askers[r.entry].Ended(nameOf(r.workspace), r.alone)
+	h.askers[r.entry].Ended(nameOf(r.workspace), r.local)
 	h.running = slices.DeleteFunc(h.running, func(other *request) bool { return other == r })
-	for _, home := range r.counting {
+	for _, home := range r.countedBy {
 		h.call(r, home)
-		if h.cut(r.entry, home) {
+		if h.partitioned(r.entry, home) {
 			continue
 		}
-		h.s.after(trip(r.entry, home), func() {
+		h.s.after(oneWayDelay(r.entry, home), func() {
 			h.ledgers[home].Release(h.s.now, r.held.Workspace, r.held.Part, r.held.Permit)
 		})
 	}
 }
 
-// tick lets the right homes count the running requests.
+// tick requests that the right homes count the running requests.
 func (h *homes) tick() {
 	for _, r := range h.running {
-		home, ask, due := h.askers[r.entry].Move(h.s.now, h.seen[r.entry%regions], r.held)
-		if due {
+		home, ask, needed := h.askers[r.entry].Move(h.s.now, h.byRegion[r.entry%regions], r.held)
+		if needed {
 			h.ask(r, home, ask)
 		}
 	}
 }
 
-// cut tells whether two entries are separated now.
-func (h *homes) cut(a, b int) bool {
-	since := h.s.now.Sub(h.s.start)
-	lone := regions - 1
-	return h.s.c.Cut && since >= faultFrom && since < faultTo && (a%regions == lone) != (b%regions == lone)
+// partitioned reports whether two entries cannot reach each other now.
+func (h *homes) partitioned(a, b int) bool {
+	elapsed := h.s.now.Sub(h.s.start)
+	isolated := regions - 1
+	return h.s.c.Partition && elapsed >= faultStart && elapsed < faultEnd && (a%regions == isolated) != (b%regions == isolated)
 }
 
-// call counts one call at both ends, unless the entry is its own home, and returns
+// call counts one call at the entry and the home, unless they are the same, and returns
 // the time that opening a connection for it takes.
 func (h *homes) call(r *request, home int) time.Duration {
 	h.s.calls[r.workspace]++
@@ -154,33 +155,35 @@
 		return 0
 	}
 	h.s.count(r.entry, 1, CallBytes)
-	h.s.answered(home, CallBytes)
-	at := link{r.entry, home}
-	last, known := h.used[at]
-	h.used[at] = h.s.now
-	if known && h.s.now.Sub(last) < idleLimit {
+	h.s.countServed(home, CallBytes)
+	key := link{r.entry, home}
+	last, known := h.lastUsed[key]
+	h.lastUsed[key] = h.s.now
+	if known && h.s.now.Sub(last) < idleTimeout {
 		return 0
 	}
-	h.s.count(r.entry, 0, openBytes)
-	h.s.answered(home, openBytes)
-	return openTrips * 2 * trip(r.entry, home)
+	h.s.count(r.entry, 0, handshakeBytes)
+	h.s.countServed(home, handshakeBytes)
+	return handshakeRoundTrips * 2 * oneWayDelay(r.entry, home)
 }
 
-// trip is the way between two entries: they are dealt out over the regions.
-func trip(a, b int) time.Duration {
+// oneWayDelay returns the network delay between two entries. Entries are assigned to
+// regions round-robin.
+func oneWayDelay(a, b int) time.Duration {
 	if a%regions == b%regions {
-		return tripInRegion
+		return delayInRegion
 	}
-	return tripBetween
+	return delayBetweenRegions
 }
 
-// nameOf and indexOf name entries, regions and workspaces by their numbers.
+// nameOf returns the name of the entry, region or workspace with an index; indexOf is its
+// inverse.
 func nameOf(i int) string { return strconv.Itoa(i) }
 
 func indexOf(name string) int {
 	i, err := strconv.Atoi(name)
 	if err != nil {
-		panic(err) // a name that this package did not make
+		panic(err) // not a name returned by nameOf
 	}
 	return i
 }
--- a/core/share/sim/sim.go
+++ b/core/share/sim/sim.go
@@ -9,73 +9,77 @@
 	"acaciawinch/core/share"
 )
 
-// The letter's size, and what was assumed beside it.
+// The size of the target deployment, and assumptions about load, network and faults.
 const (
-	Entries    = 340
-	Workspaces = 18000
-	perSecond  = 810
-	regions    = 4
-	// skew is the exponent of the Zipf law by which requests fall on workspaces.
+	Entries           = 340
+	Workspaces        = 18000
+	requestsPerSecond = 810
+	regions           = 4
+	// skew is the exponent of the Zipf distribution of requests over workspaces.
 	skew = 1.1
-	// shortest, mean and longest bound the time of a request in flight.
-	shortest = 300 * time.Millisecond
-	mean     = 700 * time.Millisecond
-	longest  = 3 * time.Second
-	// unevenness is the standard deviation of the logarithm of an entry's weight
-	// at the balancer.
-	unevenness = 1.0
-	// smallBound is the bound of workspaces with few requests.
+	// A request is in flight for minDuration plus an exponentially distributed time
+	// with the mean meanExtraDuration, but for at most maxDuration.
+	minDuration       = 300 * time.Millisecond
+	meanExtraDuration = 700 * time.Millisecond
+	maxDuration       = 3 * time.Second
+	// weightSigma is the standard deviation of the logarithm of an entry's weight at the
+	// load balancer.
+	weightSigma = 1.0
+	// smallBound is the smallest bound, which workspaces with few requests have.
 	smallBound = 20
-	// flooding is the rank of the workspace that offers floodFactor times its bound.
-	flooding    = 0
-	floodFactor = 4
-	// CallBytes are those of an Acquire or a Release with its answer, as BenchmarkPermit
-	// of entry/limit measures them, openBytes those of the handshake of a connection
-	// and openTrips its round trips. A connection that is idle for idleLimit is closed.
-	CallBytes    = 80
-	openBytes    = 98
-	openTrips    = 3
-	idleLimit    = time.Minute
-	tripInRegion = 500 * time.Microsecond
-	tripBetween  = 25 * time.Millisecond
-	tickEvery    = time.Second
-	warmUp       = 10 * time.Second
-	faultFrom    = 15 * time.Second
-	faultTo      = 45 * time.Second
+	// floodingRank is the rank of the workspace whose load is floodFactor times its bound.
+	floodingRank = 0
+	floodFactor  = 4
+	// CallBytes is the size of an Acquire or Release call with its response, as measured
+	// by BenchmarkPermit of entry/limit. handshakeBytes and handshakeRoundTrips are the
+	// size and the round trips of a connection's handshake. A connection that is idle for
+	// idleTimeout is closed.
+	CallBytes           = 80
+	handshakeBytes      = 98
+	handshakeRoundTrips = 3
+	idleTimeout         = time.Minute
+	delayInRegion       = 500 * time.Microsecond
+	delayBetweenRegions = 25 * time.Millisecond
+	tickInterval        = time.Second
+	warmUp              = 10 * time.Second
+	faultStart          = 15 * time.Second
+	faultEnd            = 45 * time.Second
 )
 
-// request is one request of a workspace at an entry.
+// request is one request of a workspace on an entry.
 type request struct {
 	number    int
 	workspace int
 	entry     int
-	at        time.Time
+	arrivedAt time.Time
 	search    *share.Search
-	// held is the permit; counting are all that count it.
-	held     share.Held
-	counting []int
-	alone    bool
+	// held is the permit; countedBy lists all homes that count it.
+	held      share.Held
+	countedBy []int
+	local     bool
 }
 
-// simulation is one case being played.
+// simulation is the state of one simulated case.
 type simulation struct {
-	c      Case
-	random *rand.Rand
-	zipf   *rand.Zipf
-	way    way
-	now    time.Time
-	start  time.Time
-	events events
-	// bounds and places are by workspace: places are the entries of its connections.
-	bounds []int
-	places [][]int
-	// inFlight is by workspace; calls those that its requests made.
+	c        Case
+	random   *rand.Rand
+	zipf     *rand.Zipf
+	strategy strategy
+	now      time.Time
+	start    time.Time
+	events   events
+	// bounds holds each workspace's bound, and connections the entries to which its
+	// clients are connected.
+	bounds      []int
+	connections [][]int
+	// inFlight counts each workspace's requests in flight, and calls the calls that its
+	// requests made.
 	inFlight []int
 	calls    map[int]int
-	tally    tally
+	counters counters
 }
 
-// Run plays a case for a length of simulated time.
+// Run simulates a case for the given length of simulated time.
 func Run(c Case, length time.Duration, seed uint64) Figures {
 	random := rand.New(rand.NewPCG(seed, seed))
 	s := &simulation{
@@ -88,23 +92,24 @@
 		calls:    make(map[int]int),
 	}
 	s.addWorkspaces()
-	s.way = c.make(s)
+	s.strategy = c.newStrategy(s)
 	s.after(0, s.arrive)
-	s.after(tickEvery, s.tick)
+	s.after(tickInterval, s.tick)
 	for end := s.start.Add(length); s.now.Before(end); {
 		next := heap.Pop(&s.events).(event)
 		s.now = next.at
-		next.do()
+		next.run()
 	}
 	return s.figures()
 }
 
-// addWorkspaces sets the bounds by the expected load, and spreads connections.
+// addWorkspaces derives the bounds from the expected load and assigns connections to
+// entries.
 func (s *simulation) addWorkspaces() {
 	weights := make([]float64, Entries)
 	sum := 0.0
 	for i := range weights {
-		sum += math.Exp(unevenness * s.random.NormFloat64())
+		sum += math.Exp(weightSigma * s.random.NormFloat64())
 		weights[i] = sum
 	}
 	total := 0.0
@@ -112,23 +117,23 @@
 		total += math.Pow(float64(rank+1), -skew)
 	}
 	for rank := range Workspaces {
-		rate := perSecond * math.Pow(float64(rank+1), -skew) / total
-		expected := rate * (shortest + mean).Seconds()
+		rate := requestsPerSecond * math.Pow(float64(rank+1), -skew) / total
+		expected := rate * (minDuration + meanExtraDuration).Seconds()
 		bound := max(smallBound, int(1.3*expected+4*math.Sqrt(expected)))
-		if rank == flooding && !s.c.Calm {
+		if rank == floodingRank && !s.c.NoFlood {
 			bound = int(expected / floodFactor)
 		}
 		s.bounds = append(s.bounds, bound)
-		var places []int
+		var connections []int
 		for range min(2+int(2*expected), Entries) {
-			places = append(places, search(weights, s.random.Float64()*sum))
+			connections = append(connections, indexAbove(weights, s.random.Float64()*sum))
 		}
-		s.places = append(s.places, places)
+		s.connections = append(s.connections, connections)
 	}
 }
 
-// search returns the first place whose running sum is above x.
-func search(sums []float64, x float64) int {
+// indexAbove returns the index of the first running sum above x.
+func indexAbove(sums []float64, x float64) int {
 	for i, sum := range sums {
 		if x < sum {
 			return i
@@ -137,48 +142,49 @@
 	return len(sums) - 1
 }
 
-// arrive plays one arrival and plans the next.
+// arrive simulates the arrival of one request and schedules the next arrival.
 func (s *simulation) arrive() {
-	s.after(time.Duration(s.random.ExpFloat64()*float64(time.Second)/perSecond), s.arrive)
+	s.after(time.Duration(s.random.ExpFloat64()*float64(time.Second)/requestsPerSecond), s.arrive)
 	workspace := int(s.zipf.Uint64())
-	places := s.places[workspace]
-	s.tally.arrivals++
-	r := &request{number: s.tally.arrivals, workspace: workspace, entry: places[s.random.IntN(len(places))], at: s.now}
-	s.arrived(r)
-	s.way.arrive(r)
+	connections := s.connections[workspace]
+	s.counters.arrivals++
+	r := &request{number: s.counters.arrivals, workspace: workspace, entry: connections[s.random.IntN(len(connections))], arrivedAt: s.now}
+	s.countArrival(r)
+	s.strategy.arrive(r)
 }
 
-// admit starts a request.
+// admit starts a request and schedules its end.
 func (s *simulation) admit(r *request) {
 	s.inFlight[r.workspace]++
-	s.admitted(r)
-	length := min(shortest+time.Duration(s.random.ExpFloat64()*float64(mean)), longest)
-	s.after(length, func() {
+	s.recordLoad(r)
+	duration := min(minDuration+time.Duration(s.random.ExpFloat64()*float64(meanExtraDuration)), maxDuration)
+	s.after(duration, func() {
 		s.inFlight[r.workspace]--
-		s.way.ended(r)
+		s.strategy.ended(r)
 	})
 }
 
-// tick passes the time on to the way.
+// tick calls the strategy's tick and schedules the next one.
 func (s *simulation) tick() {
-	s.after(tickEvery, s.tick)
-	s.way.tick()
+	s.after(tickInterval, s.tick)
+	s.strategy.tick()
 }
 
-// after plans something.
-func (s *simulation) after(d time.Duration, do func()) {
+// after schedules a function to run after d.
+func (s *simulation) after(d time.Duration, run func()) {
 	s.events.sequence++
-	heap.Push(&s.events, event{at: s.now.Add(d), sequence: s.events.sequence, do: do})
+	heap.Push(&s.events, event{at: s.now.Add(d), sequence: s.events.sequence, run: run})
 }
 
-// event is something that happens at a time; those of one time in their order.
+// event is a scheduled function. Events with the same time run in the order in which they
+// were scheduled.
 type event struct {
 	at       time.Time
 	sequence int
-	do       func()
+	run      func()
 }
 
-// events is a heap by time.
+// events is a heap of events ordered by time.
 type events struct {
 	list     []event
 	sequence int
--- a/core/share/sim/sim_test.go
+++ b/core/share/sim/sim_test.go
@@ -9,39 +9,40 @@
 	"acaciawinch/core/share/sim"
 )
 
-// seed fixes all draws.
+// seed makes the simulations deterministic.
 const seed = 42
 
-// TestHomesBeatTheSplit keeps the main relations of docs/design/limits.md.
-func TestHomesBeatTheSplit(t *testing.T) {
+// TestHomesBeatEvenSplit checks the main results of the comparison in
+// docs/design/limits.md.
+func TestHomesBeatEvenSplit(t *testing.T) {
 	run := func(c sim.Case) sim.Figures {
 		length := 14 * time.Second
-		if c.Cut || c.Restart {
+		if c.Partition || c.Restart {
 			length = 22 * time.Second
 		}
 		f := sim.Run(c, length, seed)
 		t.Logf("%s: %+v", c.Name, f)
 		return f
 	}
-	even := run(sim.Even())
+	evenSplit := run(sim.EvenSplit())
 	exchange := run(sim.Exchange("exchange", time.Second, 0))
 	homes := run(sim.Homes())
-	calm, cut, restart := sim.Homes(), sim.Homes(), sim.Homes()
-	calm.Calm, cut.Cut, restart.Restart = true, true, true
-	assert.Assert(t, even.WrongQuiet > 0.1 && even.WrongBusy > 0.1 && even.OverFlood > 1.5, "the even split did no harm")
-	assert.Assert(t, exchange.WrongQuiet > even.WrongQuiet, "the exchange follows after all")
-	assert.Assert(t, homes.WrongQuiet == 0 && homes.WrongBusy == 0, "wrong refusals by homes")
-	assert.Assert(t, homes.Over <= 1, "homes let a workspace pass its bound")
-	assert.Assert(t, homes.UsedFlood > 0.9, "homes hold a workspace below its bound")
-	assert.Assert(t, run(calm).BusiestHome < 6000, "the busiest home answers too much")
-	apart := run(cut)
-	assert.Assert(t, apart.OverFlood <= 3 && apart.WrongQuiet < 0.01 && apart.WrongBusy < 0.01, "a cut does more harm")
-	again := run(restart)
-	assert.Assert(t, again.Over <= 2 && again.WrongQuiet+again.WrongBusy == 0, "a restart does more harm")
-	assert.Assert(t, homes.Bytes < 2000, "homes cost too much")
+	noFlood, partition, restart := sim.Homes(), sim.Homes(), sim.Homes()
+	noFlood.NoFlood, partition.Partition, restart.Restart = true, true, true
+	assert.Assert(t, evenSplit.WrongQuiet > 0.1 && evenSplit.WrongBusy > 0.1 && evenSplit.OverFlood > 1.5, "the even split refuses few requests wrongly or bounds the flood")
+	assert.Assert(t, exchange.WrongQuiet > evenSplit.WrongQuiet, "the exchange refuses fewer requests of small workspaces wrongly than the even split")
+	assert.Assert(t, homes.WrongQuiet == 0 && homes.WrongBusy == 0, "homes refuse requests of workspaces within their bounds")
+	assert.Assert(t, homes.Over <= 1, "homes let a workspace exceed its bound")
+	assert.Assert(t, homes.UsedFlood > 0.9, "homes keep the flooding workspace far below its bound")
+	assert.Assert(t, run(noFlood).BusiestHome < 6000, "the busiest home serves too many bytes")
+	partitioned := run(partition)
+	assert.Assert(t, partitioned.OverFlood <= 3 && partitioned.WrongQuiet < 0.01 && partitioned.WrongBusy < 0.01, "a partition has a larger effect than the design allows")
+	restarted := run(restart)
+	assert.Assert(t, restarted.Over <= 2 && restarted.WrongQuiet+restarted.WrongBusy == 0, "a restart has a larger effect than the design allows")
+	assert.Assert(t, homes.Bytes < 2000, "homes cost too many bytes per entry")
 }
 
-// BenchmarkLimits prints the figures of docs/design/limits.md; run it with
+// BenchmarkLimits reports the figures in docs/design/limits.md. Run it with
 // -benchtime 1x.
 func BenchmarkLimits(b *testing.B) {
 	for _, c := range sim.Cases() {
--- a/core/share/sim/tally.go
+++ b/core/share/sim/tally.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// tally is what is counted, after the warm-up but for arrivals.
-type tally struct {
-	arrivals                   int
-	quiet, busy, flood, beyond int
-	wrongQuiet, wrongBusy      int
-	over, overFlood, usedFlood float64
-	callCount                  int
-	bytes, answers             [Entries]int
-	waits                      []time.Duration
+// counters holds the statistics of a simulation. All but arrivals exclude the warm-up.
+type counters struct {
+	arrivals                      int
+	quiet, busy, flood, overBound int
+	wrongQuiet, wrongBusy         int
+	over, overFlood, usedFlood    float64
+	callCount                     int
+	bytes, servedBytes            [Entries]int
+	waits                         []time.Duration
 }
 
-// counting tells whether the warm-up is over.
-func (s *simulation) counting() bool { return s.now.Sub(s.start) >= warmUp }
+// measuring reports whether the warm-up is over.
+func (s *simulation) measuring() bool { return s.now.Sub(s.start) >= warmUp }
 
-// arrived counts an arrival.
-func (s *simulation) arrived(r *request) {
-	if !s.counting() {
+// countArrival counts an arrival.
+func (s *simulation) countArrival(r *request) {
+	if !s.measuring() {
 		return
 	}
 	if s.load(r) > 1 {
-		s.tally.beyond++
+		s.counters.overBound++
 	}
-	switch t := &s.tally; {
-	case r.workspace == flooding:
+	switch t := &s.counters; {
+	case r.workspace == floodingRank:
 		t.flood++
 		t.usedFlood += s.load(r)
 	case s.bounds[r.workspace] == smallBound:
@@ -38,29 +38,29 @@
 	}
 }
 
-// load returns how much of its bound a request's workspace has in flight.
+// load returns the ratio of requests in flight to the bound of a request's workspace.
 func (s *simulation) load(r *request) float64 {
 	return float64(s.inFlight[r.workspace]) / float64(s.bounds[r.workspace])
 }
 
-// admitted notes how much of the bound is in flight now.
-func (s *simulation) admitted(r *request) {
-	if !s.counting() {
+// recordLoad updates the highest load after an admission.
+func (s *simulation) recordLoad(r *request) {
+	if !s.measuring() {
 		return
 	}
-	s.tally.over = max(s.tally.over, s.load(r))
-	if r.workspace == flooding {
-		s.tally.overFlood = max(s.tally.overFlood, s.load(r))
+	s.counters.over = max(s.counters.over, s.load(r))
+	if r.workspace == floodingRank {
+		s.counters.overFlood = max(s.counters.overFlood, s.load(r))
 	}
 }
 
-// refuse counts a refusal.
+// refuse counts a refusal if the workspace was within its bound.
 func (s *simulation) refuse(r *request) {
-	if !s.counting() || s.load(r) >= 1 {
+	if !s.measuring() || s.load(r) >= 1 {
 		return
 	}
-	switch t := &s.tally; {
-	case r.workspace == flooding:
+	switch t := &s.counters; {
+	case r.workspace == floodingRank:
 	case s.bounds[r.workspace] == smallBound:
 		t.wrongQuiet++
 	default:
@@ -68,56 +68,56 @@
 	}
 }
 
-// waited notes how long a permit was waited for.
-func (s *simulation) waited(r *request) {
-	if s.counting() {
-		s.tally.waits = append(s.tally.waits, s.now.Sub(r.at))
+// recordWait records the time from a request's arrival until its permit.
+func (s *simulation) recordWait(r *request) {
+	if s.measuring() {
+		s.counters.waits = append(s.counters.waits, s.now.Sub(r.arrivedAt))
 	}
 }
 
-// count adds calls and bytes at an entry.
+// count adds an entry's calls and bytes.
 func (s *simulation) count(entry, calls, bytes int) {
-	if !s.counting() {
+	if !s.measuring() {
 		return
 	}
-	s.tally.callCount += calls
-	s.tally.bytes[entry] += bytes
+	s.counters.callCount += calls
+	s.counters.bytes[entry] += bytes
 }
 
-// answered adds bytes of a call that a home answers.
-func (s *simulation) answered(home, bytes int) {
+// countServed adds the bytes of a call that a home serves.
+func (s *simulation) countServed(home, bytes int) {
 	s.count(home, 0, bytes)
-	if s.counting() {
-		s.tally.answers[home] += bytes
+	if s.measuring() {
+		s.counters.servedBytes[home] += bytes
 	}
 }
 
-// figures sums up.
+// figures returns the results of the simulation.
 func (s *simulation) figures() Figures {
-	t := &s.tally
-	counted := (s.now.Sub(s.start) - warmUp).Seconds()
-	all, busiest := 0, 0
+	t := &s.counters
+	measured := (s.now.Sub(s.start) - warmUp).Seconds()
+	totalBytes, busiest := 0, 0
 	for _, bytes := range t.bytes {
-		all += bytes
+		totalBytes += bytes
 	}
-	for _, bytes := range t.answers {
+	for _, bytes := range t.servedBytes {
 		busiest = max(busiest, bytes)
 	}
-	most := 0
+	mostCalls := 0
 	for _, calls := range s.calls {
-		most = max(most, calls)
+		mostCalls = max(mostCalls, calls)
 	}
 	f := Figures{
-		WrongQuiet:  partOf(t.wrongQuiet, t.quiet),
-		WrongBusy:   partOf(t.wrongBusy, t.busy),
+		WrongQuiet:  ratio(t.wrongQuiet, t.quiet),
+		WrongBusy:   ratio(t.wrongBusy, t.busy),
 		Over:        t.over,
-		OverTime:    partOf(t.beyond, t.quiet+t.busy+t.flood),
+		OverTime:    ratio(t.overBound, t.quiet+t.busy+t.flood),
 		OverFlood:   t.overFlood,
 		UsedFlood:   t.usedFlood / float64(max(t.flood, 1)),
-		Calls:       float64(t.callCount) / counted / Entries,
-		Bytes:       float64(all) / counted / Entries,
-		BusiestHome: float64(busiest) / counted,
-		OneHome:     float64(most) / s.now.Sub(s.start).Seconds(),
+		Calls:       float64(t.callCount) / measured / Entries,
+		Bytes:       float64(totalBytes) / measured / Entries,
+		BusiestHome: float64(busiest) / measured,
+		OneHome:     float64(mostCalls) / s.now.Sub(s.start).Seconds(),
 	}
 	if len(t.waits) > 0 {
 		slices.Sort(t.waits)
@@ -127,5 +127,5 @@
 	return f
 }
 
-// partOf returns a part of a whole, 0 of nothing.
-func partOf(part, whole int) float64 { return float64(part) / float64(max(whole, 1)) }
+// ratio returns part divided by whole, or 0 if whole is 0.
+func ratio(part, whole int) float64 { return float64(part) / float64(max(whole, 1)) }
--- a/core/share/world_test.go
+++ b/core/share/world_test.go
@@ -9,29 +9,29 @@
 	"acaciawinch/core/share"
 )
 
-// Size of a world.
+// Parameters of a simulated cluster.
 const (
-	entries  = 4
-	lifetime = 3 * time.Second
-	name     = "w"
-	// callLife is how long an ask may be on its way: its connection is closed by
-	// then.
-	callLife = 8 * time.Second
+	entries        = 4
+	requestTimeout = 3 * time.Second
+	workspaceName  = "w"
+	// maxAskDelay is the longest time that a permit request may be in transit; after
+	// it the connection is closed.
+	maxAskDelay = 8 * time.Second
 )
 
-// mutation is a fault put into the world to see the checks fail.
+// mutation is a defect injected to verify that the checks detect it.
 type mutation int
 
 const (
-	none mutation = iota
-	oneTooMany
-	shortLife
-	doubleCount
+	noMutation mutation = iota
+	boundPlusOne
+	shortLifetime
+	changedPermitID
 	noTombstone
-	lostRelease
+	droppedRelease
 )
 
-// node is one entry: what it knows as an asker, and its ledger as a home.
+// node is one entry: its state as a caller of homes, and its ledger as a home.
 type node struct {
 	asker       *share.Asker
 	homes       *share.Homes
@@ -39,56 +39,58 @@
 	incarnation core.Incarnation
 }
 
-// call is one request in the world.
-type call struct {
+// request is one simulated request.
+type request struct {
 	permit   share.PermitID
-	at       int
+	entry    int
 	search   *share.Search
 	held     share.Held
 	deadline time.Time
-	// asked are the nodes that were asked, by the incarnation; true once the release arrived.
-	asked map[string]bool
-	// until is when the permit ends at the home where it lasts longest.
-	until     time.Time
-	grantedBy string
-	number    int
-	// releases is the world's count when the search began.
-	releases          int
-	searching, runs   bool
-	alone, over, dead bool
+	// released has a key for each incarnation and part that received a permit request or
+	// a release; the value reports whether the release arrived.
+	released map[string]bool
+	// latestExpiry is the latest time at which a home lets the permit expire.
+	latestExpiry time.Time
+	grantedBy    string
+	stepNumber   int
+	// releasesAtBegin is the value of cluster.releases when the search began.
+	releasesAtBegin       int
+	searching, running    bool
+	local, ended, crashed bool
 }
 
-// world plays entries, homes and messages.
-type world struct {
-	pick   func(label string, n int) int
-	broken mutation
-	bound  int
-	now    time.Time
-	nodes  []*node
-	calls  []*call
-	// messages are on their way; faulty is set once anything else than order and
-	// delay went wrong.
+// cluster simulates entries, homes and the messages between them.
+type cluster struct {
+	pick     func(label string, n int) int
+	broken   mutation
+	bound    int
+	now      time.Time
+	nodes    []*node
+	requests []*request
+	// messages are in transit. faulty is set once a fault other than delay and
+	// reordering happened.
 	messages []func()
 	faulty   bool
-	// within is set while no more requests than the bound are open.
-	within   bool
-	refusals int
-	// releases counts the permits that homes took back.
-	releases int
-	problem  string
+	// withinBound limits the open requests to the bound.
+	withinBound bool
+	refusals    int
+	// releases counts the releases that homes received.
+	releases  int
+	violation string
 }
 
-func newWorld(pick func(string, int) int, broken mutation) *world {
-	w := &world{pick: pick, broken: broken, now: time.Unix(1000, 0)}
-	w.bound = []int{1, 2, 5}[pick("bound", 3)]
+func newCluster(pick func(string, int) int, broken mutation) *cluster {
+	cl := &cluster{pick: pick, broken: broken, now: time.Unix(1000, 0)}
+	cl.bound = []int{1, 2, 5}[pick("bound", 3)]
 	for i := range entries {
-		w.nodes = append(w.nodes, &node{asker: share.NewAsker(), homes: views[entries][i], ledger: share.NewLedger(), incarnation: core.Incarnation(i + 1)})
+		cl.nodes = append(cl.nodes, &node{asker: share.NewAsker(), homes: views[entries][i], ledger: share.NewLedger(), incarnation: core.Incarnation(i + 1)})
 	}
-	return w
+	return cl
 }
 
-// views are the homes without one, or without none at the last place, as they are
-// seen from each entry. Even and odd entries are in different regions.
+// views[gone][entry] are the homes from the view of an entry when entry gone is missing from
+// the host list; with gone == entries none is missing. Even and odd entries are in
+// different regions.
 var views = func() (all [entries + 1][entries]*share.Homes) {
 	for gone := range entries + 1 {
 		var hosts []fleet.Host
@@ -97,8 +99,8 @@
 				hosts = append(hosts, fleet.Host{Name: fmt.Sprint(i), Role: fleet.RoleEntry, Region: regionOf(i)})
 			}
 		}
-		for at := range entries {
-			all[gone][at] = share.NewHomes(hosts, regionOf(at))
+		for entry := range entries {
+			all[gone][entry] = share.NewHomes(hosts, regionOf(entry))
 		}
 	}
 	return all
@@ -106,154 +108,156 @@
 
 func regionOf(i int) string { return fmt.Sprint("region-", i%2) }
 
-func (w *world) fail(format string, args ...any) {
-	if w.problem == "" {
-		w.problem = fmt.Sprintf(format, args...)
+func (cl *cluster) fail(format string, args ...any) {
+	if cl.violation == "" {
+		cl.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// begin starts a request at a node.
-func (w *world) begin(at int) {
-	c := &call{permit: share.PermitID(len(w.calls) + 1), at: at, deadline: w.now.Add(lifetime), asked: map[string]bool{}, searching: true, releases: w.releases}
-	w.calls = append(w.calls, c)
-	n := w.nodes[at]
-	search, step := n.asker.Begin(w.now, n.homes, name, w.bound, uint64(c.permit))
+// begin starts a request at an entry.
+func (cl *cluster) begin(entry int) {
+	c := &request{permit: share.PermitID(len(cl.requests) + 1), entry: entry, deadline: cl.now.Add(requestTimeout), released: map[string]bool{}, searching: true, releasesAtBegin: cl.releases}
+	cl.requests = append(cl.requests, c)
+	n := cl.nodes[entry]
+	search, step := n.asker.Begin(cl.now, n.homes, workspaceName, cl.bound, uint64(c.permit))
 	c.search = search
-	w.step(c, step)
+	cl.step(c, step)
 }
 
-// step carries out a step of a search.
-func (w *world) step(c *call, step share.Step) {
-	c.number++
-	c.held = share.Held{Workspace: name, Part: step.Part, Bound: step.Bound, Permit: c.permit, End: c.deadline.Add(share.Grace)}
+// step executes a step of a search.
+func (cl *cluster) step(c *request, step share.Step) {
+	c.stepNumber++
+	c.held = share.Held{Workspace: workspaceName, Part: step.Part, Bound: step.Bound, Permit: c.permit, End: c.deadline.Add(share.Grace)}
 	switch step.Kind {
 	case share.StepAsk:
-		w.ask(c, step.Home, share.Ask{Workspace: name, Part: step.Part, Bound: step.Bound, Permit: c.permit, Life: c.held.End.Sub(w.now)})
+		cl.ask(c, step.Home, share.Ask{Workspace: workspaceName, Part: step.Part, Bound: step.Bound, Permit: c.permit, Life: c.held.End.Sub(cl.now)})
 		return
 	case share.StepGranted:
-		c.runs = true
+		c.running = true
 	case share.StepAlone:
-		c.runs, c.alone = true, true
-		if !w.faulty {
-			w.fail("admitted alone without any fault")
+		c.running, c.local = true, true
+		if !cl.faulty {
+			cl.fail("admitted locally without any fault")
 		}
 	default:
-		w.refused(c)
+		cl.refused(c)
 	}
 	c.searching = false
 }
 
-// refused ends a request that was refused. Within the bound that may happen only if
-// there are several parts and a place moved from one to another behind the search,
-// or by the hold that follows from such a refusal.
-func (w *world) refused(c *call) {
-	moved := w.nodes[c.at].homes.Parts(w.bound) > 1 && w.releases > c.releases
-	if w.within && !moved && w.refusals == 0 {
-		w.fail("refused though never more than %d asked", w.bound)
+// refused ends a request that was refused. While no more requests than the bound are
+// open, a refusal is allowed only if there are several parts and capacity was released
+// in a part that the search had already tried, or if the hold after such a refusal is
+// still in effect.
+func (cl *cluster) refused(c *request) {
+	moved := cl.nodes[c.entry].homes.Parts(cl.bound) > 1 && cl.releases > c.releasesAtBegin
+	if cl.withinBound && !moved && cl.refusals == 0 {
+		cl.fail("refused though no more than %d requests were open", cl.bound)
 	}
-	w.refusals++
-	c.over = true
+	cl.refusals++
+	c.ended = true
 }
 
-// ask sends an ask to a home.
-func (w *world) ask(c *call, home share.Home, a share.Ask) {
-	number, sent := c.number, w.now
-	w.messages = append(w.messages, func() {
-		if w.now.Sub(sent) > callLife {
+// ask sends a permit request to a home.
+func (cl *cluster) ask(c *request, home share.Home, a share.Ask) {
+	stepNumber, sentAt := c.stepNumber, cl.now
+	cl.messages = append(cl.messages, func() {
+		if cl.now.Sub(sentAt) > maxAskDelay {
 			return
 		}
 		var i int
 		_, _ = fmt.Sscan(home.Name, &i)
-		n := w.nodes[i]
+		n := cl.nodes[i]
 		key := fmt.Sprint(i, "/", n.incarnation, "/", a.Part)
-		answer := w.acquire(n, key, c, a)
+		answer := cl.acquire(n, key, c, a)
 		incarnation := n.incarnation
-		w.messages = append(w.messages, func() { w.answered(c, number, home.Name, key, incarnation, a.Running, answer) })
+		cl.messages = append(cl.messages, func() { cl.answered(c, stepNumber, home.Name, key, incarnation, a.Running, answer) })
 	})
 }
 
-// acquire is what the home does, and the check of its refusals.
-func (w *world) acquire(n *node, key string, c *call, a share.Ask) share.Answer {
+// acquire handles a permit request at a home and checks refusals.
+func (cl *cluster) acquire(n *node, key string, c *request, a share.Ask) share.Answer {
 	bound := a.Bound
-	switch w.broken {
-	case oneTooMany:
+	switch cl.broken {
+	case boundPlusOne:
 		a.Bound++
-	case shortLife:
+	case shortLifetime:
 		a.Life /= 4
-	case doubleCount:
-		a.Permit += share.PermitID(1000 * len(w.messages))
+	case changedPermitID:
+		a.Permit += share.PermitID(1000 * len(cl.messages))
 	}
-	released := c.asked[key]
-	c.asked[key] = released
-	answer := n.ledger.Acquire(w.now, a)
-	if end := w.now.Add(a.Life); answer.Granted && end.After(c.until) {
-		c.until = end
+	released := c.released[key]
+	c.released[key] = released
+	answer := n.ledger.Acquire(cl.now, a)
+	if end := cl.now.Add(a.Life); answer.Granted && end.After(c.latestExpiry) {
+		c.latestExpiry = end
 	}
-	if answer.Granted || released || c.over {
+	if answer.Granted || released || c.ended {
 		return answer
 	}
-	// Each permit that fills the bound belongs to a request that asked here, has
-	// not given it back, and was asked for less than its life ago: an ask that was
-	// held up holds for its life from its arrival on.
-	held := 0
-	for _, other := range w.calls {
-		if back, asked := other.asked[key]; asked && !back && other != c && w.now.Before(other.until) {
-			held++
+	// Each permit that uses the bound belongs to another request that sent a permit
+	// request here, has not released it, and whose permit has not expired. The lifetime
+	// of a permit counts from the arrival of a permit request, also of a delayed one.
+	inUse := 0
+	for _, other := range cl.requests {
+		if returned, asked := other.released[key]; asked && !returned && other != c && cl.now.Before(other.latestExpiry) {
+			inUse++
 		}
 	}
-	if held < bound {
-		w.fail("refused by %s though only %d of %d are out", key, held, bound)
+	if inUse < bound {
+		cl.fail("refused by %s though only %d of %d permits are in use", key, inUse, bound)
 	}
 	return answer
 }
 
-// answered hands an answer to its request, unless that waits for another one.
-func (w *world) answered(c *call, number int, home, key string, incarnation core.Incarnation, running bool, answer share.Answer) {
-	n := w.nodes[c.at]
-	if c.dead {
+// answered passes a response to its request, unless the request waits for the response
+// to a later query.
+func (cl *cluster) answered(c *request, stepNumber int, home, key string, incarnation core.Incarnation, running bool, answer share.Answer) {
+	n := cl.nodes[c.entry]
+	if c.crashed {
 		return
 	}
 	n.asker.Heard(home, incarnation)
 	switch {
-	case running && answer.Granted && !c.over:
+	case running && answer.Granted && !c.ended:
 		c.held.Home, c.held.Incarnation = home, incarnation
-	case running || !c.searching || number != c.number:
+	case running || !c.searching || stepNumber != c.stepNumber:
 	default:
-		w.step(c, c.search.Answered(w.now, answer))
-		if c.runs {
+		cl.step(c, c.search.Answered(cl.now, answer))
+		if c.running {
 			c.held.Home, c.held.Incarnation = home, incarnation
 			c.grantedBy = key
 		}
 	}
 }
 
-// end ends a request and releases its permit wherever it was asked for.
-func (w *world) end(c *call) {
-	c.over = true
-	n := w.nodes[c.at]
-	if c.runs && !c.dead {
-		n.asker.Ended(name, c.alone)
+// end ends a request and sends releases of its permit for all parts to all entries.
+func (cl *cluster) end(c *request) {
+	c.ended = true
+	n := cl.nodes[c.entry]
+	if c.running && !c.crashed {
+		n.asker.Ended(workspaceName, c.local)
 	}
-	c.searching, c.runs = false, false
-	if c.dead {
+	c.searching, c.running = false, false
+	if c.crashed {
 		return
 	}
-	for i := range w.nodes {
-		for part := range w.nodes[c.at].homes.Parts(w.bound) {
-			w.messages = append(w.messages, func() { w.release(i, part, c) })
+	for i := range cl.nodes {
+		for part := range cl.nodes[c.entry].homes.Parts(cl.bound) {
+			cl.messages = append(cl.messages, func() { cl.release(i, part, c) })
 		}
 	}
 }
 
-// release takes a permit back at a node.
-func (w *world) release(i, part int, c *call) {
-	w.releases++
-	n := w.nodes[i]
+// release handles a release at an entry.
+func (cl *cluster) release(i, part int, c *request) {
+	cl.releases++
+	n := cl.nodes[i]
 	key := fmt.Sprint(i, "/", n.incarnation, "/", part)
-	_, asked := c.asked[key]
-	c.asked[key] = true
-	if w.broken == lostRelease || w.broken == noTombstone && !asked {
+	_, asked := c.released[key]
+	c.released[key] = true
+	if cl.broken == droppedRelease || cl.broken == noTombstone && !asked {
 		return
 	}
-	n.ledger.Release(w.now, name, part, c.permit)
+	n.ledger.Release(cl.now, workspaceName, part, c.permit)
 }
