--- a/core/config/accept/merge.go
+++ b/core/config/accept/merge.go
@@ -63,9 +63,9 @@
 		}
 	}
 	for _, snapshot := range []*config.Snapshot{m.base, m.head} {
-		need(snapshot.TemplatesMissing())
+		need(snapshot.MissingTemplates())
 		for _, shard := range m.request.Change.Shards() {
-			need(snapshot.ShardMissing(shard))
+			need(snapshot.MissingShard(shard))
 		}
 	}
 	if m.request.Change.TouchesTemplates() {
--- a/core/config/change.go
+++ b/core/config/change.go
@@ -7,8 +7,8 @@
 	"acaciawinch/core"
 )
 
-// Change is what an operator wants to be different. Everything that it doesn't
-// name stays as it is.
+// Change is an operator's edit of the configuration. Items that it doesn't name stay
+// unchanged.
 type Change struct {
 	PutTemplates     []Template
 	RemoveTemplates  []string
@@ -20,7 +20,8 @@
 	Undrain          []string
 }
 
-// Item names one thing that a change can touch.
+// Item identifies a template, model, workspace or drained upstream that a change
+// touches.
 type Item struct {
 	// Kind is "template", "model", "workspace" or "drained upstream".
 	Kind string `json:"kind"`
@@ -38,31 +39,31 @@
 	itemDrained   = "drained upstream"
 )
 
-// Change returns the snapshot with the change made, under a new revision and
-// change id. The templates and the shards of the touched workspaces must be
-// loaded. Nothing is validated.
+// Change returns the snapshot with the change applied, under a new revision and
+// change id. The templates and the shards of the touched workspaces must be loaded.
+// The result is not validated.
 func (s *Snapshot) Change(c Change, revision core.Revision, id string) *Snapshot {
 	next := *s
 	next.revision, next.changeID = revision, id
 	if c.touchesShared() {
 		next.setTemplates(c.templates(s.templates))
 	}
-	next.edit(c.PutWorkspaces, c.RemoveWorkspaces)
+	next.editWorkspaces(c.PutWorkspaces, c.RemoveWorkspaces)
 	return &next
 }
 
-// TouchesTemplates tells whether templates or models are touched, which
-// workspaces refer to.
+// TouchesTemplates reports whether the change touches templates or models, to which
+// workspaces refer.
 func (c Change) TouchesTemplates() bool {
 	return len(c.PutTemplates)+len(c.RemoveTemplates)+len(c.PutModels)+len(c.RemoveModels) > 0
 }
 
-// touchesShared tells whether anything but workspaces is touched.
+// touchesShared reports whether the change touches anything but workspaces.
 func (c Change) touchesShared() bool {
 	return c.TouchesTemplates() || len(c.Drain)+len(c.Undrain) > 0
 }
 
-// templates returns the edited shared part.
+// templates returns the shared part with the change applied.
 func (c Change) templates(t Templates) Templates {
 	return Templates{
 		Templates: merge(t.Templates, c.PutTemplates, c.RemoveTemplates, func(x Template) string { return x.Name }),
@@ -71,7 +72,7 @@
 	}
 }
 
-// merge returns values without what is removed or replaced, and with what is put.
+// merge returns values without the removed and replaced ones, followed by put.
 func merge[T any](values, put []T, removed []string, key func(T) string) []T {
 	gone := map[string]bool{}
 	for _, name := range removed {
@@ -89,7 +90,6 @@
 	return append(merged, put...)
 }
 
-// modelKeys returns the keys of models.
 func modelKeys(models []Model) []string {
 	keys := make([]string, len(models))
 	for i, m := range models {
@@ -98,12 +98,12 @@
 	return keys
 }
 
-// Empty tells whether the change touches nothing.
+// Empty reports whether the change touches nothing.
 func (c Change) Empty() bool {
 	return !c.touchesShared() && len(c.PutWorkspaces)+len(c.RemoveWorkspaces) == 0
 }
 
-// Shards returns which shards the change touches, in order.
+// Shards returns the indexes of the shards that the change touches, in order.
 func (c Change) Shards() []int {
 	var shards []int
 	for _, w := range c.PutWorkspaces {
@@ -116,8 +116,8 @@
 	return slices.Compact(shards)
 }
 
-// Compare returns the change that leads from one snapshot to another. Shards
-// that are not loaded on either side are left out.
+// Compare returns the change from one snapshot to another. It leaves out shards that
+// are not loaded in both of them.
 func Compare(from, to *Snapshot) Change {
 	c := Change{}
 	if from.templatesHash != to.templatesHash {
@@ -126,14 +126,14 @@
 	d := Delta{}
 	for i := range to.shards {
 		if from.shards[i].loaded && to.shards[i].loaded {
-			d.addShard(from.shards[i], to.shards[i])
+			d.addShardDiff(from.shards[i], to.shards[i])
 		}
 	}
 	c.PutWorkspaces, c.RemoveWorkspaces = d.Workspaces, d.Removed
 	return c
 }
 
-// compareTemplates adds what differs in the shared part.
+// compareTemplates adds the differences in the shared part.
 func (c *Change) compareTemplates(from, to Templates) {
 	templateName := func(t Template) string { return t.Name }
 	self := func(name string) string { return name }
@@ -145,7 +145,7 @@
 	c.Undrain = absent(from.Drained, to.Drained, self)
 }
 
-// added returns what is in to and not, or differently, in from.
+// added returns the values of to that from doesn't have or has with other content.
 func added[T any](from, to []T, key func(T) string) []T {
 	var found []T
 	for _, value := range to {
@@ -157,7 +157,7 @@
 	return found
 }
 
-// absent returns what is in from and, under its key, not in to.
+// absent returns the values of from whose key is not in to.
 func absent[T any](from, to []T, key func(T) string) []T {
 	var found []T
 	for _, value := range from {
@@ -168,7 +168,6 @@
 	return found
 }
 
-// keys returns the keys of values.
 func keys[T any](values []T, key func(T) string) []string {
 	var names []string
 	for _, value := range values {
@@ -177,8 +176,8 @@
 	return names
 }
 
-// Prune returns the change with the removal of every template, model and
-// workspace of s that it doesn't put.
+// Prune returns c extended by the removal of every template, model and workspace of
+// s that c doesn't put.
 func (s *Snapshot) Prune(c Change) Change {
 	wanted := NewSnapshot(s.revision, s.changeID,
 		Templates{Templates: c.PutTemplates, Models: c.PutModels, Drained: s.templates.Drained}, c.PutWorkspaces)
--- a/core/config/delta.go
+++ b/core/config/delta.go
@@ -7,23 +7,24 @@
 	"acaciawinch/core/fault"
 )
 
-// Delta moves a process from one configuration to another.
+// Delta is the difference between two configurations, as it is sent to a process
+// that holds the first.
 type Delta struct {
 	Revision core.Revision
 	ChangeID string
-	// Full is set if the delta replaces all that the receiver holds.
+	// Full is set if the delta replaces the receiver's whole configuration.
 	Full bool
 	// Templates is nil if they did not change.
 	Templates *Templates
-	// Workspaces are those that are new or changed; Removed those that are gone.
+	// Workspaces are the new and changed ones; Removed names the removed ones.
 	Workspaces []Workspace
 	Removed    []string
-	// Digest is that of the resulting Snapshot.
+	// Digest is the digest of the resulting Snapshot.
 	Digest uint64
 }
 
-// Between returns the delta that leads from one snapshot to another. From may be
-// nil for a receiver that holds nothing. Both must be loaded.
+// Between returns the delta from one snapshot to another, both of which must be
+// loaded. From is nil for a receiver that has no configuration yet.
 func Between(from, to *Snapshot) Delta {
 	d := Delta{Revision: to.revision, ChangeID: to.changeID, Digest: to.Digest()}
 	if from == nil {
@@ -35,13 +36,13 @@
 		d.Templates = &templates
 	}
 	for i := range to.shards {
-		d.addShard(from.shards[i], to.shards[i])
+		d.addShardDiff(from.shards[i], to.shards[i])
 	}
 	return d
 }
 
-// addShard adds what differs between two versions of one shard.
-func (d *Delta) addShard(from, to *Shard) {
+// addShardDiff adds the differences between two versions of one shard.
+func (d *Delta) addShardDiff(from, to *Shard) {
 	if from.hash == to.hash {
 		return
 	}
@@ -58,10 +59,10 @@
 	}
 }
 
-// Apply returns the snapshot that the delta leads to from s, which may be nil
-// for a full delta. The error is Conflict if the result has another digest than
-// the sender's, so that the receiver must ask for everything: it held something
-// else than the sender believed.
+// Apply returns the result of applying the delta to s, which may be nil for a full
+// delta. The error is Conflict if the result's digest differs from the sender's: s
+// is not the snapshot that the sender computed the delta from, and the receiver must
+// request a full delta.
 func (s *Snapshot) Apply(d Delta) (*Snapshot, error) {
 	next, err := s.base(d)
 	if err != nil {
@@ -70,31 +71,32 @@
 	if d.Templates != nil {
 		next.setTemplates(*d.Templates)
 	}
-	next.edit(d.Workspaces, d.Removed)
+	next.editWorkspaces(d.Workspaces, d.Removed)
 	if got := next.Digest(); got != d.Digest {
 		return nil, fault.New(fault.Conflict, "config.apply", "", "revision %d has digest %x, the sender's is %x", d.Revision, got, d.Digest)
 	}
 	return next, nil
 }
 
-// base returns a copy of what the delta starts from, under the delta's revision.
+// base returns a copy of the snapshot that the delta is applied to, under the
+// delta's revision.
 func (s *Snapshot) base(d Delta) (*Snapshot, error) {
 	if d.Full {
 		return NewSnapshot(d.Revision, d.ChangeID, Templates{}, nil), nil
 	}
 	if s == nil {
-		return nil, fault.New(fault.Conflict, "config.apply", "", "revision %d came as a delta to nothing", d.Revision)
+		return nil, fault.New(fault.Conflict, "config.apply", "", "revision %d arrived as an incremental delta, but there is no snapshot to apply it to", d.Revision)
 	}
 	next := *s
 	next.revision, next.changeID = d.Revision, d.ChangeID
 	return &next, nil
 }
 
-// edit replaces and removes workspaces in a snapshot that nobody else has seen.
+// editWorkspaces replaces and removes workspaces in a snapshot that is not shared yet.
 // Only the shards that are touched are copied.
-func (s *Snapshot) edit(put []Workspace, removed []string) {
+func (s *Snapshot) editWorkspaces(put []Workspace, removed []string) {
 	edits := map[int]*shardEdit{}
-	of := func(name string) *shardEdit {
+	editOf := func(name string) *shardEdit {
 		i := ShardOf(name)
 		if edits[i] == nil {
 			edits[i] = &shardEdit{put: map[string]Workspace{}, removed: map[string]bool{}}
@@ -102,17 +104,17 @@
 		return edits[i]
 	}
 	for _, name := range removed {
-		of(name).removed[name] = true
+		editOf(name).removed[name] = true
 	}
 	for _, w := range put {
-		of(w.Name).put[w.Name] = w
+		editOf(w.Name).put[w.Name] = w
 	}
 	for i, e := range edits {
 		s.shards[i] = e.apply(s.shards[i])
 	}
 }
 
-// shardEdit is what changes in one shard.
+// shardEdit holds the changes to one shard, by workspace name.
 type shardEdit struct {
 	put     map[string]Workspace
 	removed map[string]bool
--- a/core/config/delta_test.go
+++ b/core/config/delta_test.go
@@ -12,8 +12,8 @@
 	"acaciawinch/core/fault"
 )
 
-// drawConfiguration draws templates, drained upstreams and workspaces out of few
-// names, so that two drawn ones have much in common.
+// drawConfiguration draws templates, drained upstreams and workspaces from a few
+// names, so that two drawn configurations have many names in common.
 func drawConfiguration(t *rapid.T, revision core.Revision) *Snapshot {
 	var templates Templates
 	for _, name := range rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c"}), 0, 3, rapid.ID).Draw(t, "templates") {
@@ -27,8 +27,8 @@
 	return NewSnapshot(revision, fmt.Sprint("change-", revision), templates, workspaces)
 }
 
-// carried returns the delta as it is after a journey as JSON.
-func carried(t *rapid.T, d Delta) Delta {
+// jsonRoundTrip returns the delta as its receiver decodes it from JSON.
+func jsonRoundTrip(t *rapid.T, d Delta) Delta {
 	data, err := json.Marshal(d)
 	assert.NilError(t, err)
 	var received Delta
@@ -39,9 +39,9 @@
 func TestADeltaLeadsToTheFullState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := drawConfiguration(t, 1), drawConfiguration(t, 2)
-		delta, err := from.Apply(carried(t, Between(from, to)))
+		delta, err := from.Apply(jsonRoundTrip(t, Between(from, to)))
 		assert.NilError(t, err)
-		full, err := (*Snapshot)(nil).Apply(carried(t, Between(nil, to)))
+		full, err := (*Snapshot)(nil).Apply(jsonRoundTrip(t, Between(nil, to)))
 		assert.NilError(t, err)
 		assert.Equal(t, string(encode(delta.Head("", "", ""))), string(encode(to.Head("", "", ""))))
 		assert.Equal(t, string(encode(full.Head("", "", ""))), string(encode(to.Head("", "", ""))))
@@ -54,7 +54,7 @@
 		from, other, to := drawConfiguration(t, 1), drawConfiguration(t, 1), drawConfiguration(t, 2)
 		next, err := other.Apply(Between(from, to))
 		if err == nil {
-			assert.Assert(t, Compare(next, to).Empty(), "a wrong state was taken for the right one")
+			assert.Assert(t, Compare(next, to).Empty(), "a delta was applied to the wrong base, and the result was accepted")
 			return
 		}
 		assert.Equal(t, fault.CodeOf(err), fault.Conflict)
@@ -88,9 +88,9 @@
 }
 
 func TestAPartWithOtherBytesIsRefused(t *testing.T) {
-	s := NewSnapshot(1, "c", soundTemplates(), nil)
+	s := NewSnapshot(1, "c", validTemplates(), nil)
 	outline := Outline(s.Head("", "", ""), Empty())
-	_, err := outline.WithPart(outline.TemplatesMissing(), []byte(`{"templates":null}`))
+	_, err := outline.WithPart(outline.MissingTemplates(), []byte(`{"templates":null}`))
 	assert.Equal(t, fault.CodeOf(err), fault.Invalid)
 }
 
--- a/core/config/fuzz_test.go
+++ b/core/config/fuzz_test.go
@@ -8,8 +8,8 @@
 	"acaciawinch/core/fault"
 )
 
-// FuzzHead reads values that stand where a head should. What is read comes back
-// from its own encoding.
+// FuzzHead decodes arbitrary values as heads. A head that decodes must survive an
+// encoding round trip.
 func FuzzHead(f *testing.F) {
 	f.Add(Empty().Head("", "author", "note").Encode())
 	f.Add([]byte(`{"revision":-1,"shards":[]}`))
@@ -20,19 +20,19 @@
 			assert.Equal(t, fault.CodeOf(err), fault.Invalid)
 			return
 		}
-		again, err := DecodeHead(head.Encode())
+		decoded, err := DecodeHead(head.Encode())
 		assert.NilError(t, err)
-		assert.DeepEqual(t, again, head)
+		assert.DeepEqual(t, decoded, head)
 		snapshot := Outline(head, Empty())
 		assert.Assert(t, len(snapshot.Missing()) <= 1+ShardCount)
 	})
 }
 
-// FuzzPart reads values that stand where a part should, by the name that their
-// content has, so that they are decoded.
+// FuzzPart loads arbitrary values as parts. Each is loaded under the hash of its
+// own content, so that it passes the hash check and is decoded.
 func FuzzPart(f *testing.F) {
-	sound := NewSnapshot(1, "c", Templates{Drained: []string{"u"}}, []Workspace{{Name: "w", Weight: 1}})
-	for _, part := range sound.PartsSince(Empty()) {
+	valid := NewSnapshot(1, "c", Templates{Drained: []string{"u"}}, []Workspace{{Name: "w", Weight: 1}})
+	for _, part := range valid.PartsSince(Empty()) {
 		f.Add(part.Data)
 		f.Add(part.Encode())
 	}
@@ -41,7 +41,7 @@
 	f.Add([]byte("null"))
 	f.Fuzz(func(t *testing.T, value []byte) {
 		head := Empty().Head("", "", "")
-		data, err := expand(value)
+		data, err := decompress(value)
 		if err != nil {
 			data = value
 		}
--- a/core/config/head.go
+++ b/core/config/head.go
@@ -7,25 +7,25 @@
 	"acaciawinch/core/fault"
 )
 
-// Head names the parts of one accepted configuration.
+// Head references the parts of one accepted configuration.
 type Head struct {
-	// Revision is one above that of the head before.
+	// Revision is one above that of the previous head.
 	Revision core.Revision `json:"revision"`
-	// ChangeID is the random id of the change that wrote this head. A writer
-	// whose answer was lost finds its own id here or among the parents.
+	// ChangeID is the random id of the change that wrote this head. A writer that
+	// lost the response to its update finds its own id here or among the parents.
 	ChangeID string `json:"change_id"`
-	// Parent is the key of the change before; empty for the first.
+	// Parent is the key of the copy of the previous head; empty for the first.
 	Parent string `json:"parent,omitempty"`
-	// Author and Note are for people.
+	// Author and Note are shown to operators only.
 	Author string `json:"author,omitempty"`
 	Note   string `json:"note,omitempty"`
-	// AcceptedUnix is when the change was made by its operator's clock, in seconds.
-	// It only tells people and decides how long the copy is kept.
+	// AcceptedUnix is the Unix time in seconds, by the operator's clock, at which the
+	// change was made. It is shown to operators and decides how long the copy is kept.
 	AcceptedUnix int64 `json:"accepted_unix,omitempty"`
-	// Oldest is the first revision that is still kept; 0 and 1 keep all. It only
-	// rises, stands in the head alone, and not in the copies: a copy never changes.
+	// Oldest is the first revision that is still kept; 0 and 1 keep all. It never
+	// decreases. Copies of the head don't hold it, because a copy never changes.
 	Oldest core.Revision `json:"oldest,omitempty"`
-	// Templates and Shards are content hashes of parts; an empty shard has "".
+	// Templates and Shards are content hashes of parts; "" for an empty shard.
 	Templates string   `json:"templates"`
 	Shards    []string `json:"shards"`
 }
@@ -33,7 +33,7 @@
 // Encode returns the head's object value.
 func (h Head) Encode() []byte { return encode(h) }
 
-// DecodeHead reads a head's object value.
+// DecodeHead decodes a head's object value.
 func DecodeHead(data []byte) (Head, error) {
 	var head Head
 	if err := json.Unmarshal(data, &head); err != nil {
@@ -45,16 +45,16 @@
 	return head, nil
 }
 
-// Key names the immutable copy of the head.
+// Key returns the key of the immutable copy of the head.
 func (h Head) Key() string { return ChangeKey(h.Revision, h.ChangeID) }
 
-// Copy returns the head as its immutable copy is written.
+// Copy returns the head as it is written to its immutable copy.
 func (h Head) Copy() Head {
 	h.Oldest = 0
 	return h
 }
 
-// Parts returns the content hashes of all parts that the head names.
+// Parts returns the content hashes of all parts that the head references.
 func (h Head) Parts() []string {
 	var hashes []string
 	if h.Templates != "" {
--- a/core/config/load.go
+++ b/core/config/load.go
@@ -2,8 +2,8 @@
 
 import "acaciawinch/core/fault"
 
-// Outline returns the snapshot that head names. What known, which may be nil,
-// has with the same hashes is shared; everything else is not loaded yet.
+// Outline returns the snapshot that head describes. Parts that known, which may
+// be nil, has loaded under the same hashes are shared; all others are not loaded yet.
 func Outline(head Head, known *Snapshot) *Snapshot {
 	s := &Snapshot{revision: head.Revision, changeID: head.ChangeID, templatesHash: head.Templates}
 	if known != nil && known.templatesLoaded && known.templatesHash == head.Templates {
@@ -18,16 +18,16 @@
 	return s
 }
 
-// TemplatesMissing returns the hash of the templates if they are not loaded, or "".
-func (s *Snapshot) TemplatesMissing() string {
+// MissingTemplates returns the hash of the templates if they are not loaded, else "".
+func (s *Snapshot) MissingTemplates() string {
 	if s.templatesLoaded {
 		return ""
 	}
 	return s.templatesHash
 }
 
-// ShardMissing returns the hash of shard i if it is not loaded, or "".
-func (s *Snapshot) ShardMissing(i int) string {
+// MissingShard returns the hash of shard i if it is not loaded, else "".
+func (s *Snapshot) MissingShard(i int) string {
 	if s.shards[i].loaded {
 		return ""
 	}
@@ -37,45 +37,46 @@
 // Missing returns the hashes of all parts that are not loaded.
 func (s *Snapshot) Missing() []string {
 	var hashes []string
-	if hash := s.TemplatesMissing(); hash != "" {
+	if hash := s.MissingTemplates(); hash != "" {
 		hashes = append(hashes, hash)
 	}
 	for i := range s.shards {
-		if hash := s.ShardMissing(i); hash != "" {
+		if hash := s.MissingShard(i); hash != "" {
 			hashes = append(hashes, hash)
 		}
 	}
 	return hashes
 }
 
-// WithPart returns the snapshot with one more part loaded. The error is Invalid
-// if the data doesn't have the hash, and NotFound if the snapshot has no such part.
+// WithPart returns a copy of the snapshot with one more part loaded. The error is
+// Invalid if the content doesn't match the hash or can't be decoded, and NotFound
+// if the snapshot has no unloaded part with this hash.
 func (s *Snapshot) WithPart(hash string, data []byte) (*Snapshot, error) {
 	next := *s
-	used := false
-	if s.TemplatesMissing() == hash {
+	found := false
+	if s.MissingTemplates() == hash {
 		if err := decodePart(hash, data, &next.templates); err != nil {
 			return nil, err
 		}
-		next.templatesLoaded, used = true, true
+		next.templatesLoaded, found = true, true
 	}
 	for i := range s.shards {
-		if s.ShardMissing(i) != hash {
+		if s.MissingShard(i) != hash {
 			continue
 		}
 		shard := &Shard{hash: hash, loaded: true}
 		if err := decodePart(hash, data, &shard.workspaces); err != nil {
 			return nil, err
 		}
-		next.shards[i], used = shard, true
+		next.shards[i], found = shard, true
 	}
-	if !used {
-		return nil, fault.New(fault.NotFound, "config.load", PartKey(hash), "revision %d misses no such part", s.revision)
+	if !found {
+		return nil, fault.New(fault.NotFound, "config.load", PartKey(hash), "revision %d has no unloaded part with this hash", s.revision)
 	}
 	return &next, nil
 }
 
-// Head returns the head that names the snapshot's parts.
+// Head returns the head that references the snapshot's parts.
 func (s *Snapshot) Head(parent, author, note string) Head {
 	head := Head{Revision: s.revision, ChangeID: s.changeID, Parent: parent, Author: author, Note: note,
 		Templates: s.templatesHash, Shards: make([]string, ShardCount)}
@@ -85,7 +86,7 @@
 	return head
 }
 
-// PartsSince returns the parts that s has and base doesn't. They must be loaded.
+// PartsSince returns the parts of s that base doesn't have. They must be loaded.
 func (s *Snapshot) PartsSince(base *Snapshot) []Part {
 	var parts []Part
 	if s.templatesHash != base.templatesHash || base.revision == 0 {
--- a/core/config/overlap.go
+++ b/core/config/overlap.go
@@ -5,25 +5,25 @@
 	"slices"
 )
 
-// edit is what a change does to one item: its new content in canonical JSON, or
-// "" if it is removed.
-type edit map[Item]string
+// itemEdits maps each item that a change touches to its new content in canonical
+// JSON, or to "" if the change removes it.
+type itemEdits map[Item]string
 
-// remove notes that items are removed.
-func (e edit) remove(kind string, names []string) {
+// addRemovals records that the named items are removed.
+func (e itemEdits) addRemovals(kind string, names []string) {
 	for _, name := range names {
 		e[Item{kind, name}] = ""
 	}
 }
 
-// edits returns what the change does, by item. As in Snapshot.Change, what is
-// both removed and put is put.
-func (c Change) edits() edit {
-	e := edit{}
-	e.remove(itemTemplate, c.RemoveTemplates)
-	e.remove(itemModel, modelKeys(c.RemoveModels))
-	e.remove(itemWorkspace, c.RemoveWorkspaces)
-	e.remove(itemDrained, c.Undrain)
+// edits returns the effect of the change on each item. As in Snapshot.Change, an
+// item that is both removed and put is put.
+func (c Change) edits() itemEdits {
+	e := itemEdits{}
+	e.addRemovals(itemTemplate, c.RemoveTemplates)
+	e.addRemovals(itemModel, modelKeys(c.RemoveModels))
+	e.addRemovals(itemWorkspace, c.RemoveWorkspaces)
+	e.addRemovals(itemDrained, c.Undrain)
 	for _, t := range c.PutTemplates {
 		e[Item{itemTemplate, t.Name}] = string(encode(t))
 	}
@@ -39,7 +39,7 @@
 	return e
 }
 
-// Items returns what the change touches, in order of kind and name.
+// Items returns the items that the change touches, in order of kind and name.
 func (c Change) Items() []Item {
 	var items []Item
 	for item := range c.edits() {
@@ -49,13 +49,13 @@
 	return items
 }
 
-// Overlap returns the items that both changes touch in different ways. Two
-// operators who want the same of an item don't clash.
+// Overlap returns the items that both changes touch with different results. Two
+// operators who make the same edit to an item don't conflict.
 func Overlap(mine, theirs Change) []Item {
-	other := theirs.edits()
+	theirEdits := theirs.edits()
 	var items []Item
 	for item, content := range mine.edits() {
-		if theirContent, touched := other[item]; touched && theirContent != content {
+		if theirContent, touched := theirEdits[item]; touched && theirContent != content {
 			items = append(items, item)
 		}
 	}
@@ -63,7 +63,6 @@
 	return items
 }
 
-// sortItems orders items by kind and name.
 func sortItems(items []Item) {
 	slices.SortFunc(items, func(a, b Item) int {
 		return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name))
--- a/core/config/snapshot.go
+++ b/core/config/snapshot.go
@@ -9,17 +9,17 @@
 	"acaciawinch/core"
 )
 
-// Shard is the workspaces of one shard. It is never changed.
+// Shard holds the workspaces of one shard. It is immutable.
 type Shard struct {
-	// hash names the shard's part; "" if it has no workspaces.
+	// hash identifies the shard's part; "" if it has no workspaces.
 	hash string
 	// loaded is false while only the hash is known.
 	loaded     bool
 	workspaces []Workspace
 }
 
-// Snapshot is the whole configuration at one revision. It is never changed, and
-// may be read by many goroutines. Snapshots share what is equal in them.
+// Snapshot is the whole configuration at one revision. It is immutable and safe
+// for concurrent use. Snapshots share the parts in which they are equal.
 type Snapshot struct {
 	revision      core.Revision
 	changeID      string
@@ -30,11 +30,11 @@
 	shards          [ShardCount]*Shard
 }
 
-// Empty returns the configuration before the first change: revision zero,
-// nothing in it.
+// Empty returns the configuration before the first change: revision zero, without
+// content.
 func Empty() *Snapshot { return NewSnapshot(0, "", Templates{}, nil) }
 
-// NewSnapshot returns the given configuration. Nothing is validated.
+// NewSnapshot returns a snapshot of the given content, which it doesn't validate.
 func NewSnapshot(revision core.Revision, changeID string, templates Templates, workspaces []Workspace) *Snapshot {
 	s := &Snapshot{revision: revision, changeID: changeID}
 	s.setTemplates(templates)
@@ -49,26 +49,25 @@
 	return s
 }
 
-// newShard returns a shard of the given workspaces.
 func newShard(workspaces []Workspace) *Shard {
 	sorted := sortedBy(workspaces, workspaceName)
 	return &Shard{hash: encodeShard(sorted).Hash, loaded: true, workspaces: sorted}
 }
 
-// setTemplates is for a snapshot that nobody else has seen yet.
+// setTemplates replaces the templates. The snapshot must not be shared yet.
 func (s *Snapshot) setTemplates(templates Templates) {
 	s.templates = templates.Canonical()
 	s.templatesHash = encodeTemplates(s.templates).Hash
 	s.templatesLoaded = true
 }
 
-// Revision returns the number of the change that made this configuration.
+// Revision returns the revision of the change that produced this configuration.
 func (s *Snapshot) Revision() core.Revision { return s.revision }
 
-// ChangeID returns the id of the change that made this configuration.
+// ChangeID returns the id of the change that produced this configuration.
 func (s *Snapshot) ChangeID() string { return s.changeID }
 
-// Templates returns the shared part. It must not be changed.
+// Templates returns the part that all workspaces share. Callers must not modify it.
 func (s *Snapshot) Templates() Templates { return s.templates }
 
 // Template finds a template by name.
@@ -81,13 +80,13 @@
 	return find(s.shards[ShardOf(name)].workspaces, name, workspaceName)
 }
 
-// Drained tells whether operators have taken the upstream out.
+// Drained reports whether operators have drained the upstream.
 func (s *Snapshot) Drained(upstream string) bool {
 	_, found := slices.BinarySearch(s.templates.Drained, upstream)
 	return found
 }
 
-// Workspaces returns all workspaces that are loaded, in no useful order.
+// Workspaces returns all loaded workspaces, in no particular order.
 func (s *Snapshot) Workspaces() []Workspace {
 	var all []Workspace
 	for _, shard := range s.shards {
@@ -96,7 +95,8 @@
 	return all
 }
 
-// WithoutWorkspaces returns the configuration as side processes hold it.
+// WithoutWorkspaces returns the configuration that sidecars hold: all but the
+// workspaces.
 func (s *Snapshot) WithoutWorkspaces() *Snapshot {
 	bare := *s
 	for i := range bare.shards {
@@ -105,18 +105,18 @@
 	return &bare
 }
 
-// Digest is a hash of the content, never zero. Equal digests mean equal
+// Digest returns a hash of the content, never zero. Equal digests mean equal
 // templates, models, drained upstreams and workspaces.
 func (s *Snapshot) Digest() uint64 {
 	hash := sha256.New()
-	_, _ = hash.Write([]byte(s.templatesHash)) // a hash takes every byte
+	_, _ = hash.Write([]byte(s.templatesHash)) // hash.Hash.Write never fails
 	for _, shard := range s.shards {
-		_, _ = hash.Write([]byte("/" + shard.hash)) // a hash takes every byte
+		_, _ = hash.Write([]byte("/" + shard.hash)) // hash.Hash.Write never fails
 	}
 	return max(binary.BigEndian.Uint64(hash.Sum(nil)), 1)
 }
 
-// find looks up a name in values that are in order of name.
+// find looks up a name in values that are sorted by name.
 func find[T any](values []T, name string, key func(T) string) (T, bool) {
 	i, found := slices.BinarySearchFunc(values, name, func(x T, name string) int { return cmp.Compare(key(x), name) })
 	if !found {
--- a/core/config/validate.go
+++ b/core/config/validate.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// The sections of a configuration, as they stand in the operators' files.
+// The sections of a configuration, as they are named in the operators' files.
 const (
 	SectionTemplates  = "templates"
 	SectionModels     = "models"
@@ -13,15 +13,15 @@
 	SectionDrained    = "drained"
 )
 
-// Problem is one broken rule of a configuration.
+// Problem is one violated rule of a configuration.
 type Problem struct {
-	// Section and Name tell which declaration is at fault: Name is the name of a
+	// Section and Name identify the declaration at fault: Name is the name of a
 	// template or workspace, the Key of a model, or an upstream.
 	Section string `json:"section"`
 	Name    string `json:"name"`
 	// Key is the path below the declaration, such as "stages[1].kind"; it may be empty.
 	Key string `json:"key,omitempty"`
-	// Text says what is wrong, for people.
+	// Text describes the problem to the operator.
 	Text string `json:"text"`
 }
 
@@ -34,55 +34,56 @@
 	return place + ": " + p.Text
 }
 
-// Validate returns every broken rule of the templates, the models, the drained
-// upstreams and those workspaces that are loaded.
+// Validate returns every violated rule of the templates, the models, the drained
+// upstreams and the loaded workspaces.
 func (s *Snapshot) Validate() []Problem {
 	v := newValidator(s.templates)
-	v.shared()
+	v.checkShared()
 	for i, shard := range s.shards {
 		for _, w := range shard.workspaces {
-			v.workspace(w)
+			v.checkWorkspace(w)
 		}
-		v.shardSize(i, shard)
+		v.checkShardSize(i, shard)
 	}
 	return v.problems
 }
 
-// ValidateDeclared is Validate for a list of workspaces as declared, in which a
-// name may stand twice.
+// ValidateDeclared is like Validate, but for a list of workspaces as declared, which
+// may contain a name twice. It doesn't check the sizes of shards.
 func ValidateDeclared(templates Templates, workspaces []Workspace) []Problem {
 	v := newValidator(templates)
-	v.shared()
-	v.unique(SectionWorkspaces, keys(workspaces, workspaceName))
+	v.checkShared()
+	v.checkUnique(SectionWorkspaces, keys(workspaces, workspaceName))
 	for _, w := range workspaces {
-		v.workspace(w)
+		v.checkWorkspace(w)
 	}
 	return v.problems
 }
 
-// Repeated returns a problem for each name that the change puts twice: which of
-// the two is meant can't be known.
+// Repeated returns a problem for each name that the change puts more than once, as
+// it is not known which of the declarations is meant.
 func (c Change) Repeated() []Problem {
 	v := newValidator(Templates{Templates: c.PutTemplates, Models: c.PutModels, Drained: c.Drain})
-	v.names()
-	v.unique(SectionWorkspaces, keys(c.PutWorkspaces, workspaceName))
+	v.checkNamesUnique()
+	v.checkUnique(SectionWorkspaces, keys(c.PutWorkspaces, workspaceName))
 	return v.problems
 }
 
 // validator collects problems of one configuration.
 type validator struct {
-	shape     Templates
+	declared  Templates
 	templates map[string]Template
-	// models holds the declared ones as "name@version on service".
+	// models holds the declared models as "name@version on service".
 	models   map[string]bool
 	problems []Problem
-	// section and name are those of the declaration under check.
+	// section and name identify the declaration that is being checked.
 	section, name string
 }
 
-// newValidator returns a validator of workspaces that refer to templates.
+// newValidator returns a validator of the shared part and of workspaces that refer
+// to it.
 func newValidator(shared Templates) *validator {
-	v := &validator{shape: shared, templates: map[string]Template{}, models: map[string]bool{}}
+	v := &validator{declared: shared, templates: map[string]Template{}, models: map[string]bool{}}
 	for _, t := range shared.Templates {
 		v.templates[t.Name] = t
 	}
@@ -92,100 +93,100 @@
 	return v
 }
 
-// begin sets the declaration that problems are recorded for.
-func (v *validator) begin(section, name string) { v.section, v.name = section, name }
+// setDeclaration sets the declaration that problems are recorded for.
+func (v *validator) setDeclaration(section, name string) { v.section, v.name = section, name }
 
 // reject records a problem.
 func (v *validator) reject(key, format string, args ...any) {
 	v.problems = append(v.problems, Problem{v.section, v.name, key, fmt.Sprintf(format, args...)})
 }
 
-// inRange rejects a number outside low to high.
-func (v *validator) inRange(key string, value, low, high int) {
+// checkRange rejects a value that is not in the range from low to high, inclusive.
+func (v *validator) checkRange(key string, value, low, high int) {
 	if value < low || value > high {
 		v.reject(key, "must be %d to %d, is %d", low, high, value)
 	}
 }
 
-// isName rejects a text that is no name.
-func (v *validator) isName(key, text string) {
+// checkName rejects a text that is not a valid name.
+func (v *validator) checkName(key, text string) {
 	if !namePattern.MatchString(text) {
 		v.reject(key, "must be 1 to 63 lower-case letters, digits and hyphens, is %q", text)
 	}
 }
 
-// isModel rejects a text that is no model name or version.
-func (v *validator) isModel(key, text string) {
+// checkModelName rejects a text that is not a valid model name or version.
+func (v *validator) checkModelName(key, text string) {
 	if !modelPattern.MatchString(text) {
 		v.reject(key, "must be 1 to 63 letters, digits, dots, underscores and hyphens, is %q", text)
 	}
 }
 
-// unique rejects names that stand twice.
-func (v *validator) unique(section string, names []string) {
+// checkUnique records one problem for each name that occurs more than once.
+func (v *validator) checkUnique(section string, names []string) {
 	sorted := slices.Sorted(slices.Values(names))
 	for i := 1; i < len(sorted); i++ {
 		if sorted[i] == sorted[i-1] && (i == 1 || sorted[i] != sorted[i-2]) {
-			v.begin(section, sorted[i])
+			v.setDeclaration(section, sorted[i])
 			v.reject("name", "stands twice")
 		}
 	}
 }
 
-// shared checks all but the workspaces.
-func (v *validator) shared() {
-	v.names()
-	v.counts()
-	for _, t := range v.shape.Templates {
-		v.template(t)
+// checkShared checks everything but the workspaces.
+func (v *validator) checkShared() {
+	v.checkNamesUnique()
+	v.checkCounts()
+	for _, t := range v.declared.Templates {
+		v.checkTemplate(t)
 	}
-	for _, m := range v.shape.Models {
-		v.model(m)
+	for _, m := range v.declared.Models {
+		v.checkModel(m)
 	}
-	for _, upstream := range v.shape.Drained {
-		v.begin(SectionDrained, upstream)
-		v.isName("", upstream)
+	for _, upstream := range v.declared.Drained {
+		v.setDeclaration(SectionDrained, upstream)
+		v.checkName("", upstream)
 	}
 }
 
-// names rejects what is declared twice.
-func (v *validator) names() {
-	v.unique(SectionTemplates, keys(v.shape.Templates, func(t Template) string { return t.Name }))
-	v.unique(SectionModels, modelKeys(v.shape.Models))
-	v.unique(SectionDrained, v.shape.Drained)
+// checkNamesUnique rejects templates, models and drained upstreams that are declared
+// more than once.
+func (v *validator) checkNamesUnique() {
+	v.checkUnique(SectionTemplates, keys(v.declared.Templates, func(t Template) string { return t.Name }))
+	v.checkUnique(SectionModels, modelKeys(v.declared.Models))
+	v.checkUnique(SectionDrained, v.declared.Drained)
 }
 
-// counts bounds how many declarations there are.
-func (v *validator) counts() {
+// checkCounts bounds the number of declarations in each shared section.
+func (v *validator) checkCounts() {
 	for _, section := range []struct {
-		name        string
-		count, most int
+		name         string
+		count, limit int
 	}{
-		{SectionTemplates, len(v.shape.Templates), MaxTemplates},
-		{SectionModels, len(v.shape.Models), MaxModels},
-		{SectionDrained, len(v.shape.Drained), MaxDrained},
+		{SectionTemplates, len(v.declared.Templates), MaxTemplates},
+		{SectionModels, len(v.declared.Models), MaxModels},
+		{SectionDrained, len(v.declared.Drained), MaxDrained},
 	} {
-		if section.count > section.most {
-			v.begin(section.name, "")
-			v.reject("", "%d are declared, at most %d are allowed", section.count, section.most)
+		if section.count > section.limit {
+			v.setDeclaration(section.name, "")
+			v.reject("", "%d are declared, at most %d are allowed", section.count, section.limit)
 		}
 	}
 }
 
-// model checks one model version.
-func (v *validator) model(m Model) {
-	v.begin(SectionModels, m.Key())
-	v.isModel("name", m.Name)
-	v.isModel("version", m.Version)
-	v.isName("service", m.Service)
-	v.inRange("replicas", m.Replicas, 1, MaxReplicas)
+func (v *validator) checkModel(m Model) {
+	v.setDeclaration(SectionModels, m.Key())
+	v.checkModelName("name", m.Name)
+	v.checkModelName("version", m.Version)
+	v.checkName("service", m.Service)
+	v.checkRange("replicas", m.Replicas, 1, MaxReplicas)
 }
 
-// shardSize rejects a shard that doesn't fit one object.
-func (v *validator) shardSize(i int, shard *Shard) {
+// checkShardSize rejects a shard that doesn't fit into one object.
+func (v *validator) checkShardSize(i int, shard *Shard) {
 	size := len(encodeShard(shard.workspaces).Data)
 	if size > MaxShardBytes {
-		v.begin(SectionWorkspaces, shard.workspaces[0].Name)
+		v.setDeclaration(SectionWorkspaces, shard.workspaces[0].Name)
 		v.reject("", "the %d workspaces of shard %d take %d bytes, at most %d are allowed", len(shard.workspaces), i, size, MaxShardBytes)
 	}
 }
--- a/core/config/validate_stage.go
+++ b/core/config/validate_stage.go
@@ -2,12 +2,11 @@
 
 import "fmt"
 
-// template checks one template.
-func (v *validator) template(t Template) {
-	v.begin(SectionTemplates, t.Name)
-	v.isName("name", t.Name)
-	v.inRange("max_deadline_ms", t.MaxDeadlineMS, 1, MaxDeadlineMS)
-	v.inRange("deadline_ms", t.DeadlineMS, 1, max(t.MaxDeadlineMS, 1))
+func (v *validator) checkTemplate(t Template) {
+	v.setDeclaration(SectionTemplates, t.Name)
+	v.checkName("name", t.Name)
+	v.checkRange("max_deadline_ms", t.MaxDeadlineMS, 1, MaxDeadlineMS)
+	v.checkRange("deadline_ms", t.DeadlineMS, 1, max(t.MaxDeadlineMS, 1))
 	if len(t.Stages) < MinStages || len(t.Stages) > MaxStages {
 		v.reject("stages", "must be %d to %d, are %d", MinStages, MaxStages, len(t.Stages))
 	}
@@ -20,39 +19,39 @@
 		}
 		seen[stage.Name] = true
 		expected += stage.ExpectedMS
-		v.stage(key, stage)
+		v.checkStage(key, stage)
 	}
 	if expected > t.DeadlineMS {
 		v.reject("deadline_ms", "is %d, but the stages are expected to take %d", t.DeadlineMS, expected)
 	}
 }
 
-// stage checks one stage of a template.
-func (v *validator) stage(key string, s Stage) {
-	v.isName(key+"name", s.Name)
-	v.isName(key+"service", s.Service)
-	v.inRange(key+"expected_ms", s.ExpectedMS, 0, MaxDeadlineMS)
+func (v *validator) checkStage(key string, s Stage) {
+	v.checkName(key+"name", s.Name)
+	v.checkName(key+"service", s.Service)
+	v.checkRange(key+"expected_ms", s.ExpectedMS, 0, MaxDeadlineMS)
 	switch s.Kind {
 	case KindEngine:
-		v.engineStage(key, s)
+		v.checkEngineStage(key, s)
 	case KindPool, KindService:
-		v.plainStage(key, s)
+		v.checkOtherStage(key, s)
 	default:
 		v.reject(key+"kind", "must be %q, %q or %q, is %q", KindEngine, KindPool, KindService, s.Kind)
 	}
 }
 
-// engineStage checks what only a stage on a model engine has.
-func (v *validator) engineStage(key string, s Stage) {
-	v.inRange(key+"max_tokens", s.MaxTokens, 1, MaxTokens)
-	v.isDeclared(key, s.Model, s.Version, s.Service)
+// checkEngineStage checks the settings that only a stage on a model engine has.
+func (v *validator) checkEngineStage(key string, s Stage) {
+	v.checkRange(key+"max_tokens", s.MaxTokens, 1, MaxTokens)
+	v.checkModelDeclared(key, s.Model, s.Version, s.Service)
 	if s.NonIdempotent {
 		v.reject(key+"non_idempotent", "a generation changes nothing and may be repeated; mark the stage of the service that acts")
 	}
 }
 
-// isDeclared rejects a model version that no engine is told to load.
-func (v *validator) isDeclared(key, model, version, service string) {
+// checkModelDeclared rejects a model version that is not declared for the service,
+// because no engine loads it.
+func (v *validator) checkModelDeclared(key, model, version, service string) {
 	if model == "" {
 		v.reject(key+"model", "missing: an engine stage names its model")
 		return
@@ -66,8 +65,9 @@
 	}
 }
 
-// plainStage rejects what only engine stages may have.
-func (v *validator) plainStage(key string, s Stage) {
+// checkOtherStage checks a pool or service stage: it rejects the settings of other
+// kinds of stages.
+func (v *validator) checkOtherStage(key string, s Stage) {
 	if s.Model != "" || s.Version != "" {
 		v.reject(key+"model", "only engine stages have a model")
 	}
--- a/core/config/validate_test.go
+++ b/core/config/validate_test.go
@@ -9,9 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// soundTemplates returns a template with a plain, a non-idempotent and an engine
-// stage, and its model.
-func soundTemplates() Templates {
+// validTemplates returns a template with a pool stage, a non-idempotent service stage
+// and an engine stage, and the model of the engine stage.
+func validTemplates() Templates {
 	return Templates{
 		Models: []Model{{Name: "m", Version: "1", Service: "llm", Replicas: 2}},
 		Templates: []Template{{Name: "t", DeadlineMS: 3000, MaxDeadlineMS: 5000, Stages: []Stage{
@@ -22,14 +22,14 @@
 	}
 }
 
-// soundWorkspace returns a workspace that sets something for the engine stage.
-func soundWorkspace() Workspace {
+// validWorkspace returns a workspace that sets a token limit for the engine stage.
+func validWorkspace() Workspace {
 	return Workspace{Name: "w", Weight: 1, Pipelines: []string{"t"},
 		Stages: []StageParameters{{Pipeline: "t", Stage: "write", MaxTokens: 4}}}
 }
 
-func TestValidateAcceptsWhatIsSound(t *testing.T) {
-	s := NewSnapshot(1, "c", soundTemplates(), []Workspace{soundWorkspace()})
+func TestValidateAcceptsAValidConfiguration(t *testing.T) {
+	s := NewSnapshot(1, "c", validTemplates(), []Workspace{validWorkspace()})
 	assert.Equal(t, len(s.Validate()), 0, "%v", s.Validate())
 }
 
@@ -44,8 +44,8 @@
 		return func(_ *Templates, w *Workspace) { change(w) }
 	}
 	cases := []struct {
-		want  string
-		spoil func(*Templates, *Workspace)
+		want       string
+		invalidate func(*Templates, *Workspace)
 	}{
 		{"templates t stages: must be 3 to 6, are 2", template(func(x *Template) { x.Stages = x.Stages[:2]; x.Stages[0].Name = "write" })},
 		{"templates t stages: must be 3 to 6, are 7", template(func(x *Template) {
@@ -87,8 +87,8 @@
 	}
 	for _, c := range cases {
 		t.Run(c.want, func(t *testing.T) {
-			templates, w := soundTemplates(), soundWorkspace()
-			c.spoil(&templates, &w)
+			templates, w := validTemplates(), validWorkspace()
+			c.invalidate(&templates, &w)
 			problems := NewSnapshot(1, "c", templates, []Workspace{w}).Validate()
 			matches := func(p Problem) bool { return strings.HasPrefix(p.String(), c.want) }
 			assert.Assert(t, slices.ContainsFunc(problems, matches), "%v", problems)
@@ -99,20 +99,20 @@
 func TestValidateRejectsAShardThatDoesNotFitAnObject(t *testing.T) {
 	var workspaces []Workspace
 	for i := 0; len(workspaces) < 600; i++ {
-		w := soundWorkspace()
+		w := validWorkspace()
 		w.Name = fmt.Sprint("w", i)
 		w.Stages[0].Prefix = strings.Repeat("x", MaxPrefixBytes)
 		if ShardOf(w.Name) == 0 {
 			workspaces = append(workspaces, w)
 		}
 	}
-	problems := NewSnapshot(1, "c", soundTemplates(), workspaces).Validate()
+	problems := NewSnapshot(1, "c", validTemplates(), workspaces).Validate()
 	assert.Equal(t, len(problems), 1)
 	assert.Assert(t, strings.Contains(problems[0].Text, "the 600 workspaces of shard 0 take"))
 }
 
 func TestRepeatedNamesAreFoundInAChange(t *testing.T) {
-	w := soundWorkspace()
+	w := validWorkspace()
 	problems := Change{PutWorkspaces: []Workspace{w, w}}.Repeated()
 	assert.DeepEqual(t, problems, []Problem{{Section: SectionWorkspaces, Name: "w", Key: "name", Text: "stands twice"}})
 }
--- a/core/config/validate_workspace.go
+++ b/core/config/validate_workspace.go
@@ -5,26 +5,25 @@
 	"slices"
 )
 
-// workspace checks one workspace.
-func (v *validator) workspace(w Workspace) {
-	v.begin(SectionWorkspaces, w.Name)
-	v.isName("name", w.Name)
-	v.inRange("weight", w.Weight, 1, MaxWeight)
-	v.inRange("priority", w.Priority, MinPriority, MaxPriority)
-	v.inRange("deadline_ms", w.DeadlineMS, 0, MaxDeadlineMS)
-	v.inRange("max_in_flight", w.MaxInFlight, 0, MaxInFlightLimit)
-	v.pipelines(w)
+func (v *validator) checkWorkspace(w Workspace) {
+	v.setDeclaration(SectionWorkspaces, w.Name)
+	v.checkName("name", w.Name)
+	v.checkRange("weight", w.Weight, 1, MaxWeight)
+	v.checkRange("priority", w.Priority, MinPriority, MaxPriority)
+	v.checkRange("deadline_ms", w.DeadlineMS, 0, MaxDeadlineMS)
+	v.checkRange("max_in_flight", w.MaxInFlight, 0, MaxInFlightLimit)
+	v.checkPipelines(w)
 	if len(w.Stages) > MaxStageParameters {
 		v.reject("stages", "%d are declared, at most %d are allowed", len(w.Stages), MaxStageParameters)
 	}
 	for i, p := range w.Stages {
-		v.parameters(fmt.Sprintf("stages[%d].", i), w, p)
+		v.checkParameters(fmt.Sprintf("stages[%d].", i), w, p)
 	}
-	v.repeated(w.Stages)
+	v.checkParametersUnique(w.Stages)
 }
 
-// pipelines checks which templates a workspace may call.
-func (v *validator) pipelines(w Workspace) {
+// checkPipelines checks the templates that a workspace may call.
+func (v *validator) checkPipelines(w Workspace) {
 	if len(w.Pipelines) < 1 || len(w.Pipelines) > MaxPipelines {
 		v.reject("pipelines", "must be 1 to %d, are %d", MaxPipelines, len(w.Pipelines))
 	}
@@ -44,28 +43,28 @@
 	}
 }
 
-// parameters checks what a workspace sets for one stage.
-func (v *validator) parameters(key string, w Workspace, p StageParameters) {
+// checkParameters checks the parameters that a workspace sets for one stage.
+func (v *validator) checkParameters(key string, w Workspace, p StageParameters) {
 	if !slices.Contains(w.Pipelines, p.Pipeline) {
 		v.reject(key+"pipeline", "%q is not among the workspace's pipelines", p.Pipeline)
 		return
 	}
 	template, found := v.templates[p.Pipeline]
 	if !found {
-		return // Reported by pipelines.
+		return // reported by checkPipelines
 	}
 	i := slices.IndexFunc(template.Stages, func(s Stage) bool { return s.Name == p.Stage })
 	if i < 0 {
 		v.reject(key+"stage", "%q has no stage %q", p.Pipeline, p.Stage)
 		return
 	}
-	v.overrides(key, template.Stages[i], p)
+	v.checkOverrides(key, template.Stages[i], p)
 }
 
-// overrides checks what replaces the template's values of a stage.
-func (v *validator) overrides(key string, stage Stage, p StageParameters) {
-	v.inRange(key+"max_tokens", p.MaxTokens, 0, MaxTokens)
-	v.inRange(key+"prefix", len(p.Prefix), 0, MaxPrefixBytes)
+// checkOverrides checks the values that replace those of the template's stage.
+func (v *validator) checkOverrides(key string, stage Stage, p StageParameters) {
+	v.checkRange(key+"max_tokens", p.MaxTokens, 0, MaxTokens)
+	v.checkRange(key+"prefix", len(p.Prefix), 0, MaxPrefixBytes)
 	if p.Model == "" && p.Version == "" && p.MaxTokens == 0 && p.Prefix == "" {
 		v.reject(key+"stage", "nothing is set")
 	}
@@ -74,27 +73,27 @@
 		return
 	}
 	if p.Model != "" || p.Version != "" {
-		v.isDeclared(key, either(p.Model, stage.Model), either(p.Version, stage.Version), stage.Service)
+		v.checkModelDeclared(key, valueOr(p.Model, stage.Model), valueOr(p.Version, stage.Version), stage.Service)
 	}
 }
 
-// either returns value, or fallback if it is empty.
-func either(value, fallback string) string {
+// valueOr returns value, or fallback if value is empty.
+func valueOr(value, fallback string) string {
 	if value == "" {
 		return fallback
 	}
 	return value
 }
 
-// repeated rejects parameters that are set twice for one stage.
-func (v *validator) repeated(parameters []StageParameters) {
-	type place struct{ pipeline, stage string }
-	seen := map[place]bool{}
+// checkParametersUnique rejects more than one set of parameters for one stage.
+func (v *validator) checkParametersUnique(parameters []StageParameters) {
+	type stageKey struct{ pipeline, stage string }
+	seen := map[stageKey]bool{}
 	for i, p := range parameters {
-		at := place{p.Pipeline, p.Stage}
-		if seen[at] {
+		key := stageKey{p.Pipeline, p.Stage}
+		if seen[key] {
 			v.reject(fmt.Sprintf("stages[%d].stage", i), "%q of %q stands twice", p.Stage, p.Pipeline)
 		}
-		seen[at] = true
+		seen[key] = true
 	}
 }
