--- a/core/config/retention/action.go
+++ b/core/config/retention/action.go
@@ -21,10 +21,10 @@
 	Kind ActionKind
 	// Key is the object's key, or the prefix of a list.
 	Key string
-	// After and Limit are those of a list.
+	// After and Limit select the page of a list: Limit objects with keys above After.
 	After string
 	Limit int
-	// Value and Version are those of a conditional write.
+	// Value is the object's new value, and Version the condition of the write.
 	Value   []byte
 	Version uint64
 }
@@ -36,40 +36,42 @@
 	Version uint64
 }
 
-// Reply is what the call returned.
+// Reply is the result of a call.
 type Reply struct {
-	// Code is "" for success, else that of the call's error.
+	// Code is "" for success, else the code of the call's error.
 	Code fault.Code
 	// Detail is the error's text.
 	Detail string
-	// Value and Version are those of the object read.
+	// Value and Version belong to the object that was read or written.
 	Value   []byte
 	Version uint64
-	// Objects are those listed.
+	// Objects are the listed objects.
 	Objects []Object
 }
 
-// Outcome tells how a pass ended.
+// Outcome is the way in which a pass ended.
 type Outcome string
 
 // The outcomes.
 const (
 	// Done: nothing is left to remove.
 	Done Outcome = "done"
-	// Overtaken: changes were accepted too fast. The next pass goes on.
+	// Overtaken: other updates of the head won the race too often. The next pass
+	// continues.
 	Overtaken Outcome = "overtaken"
-	// Interrupted: a call failed. The next pass goes on.
+	// Interrupted: a call failed. The next pass continues.
 	Interrupted Outcome = "interrupted"
 )
 
-// Result is the end of a pass, and what it did.
+// Result is the outcome of a pass and the work that it did.
 type Result struct {
 	Outcome Outcome
-	// Detail tells which call failed.
+	// Detail names the call that failed.
 	Detail string
 	// Oldest is the first revision kept.
 	Oldest core.Revision
-	// Listed, Copies and Parts count copies listed, and copies and parts removed.
-	// Spared counts parts that were touched in the meantime.
+	// Listed counts the copies listed, Copies and Parts the copies and parts removed.
+	// Spared counts the parts of a batch that were not removed, because a change
+	// referenced or touched them in the meantime.
 	Listed, Copies, Parts, Spared int
 }
--- a/core/config/retention/batch.go
+++ b/core/config/retention/batch.go
@@ -6,90 +6,91 @@
 	"acaciawinch/core/fault"
 )
 
-// choose begins the next batch, or ends the pass.
-func (m *Machine) choose() {
-	m.batch, m.behind = m.policy.cut(m.head, m.copies, m.now)
-	if m.batch == 0 {
+// startBatch starts the next batch, or ends the pass if there is none.
+func (m *Machine) startBatch() {
+	m.batchRemaining, m.cutoff = m.policy.nextBatch(m.head, m.copies, m.now)
+	if m.batchRemaining == 0 {
 		m.end(Done, "")
 		return
 	}
-	m.overtaken, m.hashes, m.parts = 0, nil, nil
-	for hash, last := range m.last {
-		if last < m.behind {
-			m.hashes = append(m.hashes, hash)
+	m.headConflicts, m.unreadHashes, m.parts = 0, nil, nil
+	for hash, last := range m.lastReference {
+		if last < m.cutoff {
+			m.unreadHashes = append(m.unreadHashes, hash)
 		}
 	}
-	slices.Sort(m.hashes)
-	m.step = stepVersions
-	m.skipVersions()
+	slices.Sort(m.unreadHashes)
+	m.step = stepReadVersions
+	m.proceedIfVersionsRead()
 }
 
-// skipVersions goes on if no version is left to be read.
-func (m *Machine) skipVersions() {
-	if len(m.hashes) == 0 {
-		m.step = stepHead
+// proceedIfVersionsRead goes on to step 3 once all versions are read.
+func (m *Machine) proceedIfVersionsRead() {
+	if len(m.unreadHashes) == 0 {
+		m.step = stepRereadHead
 	}
 }
 
-// versionRead takes the version of a part of the batch.
+// versionRead handles the reply to the read of a part's version.
 func (m *Machine) versionRead(reply Reply) {
 	switch reply.Code {
 	case "":
-		m.parts = append(m.parts, part{m.hashes[0], reply.Version})
+		m.parts = append(m.parts, part{m.unreadHashes[0], reply.Version})
 	case fault.NotFound:
-		// Another remover, or an earlier pass, was here.
+		// Another remover, or an earlier pass, has deleted the part.
 	default:
 		m.interrupt(reply)
 		return
 	}
-	m.hashes = m.hashes[1:]
-	m.skipVersions()
+	m.unreadHashes = m.unreadHashes[1:]
+	m.proceedIfVersionsRead()
 }
 
-// fenced goes on behind the update of the head. Only a plain success proves that
-// the head read in step 3 was in force until then, and Oldest is raised; in all
-// other cases head and copies are read again.
-func (m *Machine) fenced(reply Reply) {
+// headUpdated handles the reply to the update of the head. Only success proves that
+// the head read in step 3 was in force until the update, and that Oldest is raised.
+// After an ambiguous update or a conflict the head and the new copies are read again.
+func (m *Machine) headUpdated(reply Reply) {
 	switch reply.Code {
 	case "":
-		m.head, m.version = m.raised(), reply.Version
-		m.step = stepParts
-		m.spareNamed()
-		m.skipParts()
+		m.head, m.headVersion = m.raisedHead(), reply.Version
+		m.step = stepDeleteParts
+		m.spareReferenced()
+		m.proceedIfPartsDeleted()
 		return
 	case fault.Conflict, fault.Ambiguous, fault.DeadlineExceeded:
-		m.overtaken++
-		m.step = stepHead
+		m.headConflicts++
+		m.step = stepRereadHead
 	default:
 		m.interrupt(reply)
 		return
 	}
-	if m.overtaken > maxOvertaken {
+	if m.headConflicts > maxHeadConflicts {
 		m.end(Overtaken, "")
 	}
 }
 
-// spareNamed takes off the batch what the head and the copies name by now.
-func (m *Machine) spareNamed() {
-	kept := m.parts[:0]
+// spareReferenced removes the parts from the batch that are referenced by the head or
+// by copies that were listed since step 1.
+func (m *Machine) spareReferenced() {
+	unreferenced := m.parts[:0]
 	for _, p := range m.parts {
-		if m.last[p.hash] < m.behind {
-			kept = append(kept, p)
+		if m.lastReference[p.hash] < m.cutoff {
+			unreferenced = append(unreferenced, p)
 		}
 	}
-	m.result.Spared += len(m.parts) - len(kept)
-	m.parts = kept
+	m.result.Spared += len(m.parts) - len(unreferenced)
+	m.parts = unreferenced
 }
 
-// skipParts goes on if no part is left to be deleted.
-func (m *Machine) skipParts() {
+// proceedIfPartsDeleted goes on to step 6 once all parts are deleted.
+func (m *Machine) proceedIfPartsDeleted() {
 	if len(m.parts) == 0 {
-		m.step = stepCopies
+		m.step = stepDeleteCopies
 	}
 }
 
-// partDeleted goes on behind the deletion of a part. Conflict means that it was
-// touched: the copy of the change that did so names it.
+// partDeleted handles the reply to the deletion of a part. Conflict means that a
+// change touched the part; the copy of that change references it.
 func (m *Machine) partDeleted(reply Reply) {
 	switch reply.Code {
 	case "":
@@ -102,11 +103,11 @@
 		return
 	}
 	m.parts = m.parts[1:]
-	m.skipParts()
+	m.proceedIfPartsDeleted()
 }
 
-// copyDeleted goes on behind the deletion of a copy, and to the next batch behind
-// the last one.
+// copyDeleted handles the reply to the deletion of a copy. After the last one of the
+// batch it starts the next batch.
 func (m *Machine) copyDeleted(reply Reply) {
 	switch reply.Code {
 	case "":
@@ -116,16 +117,16 @@
 		m.interrupt(reply)
 		return
 	}
-	delete(m.known, m.copies[0].key)
+	delete(m.listedKeys, m.copies[0].key)
 	m.copies = m.copies[1:]
-	m.batch--
-	if m.batch > 0 {
+	m.batchRemaining--
+	if m.batchRemaining > 0 {
 		return
 	}
-	for hash, last := range m.last {
-		if last < m.behind {
-			delete(m.last, hash)
+	for hash, last := range m.lastReference {
+		if last < m.cutoff {
+			delete(m.lastReference, hash)
 		}
 	}
-	m.choose()
+	m.startBatch()
 }
--- a/core/config/retention/machine.go
+++ b/core/config/retention/machine.go
@@ -11,111 +11,113 @@
 )
 
 const (
-	// listPage is how many copies one call lists; each has some 6 kB in base64.
+	// listPage is the number of copies per listing call; each has some 6 kB in base64.
 	listPage = 20
-	// maxOvertaken is how often changes may be accepted between steps 3 and 4 of
-	// one batch before the pass ends.
-	maxOvertaken = 32
+	// maxHeadConflicts is how many updates of the head may fail in one batch, because
+	// changes were accepted between steps 3 and 4, before the pass ends.
+	maxHeadConflicts = 32
 )
 
-// step is a step of the protocol, as numbered in the package's comment.
+// step is a step of the protocol. The steps are numbered in the package comment.
 type step int
 
 const (
-	stepFirstHead step = iota
-	stepList
-	stepVersions
-	stepHead
-	stepNewer
-	stepFence
-	stepParts
-	stepCopies
+	stepReadHead step = iota
+	stepListCopies
+	stepReadVersions
+	stepRereadHead
+	stepListNewCopies
+	stepUpdateHead
+	stepDeleteParts
+	stepDeleteCopies
 )
 
-// part is a part of the batch with the version that may be deleted.
+// part is a part of the batch, and the version on which its deletion is conditional.
 type part struct {
 	hash    string
 	version uint64
 }
 
-// Machine is one pass. It is not safe for concurrent use.
+// Machine runs one pass. It is not safe for concurrent use.
 type Machine struct {
 	policy Policy
 	now    time.Time
 	step   step
 
-	// head is the last one read, with its object's version.
-	head    config.Head
-	version uint64
-	// copies are those listed and not removed; in order of key, which is that of
-	// revision, once a listing has ended. known holds their keys.
-	copies []copyOf
-	known  map[string]bool
-	// last is, for each part that a listed copy or the head names, the highest
-	// revision that names it.
-	last map[string]core.Revision
-	// after is where the listing goes on.
-	after string
-
-	// batch is how many of copies are being removed, and behind the first revision
-	// that is kept of it. hashes are parts whose versions are still to be read,
-	// parts those to be deleted.
-	batch     int
-	behind    core.Revision
-	hashes    []string
-	parts     []part
-	overtaken int
+	// head is the last head read, and headVersion the version of its object.
+	head        config.Head
+	headVersion uint64
+	// copies are the listed copies that are not removed yet. Once a listing has ended
+	// they are sorted by key, which is also the order of revisions. listedKeys holds
+	// their keys.
+	copies     []headCopy
+	listedKeys map[string]bool
+	// lastReference maps each part that a listed copy or the head references to the
+	// highest revision that references it.
+	lastReference map[string]core.Revision
+	// listAfter is the key after which the listing continues.
+	listAfter string
+
+	// batchRemaining is how many copies of the batch are still to be removed, from the
+	// beginning of copies. cutoff is the first revision that the batch doesn't remove.
+	// unreadHashes are the parts whose versions are still to be read, parts those that
+	// are still to be deleted. headConflicts counts the failed updates of the head.
+	batchRemaining int
+	cutoff         core.Revision
+	unreadHashes   []string
+	parts          []part
+	headConflicts  int
 
 	result Result
 }
 
-// New returns a pass. Now is compared with the times of the copies.
+// New returns a pass. It compares now with the times of the copies.
 func New(policy Policy, now time.Time) *Machine {
-	return &Machine{policy: policy, now: now, known: map[string]bool{}, last: map[string]core.Revision{}}
+	return &Machine{policy: policy, now: now, listedKeys: map[string]bool{}, lastReference: map[string]core.Revision{}}
 }
 
-// Result returns the end of the pass, and whether it has ended.
+// Result returns the result of the pass, and whether the pass has ended.
 func (m *Machine) Result() (Result, bool) { return m.result, m.result.Outcome != "" }
 
-// Next returns the call to carry out. It must not be called after the end.
+// Next returns the call to carry out. It must not be called after the pass has ended.
 func (m *Machine) Next() Action {
 	switch m.step {
-	case stepFirstHead, stepHead:
+	case stepReadHead, stepRereadHead:
 		return Action{Kind: ActionGet, Key: config.HeadKey}
-	case stepList, stepNewer:
-		return Action{Kind: ActionList, Key: config.ChangePrefix, After: m.after, Limit: listPage}
-	case stepVersions:
-		return Action{Kind: ActionGet, Key: config.PartKey(m.hashes[0])}
-	case stepFence:
-		return Action{Kind: ActionUpdate, Key: config.HeadKey, Value: m.raised().Encode(), Version: m.version}
-	case stepParts:
+	case stepListCopies, stepListNewCopies:
+		return Action{Kind: ActionList, Key: config.ChangePrefix, After: m.listAfter, Limit: listPage}
+	case stepReadVersions:
+		return Action{Kind: ActionGet, Key: config.PartKey(m.unreadHashes[0])}
+	case stepUpdateHead:
+		return Action{Kind: ActionUpdate, Key: config.HeadKey, Value: m.raisedHead().Encode(), Version: m.headVersion}
+	case stepDeleteParts:
 		return Action{Kind: ActionDelete, Key: config.PartKey(m.parts[0].hash), Version: m.parts[0].version}
 	default:
 		return Action{Kind: ActionDelete, Key: m.copies[0].key, Version: m.copies[0].version}
 	}
 }
 
-// raised returns the head with the batch given up.
-func (m *Machine) raised() config.Head {
+// raisedHead returns the head with Oldest raised to the end of the batch.
+func (m *Machine) raisedHead() config.Head {
 	raised := m.head
-	raised.Oldest = max(raised.Oldest, m.behind)
+	raised.Oldest = max(raised.Oldest, m.cutoff)
 	return raised
 }
 
-// Handle takes the reply to the call that Next returned.
+// Handle processes the reply to the call that Next returned.
 func (m *Machine) Handle(reply Reply) {
 	switch m.step {
-	case stepFirstHead, stepHead:
+	case stepReadHead, stepRereadHead:
 		m.headRead(reply)
-	case stepList, stepNewer:
-		m.listed(reply)
-	case stepVersions:
+	case stepListCopies, stepListNewCopies:
+		m.copiesListed(reply)
+	case stepReadVersions:
 		m.versionRead(reply)
-	case stepFence:
-		m.fenced(reply)
-	case stepParts:
+	case stepUpdateHead:
+		m.headUpdated(reply)
+	case stepDeleteParts:
 		m.partDeleted(reply)
-	case stepCopies:
+	case stepDeleteCopies:
 		m.copyDeleted(reply)
 	}
 }
@@ -126,14 +128,13 @@
 	m.end(Interrupted, string(call.Kind)+" "+call.Key+": "+string(reply.Code)+" "+reply.Detail)
 }
 
-// end ends the pass.
 func (m *Machine) end(outcome Outcome, detail string) {
 	m.result.Outcome, m.result.Detail, m.result.Oldest = outcome, detail, max(m.head.Oldest, 1)
 }
 
-// headRead takes the head. Its parts are not to be removed.
+// headRead handles the reply to a read of the head, whose parts must be kept.
 func (m *Machine) headRead(reply Reply) {
-	if m.step == stepFirstHead && reply.Code == fault.NotFound {
+	if m.step == stepReadHead && reply.Code == fault.NotFound {
 		m.end(Done, "there is no configuration")
 		return
 	}
@@ -142,33 +143,34 @@
 		m.interrupt(reply)
 		return
 	}
-	seen := m.head.Revision
-	m.head, m.version = head, reply.Version
-	m.names(head)
-	if m.step == stepFirstHead {
-		m.step = stepList
+	previous := m.head.Revision
+	m.head, m.headVersion = head, reply.Version
+	m.recordReferences(head)
+	if m.step == stepReadHead {
+		m.step = stepListCopies
 		return
 	}
-	m.step, m.after = stepNewer, endOf(seen)
+	m.step, m.listAfter = stepListNewCopies, afterRevision(previous)
 }
 
-// endOf is behind the keys of the copies of a revision, before those of the next.
-func endOf(revision core.Revision) string {
+// afterRevision returns a key that sorts after the copies of a revision and before
+// those of the next.
+func afterRevision(revision core.Revision) string {
 	// A full stop comes right after the hyphen that follows the revision.
 	key := config.ChangeKey(revision, "")
 	return key[:len(key)-1] + "."
 }
 
-// names notes what a head names.
-func (m *Machine) names(head config.Head) {
+// recordReferences records the parts that a head references.
+func (m *Machine) recordReferences(head config.Head) {
 	for _, hash := range head.Parts() {
-		m.last[hash] = max(m.last[hash], head.Revision)
+		m.lastReference[hash] = max(m.lastReference[hash], head.Revision)
 	}
 }
 
-// listed takes a page of copies. What can't be read stays and ends the pass: the
-// parts that it names are not known.
-func (m *Machine) listed(reply Reply) {
+// copiesListed handles a page of listed copies. A copy that can't be decoded is kept
+// and ends the pass, because the parts that it references are unknown.
+func (m *Machine) copiesListed(reply Reply) {
 	if reply.Code != "" {
 		m.interrupt(reply)
 		return
@@ -179,27 +181,27 @@
 			m.interrupt(Reply{Code: fault.Invalid, Detail: object.Key})
 			return
 		}
-		m.remember(object, head)
+		m.addCopy(object, head)
 	}
 	if len(reply.Objects) == listPage {
-		m.after = reply.Objects[listPage-1].Key
+		m.listAfter = reply.Objects[listPage-1].Key
 		return
 	}
-	slices.SortFunc(m.copies, func(a, b copyOf) int { return cmp.Compare(a.key, b.key) })
-	if m.step == stepNewer {
-		m.step = stepFence
+	slices.SortFunc(m.copies, func(a, b headCopy) int { return cmp.Compare(a.key, b.key) })
+	if m.step == stepListNewCopies {
+		m.step = stepUpdateHead
 		return
 	}
-	m.choose()
+	m.startBatch()
 }
 
-// remember notes a listed copy.
-func (m *Machine) remember(object Object, head config.Head) {
-	if m.known[object.Key] {
+// addCopy records a listed copy and its references.
+func (m *Machine) addCopy(object Object, head config.Head) {
+	if m.listedKeys[object.Key] {
 		return
 	}
-	m.known[object.Key] = true
+	m.listedKeys[object.Key] = true
 	m.result.Listed++
-	m.copies = append(m.copies, copyOf{object.Key, object.Version, head.Revision, head.AcceptedUnix})
-	m.names(head)
+	m.copies = append(m.copies, headCopy{object.Key, object.Version, head.Revision, head.AcceptedUnix})
+	m.recordReferences(head)
 }
--- a/core/config/retention/policy.go
+++ b/core/config/retention/policy.go
@@ -8,57 +8,58 @@
 	"acaciawinch/core/config"
 )
 
-// Policy tells what is kept. A copy goes when it is beyond both bounds.
+// Policy defines which copies of heads are kept. A copy is removed once it is beyond
+// both bounds, Revisions and Age.
 type Policy struct {
-	// Revisions is how many revisions are kept at least, the head's among them.
+	// Revisions is the minimum number of revisions kept, including the head's.
 	Revisions int
-	// Age is how long a copy is kept at least after its change was made.
+	// Age is the minimum time for which a copy is kept after its change was made.
 	Age time.Duration
-	// Batch is how many copies are removed for one update of the head.
+	// Batch is the maximum number of copies removed per update of the head.
 	Batch int
 }
 
-// copyOf is what the machine remembers of a listed copy of a head.
-type copyOf struct {
+// headCopy describes a listed copy of a head.
+type headCopy struct {
 	key      string
 	version  uint64
 	revision core.Revision
 	accepted int64
 }
 
-// young tells whether the age of one of the copies alone keeps them.
-func (p Policy) young(copies []copyOf, now time.Time) bool {
-	return slices.ContainsFunc(copies, func(c copyOf) bool {
+// withinAge reports whether at least one of the copies is younger than Policy.Age.
+func (p Policy) withinAge(copies []headCopy, now time.Time) bool {
+	return slices.ContainsFunc(copies, func(c headCopy) bool {
 		return now.Unix()-c.accepted < int64(p.Age/time.Second)
 	})
 }
 
-// cut returns how many of the copies, which are in order of revision, are the
-// next batch, and the first revision behind it. The copies of one revision are
-// never divided, and a kept revision ends the batch: what is kept is always a
-// whole end of the chain. Copies below head.Oldest were given up by an earlier
-// pass.
-func (p Policy) cut(head config.Head, copies []copyOf, now time.Time) (int, core.Revision) {
-	batch := 0
-	var behind core.Revision
-	for batch < min(len(copies), p.Batch) {
-		revision := copies[batch].revision
-		same := copies[batch:]
-		same = same[:sameRevision(same)]
+// nextBatch returns the number of copies in the next batch, and the first revision
+// after it. The copies must be in order of revision. The copies of one revision are
+// never divided, and a kept revision ends the batch, so that the kept revisions are
+// always the contiguous end of the chain. Copies below head.Oldest are removed
+// whatever their age, as an earlier pass has already stopped keeping them.
+func (p Policy) nextBatch(head config.Head, copies []headCopy, now time.Time) (int, core.Revision) {
+	count := 0
+	var cutoff core.Revision
+	for count < min(len(copies), p.Batch) {
+		revision := copies[count].revision
+		group := copies[count:]
+		group = group[:countSameRevision(group)]
 		if revision+core.Revision(p.Revisions) > head.Revision {
 			break
 		}
-		if revision >= head.Oldest && p.young(same, now) {
+		if revision >= head.Oldest && p.withinAge(group, now) {
 			break
 		}
-		batch += len(same)
-		behind = revision + 1
+		count += len(group)
+		cutoff = revision + 1
 	}
-	return batch, behind
+	return count, cutoff
 }
 
-// sameRevision returns how many copies at the beginning have the same revision.
-func sameRevision(copies []copyOf) int {
+// countSameRevision returns how many copies at the beginning have the same revision.
+func countSameRevision(copies []headCopy) int {
 	count := 1
 	for count < len(copies) && copies[count].revision == copies[0].revision {
 		count++
--- a/core/config/retention/retention_test.go
+++ b/core/config/retention/retention_test.go
@@ -16,14 +16,14 @@
 	"acaciawinch/core/fault"
 )
 
-// schedules is how many the property test runs, and parts in how many parallel
-// parts. Every run plays the same ones.
+// The property test runs this number of schedules, in this number of parallel groups.
+// Each run of the test plays the same schedules.
 const (
 	schedules = 10_000
-	parts     = 12
+	groups    = 12
 )
 
-// tally counts what the schedules did.
+// tally counts the results of the schedules.
 type tally struct {
 	mu                                sync.Mutex
 	schedules                         int
@@ -31,8 +31,7 @@
 	accepted, copies, removed, spared int
 }
 
-// add counts one schedule.
-func (c *tally) add(w *world) {
+func (c *tally) add(w *simulation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.schedules++
@@ -45,20 +44,20 @@
 	c.spared += w.removed.Spared
 }
 
-// TestNothingThatIsNamedIsRemoved runs schedules of racing operators and
-// removers, crashes, long pauses, lost calls, lost answers and late writes.
-func TestNothingThatIsNamedIsRemoved(t *testing.T) {
+// TestNoReferencedPartIsRemoved runs schedules of racing operators and removers with
+// crashes, long pauses, lost calls, lost responses and delayed writes.
+func TestNoReferencedPartIsRemoved(t *testing.T) {
 	seen := &tally{results: map[retention.Outcome]int{}}
 	t.Run("schedules", func(t *testing.T) {
-		for part := range uint64(parts) {
-			t.Run(fmt.Sprint(part), func(t *testing.T) {
+		for group := range uint64(groups) {
+			t.Run(fmt.Sprint(group), func(t *testing.T) {
 				t.Parallel()
-				for seed := part; seed < schedules; seed += parts {
-					w := newWorld(seed, sabotageNone)
+				for seed := group; seed < schedules; seed += groups {
+					w := newSimulation(seed, mutationNone)
 					w.play()
 					assert.Equal(t, w.violation, "", "schedule %d", seed)
-					least := core.Revision(min(w.policy.Revisions, int(w.head.Revision)))
-					assert.Assert(t, w.kept() >= least, "schedule %d", seed)
+					minimum := core.Revision(min(w.policy.Revisions, int(w.head.Revision)))
+					assert.Assert(t, w.kept() >= minimum, "schedule %d", seed)
 					seen.add(w)
 				}
 			})
@@ -73,39 +72,40 @@
 	}
 }
 
-// sabotagedSchedules bounds the search for a schedule that goes wrong.
-const sabotagedSchedules = 4000
+// mutatedSchedules bounds the search for a schedule that violates the invariant.
+const mutatedSchedules = 4000
 
-// TestEachSafeguardIsNeeded switches the safeguards off, one at a time, and
-// looks for a schedule in which what each guards is lost.
+// TestEachSafeguardIsNeeded disables the safeguards one at a time, and searches for a
+// schedule that loses an object which the safeguard protects.
 func TestEachSafeguardIsNeeded(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		sabotage sabotage
-		lost     string
-		// first is the schedule that the search begins with: one that was found.
-		first uint64
+		name      string
+		mutation  mutation
+		violation string
+		// firstSeed is the schedule at which the search begins.
+		firstSeed uint64
 	}{
-		{"touch", sabotageTouch, "the head at revision", 0},
-		{"condition", sabotageCondition, "the head at revision", 0},
-		{"newer", sabotageNewer, "the kept copy", 0},
-		{"fence", sabotageFence, "the ", 0},
+		{"touch", mutationTouch, "the head at revision", 0},
+		{"condition", mutationCondition, "the head at revision", 0},
+		{"newer", mutationNewer, "the kept copy", 0},
+		{"fence", mutationFence, "the ", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			for seed := c.first; seed < c.first+sabotagedSchedules; seed++ {
-				w := newWorld(seed, c.sabotage)
+			for seed := c.firstSeed; seed < c.firstSeed+mutatedSchedules; seed++ {
+				w := newSimulation(seed, c.mutation)
 				w.play()
-				if strings.HasPrefix(w.violation, c.lost) {
+				if strings.HasPrefix(w.violation, c.violation) {
 					t.Logf("schedule %d: %s", seed, w.violation)
 					return
 				}
 			}
-			t.Fatal("no schedule lost it")
+			t.Fatal("no schedule violated the invariant without the safeguard")
 		})
 	}
 }
 
-// pass drives one pass without trouble and returns its end and its calls.
+// pass drives one pass without faults and returns its result and the number of calls
+// of each kind.
 func pass(s *store, policy retention.Policy) (retention.Result, map[string]int) {
 	machine := retention.New(policy, now)
 	calls := map[string]int{}
@@ -119,23 +119,23 @@
 	}
 }
 
-// history returns a world whose store holds changes of one workspace, each with
-// a content of its own, a minute apart up to now.
-func history(changes int) *world {
-	w := &world{store: newStore(nil), read: map[string]config.Head{}}
-	w.store.written = w.check
+// history returns a simulation whose store holds changes of one workspace, each with
+// different content, one minute apart and up to now.
+func history(changes int) *simulation {
+	w := &simulation{store: newStore(nil), decodedCopies: map[string]config.Head{}}
+	w.store.afterWrite = w.check
 	w.run(accept.New(accept.Request{ChangeID: "first", Time: now.Add(-time.Duration(changes) * time.Minute),
 		Change: config.Change{PutTemplates: []config.Template{template()}}}))
 	for i := 1; i < changes; i++ {
-		made := now.Add(-time.Duration(changes-i) * time.Minute)
+		acceptedAt := now.Add(-time.Duration(changes-i) * time.Minute)
 		put := config.Workspace{Name: "w", Weight: 1, MaxInFlight: i, Pipelines: []string{"p"}}
-		w.run(accept.New(accept.Request{ChangeID: fmt.Sprint("c", i), Time: made,
+		w.run(accept.New(accept.Request{ChangeID: fmt.Sprint("c", i), Time: acceptedAt,
 			Change: config.Change{PutWorkspaces: []config.Workspace{put}}}))
 	}
 	return w
 }
 
-// count returns how many objects there are below a prefix.
+// count returns the number of objects below a prefix.
 func (s *store) count(prefix string) int {
 	return len(s.list(call{key: prefix, limit: len(s.objects)}))
 }
@@ -158,13 +158,13 @@
 		// The templates are a part, too; the first revision has no other.
 		assert.Equal(t, w.store.count(config.PartPrefix), min(c.kept+1, 200))
 		assert.Equal(t, int(w.kept()), c.kept)
-		again, calls := pass(w.store, c.policy)
-		assert.Equal(t, again.Copies+again.Parts, 0)
+		second, calls := pass(w.store, c.policy)
+		assert.Equal(t, second.Copies+second.Parts, 0)
 		assert.Equal(t, calls["update"]+calls["delete"], 0)
 	}
 }
 
-func TestACrashAtAnyCallLeavesNothingForGood(t *testing.T) {
+func TestTheNextPassRemovesWhatACrashLeftBehind(t *testing.T) {
 	policy := retention.Policy{Revisions: 5, Batch: 7}
 	for stop := 0; ; stop++ {
 		w := history(40)
@@ -180,7 +180,7 @@
 		}
 		pass(w.store, policy)
 		assert.Equal(t, w.violation, "")
-		assert.Equal(t, w.store.count(config.PartPrefix), 6, "stopped behind %d calls", stop)
+		assert.Equal(t, w.store.count(config.PartPrefix), 6, "stopped after %d calls", stop)
 		assert.Equal(t, w.store.count(config.ChangePrefix), 5)
 	}
 }
@@ -224,9 +224,9 @@
 	}
 }
 
-// TestTheCallsOfAPass counts the calls for one removed change: a read and a
-// deletion of its part, and a deletion of its copy; besides, pages of copies and
-// one round for each batch.
+// TestTheCallsOfAPass counts the calls per removed change: the read and the deletion of
+// its part, and the deletion of its copy. In addition, there are the pages of copies,
+// and one read of the head, listing and update of the head per batch.
 func TestTheCallsOfAPass(t *testing.T) {
 	const removed, batch = 400, 20
 	w := history(2 * removed)
--- a/core/config/retention/world_test.go
+++ b/core/config/retention/simulation_test.go
@@ -11,30 +11,30 @@
 	"acaciawinch/core/config/retention"
 )
 
-// now is the time of all schedules, by whoever's clock.
+// now is the current time of all schedules, by every clock.
 var now = time.Unix(2_000_000_000, 0)
 
 // actor is an operator or a remover.
 type actor struct {
-	// turn makes a call and keeps its answer, or takes the answer kept. It returns
-	// false when nothing is left to do.
+	// turn makes a call and stores its response, or handles the stored response. It
+	// returns false once the actor has nothing left to do.
 	turn func() bool
-	// crash forgets everything that is not in the store.
+	// crash discards all state that is not in the store.
 	crash func()
-	// frozen is how many turns of others the actor still waits for.
-	frozen int
+	// pausedTurns is the number of its own turns for which the actor stays paused.
+	pausedTurns int
 }
 
-// world is one schedule: a store, and operators and removers that race on it.
-type world struct {
+// simulation is one schedule: a store, and operators and removers that race on it.
+type simulation struct {
 	random *rand.Rand
 	store  *store
 	policy retention.Policy
 	actors []*actor
-	// heads are copies and heads by key, read once.
-	head config.Head
-	read map[string]config.Head
-	// violation tells what was lost, "" if nothing.
+	// head is the last head written. decodedCopies caches the decoded copies by key.
+	head          config.Head
+	decodedCopies map[string]config.Head
+	// violation describes the object that was lost; "" if none was.
 	violation string
 	accepted  int
 	results   map[retention.Outcome]int
@@ -42,12 +42,12 @@
 	changes   int
 }
 
-// newWorld returns a world with a template and some workspaces.
-func newWorld(seed uint64, broken sabotage) *world {
+// newSimulation returns a simulation with a template and some workspaces.
+func newSimulation(seed uint64, mutated mutation) *simulation {
 	random := rand.New(rand.NewPCG(seed, 2))
-	w := &world{random: random, store: newStore(random), read: map[string]config.Head{}, results: map[retention.Outcome]int{}}
-	w.store.sabotage = broken
-	w.store.written = w.check
+	w := &simulation{random: random, store: newStore(random), decodedCopies: map[string]config.Head{}, results: map[retention.Outcome]int{}}
+	w.store.mutation = mutated
+	w.store.afterWrite = w.check
 	w.policy = retention.Policy{Revisions: 1 + random.IntN(2), Batch: 1 + random.IntN(4)}
 	if random.IntN(6) == 0 {
 		w.policy.Age = time.Hour
@@ -56,7 +56,7 @@
 	for range 4 {
 		w.run(accept.New(w.request(w.change())))
 	}
-	w.store.trouble = []int{0, 2, 5, 20}[random.IntN(4)]
+	w.store.faultPercent = []int{0, 2, 5, 20}[random.IntN(4)]
 	for range 1 + random.IntN(2) {
 		w.actors = append(w.actors, w.operator(3+random.IntN(5)))
 	}
@@ -66,7 +66,7 @@
 	return w
 }
 
-// template returns a sound template.
+// template returns a valid template.
 func template() config.Template {
 	t := config.Template{Name: "p", DeadlineMS: 1000, MaxDeadlineMS: 5000}
 	for _, name := range []string{"a", "b", "c"} {
@@ -76,8 +76,8 @@
 }
 
 // change sets one of few workspaces, mostly the first, to one of few contents, or
-// removes it, so that parts that no head names any more come back all the time.
-func (w *world) change() config.Change {
+// removes it, so that changes often need a part again that no head references any more.
+func (w *simulation) change() config.Change {
 	name := string(rune('p' + w.random.IntN(8)/7))
 	if w.random.IntN(6) == 0 {
 		return config.Change{RemoveWorkspaces: []string{name}}
@@ -86,14 +86,14 @@
 }
 
 // request returns a request with a new id, made within the last two hours.
-func (w *world) request(c config.Change) accept.Request {
+func (w *simulation) request(c config.Change) accept.Request {
 	w.changes++
 	made := now.Add(-time.Duration(w.random.IntN(120)) * time.Minute)
 	return accept.Request{ChangeID: fmt.Sprintf("id-%d", w.changes), Change: c, Time: made}
 }
 
-// run drives a change to its end without trouble.
-func (w *world) run(machine *accept.Machine) {
+// run drives a change to its end without faults.
+func (w *simulation) run(machine *accept.Machine) {
 	for {
 		if _, ended := machine.Result(); ended {
 			return
@@ -103,11 +103,11 @@
 }
 
 // operator returns an actor that makes changes one after the other.
-func (w *world) operator(changes int) *actor {
+func (w *simulation) operator(changes int) *actor {
 	var machine *accept.Machine
-	var kept *answer
+	var pending *response
 	begin := func() {
-		machine, kept = accept.New(w.request(w.change())), nil
+		machine, pending = accept.New(w.request(w.change())), nil
 		changes--
 	}
 	begin()
@@ -122,12 +122,12 @@
 				return false
 			}
 			begin()
-		case kept != nil:
-			machine.Handle(acceptReply(*kept))
-			kept = nil
+		case pending != nil:
+			machine.Handle(acceptReply(*pending))
+			pending = nil
 		default:
-			made := w.store.do(acceptCall(machine.Next()))
-			kept = &made
+			received := w.store.do(acceptCall(machine.Next()))
+			pending = &received
 		}
 		return true
 	}
@@ -135,11 +135,11 @@
 }
 
 // remover returns an actor that makes passes one after the other.
-func (w *world) remover(passes int) *actor {
+func (w *simulation) remover(passes int) *actor {
 	var machine *retention.Machine
-	var kept *answer
+	var pending *response
 	begin := func() {
-		machine, kept = retention.New(w.policy, now), nil
+		machine, pending = retention.New(w.policy, now), nil
 		passes--
 	}
 	begin()
@@ -152,61 +152,62 @@
 				return false
 			}
 			begin()
-		case kept != nil:
-			machine.Handle(removalReply(*kept))
-			kept = nil
+		case pending != nil:
+			machine.Handle(removalReply(*pending))
+			pending = nil
 		default:
-			made := w.store.do(removalCall(machine.Next()))
-			kept = &made
+			received := w.store.do(removalCall(machine.Next()))
+			pending = &received
 		}
 		return true
 	}
 	return &actor{turn: turn, crash: begin}
 }
 
-// count adds up what passes did.
-func (w *world) count(r retention.Result) {
+// count adds up the results of passes.
+func (w *simulation) count(r retention.Result) {
 	w.results[r.Outcome]++
 	w.removed.Copies += r.Copies
 	w.removed.Parts += r.Parts
 	w.removed.Spared += r.Spared
 }
 
-// play gives turns by chance until no actor is left, and then lets every late
-// write land.
-func (w *world) play() {
+// play gives turns to random actors until none is left, and then applies all delayed
+// writes.
+func (w *simulation) play() {
 	for len(w.actors) > 0 && w.violation == "" {
 		w.turn(w.random.IntN(len(w.actors)))
 		if w.random.IntN(20) == 0 {
-			w.store.land()
+			w.store.applyDelayed()
 		}
 	}
-	for len(w.store.late) > 0 && w.violation == "" {
-		w.store.land()
+	for len(w.store.delayed) > 0 && w.violation == "" {
+		w.store.applyDelayed()
 	}
 }
 
-// turn gives an actor a turn, unless it is frozen, or crashes or freezes it.
-func (w *world) turn(i int) {
+// turn gives an actor a turn, unless it is paused. It may crash the actor first, or
+// pause it for the following turns.
+func (w *simulation) turn(i int) {
 	a := w.actors[i]
-	if a.frozen > 0 && len(w.actors) > 1 {
-		a.frozen--
+	if a.pausedTurns > 0 && len(w.actors) > 1 {
+		a.pausedTurns--
 		return
 	}
 	switch w.random.IntN(150) {
 	case 0:
 		a.crash()
 	case 1, 2, 3, 4, 5, 6, 7, 8, 9, 10:
-		a.frozen = w.random.IntN(60)
+		a.pausedTurns = w.random.IntN(60)
 	}
 	if !a.turn() {
 		w.actors = append(w.actors[:i], w.actors[i+1:]...)
 	}
 }
 
-// check looks, behind each write that may have broken it, whether everything that
-// the head and the kept copies name can be read.
-func (w *world) check(c call) {
+// check verifies, after each write that may have violated it, that all parts and
+// copies that the head and the kept copies reference exist.
+func (w *simulation) check(c call) {
 	if c.key == config.HeadKey {
 		w.head, _ = config.DecodeHead(c.value)
 	} else if c.kind != "delete" {
@@ -219,7 +220,7 @@
 	for head := w.head; head.Parent != "" && head.Revision > w.head.Oldest; {
 		key := head.Parent
 		if _, found := w.store.objects[key]; !found {
-			w.violation = fmt.Sprintf("the copy %s is gone, revision %d is kept", key, w.head.Oldest)
+			w.violation = fmt.Sprintf("the copy %s does not exist, but revisions from %d on are kept", key, w.head.Oldest)
 			return
 		}
 		head = w.copyAt(key)
@@ -227,24 +228,24 @@
 	}
 }
 
-// checkParts looks whether all parts of a head are there.
-func (w *world) checkParts(what string, head config.Head) {
+// checkParts verifies that all parts of a head exist.
+func (w *simulation) checkParts(owner string, head config.Head) {
 	for _, hash := range head.Parts() {
 		if _, found := w.store.objects[config.PartKey(hash)]; !found {
-			w.violation = fmt.Sprintf("%s at revision %d names part %s, which is gone", what, head.Revision, hash)
+			w.violation = fmt.Sprintf("%s at revision %d references part %s, which does not exist", owner, head.Revision, hash)
 		}
 	}
 }
 
-// copyAt returns the copy under a key, which never changes.
-func (w *world) copyAt(key string) config.Head {
-	head, known := w.read[key]
+// copyAt returns the copy with the given key. Copies are cached, as they never change.
+func (w *simulation) copyAt(key string) config.Head {
+	head, known := w.decodedCopies[key]
 	if !known {
 		head, _ = config.DecodeHead(w.store.objects[key].Value)
-		w.read[key] = head
+		w.decodedCopies[key] = head
 	}
 	return head
 }
 
 // kept returns how many revisions the store keeps.
-func (w *world) kept() core.Revision { return w.head.Revision + 1 - max(w.head.Oldest, 1) }
+func (w *simulation) kept() core.Revision { return w.head.Revision + 1 - max(w.head.Oldest, 1) }
--- a/core/config/retention/store_test.go
+++ b/core/config/retention/store_test.go
@@ -11,20 +11,19 @@
 	"acaciawinch/core/fault"
 )
 
-// sabotage switches one safeguard of the protocol off.
-type sabotage int
+// mutation disables one safeguard of the protocol.
+type mutation int
 
 const (
-	sabotageNone sabotage = iota
-	// sabotageTouch: a change's touch of a part that exists leaves its version.
-	sabotageTouch
-	// sabotageNewer: a removal is not shown the copies written since its first
-	// listing.
-	sabotageNewer
-	// sabotageFence: a removal's update of the head leaves its version.
-	sabotageFence
-	// sabotageCondition: a deletion ignores the version that it is conditional on.
-	sabotageCondition
+	mutationNone mutation = iota
+	// mutationTouch: a change's touch of an existing part keeps its version.
+	mutationTouch
+	// mutationNewer: a remover is not shown the copies written since its first listing.
+	mutationNewer
+	// mutationFence: a remover's update of the head keeps its version.
+	mutationFence
+	// mutationCondition: a deletion ignores the version that it is conditional on.
+	mutationCondition
 )
 
 // call is a call of the object API by an operator or a remover.
@@ -35,140 +34,139 @@
 	limit   int
 	value   []byte
 	version uint64
-	// remover is set for the calls of a removal.
+	// remover is set for the calls of a remover.
 	remover bool
 }
 
-// answer is what a call returns.
-type answer struct {
+// response is the result of a call.
+type response struct {
 	code    fault.Code
 	objects []retention.Object
 }
 
-// object returns the only object of an answer.
-func (a answer) object() retention.Object {
+// object returns the only object of a response, or an empty one if there is none.
+func (a response) object() retention.Object {
 	if len(a.objects) == 0 {
 		return retention.Object{}
 	}
 	return a.objects[0]
 }
 
-// store is a deterministic object API that loses calls and answers, and lets
-// writes take effect long after their caller was told that nobody knows.
+// store is a deterministic object API that loses calls and responses, and applies
+// writes long after their callers were told that the result is ambiguous.
 type store struct {
 	random   *rand.Rand
 	objects  map[string]retention.Object
 	sequence uint64
-	// trouble is how many calls of a hundred go wrong.
-	trouble  int
-	sabotage sabotage
-	late     []call
-	// written is called behind each write that took effect.
-	written func(call)
+	// faultPercent is the percentage of calls that fail.
+	faultPercent int
+	mutation     mutation
+	delayed      []call
+	// afterWrite is called after each write that took effect.
+	afterWrite func(call)
 }
 
 // newStore returns an empty store.
 func newStore(random *rand.Rand) *store {
-	return &store{random: random, objects: map[string]retention.Object{}, written: func(call) {}}
+	return &store{random: random, objects: map[string]retention.Object{}, afterWrite: func(call) {}}
 }
 
-// do carries out a call, or not, and returns what its caller learns.
-func (s *store) do(c call) answer {
-	if s.trouble == 0 || s.random.IntN(100) >= s.trouble {
+// do carries out a call, unless a fault prevents it, and returns what its caller learns.
+func (s *store) do(c call) response {
+	if s.faultPercent == 0 || s.random.IntN(100) >= s.faultPercent {
 		return s.apply(c)
 	}
 	if c.kind == "get" || c.kind == "list" {
-		return answer{code: fault.DeadlineExceeded}
+		return response{code: fault.DeadlineExceeded}
 	}
 	switch s.random.IntN(4) {
 	case 0:
-		return answer{code: fault.Unavailable}
+		return response{code: fault.Unavailable}
 	case 1:
-		return answer{code: fault.Ambiguous}
+		return response{code: fault.Ambiguous}
 	case 2:
 		s.apply(c)
-		return answer{code: fault.Ambiguous}
+		return response{code: fault.Ambiguous}
 	default:
-		s.late = append(s.late, c)
-		return answer{code: fault.Ambiguous}
+		s.delayed = append(s.delayed, c)
+		return response{code: fault.Ambiguous}
 	}
 }
 
-// land carries out one late write, if there is any.
-func (s *store) land() {
-	if len(s.late) == 0 {
+// applyDelayed applies one random delayed write, if there is any.
+func (s *store) applyDelayed() {
+	if len(s.delayed) == 0 {
 		return
 	}
-	i := s.random.IntN(len(s.late))
-	late := s.late[i]
-	s.late = slices.Delete(s.late, i, i+1)
-	s.apply(late)
+	i := s.random.IntN(len(s.delayed))
+	write := s.delayed[i]
+	s.delayed = slices.Delete(s.delayed, i, i+1)
+	s.apply(write)
 }
 
-// apply carries out a call.
-func (s *store) apply(c call) answer {
-	present, exists := s.objects[c.key]
+// apply carries out a call without faults.
+func (s *store) apply(c call) response {
+	current, exists := s.objects[c.key]
 	switch c.kind {
 	case "list":
-		if s.sabotage == sabotageNewer && c.after != "" {
-			return answer{}
+		if s.mutation == mutationNewer && c.after != "" {
+			return response{}
 		}
-		return answer{objects: s.list(c)}
+		return response{objects: s.list(c)}
 	case "get":
 		if !exists {
-			return answer{code: fault.NotFound}
+			return response{code: fault.NotFound}
 		}
-		return answer{objects: []retention.Object{present}}
+		return response{objects: []retention.Object{current}}
 	case "create":
 		if exists {
-			return answer{code: fault.Conflict}
+			return response{code: fault.Conflict}
 		}
-		return s.write(c, s.next())
+		return s.write(c, s.nextVersion())
 	}
-	blind := c.kind == "delete" && s.sabotage == sabotageCondition
+	unconditional := c.kind == "delete" && s.mutation == mutationCondition
 	if !exists {
-		return answer{code: fault.NotFound}
+		return response{code: fault.NotFound}
 	}
-	if present.Version != c.version && !blind {
-		return answer{code: fault.Conflict}
+	if current.Version != c.version && !unconditional {
+		return response{code: fault.Conflict}
 	}
 	if c.kind == "delete" {
 		delete(s.objects, c.key)
-		s.written(c)
-		return answer{}
+		s.afterWrite(c)
+		return response{}
 	}
 	if s.keepsVersion(c) {
-		return s.write(c, present.Version)
+		return s.write(c, current.Version)
 	}
-	return s.write(c, s.next())
+	return s.write(c, s.nextVersion())
 }
 
-// keepsVersion tells whether an update is sabotaged.
+// keepsVersion reports whether the mutation makes an update keep the object's version.
 func (s *store) keepsVersion(c call) bool {
-	switch s.sabotage {
-	case sabotageTouch:
+	switch s.mutation {
+	case mutationTouch:
 		return strings.HasPrefix(c.key, config.PartPrefix)
-	case sabotageFence:
+	case mutationFence:
 		return c.remover && c.key == config.HeadKey
 	}
 	return false
 }
 
-// next returns a version above all earlier ones.
-func (s *store) next() uint64 {
+// nextVersion returns a version above all earlier ones.
+func (s *store) nextVersion() uint64 {
 	s.sequence++
 	return s.sequence
 }
 
-// write stores a value.
-func (s *store) write(c call, version uint64) answer {
+func (s *store) write(c call, version uint64) response {
 	object := retention.Object{Key: c.key, Value: c.value, Version: version}
 	s.objects[c.key] = object
-	s.written(c)
-	return answer{objects: []retention.Object{object}}
+	s.afterWrite(c)
+	return response{objects: []retention.Object{object}}
 }
 
-// list returns a page of objects in order of key.
+// list returns a page of objects, sorted by key.
 func (s *store) list(c call) []retention.Object {
 	var keys []string
 	for key := range s.objects {
@@ -184,22 +182,22 @@
 	return page
 }
 
-// acceptCall returns an operator's call.
+// acceptCall converts an operator's action into a call.
 func acceptCall(a accept.Action) call {
 	return call{kind: string(a.Kind), key: a.Key, value: a.Value, version: a.Version}
 }
 
-// acceptReply returns the answer to an operator.
-func acceptReply(a answer) accept.Reply {
+// acceptReply converts a response into the reply to an operator.
+func acceptReply(a response) accept.Reply {
 	return accept.Reply{Code: a.code, Value: a.object().Value, Version: a.object().Version}
 }
 
-// removalCall returns a remover's call.
+// removalCall converts a remover's action into a call.
 func removalCall(a retention.Action) call {
 	return call{kind: string(a.Kind), key: a.Key, after: a.After, limit: a.Limit, value: a.Value, version: a.Version, remover: true}
 }
 
-// removalReply returns the answer to a remover.
-func removalReply(a answer) retention.Reply {
+// removalReply converts a response into the reply to a remover.
+func removalReply(a response) retention.Reply {
 	return retention.Reply{Code: a.code, Value: a.object().Value, Version: a.object().Version, Objects: a.objects}
 }
