--- a/core/config/accept/accept.go
+++ b/core/config/accept/accept.go
@@ -1,41 +1,40 @@
 // Package accept is the protocol by which an operator's change becomes the
 // configuration in force, as a pure state machine: the caller carries out the
-// actions that it asks for and hands back the replies.
+// actions that the machine returns and passes the replies back to it.
 //
-// The steps, each one call of the object API:
+// The steps, each of which consists of calls of the object API:
 //
 //  1. Read the head, and the parts that the change touches.
-//  2. Make the change on what was read, and validate the result.
-//  3. Create the immutable copy of the new head under revision and change id.
-//  4. Create the immutable parts. A part that exists is touched: updated with
+//  2. Apply the change to the content read, and validate the result.
+//  3. Create the immutable copy of the new head, under its revision and change id.
+//  4. Create the immutable parts. A part that exists is touched: it is updated with
 //     the value that it has, so that its version rises.
-//  5. Move the head by an update on the version that was read. Only this step
+//  5. Update the head, on condition of the version read in step 1. Only this step
 //     accepts the change.
 //
-// Why each step is safe against a crash, a lost answer and a racing operator:
+// Why each step is safe against crashes, lost responses and racing operators:
 //
-//   - Parts are named by their content. A part that exists has the bytes that
-//     this writer would write, whoever wrote it; a part that no head names is
-//     never read. So step 4 may be repeated, and may be left unfinished.
-//   - The copy's key holds the random change id, so only this writer writes it.
-//     At one revision its content is always the same: the head before it is the
-//     only one of its revision, because heads move by conditional updates, and
-//     the merge is deterministic. So step 3 may be repeated or left, too. It
-//     comes before the parts, so that each part is named by some copy, from
-//     which the removal of old objects (package retention) finds it.
-//   - A part that exists may be about to be removed, because no kept head names
-//     it any more. A removal reads the versions that it deletes, and then lists
-//     the copies. Either it sees this run's copy, or the touch came after it read
-//     the version: in both cases the part stays.
-//   - The parts and the copy exist before the head moves, so whoever reads a
-//     head finds all that it names, and walks the copies back to the first.
-//   - An update of the head on version V succeeds for at most one writer, as
-//     versions of an object only rise. If its answer is lost, the head is read
-//     again. Is it still at V, then the same update may be sent again: at most
-//     one of the copies sent can take effect, and all have the same value. Has it
-//     moved, then no update on V can take effect any more, and the chain of
-//     copies tells for good whether ours did: the one copy at our revision
-//     carries our change id, or another's.
+//   - Parts are identified by the hashes of their content. A part that exists has the
+//     bytes that this writer would write, whoever wrote it, and a part that no head
+//     references is never read. So step 4 may be repeated, and may be left unfinished.
+//   - The copy's key holds the random change id, so only this writer writes it. At one
+//     revision its content is always the same: the previous head is the only one of its
+//     revision, because the head is only updated conditionally, and the merge is
+//     deterministic. So step 3 may be repeated or left unfinished as well. It precedes
+//     step 4, so that each part is referenced by some copy, through which the removal
+//     of old objects (package retention) finds it.
+//   - An existing part may be about to be removed, because no kept head references it
+//     any more. A removal reads the versions that it deletes, and then lists the copies.
+//     Either it sees this run's copy, or the touch follows the removal's read of the
+//     version. In both cases the part is not removed.
+//   - The parts and the copy exist before the head is updated, so a reader of a head
+//     finds all parts that it references, and can follow the copies back to the first.
+//   - An update of the head on version V succeeds for at most one writer, as versions of
+//     an object only rise. If its response is lost, the head is read again. If the head
+//     is still at V, the same update may be sent again: at most one of the requests can
+//     take effect, and all have the same value. If the head is no longer at V, no update
+//     on V can take effect any more, and the chain of copies shows for good whether ours
+//     did: the one copy at our revision in the chain has our change id, or another's.
 package accept
 
 import (
@@ -48,26 +47,29 @@
 
 // Limits of one run.
 const (
-	// MaxFailures is how many calls in a row may fail before the run gives up.
+	// MaxFailures is how many calls in a row may fail before the run gives up. It also
+	// bounds the updates of the head that are sent for one revision.
 	MaxFailures = 8
-	// MaxRebases is how often other operators may be first.
+	// MaxRebases is how often a run may restart because another update of the head was
+	// accepted first.
 	MaxRebases = 16
-	// MaxWalk is how many copies are read to settle a lost answer.
+	// MaxWalk is the maximum number of copies read to settle a lost response.
 	MaxWalk = 1024
 )
 
-// Request is what an operator asks for.
+// Request is an operator's request for a change.
 type Request struct {
 	// ChangeID is random and unique.
 	ChangeID string
-	// Author and Note are for people.
+	// Author and Note are shown to operators only.
 	Author string
 	Note   string
-	// Time is when the change is made, for people and for the removal of old heads.
+	// Time is when the change was made. It is shown to operators and decides how long
+	// the head's copy is kept.
 	Time   time.Time
 	Change config.Change
-	// Base is the head that the operator worked from, or nil for the one that is
-	// in force when the run begins.
+	// Base is the head that the operator's change is based on. If it is nil, the change
+	// is based on the head in force when the run begins.
 	Base *config.Head
 }
 
@@ -88,14 +90,14 @@
 	Value []byte
 	// Version is the condition of an update.
 	Version uint64
-	// Failures counts the calls in a row that failed before this one: the caller
-	// waits the longer.
+	// Failures counts the calls in a row that failed before this one. The caller backs
+	// off longer the more there are.
 	Failures int
 }
 
-// Reply is what the call returned.
+// Reply is the result of a call.
 type Reply struct {
-	// Code is "" for success, else that of the call's error.
+	// Code is "" for success, else the code of the call's error.
 	Code fault.Code
 	// Detail is the error's text.
 	Detail string
@@ -104,25 +106,27 @@
 	Version uint64
 }
 
-// Outcome tells how a run ended.
+// Outcome is the way in which a run ended.
 type Outcome string
 
 // The outcomes.
 const (
 	// Accepted: the change is in force from Result.Revision on.
 	Accepted Outcome = "accepted"
-	// Unchanged: what the change asks for is in force already.
+	// Unchanged: the configuration in force already has the requested content.
 	Unchanged Outcome = "unchanged"
-	// Conflict: others changed the same things, or things that the change needs.
+	// Conflict: other operators changed the same items, or items that the change depends
+	// on, or their changes were accepted first too often.
 	Conflict Outcome = "conflict"
-	// Invalid: the result would break rules.
+	// Invalid: the resulting configuration would violate rules.
 	Invalid Outcome = "invalid"
-	// Unavailable: the store gave no answer; the change is certainly not in force.
+	// Unavailable: the store failed to respond. The change is certainly not in force.
 	Unavailable Outcome = "unavailable"
-	// Ambiguous: the store gave no answer when it counted; the change may be in
-	// force. The history tells by the change id, once the store answers.
+	// Ambiguous: the store failed to respond after the head's update was sent. The change
+	// may be in force; once the store is available again, the history shows whether it
+	// holds the change id.
 	Ambiguous Outcome = "ambiguous"
-	// Failed: the store holds something that breaks the protocol.
+	// Failed: the store's content or its replies violate the protocol.
 	Failed Outcome = "failed"
 )
 
@@ -130,15 +134,17 @@
 type Result struct {
 	Outcome  Outcome `json:"outcome"`
 	ChangeID string  `json:"change_id"`
-	// Base and Revision are what the change was made on and what it became.
+	// Base is the revision that the change is based on, and Revision the one at which it
+	// is in force.
 	Base     core.Revision `json:"base"`
 	Revision core.Revision `json:"revision,omitempty"`
-	// Items are what the change touches, or in a conflict what others touched too.
+	// Items are the items that the change touches; in a conflict, those that others
+	// touched as well.
 	Items []config.Item `json:"items,omitempty"`
-	// Other is the head that the change clashes with.
+	// Other is the head that the change conflicts with.
 	Other *config.Head `json:"-"`
-	// Problems are the broken rules.
+	// Problems are the violated rules.
 	Problems []config.Problem `json:"problems,omitempty"`
-	// Detail is for people.
+	// Detail explains the outcome to operators.
 	Detail string `json:"detail,omitempty"`
 }
--- a/core/config/accept/accept_test.go
+++ b/core/config/accept/accept_test.go
@@ -15,14 +15,14 @@
 	"acaciawinch/core/fault"
 )
 
-// schedules is how many the property test runs, and parts in how many parallel
-// parts. Every run plays the same ones.
+// The property test runs this number of schedules, in this number of parallel groups.
+// Each run of the test plays the same schedules.
 const (
 	schedules = 10_000
-	parts     = 12
+	groups    = 12
 )
 
-// stages returns sound stages without an engine.
+// stages returns valid stages, none of which is an engine stage.
 func stages() []config.Stage {
 	var all []config.Stage
 	for _, name := range []string{"a", "b", "c"} {
@@ -31,18 +31,18 @@
 	return all
 }
 
-// template returns a sound template.
+// template returns a valid template.
 func template(name string, deadline int) config.Template {
 	return config.Template{Name: name, DeadlineMS: deadline, MaxDeadlineMS: 5000, Stages: stages()}
 }
 
-// workspace returns a sound workspace that calls pipeline.
+// workspace returns a valid workspace that calls pipeline.
 func workspace(name string, weight int, pipeline string) config.Workspace {
 	return config.Workspace{Name: name, Weight: weight, Pipelines: []string{pipeline}}
 }
 
-// randomChange touches one or two of a handful of things. Some are invalid
-// together: a workspace may call a template that another operator removes.
+// randomChange returns a change of one or two of a few items. Some changes are valid
+// alone but not together: a workspace may call a template that another operator removes.
 func randomChange(r *rand.Rand) config.Change {
 	var c config.Change
 	for range 1 + r.IntN(2) {
@@ -68,33 +68,33 @@
 	request Request
 	machine *Machine
 	crashed bool
-	// inFlight is the call that was made but not yet answered to the machine.
+	// inFlight is the reply to a call that was made, but that the machine has not handled.
 	inFlight *Reply
 }
 
-// ended tells whether the operator takes no more steps.
+// ended reports whether the operator takes no more steps.
 func (o *operator) ended() bool {
 	_, done := o.machine.Result()
 	return o.crashed || done
 }
 
-// world is one schedule: a store and the operators that race on it.
-type world struct {
+// simulation is one schedule: a store and the operators that race on it.
+type simulation struct {
 	random    *rand.Rand
 	store     *fakeStore
 	operators []*operator
-	// first is the change that made the first configuration.
+	// first is the change that created the first configuration.
 	first config.Change
 }
 
-// newWorld returns a store with a first configuration and some operators.
-func newWorld(seed uint64, operators, trouble int) *world {
+// newSimulation returns a store with a first configuration, and some operators.
+func newSimulation(seed uint64, operators, faultPercent int) *simulation {
 	random := rand.New(rand.NewPCG(seed, 1))
-	w := &world{random: random, store: &fakeStore{random: random, objects: map[string]fakeObject{}}}
+	w := &simulation{random: random, store: &fakeStore{random: random, objects: map[string]fakeObject{}}}
 	first := config.Change{PutTemplates: []config.Template{template("p", 1000), template("q", 1000), template("r", 1000)}}
 	drive(w.store, Request{ChangeID: "first", Change: first})
 	w.first = first
-	w.store.trouble = trouble
+	w.store.faultPercent = faultPercent
 	for i := range operators {
 		request := Request{ChangeID: fmt.Sprintf("id-%d", i), Change: randomChange(random)}
 		w.operators = append(w.operators, &operator{request: request, machine: New(request)})
@@ -102,8 +102,8 @@
 	return w
 }
 
-// turn lets one operator make a call, take an answer, or crash in between.
-func (w *world) turn(o *operator) {
+// turn lets one operator make a call, handle a reply, or crash in between.
+func (w *simulation) turn(o *operator) {
 	if w.random.IntN(100) < 1 {
 		o.crashed = true
 		return
@@ -117,9 +117,9 @@
 	o.inFlight = &reply
 }
 
-// run takes turns in a random order until all operators have ended, and then lets
-// every late write land.
-func (w *world) run() {
+// run gives turns to random operators until all have ended, and then applies all
+// delayed writes.
+func (w *simulation) run() {
 	for {
 		running := slices.DeleteFunc(slices.Clone(w.operators), (*operator).ended)
 		if len(running) == 0 {
@@ -127,17 +127,17 @@
 		}
 		w.turn(running[w.random.IntN(len(running))])
 		if w.random.IntN(4) == 0 {
-			w.store.land()
+			w.store.applyDelayed()
 		}
 	}
-	for len(w.store.late) > 0 {
-		w.store.land()
+	for len(w.store.delayed) > 0 {
+		w.store.applyDelayed()
 	}
 }
 
-// chain returns the accepted heads, the first one first. It fails the test if a
-// head or a part that it names is missing.
-func (w *world) chain(t *testing.T) []config.Head {
+// chain returns the accepted heads in order of revision. It fails the test if the copy
+// of a head is missing.
+func (w *simulation) chain(t *testing.T) []config.Head {
 	var heads []config.Head
 	object, found := w.store.objects[config.HeadKey]
 	for found {
@@ -154,8 +154,8 @@
 	return heads
 }
 
-// load returns the snapshot of a head.
-func (w *world) load(t *testing.T, head config.Head) *config.Snapshot {
+// load returns the snapshot of a head, with all parts loaded.
+func (w *simulation) load(t *testing.T, head config.Head) *config.Snapshot {
 	snapshot := config.Outline(head, config.Empty())
 	for _, hash := range snapshot.Missing() {
 		loaded, err := snapshot.WithPart(hash, w.store.objects[config.PartKey(hash)].value)
@@ -165,10 +165,10 @@
 	return snapshot
 }
 
-// verify checks everything that must hold after a schedule.
-func (w *world) verify(t *testing.T) {
+// verify checks the invariants that must hold after a schedule.
+func (w *simulation) verify(t *testing.T) {
 	heads := w.chain(t)
-	assert.Equal(t, len(heads), w.store.headMoves, "a head is not in the chain")
+	assert.Equal(t, len(heads), w.store.headWrites, "a written head is not in the chain")
 	count := map[string]int{}
 	before := config.Empty()
 	snapshots := []*config.Snapshot{before}
@@ -187,18 +187,18 @@
 	}
 }
 
-// verifyStep checks that a change touched nothing but what its operator asked for.
-func (w *world) verifyStep(t *testing.T, before, after *config.Snapshot) {
-	asked := w.asked(after.ChangeID())
+// verifyStep checks that a change touched only the items that its operator requested.
+func (w *simulation) verifyStep(t *testing.T, before, after *config.Snapshot) {
+	requested := w.requestedChange(after.ChangeID())
 	touched := config.Compare(before, after)
 	for _, item := range touched.Items() {
-		assert.Assert(t, slices.Contains(asked.Items(), item), "%v was not asked for", item)
+		assert.Assert(t, slices.Contains(requested.Items(), item), "%v was not requested", item)
 	}
-	assert.Equal(t, len(config.Overlap(asked, touched)), 0, "another content than asked for: %+v became %+v", asked, touched)
+	assert.Equal(t, len(config.Overlap(requested, touched)), 0, "the content differs from the request: requested %+v, got %+v", requested, touched)
 }
 
-// asked returns what the operator of a change asked for.
-func (w *world) asked(changeID string) config.Change {
+// requestedChange returns the change that an operator requested.
+func (w *simulation) requestedChange(changeID string) config.Change {
 	for _, o := range w.operators {
 		if o.request.ChangeID == changeID {
 			return o.request.Change
@@ -207,7 +207,7 @@
 	return w.first
 }
 
-// verifyOutcome checks what an operator was told against what happened.
+// verifyOutcome checks the outcome reported to an operator against the accepted heads.
 func verifyOutcome(t *testing.T, o *operator, accepted int) {
 	assert.Assert(t, accepted <= 1, "%s was accepted %d times", o.request.ChangeID, accepted)
 	if o.crashed {
@@ -216,24 +216,24 @@
 	result, _ := o.machine.Result()
 	switch result.Outcome {
 	case Accepted:
-		assert.Equal(t, accepted, 1, "told accepted")
+		assert.Equal(t, accepted, 1, "reported as accepted")
 	case Ambiguous:
 	case Failed:
 		t.Fatalf("the protocol broke: %s", result.Detail)
 	default:
-		assert.Equal(t, accepted, 0, "told %s", result.Outcome)
+		assert.Equal(t, accepted, 0, "reported as %s", result.Outcome)
 	}
 }
 
-// TestRacingOperatorsUnderFaults runs schedules of racing operators, crashes at
-// every step, lost calls, lost answers and late writes.
+// TestRacingOperatorsUnderFaults runs schedules of racing operators with crashes at any
+// step, lost calls, lost responses and delayed writes.
 func TestRacingOperatorsUnderFaults(t *testing.T) {
 	seen := &tally{outcomes: map[Outcome]int{}}
 	t.Run("schedules", func(t *testing.T) {
-		for part := range uint64(parts) {
-			t.Run(fmt.Sprint(part), func(t *testing.T) {
+		for group := range uint64(groups) {
+			t.Run(fmt.Sprint(group), func(t *testing.T) {
 				t.Parallel()
-				for seed := part; seed < schedules; seed += parts {
+				for seed := group; seed < schedules; seed += groups {
 					seen.add(runSchedule(t, seed))
 				}
 			})
@@ -246,23 +246,23 @@
 	}
 }
 
-// runSchedule runs the schedule of a seed and verifies the end.
-func runSchedule(t *testing.T, seed uint64) *world {
-	shape := rand.New(rand.NewPCG(seed, 2))
-	operators, trouble := 1+shape.IntN(5), shape.IntN(81)
+// runSchedule runs the schedule of a seed and verifies the end state.
+func runSchedule(t *testing.T, seed uint64) *simulation {
+	random := rand.New(rand.NewPCG(seed, 2))
+	operators, faultPercent := 1+random.IntN(5), random.IntN(81)
 	defer func() {
 		if t.Failed() {
-			t.Logf("schedule %d: %d operators, %d%% trouble", seed, operators, trouble)
+			t.Logf("schedule %d: %d operators, %d%% faults", seed, operators, faultPercent)
 		}
 	}()
-	w := newWorld(seed, operators, trouble)
+	w := newSimulation(seed, operators, faultPercent)
 	w.run()
 	w.verify(t)
 	return w
 }
 
-// verifyNothingOverwritten checks that an accepted change replaced nothing that
-// others had changed since its base. Snapshots are in order of revision.
+// verifyNothingOverwritten checks that an accepted change replaced no item that others
+// had changed since its base. Snapshots are in order of revision.
 func verifyNothingOverwritten(t *testing.T, o *operator, snapshots []*config.Snapshot) {
 	result, _ := o.machine.Result()
 	if result.Outcome != Accepted {
@@ -270,18 +270,17 @@
 	}
 	base, before := snapshots[result.Base], snapshots[result.Revision-1]
 	mine := config.Compare(base, base.Change(o.request.Change, 0, ""))
-	assert.Equal(t, len(config.Overlap(mine, config.Compare(base, before))), 0, "a change of others was overwritten")
+	assert.Equal(t, len(config.Overlap(mine, config.Compare(base, before))), 0, "another operator's change was overwritten")
 }
 
-// tally counts what the schedules did.
+// tally counts the outcomes of the schedules.
 type tally struct {
 	mu        sync.Mutex
 	schedules int
 	outcomes  map[Outcome]int
 }
 
-// add counts one schedule.
-func (c *tally) add(w *world) {
+func (c *tally) add(w *simulation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.schedules++
@@ -291,7 +290,7 @@
 	}
 }
 
-// drive runs a machine to its end against a store without trouble.
+// drive runs a machine to its end against a store without faults.
 func drive(s *fakeStore, request Request) Result {
 	machine := New(request)
 	for {
@@ -302,8 +301,8 @@
 	}
 }
 
-// quiet returns a store without trouble that holds a template and a workspace.
-func quiet(t *testing.T) *fakeStore {
+// newReliableStore returns a store without faults that holds a template and a workspace.
+func newReliableStore(t *testing.T) *fakeStore {
 	s := &fakeStore{objects: map[string]fakeObject{}}
 	first := config.Change{PutTemplates: []config.Template{template("p", 1000)}, PutWorkspaces: []config.Workspace{workspace("w", 1, "p")}}
 	assert.Equal(t, drive(s, Request{ChangeID: "first", Change: first}).Outcome, Accepted)
@@ -318,7 +317,7 @@
 }
 
 func TestAChangeFromAnOlderRevisionIsMergedOrNamesTheConflict(t *testing.T) {
-	s := quiet(t)
+	s := newReliableStore(t)
 	base := headOf(t, s)
 	theirs := config.Change{PutWorkspaces: []config.Workspace{workspace("w", 2, "p")}}
 	assert.Equal(t, drive(s, Request{ChangeID: "theirs", Author: "ana", Change: theirs}).Outcome, Accepted)
@@ -329,14 +328,14 @@
 	assert.Equal(t, merged.Revision, core.Revision(3))
 
 	same := config.Change{PutWorkspaces: []config.Workspace{workspace("w", 3, "p")}}
-	clash := drive(s, Request{ChangeID: "same", Change: same, Base: base})
-	assert.Equal(t, clash.Outcome, Conflict)
-	assert.DeepEqual(t, clash.Items, []config.Item{{Kind: "workspace", Name: "w"}})
-	assert.Equal(t, clash.Other.Revision, core.Revision(3))
+	conflict := drive(s, Request{ChangeID: "same", Change: same, Base: base})
+	assert.Equal(t, conflict.Outcome, Conflict)
+	assert.DeepEqual(t, conflict.Items, []config.Item{{Kind: "workspace", Name: "w"}})
+	assert.Equal(t, conflict.Other.Revision, core.Revision(3))
 }
 
-func TestChangesThatAreSoundAloneButNotTogetherConflict(t *testing.T) {
-	s := quiet(t)
+func TestChangesThatAreValidAloneButNotTogetherConflict(t *testing.T) {
+	s := newReliableStore(t)
 	assert.Equal(t, drive(s, Request{ChangeID: "q", Change: config.Change{PutTemplates: []config.Template{template("q", 1000)}}}).Outcome, Accepted)
 	base := headOf(t, s)
 	assert.Equal(t, drive(s, Request{ChangeID: "theirs", Change: config.Change{RemoveTemplates: []string{"q"}}}).Outcome, Accepted)
@@ -346,8 +345,8 @@
 	assert.Equal(t, len(result.Problems), 1)
 }
 
-func TestALostAnswerIsSettledBehindLaterChanges(t *testing.T) {
-	s := quiet(t)
+func TestALostResponseIsSettledAfterLaterChanges(t *testing.T) {
+	s := newReliableStore(t)
 	machine := New(Request{ChangeID: "mine", Change: config.Change{Drain: []string{"u"}}})
 	for machine.state.State() != stateAccepting {
 		machine.Handle(s.apply(machine.Next()))
@@ -369,8 +368,8 @@
 	assert.Equal(t, result.Revision, core.Revision(2))
 }
 
-// reads runs a request on a quiet store and returns the keys that it read. It
-// checks that what may be called ahead begins with the call that is next.
+// reads runs a request on a store without faults and returns the keys that it read. It
+// checks that the calls returned by Ahead begin with the one returned by Next.
 func reads(t *testing.T, s *fakeStore, request Request) []string {
 	machine := New(request)
 	var keys []string
@@ -392,7 +391,7 @@
 }
 
 func TestAChangeReadsOnlyWhatItCanBreak(t *testing.T) {
-	s := quiet(t)
+	s := newReliableStore(t)
 	for i := range 20 {
 		c := config.Change{PutWorkspaces: []config.Workspace{workspace(fmt.Sprint("w", i), 1, "p")}}
 		assert.Equal(t, drive(s, Request{ChangeID: fmt.Sprint("w", i), Change: c}).Outcome, Accepted)
@@ -402,6 +401,6 @@
 	assert.Equal(t, len(reads(t, s, Request{ChangeID: "drain", Change: drain})), 2, "head and templates")
 	one := config.Change{PutWorkspaces: []config.Workspace{workspace("w1", 2, "p")}}
 	assert.Equal(t, len(reads(t, s, Request{ChangeID: "one", Change: one})), 3, "head, templates and a shard")
-	shape := config.Change{PutTemplates: []config.Template{template("p", 2000)}}
-	assert.Equal(t, len(reads(t, s, Request{ChangeID: "shape", Change: shape})), 2+shards, "head, templates and all shards")
+	templateChange := config.Change{PutTemplates: []config.Template{template("p", 2000)}}
+	assert.Equal(t, len(reads(t, s, Request{ChangeID: "shape", Change: templateChange})), 2+shards, "head, templates and all shards")
 }
--- a/core/config/accept/action.go
+++ b/core/config/accept/action.go
@@ -2,7 +2,7 @@
 
 import "acaciawinch/core/config"
 
-// action returns the call that the present state makes.
+// action returns the call to make in the present state.
 func (m *Machine) action() Action {
 	switch m.state.State() {
 	case stateReading:
@@ -10,9 +10,9 @@
 	case stateChecking:
 		return readPart(m.missing()[0])
 	case stateWriting:
-		return m.writeNext()
+		return m.nextWrite()
 	case stateAccepting:
-		return m.moveHead()
+		return m.updateHead()
 	case stateConfirming:
 		return Action{Kind: ActionGet, Key: m.cursor}
 	default:
@@ -20,17 +20,18 @@
 	}
 }
 
-// readPart returns the read of a part.
+// readPart returns the call that reads a part.
 func readPart(hash string) Action { return Action{Kind: ActionGet, Key: config.PartKey(hash)} }
 
-// writePart returns the write of a part.
+// writePart returns the call that creates a part.
 func writePart(part config.Part) Action {
 	return Action{Kind: ActionCreate, Key: config.PartKey(part.Hash), Value: part.Encode()}
 }
 
-// Ahead returns the calls of the present step that may be carried out together,
-// Next's among them. Their replies are handed to Handle as Next asks for them.
-// Only calls on parts are returned: these never change, so the order is free.
+// Ahead returns the calls of the present step that may be carried out concurrently,
+// including the one that Next returns. The caller passes their replies to Handle in
+// the order in which Next returns the calls. Ahead returns only calls on parts, which
+// are immutable, so the order of execution doesn't matter.
 func (m *Machine) Ahead() []Action {
 	var actions []Action
 	switch m.state.State() {
@@ -39,35 +40,35 @@
 			actions = append(actions, readPart(hash))
 		}
 	case stateWriting:
-		if !m.copied || m.touching {
+		if !m.copyWritten || m.touching {
 			return nil
 		}
-		for _, part := range m.parts {
+		for _, part := range m.pendingParts {
 			actions = append(actions, writePart(part))
 		}
 	}
 	return actions
 }
 
-// writeNext returns the write of the copy of the head, or of the next part.
-func (m *Machine) writeNext() Action {
+// nextWrite returns the call that writes the copy of the head or the next part.
+func (m *Machine) nextWrite() Action {
 	switch {
-	case !m.copied:
-		return Action{Kind: ActionCreate, Key: m.next.Key(), Value: m.next.Copy().Encode()}
+	case !m.copyWritten:
+		return Action{Kind: ActionCreate, Key: m.nextHead.Key(), Value: m.nextHead.Copy().Encode()}
 	case !m.touching:
-		return writePart(m.parts[0])
-	case m.found == 0:
-		return readPart(m.parts[0].Hash)
+		return writePart(m.pendingParts[0])
+	case m.foundVersion == 0:
+		return readPart(m.pendingParts[0].Hash)
 	}
-	touch := writePart(m.parts[0])
-	touch.Kind, touch.Version = ActionUpdate, m.found
+	touch := writePart(m.pendingParts[0])
+	touch.Kind, touch.Version = ActionUpdate, m.foundVersion
 	return touch
 }
 
-// moveHead returns the conditional write that accepts the change.
-func (m *Machine) moveHead() Action {
-	if m.version == 0 {
-		return Action{Kind: ActionCreate, Key: config.HeadKey, Value: m.next.Encode()}
+// updateHead returns the conditional write that accepts the change.
+func (m *Machine) updateHead() Action {
+	if m.headVersion == 0 {
+		return Action{Kind: ActionCreate, Key: config.HeadKey, Value: m.nextHead.Encode()}
 	}
-	return Action{Kind: ActionUpdate, Key: config.HeadKey, Value: m.next.Encode(), Version: m.version}
+	return Action{Kind: ActionUpdate, Key: config.HeadKey, Value: m.nextHead.Encode(), Version: m.headVersion}
 }
--- a/core/config/accept/chart_test.go
+++ b/core/config/accept/chart_test.go
@@ -11,44 +11,44 @@
 	"acaciawinch/core/fault"
 )
 
-// move is a transition of the chart.
-type move struct {
+// transition is a transition of the chart.
+type transition struct {
 	from  chart.State
 	event chart.Event
 }
 
-// moves counts the transitions that some runs took.
-type moves map[move]int
+// transitionCounts counts the transitions that runs took.
+type transitionCounts map[transition]int
 
 // machine returns a run whose transitions are counted.
-func (m moves) machine(request Request) *Machine {
+func (m transitionCounts) machine(request Request) *Machine {
 	machine := New(request)
-	machine.fired = func(from chart.State, event chart.Event) { m[move{from, event}]++ }
+	machine.onTransition = func(from chart.State, event chart.Event) { m[transition{from, event}]++ }
 	return machine
 }
 
 // calledStates are the states in which a run makes calls.
 var calledStates = []chart.State{stateReading, stateChecking, stateWriting, stateAccepting, stateConfirming}
 
-// at returns a run that came to a state of a quiet store. If unsettled is set, an
-// update may have taken effect.
-func (m moves) at(t *testing.T, state chart.State, unsettled bool) (*Machine, *fakeStore) {
-	s := quiet(t)
+// machineAt returns a run in the given state, and its store without faults. If
+// unsettled is set, an update of the head may have taken effect.
+func (m transitionCounts) machineAt(t *testing.T, state chart.State, unsettled bool) (*Machine, *fakeStore) {
+	s := newReliableStore(t)
 	machine := m.machine(Request{ChangeID: "mine", Change: config.Change{Drain: []string{"u"}}})
 	if unsettled {
-		m.run(t, s, machine, stateAccepting)
+		m.runUntil(t, s, machine, stateAccepting)
 		machine.Handle(Reply{Code: fault.Ambiguous})
 	}
 	if state == stateConfirming && !unsettled {
-		m.run(t, s, machine, stateAccepting)
+		m.runUntil(t, s, machine, stateAccepting)
 		machine.Handle(Reply{Code: fault.Unavailable})
 	}
-	m.run(t, s, machine, state)
+	m.runUntil(t, s, machine, state)
 	return machine, s
 }
 
-// run carries out calls until the machine is in a state.
-func (m moves) run(t *testing.T, s *fakeStore, machine *Machine, state chart.State) {
+// runUntil carries out calls until the machine is in the given state.
+func (m transitionCounts) runUntil(t *testing.T, s *fakeStore, machine *Machine, state chart.State) {
 	for machine.state.State() != state {
 		_, ended := machine.Result()
 		assert.Assert(t, !ended)
@@ -56,52 +56,52 @@
 	}
 }
 
-// ends checks how a run ended.
-func ends(t *testing.T, machine *Machine, want Outcome) {
+// checkOutcome checks that a run has ended with the given outcome.
+func checkOutcome(t *testing.T, machine *Machine, want Outcome) {
 	t.Helper()
 	result, ended := machine.Result()
 	assert.Assert(t, ended)
 	assert.Equal(t, result.Outcome, want, result.Detail)
 }
 
-// garbage is a reply that no state expects.
-func garbage(state chart.State) Reply {
+// unexpectedReply returns a reply that violates the protocol in the given state.
+func unexpectedReply(state chart.State) Reply {
 	if state == stateWriting || state == stateAccepting {
 		return Reply{Code: fault.Invalid}
 	}
 	return Reply{Value: []byte("garbage"), Version: 99}
 }
 
-// TestEveryTransitionIsTaken takes each transition of the chart, each by what
-// should cause it, and checks how the run ends.
+// TestEveryTransitionIsTaken causes each transition of the chart and checks the outcome
+// of the run.
 func TestEveryTransitionIsTaken(t *testing.T) {
-	taken := moves{}
+	taken := transitionCounts{}
 	for _, state := range calledStates {
-		machine, _ := taken.at(t, state, false)
+		machine, _ := taken.machineAt(t, state, false)
 		machine.GiveUp()
-		ends(t, machine, Unavailable)
-		machine, _ = taken.at(t, state, false)
-		machine.Handle(garbage(state))
-		ends(t, machine, Failed)
+		checkOutcome(t, machine, Unavailable)
+		machine, _ = taken.machineAt(t, state, false)
+		machine.Handle(unexpectedReply(state))
+		checkOutcome(t, machine, Failed)
 	}
 	for _, state := range []chart.State{stateAccepting, stateConfirming} {
-		machine, _ := taken.at(t, state, true)
+		machine, _ := taken.machineAt(t, state, true)
 		machine.GiveUp()
-		ends(t, machine, Ambiguous)
-		machine, _ = taken.at(t, state, true)
-		machine.Handle(garbage(state))
-		ends(t, machine, Ambiguous)
+		checkOutcome(t, machine, Ambiguous)
+		machine, _ = taken.machineAt(t, state, true)
+		machine.Handle(unexpectedReply(state))
+		checkOutcome(t, machine, Ambiguous)
 	}
-	taken.plainEnds(t)
-	taken.overtaken(t)
-	for _, transition := range changeChart.Transitions {
-		assert.Assert(t, taken[move{transition.From, transition.Event}] > 0, "%s in %s", transition.Event, transition.From)
+	taken.endWithoutFaults(t)
+	taken.overtakeUntilEnd(t)
+	for _, chartTransition := range changeChart.Transitions {
+		assert.Assert(t, taken[transition{chartTransition.From, chartTransition.Event}] > 0, "%s in %s", chartTransition.Event, chartTransition.From)
 	}
 }
 
-// plainEnds takes the ends that need no trouble, and a lost answer.
-func (m moves) plainEnds(t *testing.T) {
-	s := quiet(t)
+// endWithoutFaults causes the outcomes that need no faults, and a lost response.
+func (m transitionCounts) endWithoutFaults(t *testing.T) {
+	s := newReliableStore(t)
 	base := headOf(t, s)
 	for _, c := range []struct {
 		change config.Change
@@ -113,18 +113,18 @@
 		{config.Change{PutWorkspaces: []config.Workspace{workspace("v", 0, "p")}}, Invalid},
 	} {
 		machine := m.machine(Request{ChangeID: fmt.Sprint(c.want), Change: c.change, Base: base})
-		m.end(s, machine)
-		ends(t, machine, c.want)
+		m.runToEnd(s, machine)
+		checkOutcome(t, machine, c.want)
 	}
-	machine, store := m.at(t, stateAccepting, false)
+	machine, store := m.machineAt(t, stateAccepting, false)
 	store.apply(machine.Next())
 	machine.Handle(Reply{Code: fault.Ambiguous})
-	m.end(store, machine)
-	ends(t, machine, Accepted)
+	m.runToEnd(store, machine)
+	checkOutcome(t, machine, Accepted)
 }
 
-// end carries out calls until the run has ended.
-func (m moves) end(s *fakeStore, machine *Machine) {
+// runToEnd carries out calls until the run has ended.
+func (m transitionCounts) runToEnd(s *fakeStore, machine *Machine) {
 	for {
 		if _, ended := machine.Result(); ended {
 			return
@@ -133,17 +133,18 @@
 	}
 }
 
-// overtaken lets another operator be first until the run gives up.
-func (m moves) overtaken(t *testing.T) {
-	machine, s := m.at(t, stateAccepting, false)
+// overtakeUntilEnd lets other operators' changes be accepted first until the run gives
+// up.
+func (m transitionCounts) overtakeUntilEnd(t *testing.T) {
+	machine, s := m.machineAt(t, stateAccepting, false)
 	for i := range MaxRebases + 1 {
 		c := config.Change{PutWorkspaces: []config.Workspace{workspace("w", 2+i, "p")}}
 		assert.Equal(t, drive(s, Request{ChangeID: fmt.Sprint("first", i), Change: c}).Outcome, Accepted)
 		machine.Handle(s.apply(machine.Next()))
 		if i < MaxRebases {
-			m.run(t, s, machine, stateAccepting)
+			m.runUntil(t, s, machine, stateAccepting)
 		}
 	}
-	m.end(s, machine)
-	ends(t, machine, Conflict)
+	m.runToEnd(s, machine)
+	checkOutcome(t, machine, Conflict)
 }
--- a/core/config/accept/machine.go
+++ b/core/config/accept/machine.go
@@ -8,7 +8,7 @@
 	"acaciawinch/core/fault"
 )
 
-// changeChart is interpreted by every run; it is the page of what may follow what.
+// changeChart is the state chart of a run, which defines the allowed transitions.
 var changeChart = chart.MustLoad("config_change")
 
 // The chart's states in which a run makes calls.
@@ -39,7 +39,7 @@
 	eventBroken       chart.Event = "broken"
 )
 
-// outcomes are what the chart's final states mean to the operator.
+// outcomes maps the chart's final states to the outcomes reported to the operator.
 var outcomes = map[chart.State]Outcome{
 	"accepted":    Accepted,
 	"unchanged":   Unchanged,
@@ -54,39 +54,42 @@
 type Machine struct {
 	request Request
 	state   *chart.Machine
-	// failures counts the calls in a row that failed; moves the updates sent of
-	// the present next; rebases how often another operator was first; walked the
-	// copies read in the present walk.
-	failures int
-	moves    int
-	rebases  int
-	walked   int
-
-	// base is what the operator worked from; head is in force, with version as
-	// the condition of its update (0 if there is none yet).
-	base    *config.Snapshot
-	head    *config.Snapshot
-	headRaw config.Head
-	version uint64
-
-	// next is the head to be, with the parts still to be written.
-	next  config.Head
-	mine  config.Change
-	parts []config.Part
-	// copied is set once the copy of next was written. touching is set while the
-	// first of parts, which exists, is being touched; found is the version read of
-	// it, 0 before.
-	copied   bool
-	touching bool
-	found    uint64
-	// unsettled is set once an update of the head to next may have taken effect.
+	// failures counts the calls in a row that failed, headUpdates the updates sent for
+	// the present nextHead, rebases the restarts on a new head, and copiesRead the
+	// copies read to settle the present update.
+	failures    int
+	headUpdates int
+	rebases     int
+	copiesRead  int
+
+	// base is the snapshot that the change is based on. current is the snapshot of
+	// currentHead, the last head read as the one in force; headVersion is the version
+	// on which its update is conditional (0 if there is no head yet).
+	base        *config.Snapshot
+	current     *config.Snapshot
+	currentHead config.Head
+	headVersion uint64
+
+	// nextHead is the head to be written, mine the operator's change relative to base,
+	// and pendingParts the parts that are still to be written.
+	nextHead     config.Head
+	mine         config.Change
+	pendingParts []config.Part
+	// copyWritten is set once the copy of nextHead is written. touching is set while
+	// the first of pendingParts, which already exists, is being touched; foundVersion
+	// is the version read of that part, and 0 before.
+	copyWritten  bool
+	touching     bool
+	foundVersion uint64
+	// unsettled is set once an update of the head to nextHead may have taken effect.
 	unsettled bool
-	// cursor is what is read next while confirming: the head, then older copies.
+	// cursor is the key to read next while confirming: the head's, then those of older
+	// copies.
 	cursor string
 
 	result Result
-	// fired, if set, is told of each event that the chart allowed.
-	fired func(chart.State, chart.Event)
+	// onTransition, if set, is called after each transition.
+	onTransition func(chart.State, chart.Event)
 }
 
 // New returns a run of the request.
@@ -94,25 +97,25 @@
 	return &Machine{request: request, state: changeChart.Start(config.HeadKey), result: Result{ChangeID: request.ChangeID}}
 }
 
-// Result returns the end of the run, and whether it has ended.
+// Result returns the result of the run, and whether the run has ended.
 func (m *Machine) Result() (Result, bool) { return m.result, m.result.Outcome != "" }
 
-// Next returns the call to carry out. It must not be called after the end.
+// Next returns the call to carry out. It must not be called after the run has ended.
 func (m *Machine) Next() Action {
 	action := m.action()
-	action.Failures = max(m.failures, m.moves)
+	action.Failures = max(m.failures, m.headUpdates)
 	return action
 }
 
-// Handle takes the reply to the call that Next returned.
+// Handle processes the reply to the call that Next returned.
 func (m *Machine) Handle(reply Reply) {
 	state := m.state.State()
 	if state == stateAccepting {
-		m.moved(reply)
+		m.headUpdated(reply)
 		return
 	}
-	if failedForNow(reply.Code) {
-		m.failed(reply)
+	if retryable(reply.Code) {
+		m.countFailure(reply)
 		return
 	}
 	m.failures = 0
@@ -122,14 +125,14 @@
 	case stateChecking:
 		m.partRead(reply)
 	case stateWriting:
-		m.written(reply)
+		m.writeDone(reply)
 	case stateConfirming:
 		m.confirm(reply)
 	}
 }
 
-// failedForNow tells whether a call that is safe to repeat should be repeated.
-func failedForNow(code fault.Code) bool {
+// retryable reports whether an idempotent call that returned code is to be retried.
+func retryable(code fault.Code) bool {
 	switch code {
 	case "", fault.NotFound, fault.Conflict, fault.Invalid:
 		return false
@@ -137,23 +140,23 @@
 	return true
 }
 
-// failed counts a call without an answer.
-func (m *Machine) failed(reply Reply) {
+// countFailure counts a failed call, and gives up after MaxFailures in a row.
+func (m *Machine) countFailure(reply Reply) {
 	m.failures++
 	if m.failures >= MaxFailures {
 		m.giveUp(reply.Detail)
 	}
 }
 
-// GiveUp ends the run, for instance because the operator's time is over.
+// GiveUp ends the run, for example because the operator's deadline has passed.
 func (m *Machine) GiveUp() {
 	if m.result.Outcome == "" {
-		m.giveUp("given up while " + string(m.state.State()))
+		m.giveUp("gave up while " + string(m.state.State()))
 	}
 }
 
-// giveUp ends the run with what is known: only an unsettled update can have
-// accepted the change.
+// giveUp ends the run with the outcome that is certain: the change may be in force
+// only if an update of the head is unsettled.
 func (m *Machine) giveUp(detail string) {
 	if m.unsettled {
 		m.fire(eventAmbiguous, detail)
@@ -162,9 +165,9 @@
 	m.fire(eventStoreDown, detail)
 }
 
-// broken ends the run because the store holds what the protocol never writes.
-// An unsettled update stays ambiguous.
-func (m *Machine) broken(format string, args ...any) {
+// failProtocol ends the run because the store violates the protocol. If an update of
+// the head is unsettled, the outcome is ambiguous.
+func (m *Machine) failProtocol(format string, args ...any) {
 	detail := fmt.Sprintf(format, args...)
 	if m.unsettled {
 		m.fire(eventAmbiguous, detail)
@@ -173,81 +176,84 @@
 	m.fire(eventBroken, detail)
 }
 
-// fire takes an event of the chart. In a final state the run ends with the
-// detail. An event that the chart doesn't allow ends it too: what the code holds
-// of the run is then not to be trusted.
+// fire applies an event to the chart. In a final state the run ends with the detail.
+// An event that the chart doesn't allow also ends the run, as failed, because the
+// machine's state can't be trusted any more.
 func (m *Machine) fire(event chart.Event, detail string) {
 	from := m.state.State()
 	if err := m.state.Fire(event); err != nil {
 		m.result.Outcome, m.result.Detail = Failed, err.Error()
 		return
 	}
-	if m.fired != nil {
-		m.fired(from, event)
+	if m.onTransition != nil {
+		m.onTransition(from, event)
 	}
 	if m.state.Final() {
 		m.result.Outcome, m.result.Detail = outcomes[m.state.State()], detail
 	}
 }
 
-// written goes on behind the copy of the head, or a call on a part.
-func (m *Machine) written(reply Reply) {
+// writeDone handles the reply to the write of the head's copy, or to a call on a part.
+func (m *Machine) writeDone(reply Reply) {
 	switch {
 	case reply.Code == fault.Invalid, reply.Code == fault.NotFound && !m.touching:
-		m.broken("the store refuses %s: %s", m.writeNext().Key, reply.Detail)
+		m.failProtocol("the store refused %s: %s", m.nextWrite().Key, reply.Detail)
 		return
-	case !m.copied:
-		// Conflict means that this run wrote it before: nobody else has its change id.
-		m.copied = true
+	case !m.copyWritten:
+		// Conflict means that this run has already written the copy, as no other run
+		// has its change id.
+		m.copyWritten = true
 	case !m.touching:
-		m.created(reply)
-	case m.found == 0:
-		m.partFound(reply)
+		m.partCreated(reply)
+	case m.foundVersion == 0:
+		m.partVersionRead(reply)
 	default:
-		m.touched(reply)
+		m.partTouched(reply)
 	}
-	if m.copied && len(m.parts) == 0 {
+	if m.copyWritten && len(m.pendingParts) == 0 {
 		m.fire(eventPartsWritten, "")
 	}
 }
 
-// created goes on behind the creation of a part. Conflict means that it exists
-// with the same content, as it is named by its content; it must be touched.
-func (m *Machine) created(reply Reply) {
+// partCreated handles the reply to the creation of a part. Conflict means that the
+// part exists, with the same content because its key is the content's hash; it must
+// be touched.
+func (m *Machine) partCreated(reply Reply) {
 	if reply.Code == fault.Conflict {
 		m.touching = true
 		return
 	}
-	m.partWritten()
+	m.nextPart()
 }
 
-// partFound takes the version of a part that exists. NotFound means that it was
-// removed in between: it is created anew.
-func (m *Machine) partFound(reply Reply) {
+// partVersionRead handles the reply to the read of an existing part's version.
+// NotFound means that the part was removed in the meantime: it is created again.
+func (m *Machine) partVersionRead(reply Reply) {
 	if reply.Code == fault.NotFound {
 		m.touching = false
 		return
 	}
-	m.found = reply.Version
+	m.foundVersion = reply.Version
 }
 
-// touched goes on behind the touch of a part. Unless it plainly succeeded, the
-// part was removed or touched by another: it is created or touched anew.
-func (m *Machine) touched(reply Reply) {
-	m.found, m.touching = 0, false
+// partTouched handles the reply to the touch of a part. Unless it succeeded, the part
+// may have been removed, or touched by another run: it is created or touched again.
+func (m *Machine) partTouched(reply Reply) {
+	m.foundVersion, m.touching = 0, false
 	if reply.Code == "" {
-		m.partWritten()
+		m.nextPart()
 	}
 }
 
-// partWritten goes on to the next part.
-func (m *Machine) partWritten() {
-	m.parts = m.parts[1:]
+// nextPart goes on to the next part.
+func (m *Machine) nextPart() {
+	m.pendingParts = m.pendingParts[1:]
 }
 
-// accepted notes what the run achieved.
-func (m *Machine) accepted(event chart.Event) {
-	m.result.Revision = m.next.Revision
+// endAccepted records the revision and the items of the accepted change, and fires
+// the event.
+func (m *Machine) endAccepted(event chart.Event) {
+	m.result.Revision = m.nextHead.Revision
 	m.result.Items = m.mine.Items()
 	m.fire(event, "")
 }
--- a/core/config/accept/merge.go
+++ b/core/config/accept/merge.go
@@ -8,24 +8,25 @@
 	"acaciawinch/core/fault"
 )
 
-// headRead takes the head that is in force and begins to load its parts.
+// headRead handles the reply to the read of the head in force and starts to load the
+// parts that the merge needs.
 func (m *Machine) headRead(reply Reply) {
 	head, version, ok := m.parseHead(reply)
 	if !ok {
 		return
 	}
-	if head.Revision < m.headRaw.Revision {
-		m.broken("the head went back from revision %d to %d", m.headRaw.Revision, head.Revision)
+	if head.Revision < m.currentHead.Revision {
+		m.failProtocol("the head went back from revision %d to %d", m.currentHead.Revision, head.Revision)
 		return
 	}
-	m.headRaw, m.version = head, version
+	m.currentHead, m.headVersion = head, version
 	m.setBase(head)
-	m.head = config.Outline(head, m.known())
+	m.current = config.Outline(head, m.reusable())
 	m.fire(eventHeadRead, "")
-	m.load()
+	m.mergeIfLoaded()
 }
 
-// setBase settles once what the operator worked from.
+// setBase sets the snapshot that the change is based on. Later calls have no effect.
 func (m *Machine) setBase(head config.Head) {
 	if m.base != nil {
 		return
@@ -37,24 +38,24 @@
 	m.result.Base = head.Revision
 }
 
-// known returns the snapshot whose parts can be used again.
-func (m *Machine) known() *config.Snapshot {
-	if m.head != nil {
-		return m.head
+// reusable returns the snapshot whose loaded parts can be reused.
+func (m *Machine) reusable() *config.Snapshot {
+	if m.current != nil {
+		return m.current
 	}
 	return m.base
 }
 
-// load goes on to the merge if nothing is missing.
-func (m *Machine) load() {
+// mergeIfLoaded merges the change once no part is missing.
+func (m *Machine) mergeIfLoaded() {
 	if len(m.missing()) == 0 {
 		m.merge()
 	}
 }
 
-// missing returns the hashes of the parts that the merge needs: the templates and
-// the touched shards of base and head, and if templates or models change every
-// workspace of the head, to validate it against them.
+// missing returns the hashes of the unloaded parts that the merge needs: the templates
+// and the touched shards of base and head. If templates or models change, it also
+// needs every workspace of the head, to validate them against the change.
 func (m *Machine) missing() []string {
 	var hashes []string
 	need := func(hash string) {
@@ -62,111 +63,111 @@
 			hashes = append(hashes, hash)
 		}
 	}
-	for _, snapshot := range []*config.Snapshot{m.base, m.head} {
+	for _, snapshot := range []*config.Snapshot{m.base, m.current} {
 		need(snapshot.MissingTemplates())
 		for _, shard := range m.request.Change.Shards() {
 			need(snapshot.MissingShard(shard))
 		}
 	}
 	if m.request.Change.TouchesTemplates() {
-		for _, hash := range m.head.Missing() {
+		for _, hash := range m.current.Missing() {
 			need(hash)
 		}
 	}
 	return hashes
 }
 
-// partRead takes a part that the merge needs.
+// partRead handles the reply to the read of a part that the merge needs.
 func (m *Machine) partRead(reply Reply) {
 	hash := m.missing()[0]
 	if reply.Code == fault.NotFound {
-		m.broken("part %s is gone: the revision that the change was made from is no longer kept; make it again from a later one", hash)
+		m.failProtocol("part %s does not exist: the revision that the change is based on is no longer kept; redo the change on a later revision", hash)
 		return
 	}
 	if reply.Code != "" {
-		m.broken("part %s can't be read: %s", hash, reply.Detail)
+		m.failProtocol("part %s can't be read: %s", hash, reply.Detail)
 		return
 	}
-	m.use(&m.base, hash, reply.Value)
-	m.use(&m.head, hash, reply.Value)
+	m.loadPart(&m.base, hash, reply.Value)
+	m.loadPart(&m.current, hash, reply.Value)
 	if m.result.Outcome == "" {
-		m.load()
+		m.mergeIfLoaded()
 	}
 }
 
-// use loads a part into a snapshot that may need it.
-func (m *Machine) use(snapshot **config.Snapshot, hash string, data []byte) {
+// loadPart loads a part into the snapshot if the snapshot references it.
+func (m *Machine) loadPart(snapshot **config.Snapshot, hash string, data []byte) {
 	loaded, err := (*snapshot).WithPart(hash, data)
 	if fault.Is(err, fault.NotFound) {
 		return
 	}
 	if err != nil {
-		m.broken("%v", err)
+		m.failProtocol("%v", err)
 		return
 	}
 	*snapshot = loaded
 }
 
-// merge makes the change on the head. Base, mine and theirs are compared item by
-// item: what only one side touched is taken from it.
+// merge applies the change to the head in force by a three-way merge of base, mine and
+// theirs. An item that only one side touched is taken from that side.
 func (m *Machine) merge() {
 	if problems := m.request.Change.Repeated(); len(problems) > 0 {
 		m.result.Problems = problems
-		m.fire(eventInvalid, "the change names something twice")
+		m.fire(eventInvalid, "the change puts an item more than once")
 		return
 	}
 	m.mine = config.Compare(m.base, m.base.Change(m.request.Change, m.base.Revision(), m.request.ChangeID))
-	theirs := config.Compare(m.base, m.head)
+	theirs := config.Compare(m.base, m.current)
 	if overlap := config.Overlap(m.mine, theirs); len(overlap) > 0 {
 		m.result.Items = overlap
-		m.clash("they were changed otherwise since revision %d", m.base.Revision())
+		m.endInConflict("these items were changed differently since revision %d", m.base.Revision())
 		return
 	}
-	next := m.head.Change(m.mine, m.head.Revision()+1, m.request.ChangeID)
-	if next.Digest() == m.head.Digest() {
-		m.result.Revision = m.head.Revision()
+	next := m.current.Change(m.mine, m.current.Revision()+1, m.request.ChangeID)
+	if next.Digest() == m.current.Digest() {
+		m.result.Revision = m.current.Revision()
 		m.fire(eventNothingNew, "")
 		return
 	}
 	if problems := next.Validate(); len(problems) > 0 {
-		m.rejected(problems, theirs)
+		m.endInvalid(problems, theirs)
 		return
 	}
-	m.write(next)
+	m.startWriting(next)
 }
 
-// clash ends the run with a conflict with the head in force.
-func (m *Machine) clash(format string, args ...any) {
-	other := m.headRaw
+// endInConflict ends the run with a conflict with the head in force.
+func (m *Machine) endInConflict(format string, args ...any) {
+	other := m.currentHead
 	m.result.Other = &other
 	m.fire(eventOverlap, fmt.Sprintf(format, args...))
 }
 
-// rejected ends the run because the merged configuration breaks rules. If the
-// change alone was sound and others changed something since, it is a conflict.
-func (m *Machine) rejected(problems []config.Problem, theirs config.Change) {
+// endInvalid ends the run because the merged configuration violates rules. It is a
+// conflict if the change is valid on its base and others changed something since.
+func (m *Machine) endInvalid(problems []config.Problem, theirs config.Change) {
 	m.result.Problems = problems
 	alone := m.base.Change(m.mine, m.base.Revision(), m.request.ChangeID)
-	if m.head.Revision() == m.base.Revision() || len(alone.Validate()) > 0 {
-		m.fire(eventInvalid, "the configuration would break rules")
+	if m.current.Revision() == m.base.Revision() || len(alone.Validate()) > 0 {
+		m.fire(eventInvalid, "the configuration would violate rules")
 		return
 	}
 	m.result.Items = theirs.Items()
-	m.clash("with what was changed since revision %d the configuration would break rules", m.base.Revision())
+	m.endInConflict("together with the changes since revision %d the configuration would violate rules", m.base.Revision())
 }
 
-// write begins to write the parts of the next snapshot.
-func (m *Machine) write(next *config.Snapshot) {
+// startWriting prepares the head and the parts of the next snapshot to be written.
+func (m *Machine) startWriting(next *config.Snapshot) {
 	parent := ""
-	if m.version != 0 {
-		parent = m.headRaw.Key()
+	if m.headVersion != 0 {
+		parent = m.currentHead.Key()
 	}
-	m.next = next.Head(parent, m.request.Author, m.request.Note)
-	m.next.Oldest = m.headRaw.Oldest
+	m.nextHead = next.Head(parent, m.request.Author, m.request.Note)
+	m.nextHead.Oldest = m.currentHead.Oldest
 	if !m.request.Time.IsZero() {
-		m.next.AcceptedUnix = m.request.Time.Unix()
+		m.nextHead.AcceptedUnix = m.request.Time.Unix()
 	}
-	m.copied, m.touching, m.found = false, false, 0
-	m.parts = next.PartsSince(m.head)
+	m.copyWritten, m.touching, m.foundVersion = false, false, 0
+	m.pendingParts = next.PartsSince(m.current)
 	m.fire(eventValid, "")
 }
--- a/core/config/accept/settle.go
+++ b/core/config/accept/settle.go
@@ -5,113 +5,116 @@
 	"acaciawinch/core/fault"
 )
 
-// moved handles the answer to an update of the head. Unless it plainly succeeded,
-// the head itself tells how it stands: it is read next.
-func (m *Machine) moved(reply Reply) {
-	m.moves++
+// headUpdated handles the reply to an update of the head. Unless the update succeeded,
+// the head is read next to find out whether it took effect.
+func (m *Machine) headUpdated(reply Reply) {
+	m.headUpdates++
 	m.failures = 0
 	switch reply.Code {
 	case "":
-		m.accepted(eventWritten)
+		m.endAccepted(eventWritten)
 		return
 	case fault.Conflict:
-		// The head moved, perhaps by an earlier copy of this very update.
+		// The head was updated, perhaps by an earlier request for this same update.
 	case fault.Unavailable:
-		// Certainly not carried out. Earlier copies may have been.
+		// This request was certainly not carried out. Earlier ones may have been.
 	case fault.Invalid, fault.NotFound:
-		m.broken("the store refuses the head: %s", reply.Detail)
+		m.failProtocol("the store refused the head: %s", reply.Detail)
 		return
 	default:
 		m.unsettled = true
 	}
-	m.cursor, m.walked = config.HeadKey, 0
+	m.cursor, m.copiesRead = config.HeadKey, 0
 	m.fire(eventUnsettled, "")
 }
 
-// confirm takes the head, or one of the copies behind it.
+// confirm handles the reply to the read of the head, or of one of the older copies.
 func (m *Machine) confirm(reply Reply) {
 	if m.cursor != config.HeadKey {
-		m.walk(reply)
+		m.copyRead(reply)
 		return
 	}
 	head, version, ok := m.parseHead(reply)
 	if !ok {
 		return
 	}
-	if version == m.version {
-		m.sendAgain()
+	if version == m.headVersion {
+		m.resendUpdate()
 		return
 	}
-	m.compare(head)
+	m.findOwnChange(head)
 }
 
-// sendAgain repeats the update after the head was found unmoved.
-func (m *Machine) sendAgain() {
-	if m.moves >= MaxFailures {
-		m.giveUp("the head could not be moved")
+// resendUpdate repeats the update of a head that was found unchanged.
+func (m *Machine) resendUpdate() {
+	if m.headUpdates >= MaxFailures {
+		m.giveUp("the head could not be updated")
 		return
 	}
 	m.fire(eventUnmoved, "")
 }
 
-// compare looks for this run's change at its revision in the chain of heads.
-func (m *Machine) compare(head config.Head) {
+// findOwnChange compares a head of the chain with this run's change, and goes on to
+// the head's parent until it reaches the revision of the change.
+func (m *Machine) findOwnChange(head config.Head) {
 	switch {
-	case head.Revision > m.next.Revision && head.Parent != "":
+	case head.Revision > m.nextHead.Revision && head.Parent != "":
 		m.cursor = head.Parent
-	case head.Revision == m.next.Revision && head.ChangeID == m.request.ChangeID:
-		m.accepted(eventOwnChange)
-	case head.Revision == m.next.Revision:
-		m.lost()
-	case head.Revision == m.headRaw.Revision && m.cursor == config.HeadKey:
+	case head.Revision == m.nextHead.Revision && head.ChangeID == m.request.ChangeID:
+		m.endAccepted(eventOwnChange)
+	case head.Revision == m.nextHead.Revision:
+		m.rebase()
+	case head.Revision == m.currentHead.Revision && m.cursor == config.HeadKey:
 		// Only the removal of old objects updates a head without a new revision.
-		// The update on the old version can't take effect any more.
-		m.lost()
+		// This run's update on the old version can't take effect any more.
+		m.rebase()
 	default:
-		m.broken("the chain of heads has no revision %d", m.next.Revision)
+		m.failProtocol("the chain of heads has no revision %d", m.nextHead.Revision)
 	}
 }
 
-// walk takes the next older copy of a head.
-func (m *Machine) walk(reply Reply) {
-	m.walked++
+// copyRead handles the reply to the read of an older copy of a head.
+func (m *Machine) copyRead(reply Reply) {
+	m.copiesRead++
 	head, err := config.DecodeHead(reply.Value)
 	if reply.Code != "" || err != nil {
-		m.broken("the chain of heads is broken at %s: %s", m.cursor, reply.Detail)
+		m.failProtocol("the chain of heads is broken at %s: %s", m.cursor, reply.Detail)
 		return
 	}
-	if m.walked >= MaxWalk {
-		m.broken("the chain of heads is longer than %d", MaxWalk)
+	if m.copiesRead >= MaxWalk {
+		m.failProtocol("the chain of heads since the change is longer than %d", MaxWalk)
 		return
 	}
-	m.compare(head)
+	m.findOwnChange(head)
 }
 
-// lost is reached when another change has the revision, or the head was updated
-// by a removal of old objects: the update on the old version can't take effect any more. The change is made anew on the new head.
-func (m *Machine) lost() {
+// rebase restarts the change on the new head. Another change has this run's revision,
+// or a removal of old objects updated the head, so the update on the old version can't
+// take effect any more.
+func (m *Machine) rebase() {
 	m.unsettled = false
-	m.moves = 0
+	m.headUpdates = 0
 	m.rebases++
 	if m.rebases > MaxRebases {
-		m.fire(eventOvertaken, "other operators were first too often")
+		m.fire(eventOvertaken, "other operators' changes were accepted first too often")
 		return
 	}
 	m.fire(eventOtherChange, "")
 }
 
-// parseHead reads a reply to a read of the head. Version is 0 if there is none.
+// parseHead decodes the reply to a read of the head. The version is 0 if there is no
+// head yet. It returns false if it ended the run.
 func (m *Machine) parseHead(reply Reply) (config.Head, uint64, bool) {
 	if reply.Code == fault.NotFound {
 		return config.Empty().Head("", "", ""), 0, true
 	}
 	if reply.Code != "" {
-		m.broken("the head can't be read: %s", reply.Detail)
+		m.failProtocol("the head can't be read: %s", reply.Detail)
 		return config.Head{}, 0, false
 	}
 	head, err := config.DecodeHead(reply.Value)
 	if err != nil {
-		m.broken("the head can't be read: %v", err)
+		m.failProtocol("the head can't be read: %v", err)
 		return config.Head{}, 0, false
 	}
 	return head, reply.Version, true
--- a/core/config/accept/store_test.go
+++ b/core/config/accept/store_test.go
@@ -14,22 +14,24 @@
 	version uint64
 }
 
-// fakeStore is a deterministic object API that loses calls and answers, and
-// lets writes take effect long after their caller was told that nobody knows.
+// fakeStore is a deterministic object API that loses calls and responses, and applies
+// writes long after their callers were told that the result is ambiguous.
 type fakeStore struct {
 	random  *rand.Rand
 	objects map[string]fakeObject
-	// trouble is how many calls of a hundred go wrong.
-	trouble int
-	// late holds writes whose callers have been answered with Ambiguous.
-	late []Action
-	// headMoves counts the writes of the head that took effect.
-	headMoves int
+	// faultPercent is the percentage of calls that fail.
+	faultPercent int
+	// delayed holds the writes that are still to be applied, although their callers
+	// received Ambiguous.
+	delayed []Action
+	// headWrites counts the writes of the head that took effect.
+	headWrites int
 }
 
-// call carries out an action, or not, and returns what its caller learns.
+// call carries out an action, unless a fault prevents it, and returns what its caller
+// learns.
 func (s *fakeStore) call(action Action) Reply {
-	if s.random.IntN(100) >= s.trouble {
+	if s.random.IntN(100) >= s.faultPercent {
 		return s.apply(action)
 	}
 	if action.Kind == ActionGet {
@@ -44,23 +46,23 @@
 		s.apply(action)
 		return Reply{Code: fault.Ambiguous}
 	default:
-		s.late = append(s.late, action)
+		s.delayed = append(s.delayed, action)
 		return Reply{Code: fault.Ambiguous}
 	}
 }
 
-// land carries out one late write, if there is any.
-func (s *fakeStore) land() {
-	if len(s.late) == 0 {
+// applyDelayed applies one random delayed write, if there is any.
+func (s *fakeStore) applyDelayed() {
+	if len(s.delayed) == 0 {
 		return
 	}
-	i := s.random.IntN(len(s.late))
-	action := s.late[i]
-	s.late = append(s.late[:i:i], s.late[i+1:]...)
+	i := s.random.IntN(len(s.delayed))
+	action := s.delayed[i]
+	s.delayed = append(s.delayed[:i:i], s.delayed[i+1:]...)
 	s.apply(action)
 }
 
-// apply carries out an action.
+// apply carries out an action without faults.
 func (s *fakeStore) apply(action Action) Reply {
 	object, exists := s.objects[action.Key]
 	if action.Kind == ActionGet {
@@ -69,17 +71,17 @@
 		}
 		return Reply{Value: object.value, Version: object.version}
 	}
-	met := !exists
+	conditionMet := !exists
 	if action.Kind == ActionUpdate {
-		met = exists && object.version == action.Version
+		conditionMet = exists && object.version == action.Version
 	}
-	if !met {
+	if !conditionMet {
 		return Reply{Code: fault.Conflict}
 	}
 	object = fakeObject{value: bytes.Clone(action.Value), version: object.version + 1}
 	s.objects[action.Key] = object
 	if action.Key == config.HeadKey {
-		s.headMoves++
+		s.headWrites++
 	}
 	return Reply{Version: object.version}
 }
