--- a/core/gate/ahead.go
+++ b/core/gate/ahead.go
@@ -1,20 +1,21 @@
 package gate
 
-// ahead returns the costs of the waiting attempts that would be served before a
-// new attempt of workspace in the class of priority.
-func (q *queue) ahead(workspace string, priority int) []float64 {
-	same := q.aheadInClass(workspace, priority)
-	higher := q.aheadOfClass(priority)
-	// Starvation turns bound how much of higher classes goes first.
-	bound := (len(same) + 1) * q.turns
+// costsAhead returns the costs of the waiting attempts that would be served before
+// a new attempt of workspace with the given priority.
+func (q *queue) costsAhead(workspace string, priority int) []float64 {
+	same := q.costsAheadInClass(workspace, priority)
+	higher := q.costsInHigherClasses(priority)
+	// Starvation protection bounds how many attempts of higher classes go first.
+	bound := (len(same) + 1) * q.starvationTurns
 	if len(higher) > bound {
 		higher = higher[:bound]
 	}
 	return append(higher, same...)
 }
 
-// aheadOfClass returns the costs that wait in classes above priority.
-func (q *queue) aheadOfClass(priority int) []float64 {
+// costsInHigherClasses returns the costs of the attempts that wait in classes above
+// priority.
+func (q *queue) costsInHigherClasses(priority int) []float64 {
 	var costs []float64
 	for _, c := range q.classes {
 		if c.priority <= priority {
@@ -29,18 +30,18 @@
 	return costs
 }
 
-// aheadInClass returns the costs in the class that are served before a new
-// attempt of workspace: all of the workspace's own, and of each other workspace
-// those whose start tag is not above the new one's.
-func (q *queue) aheadInClass(workspace string, priority int) []float64 {
-	c := q.existing(priority)
+// costsAheadInClass returns the costs of the attempts in the class that are served
+// before a new attempt of workspace: all of the same workspace, and those of other
+// workspaces whose start tag is not above the new attempt's.
+func (q *queue) costsAheadInClass(workspace string, priority int) []float64 {
+	c := q.findClass(priority)
 	if c == nil {
 		return nil
 	}
-	tag := c.nextTag(workspace)
+	tag := c.nextStartTag(workspace)
 	var costs []float64
 	for _, f := range c.flows {
-		start := f.start
+		start := f.startTag
 		for _, r := range f.waiting {
 			if f.workspace != workspace && start > tag {
 				break
@@ -52,8 +53,8 @@
 	return costs
 }
 
-// existing returns the class of priority, or nil.
-func (q *queue) existing(priority int) *class {
+// findClass returns the class with the given priority, or nil.
+func (q *queue) findClass(priority int) *class {
 	for _, c := range q.classes {
 		if c.priority == priority {
 			return c
@@ -62,58 +63,60 @@
 	return nil
 }
 
-// nextTag returns the start tag of a new attempt of workspace.
-func (c *class) nextTag(workspace string) float64 {
-	f := c.find(workspace)
+// nextStartTag returns the start tag of a new attempt of workspace.
+func (c *class) nextStartTag(workspace string) float64 {
+	f := c.findFlow(workspace)
 	if f == nil {
-		return c.virtual
+		return c.virtualTime
 	}
 	if len(f.waiting) == 0 {
-		return max(c.virtual, f.finish)
+		return max(c.virtualTime, f.finishTag)
 	}
-	tag := f.start
+	tag := f.startTag
 	for _, r := range f.waiting {
 		tag += r.cost / float64(r.weight)
 	}
 	return tag
 }
 
-// victim returns the attempt that gives up its place in a full queue to a new
-// one, or nil. Places are shared between workspaces by weight, whatever their
-// class: the last attempt of the flow that holds most goes, if its flow holds no
-// less than the new attempt's flow even after the exchange. Else a lower class
-// gives way, but for the last place of each flow, which keeps it from starving.
-func (q *queue) victim(workspace string, priority, weight int) *record {
-	own := q.places(workspace, priority)
+// evictionCandidate returns the waiting attempt that is evicted from a full queue to
+// admit a new one, or nil. The queue is shared between workspaces by weight,
+// regardless of class: the newest attempt of the flow with the highest weighted
+// length is evicted if, even after the exchange, that flow's weighted length is not
+// below that of the new attempt's flow. Otherwise an attempt of a lower class is
+// evicted, but never the only attempt of a flow, so that the flow doesn't starve.
+func (q *queue) evictionCandidate(workspace string, priority, weight int) *record {
+	own := q.waitingCount(workspace, priority)
 	after := float64(own+1) / float64(weight)
 	heaviest := q.heaviest(func(*class, *flow) bool { return true })
-	if heaviest != nil && heaviest.share(-1) >= after {
-		return heaviest.last()
+	if heaviest != nil && heaviest.weightedLength(-1) >= after {
+		return heaviest.newest()
 	}
 	lower := q.heaviest(func(c *class, f *flow) bool {
 		return c.priority < priority && len(f.waiting) > 1
 	})
 	if lower != nil {
-		return lower.last()
+		return lower.newest()
 	}
 	return nil
 }
 
-// places returns how many attempts of workspace wait in the class of priority.
-func (q *queue) places(workspace string, priority int) int {
-	c := q.existing(priority)
+// waitingCount returns how many attempts of workspace wait in the class with the
+// given priority.
+func (q *queue) waitingCount(workspace string, priority int) int {
+	c := q.findClass(priority)
 	if c == nil {
 		return 0
 	}
-	f := c.find(workspace)
+	f := c.findFlow(workspace)
 	if f == nil {
 		return 0
 	}
 	return len(f.waiting)
 }
 
-// heaviest returns the flow that holds most places for its weight among those
-// that match; of equal ones the one in the lowest class.
+// heaviest returns the matching flow with the highest weighted length; ties go to the
+// lowest class.
 func (q *queue) heaviest(match func(*class, *flow) bool) *flow {
 	var best *flow
 	for _, c := range q.classes {
@@ -121,7 +124,7 @@
 			if len(f.waiting) == 0 || !match(c, f) {
 				continue
 			}
-			if best == nil || f.share(0) >= best.share(0) {
+			if best == nil || f.weightedLength(0) >= best.weightedLength(0) {
 				best = f
 			}
 		}
@@ -129,10 +132,10 @@
 	return best
 }
 
-// share returns the flow's places, changed by delta, over its weight.
-func (f *flow) share(delta int) float64 {
-	return float64(len(f.waiting)+delta) / float64(f.last().weight)
+// weightedLength returns the flow's length, changed by delta, divided by its weight.
+func (f *flow) weightedLength(delta int) float64 {
+	return float64(len(f.waiting)+delta) / float64(f.newest().weight)
 }
 
-// last returns the attempt that came last. The flow has work waiting.
-func (f *flow) last() *record { return f.waiting[len(f.waiting)-1] }
+// newest returns the attempt that arrived last. The flow must not be empty.
+func (f *flow) newest() *record { return f.waiting[len(f.waiting)-1] }
--- a/core/gate/ask.go
+++ b/core/gate/ask.go
@@ -6,31 +6,32 @@
 	"acaciawinch/core"
 )
 
-// Ticket identifies a claimed attempt of a non-idempotent stage.
+// Ticket identifies a claimed attempt: an attempt of a non-idempotent stage.
 type Ticket struct {
 	// Nonce is the attempt's random number, as in its claim object.
 	Nonce uint64
-	// Clock is the side's clock at the probe that came before the claim.
+	// Clock is the sidecar's clock at the probe that preceded the claim.
 	Clock time.Duration
 }
 
-// Ask is one attempt that asks to run.
+// Ask is one attempt that is submitted to run.
 type Ask struct {
 	Key       core.AttemptKey
 	Workspace string
 	// Ticket is nil for an idempotent stage.
 	Ticket *Ticket
-	// Remaining is the time left for the stage.
+	// Remaining is the time remaining for the stage.
 	Remaining time.Duration
-	// Priority is the class; it is clamped to MinPriority to MaxPriority.
+	// Priority selects the class; it is clamped to MinPriority to MaxPriority.
 	Priority int
-	// Weight is the workspace's share, at least 1.
+	// Weight is the workspace's weight in fair queueing, at least 1.
 	Weight int
-	// Committed is set if a non-idempotent stage of the request has run.
+	// Committed is set if a non-idempotent stage of the request has already run.
 	Committed bool
-	// Cost is the expected work in the upstream's units: tokens, or 1.
+	// Cost is the expected work in the upstream's units: tokens for an engine, otherwise 1.
 	Cost float64
-	// Model and Version name what the engine must hold; empty for others.
+	// Model and Version name the model that the engine must have loaded; empty if the
+	// upstream is not an engine.
 	Model   string
 	Version string
 }
@@ -41,8 +42,8 @@
 	MaxPriority = 10
 )
 
-// Reason says why an attempt is refused. A refused attempt was not run and will
-// not be run.
+// Reason is why an attempt is refused. A refused attempt was not run and will not
+// be run.
 type Reason string
 
 // The reasons of refusals.
@@ -61,19 +62,19 @@
 	ReasonUpstream       Reason = "upstream_refused"
 )
 
-// Verdict is what becomes of an ask.
+// Verdict is the result of Submit or Attach.
 type Verdict int
 
 // The verdicts.
 const (
-	// Admitted: the attempt waits for its turn.
+	// Admitted: the attempt is queued.
 	Admitted Verdict = iota + 1
-	// Attached: the attempt is known; the asker follows it. It is not run again.
+	// Attached: the attempt is already known, and the caller follows it. It is not run
+	// again.
 	Attached
 	// Refused: the attempt was not run and will not be run.
 	Refused
-	// Gone: the attempt may have run, and its result is not kept. It is not run
-	// again.
+	// Gone: the attempt may have run, and its output is not kept. It is not run again.
 	Gone
 )
 
@@ -81,11 +82,11 @@
 type Decision struct {
 	Verdict Verdict
 	Reason  Reason
-	// RetryAfter is when the same ask may succeed here; zero if that is unknown.
+	// RetryAfter is when the same attempt may be admitted here; zero if that is unknown.
 	RetryAfter time.Duration
-	// Detail explains the verdict to people.
+	// Detail explains the verdict to an operator.
 	Detail string
-	// Wait and Service are the estimates on which the verdict rests.
+	// Wait and Service are the estimates on which the verdict is based.
 	Wait    time.Duration
 	Service time.Duration
 	// Queued and Running are the counts before the verdict.
@@ -93,20 +94,20 @@
 	Running int
 }
 
-// ActionKind is what the runtime must do.
+// ActionKind is the kind of an action that the runtime must carry out.
 type ActionKind int
 
 // The kinds of actions.
 const (
-	// ActionStart hands the attempt to the upstream.
+	// ActionStart passes the attempt to the upstream.
 	ActionStart ActionKind = iota + 1
 	// ActionRefuse tells the readers of a waiting attempt that it is refused.
 	ActionRefuse
 	// ActionStop cancels the attempt at the upstream.
 	ActionStop
-	// ActionDrop drops the kept output; the attempt itself stays known.
+	// ActionDrop drops the kept output; the attempt itself is still remembered.
 	ActionDrop
-	// ActionForget removes all that is kept of the attempt.
+	// ActionForget removes all state of the attempt.
 	ActionForget
 )
 
@@ -118,8 +119,8 @@
 	Reason     Reason
 	RetryAfter time.Duration
 	Detail     string
-	// Cause says why an attempt is stopped.
+	// Cause is why an attempt is stopped.
 	Cause Cause
-	// Waited is how long a started attempt was in the queue.
+	// Waited is how long a started attempt was queued.
 	Waited time.Duration
 }
--- a/core/gate/cost.go
+++ b/core/gate/cost.go
@@ -1,9 +1,10 @@
 package gate
 
-// Cause is what the work of a pass is charged to.
+// Cause is what the cost of a pass is charged to. A pass is one run of an attempt at
+// the upstream.
 type Cause string
 
-// The causes. Every pass is charged to exactly one, when it is certain which.
+// The causes. Every pass is charged to exactly one of them, once its cause is certain.
 const (
 	CauseUseful     Cause = "useful"
 	CauseHedgeLost  Cause = "hedge_lost"
@@ -13,7 +14,7 @@
 	CauseFailed     Cause = "failed"
 )
 
-// Causes lists all causes in the order of reports.
+// Causes lists all causes in the order in which they are reported.
 var Causes = []Cause{
 	CauseUseful, CauseHedgeLost, CauseDeadline, CauseCallerGone, CauseSuperseded, CauseFailed,
 }
@@ -21,13 +22,13 @@
 // Charge is the work charged to one cause so far.
 type Charge struct {
 	Cause Cause `json:"cause"`
-	// Passes counts attempts that were handed to the upstream.
+	// Passes counts the attempts that were passed to the upstream.
 	Passes uint64 `json:"passes"`
 	// Cost is their work in the upstream's units.
 	Cost uint64 `json:"cost"`
 }
 
-// Charges returns the work charged so far, one line per cause.
+// Charges returns the work charged so far, one entry per cause.
 func (g *Gate) Charges() []Charge {
 	lines := make([]Charge, 0, len(Causes))
 	for _, cause := range Causes {
@@ -38,7 +39,7 @@
 	return lines
 }
 
-// charge books the pass of r to cause, unless it is booked already.
+// charge charges the pass of r to cause, unless it is already charged.
 func (g *Gate) charge(r *record, cause Cause) {
 	if r.charged {
 		return
@@ -46,13 +47,13 @@
 	r.charged = true
 	line := g.charges[cause]
 	line.Passes++
-	line.Cost += r.spent
+	line.Cost += r.passCost
 	g.charges[cause] = line
 }
 
-// chargeAged books a result that ages out without acknowledgement or
-// cancellation: a reader that got all of it has probably used it.
-func (g *Gate) chargeAged(r *record) {
+// chargeExpired charges a result that is forgotten without an acknowledgement or
+// cancellation. A reader that received all of it has probably used it.
+func (g *Gate) chargeExpired(r *record) {
 	if r.phase != phaseDone {
 		return
 	}
--- a/core/gate/drain.go
+++ b/core/gate/drain.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// DrainSource is one of the signals that end the admission of new work.
+// DrainSource is an independent signal that stops the admission of new work.
 type DrainSource string
 
-// The sources of a drain. Any one of them suffices.
+// The sources of a drain. One active source is enough to drain the upstream.
 const (
 	DrainHostList DrainSource = "host_list"
 	DrainNotice   DrainSource = "upstream_notice"
@@ -17,28 +17,28 @@
 	DrainStop     DrainSource = "process_stop"
 )
 
-// drainState is which sources ask for a drain.
+// drainState holds the active drain sources and when the drain began.
 type drainState struct {
 	sources []DrainSource
 	since   time.Duration
 }
 
-// SetDrain notes whether source asks for a drain. It tells whether that changed.
-// Each source only takes back its own wish.
+// SetDrain activates or clears the drain request of source and reports whether that
+// changed anything. Clearing one source leaves the requests of the others in place.
 func (g *Gate) SetDrain(now time.Duration, source DrainSource, on bool) bool {
-	changed := g.noteDrain(now, source, on)
+	changed := g.recordDrain(now, source, on)
 	g.updateState()
 	return changed
 }
 
-// noteDrain adds or removes a source. It tells whether that changed anything.
-func (g *Gate) noteDrain(now time.Duration, source DrainSource, on bool) bool {
-	at := slices.Index(g.drain.sources, source)
-	if on == (at >= 0) {
+// recordDrain adds or removes a source and reports whether that changed anything.
+func (g *Gate) recordDrain(now time.Duration, source DrainSource, on bool) bool {
+	i := slices.Index(g.drain.sources, source)
+	if on == (i >= 0) {
 		return false
 	}
 	if !on {
-		g.drain.sources = slices.Delete(g.drain.sources, at, at+1)
+		g.drain.sources = slices.Delete(g.drain.sources, i, i+1)
 		return true
 	}
 	if len(g.drain.sources) == 0 {
@@ -48,13 +48,13 @@
 	return true
 }
 
-// DrainSources returns the sources that ask for a drain, the first one first.
+// DrainSources returns the active drain sources in the order of their activation.
 func (g *Gate) DrainSources() []DrainSource { return slices.Clone(g.drain.sources) }
 
-// refuseDrained refuses what still waits when the drain window is over. Within
-// the window waiting attempts may start, so that a short queue costs nobody a
-// retry; behind it the upstream gets no new work.
-func (g *Gate) refuseDrained(now time.Duration) {
+// refuseAfterDrainWindow refuses the waiting attempts once the drain window is over.
+// Within the window they may still start, so that a short queue causes no retries;
+// after it the upstream gets no new work.
+func (g *Gate) refuseAfterDrainWindow(now time.Duration) {
 	if len(g.drain.sources) == 0 || now-g.drain.since < g.options.DrainWindow {
 		return
 	}
--- a/core/gate/estimate.go
+++ b/core/gate/estimate.go
@@ -5,109 +5,113 @@
 	"time"
 )
 
-// pace is how fast the upstream works.
-type pace struct {
-	first time.Duration
-	gap   time.Duration
+// latency is the expected time to the first chunk of an output and between
+// its chunks.
+type latency struct {
+	firstChunk time.Duration
+	chunkGap   time.Duration
 }
 
-// pace returns how fast the upstream works now. It is zero while nothing is
-// measured: an unknown upstream gets the benefit of the doubt, and its first
-// answers end that.
+// estimateLatency returns the present estimate. It is zero until something is
+// measured: an upstream without measurements is assumed to be fast until its first
+// responses are in.
 //
-// The members of a batch get their chunks together, so that the gaps of one step
-// are as good as one sample: the median of the gaps is taken over as many steps as
-// the medians of other times are over samples.
-func (g *Gate) pace(now time.Duration) pace {
+// The members of a batch get their chunks together, so that all gaps of one step
+// together are worth one sample. The median of the gaps therefore covers as many
+// steps as the other medians cover samples.
+func (g *Gate) estimateLatency(now time.Duration) latency {
 	gaps := min(windowSamples, medianSamples*max(1, len(g.running)))
-	return pace{
-		first: g.first.middle(now, g.openFirsts(now)),
-		gap:   g.gap.quantile(now, gaps, median, g.openGaps(now)),
+	return latency{
+		firstChunk: g.firstChunkTimes.p50(now, g.pendingFirstChunks(now)),
+		chunkGap:   g.chunkGaps.quantile(now, gaps, median, g.pendingChunkGaps(now)),
 	}
 }
 
-// service returns the likely time of an attempt of the given cost from its start
-// to its end: until the first chunk, and a gap for each further unit of cost.
-func (p pace) service(cost float64) time.Duration {
-	return p.first + time.Duration(max(0, cost-1)*float64(p.gap))
+// serviceTime returns the expected time of an attempt of the given cost from its
+// start to its end: the time to the first chunk, and a gap for each further unit of
+// cost.
+func (l latency) serviceTime(cost float64) time.Duration {
+	return l.firstChunk + time.Duration(max(0, cost-1)*float64(l.chunkGap))
 }
 
-// residual returns how much longer a running attempt likely takes. One that is
-// late by some time is guessed to need as long again: the later it is, the less
-// the estimate is worth.
-func (p pace) residual(now time.Duration, r *record) time.Duration {
-	left := p.service(r.cost) - (now - r.startedAt)
-	return max(left, -left)
+// remainingTime returns the expected time until a running attempt ends. An overdue
+// attempt is expected to take as long again as it is overdue: the more overdue it is,
+// the less reliable the estimate.
+func (l latency) remainingTime(now time.Duration, r *record) time.Duration {
+	remaining := l.serviceTime(r.cost) - (now - r.startedAt)
+	return max(remaining, -remaining)
 }
 
-// openFirsts returns how long the running attempts without output have taken.
-func (g *Gate) openFirsts(now time.Duration) []time.Duration {
-	var open []time.Duration
+// pendingFirstChunks returns how long each running attempt without output has run.
+func (g *Gate) pendingFirstChunks(now time.Duration) []time.Duration {
+	var pending []time.Duration
 	for _, r := range g.running {
 		if r.chunks == 0 {
-			open = append(open, now-r.startedAt)
+			pending = append(pending, now-r.startedAt)
 		}
 	}
-	return open
+	return pending
 }
 
-// openGaps returns how long the running attempts with some output have gone
-// without a further chunk.
-func (g *Gate) openGaps(now time.Duration) []time.Duration {
-	var open []time.Duration
+// pendingChunkGaps returns the time since the last chunk of each running attempt with
+// some output.
+func (g *Gate) pendingChunkGaps(now time.Duration) []time.Duration {
+	var pending []time.Duration
 	for _, r := range g.running {
 		if r.chunks > 0 {
-			open = append(open, now-r.lastAt)
+			pending = append(pending, now-r.lastProgressAt)
 		}
 	}
-	return open
+	return pending
 }
 
-// openServices returns how long the running attempts have taken.
-func (g *Gate) openServices(now time.Duration) []time.Duration {
-	open := make([]time.Duration, 0, len(g.running))
+// pendingServiceTimes returns how long each running attempt has run.
+func (g *Gate) pendingServiceTimes(now time.Duration) []time.Duration {
+	pending := make([]time.Duration, 0, len(g.running))
 	for _, r := range g.running {
-		open = append(open, now-r.startedAt)
+		pending = append(pending, now-r.startedAt)
 	}
-	return open
+	return pending
 }
 
-// wait returns the likely time in the queue of a new attempt. It plays the queue
-// forward: each attempt ahead takes the place at the upstream that is free first.
-func (g *Gate) wait(now time.Duration, workspace string, priority int) time.Duration {
+// expectedWait returns the expected time in the queue of a new attempt. It simulates
+// the queue: each attempt ahead takes the slot at the upstream that is free first.
+func (g *Gate) expectedWait(now time.Duration, workspace string, priority int) time.Duration {
 	capacity := max(1, g.upstream.capacity)
 	if len(g.running) < capacity && g.queue.size == 0 {
 		return 0
 	}
-	pace := g.pace(now)
-	places := g.places(now, pace, capacity)
-	for _, cost := range g.queue.ahead(workspace, priority) {
-		places[0] += pace.service(cost)
-		heap.Fix(&places, 0)
+	estimate := g.estimateLatency(now)
+	slots := g.slotFreeTimes(now, estimate, capacity)
+	for _, cost := range g.queue.costsAhead(workspace, priority) {
+		slots[0] += estimate.serviceTime(cost)
+		heap.Fix(&slots, 0)
 	}
-	return places[0]
+	return slots[0]
 }
 
-// places returns when each place at the upstream is free, as a heap.
-func (g *Gate) places(now time.Duration, pace pace, capacity int) durationHeap {
-	places := make(durationHeap, 0, capacity)
+// slotFreeTimes returns the time until each slot at the upstream is expected to be
+// free, as a heap.
+func (g *Gate) slotFreeTimes(now time.Duration, estimate latency, capacity int) durationHeap {
+	slots := make(durationHeap, 0, capacity)
 	for _, r := range g.running {
-		places = append(places, pace.residual(now, r))
+		slots = append(slots, estimate.remainingTime(now, r))
 	}
-	for len(places) < capacity {
-		places = append(places, 0)
+	for len(slots) < capacity {
+		slots = append(slots, 0)
 	}
-	heap.Init(&places)
-	return places
+	heap.Init(&slots)
+	return slots
 }
 
-// placeAfter returns when the next place in the queue is likely free.
-func (g *Gate) placeAfter(now time.Duration) time.Duration {
-	places := g.places(now, g.pace(now), max(1, g.upstream.capacity))
-	return places[0]
+// nextSlotFree returns the time until the first slot at the upstream is expected to
+// be free, and with it room in the queue.
+func (g *Gate) nextSlotFree(now time.Duration) time.Duration {
+	slots := g.slotFreeTimes(now, g.estimateLatency(now), max(1, g.upstream.capacity))
+	return slots[0]
 }
 
-// durationHeap is a heap of durations, the shortest first.
+// durationHeap is a min-heap of durations.
 type durationHeap []time.Duration
 
 // Len implements heap.Interface.
--- a/core/gate/fair_test.go
+++ b/core/gate/fair_test.go
@@ -7,28 +7,28 @@
 	"pgregory.net/rapid"
 )
 
-// fairFlow is a workspace that always has work waiting.
-type fairFlow struct {
+// backloggedFlow is a workspace that always has attempts waiting.
+type backloggedFlow struct {
 	workspace string
 	weight    int
-	largest   float64
+	maxCost   float64
 	served    float64
 }
 
 // push adds one attempt of the flow to the queue.
-func (f *fairFlow) push(t *rapid.T, q *queue, sequence uint64) {
+func (f *backloggedFlow) push(t *rapid.T, q *queue, sequence uint64) {
 	cost := float64(rapid.IntRange(1, 10).Draw(t, "cost"))
-	f.largest = max(f.largest, cost)
+	f.maxCost = max(f.maxCost, cost)
 	q.push(&record{workspace: f.workspace, weight: f.weight, cost: cost, sequence: sequence})
 }
 
 func TestSharesOfBackloggedWorkspacesStayWithinTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := newQueue(defaultStarvationTurns)
-		flows := map[string]*fairFlow{}
+		flows := map[string]*backloggedFlow{}
 		sequence := uint64(0)
 		for i := range rapid.IntRange(2, 5).Draw(t, "workspaces") {
-			f := &fairFlow{workspace: fmt.Sprint(i), weight: rapid.IntRange(1, 5).Draw(t, "weight")}
+			f := &backloggedFlow{workspace: fmt.Sprint(i), weight: rapid.IntRange(1, 5).Draw(t, "weight")}
 			flows[f.workspace] = f
 			for range 2 {
 				sequence++
@@ -50,24 +50,24 @@
 	})
 }
 
-// checkShares checks the bound of start-time fair queueing for two workspaces
-// that always had work waiting: their work over weight differs by no more than
+// checkShares checks the bound of start-time fair queueing for two workspaces that
+// always have attempts waiting: their served cost over weight differs by no more than
 // one largest attempt of each.
-func checkShares(t *rapid.T, a, b *fairFlow) {
+func checkShares(t *rapid.T, a, b *backloggedFlow) {
 	weightA, weightB := float64(a.weight), float64(b.weight)
 	gap := a.served/weightA - b.served/weightB
-	if bound := a.largest/weightA + b.largest/weightB; gap > bound+1e-9 {
+	if bound := a.maxCost/weightA + b.maxCost/weightB; gap > bound+1e-9 {
 		t.Fatalf("workspaces %+v and %+v differ by %v, bound %v", a, b, gap, bound)
 	}
 }
 
-func TestNewcomerWaitsForNoMoreThanOneAttemptOfEachWorkspace(t *testing.T) {
+func TestNewWorkspaceWaitsForNoMoreThanOneAttemptOfEachOther(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := newQueue(defaultStarvationTurns)
 		others := rapid.IntRange(1, 4).Draw(t, "workspaces")
 		sequence := uint64(0)
 		for i := range others {
-			f := &fairFlow{workspace: fmt.Sprint(i), weight: rapid.IntRange(1, 5).Draw(t, "weight")}
+			f := &backloggedFlow{workspace: fmt.Sprint(i), weight: rapid.IntRange(1, 5).Draw(t, "weight")}
 			for range 30 {
 				sequence++
 				f.push(t, q, sequence)
@@ -76,7 +76,7 @@
 		for range rapid.IntRange(0, 25).Draw(t, "turns") {
 			q.pop()
 		}
-		newcomer := &fairFlow{workspace: "new", weight: 1}
+		newcomer := &backloggedFlow{workspace: "new", weight: 1}
 		newcomer.push(t, q, sequence+1)
 		for range others {
 			if q.pop().workspace == "new" {
--- a/core/gate/fencing.go
+++ b/core/gate/fencing.go
@@ -1,17 +1,17 @@
 package gate
 
-// Fence tells whether orders with the fencing number may be given, and remembers
-// the number. A lower number than one seen before is refused: it comes from a
-// plan that has been replaced, perhaps through a holder of the lease that was
-// paused. Several orders of one plan carry the same number. The check is made
-// here because some engines ignore the number.
-func (g *Gate) Fence(number uint64) bool {
-	if number < g.fencing {
+// Fence reports whether an order with this fencing token may be executed, and
+// remembers the token. A token lower than one seen before is refused: it belongs to a
+// replaced plan, perhaps of a former lease owner that was paused. Several orders of
+// one plan carry the same token. The gate checks the token because some engines
+// ignore it.
+func (g *Gate) Fence(token uint64) bool {
+	if token < g.fencing {
 		return false
 	}
-	g.fencing = number
+	g.fencing = token
 	return true
 }
 
-// Fencing returns the highest fencing number seen.
+// Fencing returns the highest fencing token seen.
 func (g *Gate) Fencing() uint64 { return g.fencing }
--- a/core/gate/finish.go
+++ b/core/gate/finish.go
@@ -14,16 +14,16 @@
 const (
 	// EndDone: the output is complete.
 	EndDone EndKind = iota + 1
-	// EndFailed: no complete output; the upstream may have done the work.
+	// EndFailed: the output is incomplete; the upstream may have done the work.
 	EndFailed
 	// EndNotRun: the upstream certainly did not begin the work.
 	EndNotRun
 )
 
-// Ending is what the runtime reports of an attempt that has ended.
+// Ending describes the end of an attempt, as reported by the runtime.
 type Ending struct {
 	Kind EndKind
-	// Cost is the work spent in the upstream's units.
+	// Cost is the work done in the upstream's units.
 	Cost uint64
 	// Bytes is the size of the output that the runtime keeps.
 	Bytes int
@@ -32,23 +32,23 @@
 	Detail string
 }
 
-// Progress notes that the upstream produced a chunk of an attempt's output.
+// Progress records that the upstream produced a chunk of an attempt's output.
 func (g *Gate) Progress(now time.Duration, key core.AttemptKey) {
 	r, ok := g.table[key]
 	if !ok || r.phase != phaseRunning {
 		return
 	}
 	if r.chunks == 0 {
-		g.first.add(now, now-r.startedAt)
+		g.firstChunkTimes.add(now, now-r.startedAt)
 	} else {
-		g.gap.add(now, now-r.lastAt)
+		g.chunkGaps.add(now, now-r.lastProgressAt)
 	}
 	r.chunks++
-	r.lastAt = now
-	g.progressed(now)
+	r.lastProgressAt = now
+	g.recordProgress(now)
 }
 
-// Finish notes the end of a running attempt. A second call has no effect.
+// Finish records the end of a running attempt. A second call has no effect.
 func (g *Gate) Finish(now time.Duration, key core.AttemptKey, end Ending) {
 	r, ok := g.table[key]
 	if !ok || r.phase != phaseRunning {
@@ -56,7 +56,7 @@
 	}
 	g.running = slices.DeleteFunc(g.running, func(other *record) bool { return other == r })
 	g.finished++
-	r.spent = end.Cost
+	r.passCost = end.Cost
 	switch end.Kind {
 	case EndDone:
 		g.finishDone(now, r, end)
@@ -68,37 +68,37 @@
 	}
 }
 
-// finishDone settles an attempt with a whole output.
+// finishDone settles an attempt with a complete output.
 func (g *Gate) finishDone(now time.Duration, r *record, end Ending) {
-	g.service.add(now, now-r.startedAt)
+	g.serviceTimes.add(now, now-r.startedAt)
 	if r.chunks == 0 {
-		g.first.add(now, now-r.startedAt)
+		g.firstChunkTimes.add(now, now-r.startedAt)
 	}
-	g.progressed(now)
+	g.recordProgress(now)
 	g.settle(now, r, phaseDone, "", "")
-	g.keep(r, end.Bytes)
-	if r.stopped != "" {
-		g.charge(r, r.stopped)
+	g.recordKeptOutput(r, end.Bytes)
+	if r.stopCause != "" {
+		g.charge(r, r.stopCause)
 	}
 }
 
-// finishFailed settles an attempt without a result. An attempt that was told to
-// stop says nothing about the upstream's health.
+// finishFailed settles an attempt without a result. If the attempt was stopped by the
+// gate, its failure says nothing about the upstream's health and is not counted.
 func (g *Gate) finishFailed(now time.Duration, r *record, end Ending) {
 	g.settle(now, r, phaseFailed, end.Reason, end.Detail)
-	g.keep(r, end.Bytes)
-	if r.stopped != "" {
-		g.charge(r, r.stopped)
+	g.recordKeptOutput(r, end.Bytes)
+	if r.stopCause != "" {
+		g.charge(r, r.stopCause)
 		return
 	}
 	g.failed++
 	g.charge(r, CauseFailed)
 }
 
-// Cancel ends an attempt: one that waits is refused, one that runs is stopped, one
-// that is unknown is never started. It tells whether the attempt may have been
-// handed to the upstream. The answer false proves that a claimed attempt was not
-// run and will not be; of an idempotent one that has aged out it only tells that
+// Cancel ends an attempt: a waiting one is refused, a running one is stopped, and an
+// unknown one is never started. It reports whether the attempt may have been passed
+// to the upstream. For a claimed attempt, false proves that it was not run and will
+// not be. For an idempotent attempt that was already forgotten, false only means that
 // it is not run from now on.
 func (g *Gate) Cancel(now time.Duration, key core.AttemptKey, cause Cause) bool {
 	if key.Side != g.options.Incarnation {
@@ -106,8 +106,8 @@
 	}
 	r, ok := g.table[key]
 	if !ok {
-		g.mark(now, key, "cancelled before it came")
-		return g.horizon != nothingForgotten
+		g.addKeyOnlyTombstone(now, key, "cancelled before it arrived")
+		return g.horizon != noHorizon
 	}
 	switch r.phase {
 	case phaseQueued:
@@ -117,25 +117,25 @@
 		g.stop(r, cause)
 	case phaseDone:
 		g.charge(r, cause)
-		g.dropIdempotent(r)
+		g.dropIdempotentOutput(r)
 	case phaseRefused:
-		// A mark may stand where a claimed attempt was forgotten.
-		return r.mark && g.horizon != nothingForgotten
+		// A key-only tombstone may have replaced the record of a forgotten claimed attempt.
+		return r.keyOnly && g.horizon != noHorizon
 	}
 	return true
 }
 
-// dropIdempotent drops the output of a settled idempotent attempt. The output of
-// a claimed one is kept, for whoever resolves the claim.
-func (g *Gate) dropIdempotent(r *record) {
+// dropIdempotentOutput drops the output of a settled idempotent attempt. The output
+// of a claimed attempt is kept for a caller that resolves the claim.
+func (g *Gate) dropIdempotentOutput(r *record) {
 	if !r.claimed() {
 		g.dropOutput(r)
 	}
 }
 
-// Acknowledge notes that the caller has the whole result. The output of a claimed
-// attempt is kept a little longer: its caller may die before it has recorded the
-// result.
+// Acknowledge records that the caller has the complete result. The output of a
+// claimed attempt is kept for Options.KeepResult more, because its caller may crash
+// before it has recorded the result.
 func (g *Gate) Acknowledge(now time.Duration, key core.AttemptKey) {
 	r, ok := g.table[key]
 	if !ok || r.phase != phaseDone {
@@ -143,7 +143,7 @@
 	}
 	g.charge(r, CauseUseful)
 	if r.claimed() {
-		g.drops = append(g.drops, drop{at: now + g.options.KeepResult, r: r})
+		g.pendingDrops = append(g.pendingDrops, pendingDrop{at: now + g.options.KeepResult, r: r})
 		return
 	}
 	g.dropOutput(r)
--- a/core/gate/helper_test.go
+++ b/core/gate/helper_test.go
@@ -10,31 +10,30 @@
 	"acaciawinch/core"
 )
 
-// incarnation is the side's own in tests.
+// incarnation is the sidecar's incarnation in tests.
 const incarnation core.Incarnation = 7
 
-// ms returns n milliseconds.
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// bench drives a gate with a fake clock and a fake upstream that only ends work
-// when it is told to.
-type bench struct {
+// testBench drives a gate with a fake clock and a fake upstream that ends work only on
+// request.
+type testBench struct {
 	t       *testing.T
 	g       *Gate
 	now     time.Duration
-	next    int
+	created int
 	started []core.AttemptKey
 	refused map[core.AttemptKey]Action
 	stopped map[core.AttemptKey]Cause
 }
 
-// newBench returns a gate whose upstream has reported.
-func newBench(t *testing.T, options Options) *bench {
+// newTestBench returns a test bench whose upstream has reported.
+func newTestBench(t *testing.T, options Options) *testBench {
 	options.Incarnation = incarnation
 	if options.Capacity == 0 {
 		options.Capacity = 1
 	}
-	b := &bench{
+	b := &testBench{
 		t:       t,
 		g:       New(options),
 		now:     time.Second,
@@ -45,11 +44,11 @@
 	return b
 }
 
-// ask returns an idempotent ask with a new key and plenty of time.
-func (b *bench) ask(workspace string) Ask {
-	b.next++
+// newAttempt returns an idempotent attempt with a new key and a distant deadline.
+func (b *testBench) newAttempt(workspace string) Ask {
+	b.created++
 	return Ask{
-		Key:       core.AttemptKey{Request: core.RequestID(fmt.Sprintf("r-%d", b.next)), Stage: "s", Number: 1, Side: incarnation},
+		Key:       core.AttemptKey{Request: core.RequestID(fmt.Sprintf("r-%d", b.created)), Stage: "s", Number: 1, Side: incarnation},
 		Workspace: workspace,
 		Remaining: time.Hour,
 		Weight:    1,
@@ -57,33 +56,33 @@
 	}
 }
 
-// claimed returns a claimed ask whose ticket is from now.
-func (b *bench) claimed() Ask {
-	ask := b.ask("w")
-	ask.Ticket = &Ticket{Nonce: uint64(b.next), Clock: b.now}
-	return ask
+// newClaimedAttempt returns a claimed attempt whose ticket has the present time.
+func (b *testBench) newClaimedAttempt() Ask {
+	attempt := b.newAttempt("w")
+	attempt.Ticket = &Ticket{Nonce: uint64(b.created), Clock: b.now}
+	return attempt
 }
 
-// submit submits ask, follows it if it is admitted, and advances.
-func (b *bench) submit(ask Ask) Decision {
-	d := b.g.Submit(b.now, ask)
+// submit submits attempt, follows it if it is admitted, and advances the gate.
+func (b *testBench) submit(attempt Ask) Decision {
+	d := b.g.Submit(b.now, attempt)
 	if d.Verdict == Admitted {
-		b.g.Watch(ask.Key)
+		b.g.Watch(attempt.Key)
 	}
 	b.advance(0)
 	return d
 }
 
-// admit submits ask, which must be admitted.
-func (b *bench) admit(ask Ask) Ask {
+// admit submits attempt and fails the test if it is not admitted.
+func (b *testBench) admit(attempt Ask) Ask {
 	b.t.Helper()
-	d := b.submit(ask)
+	d := b.submit(attempt)
 	assert.Equal(b.t, d.Verdict, Admitted, "%+v", d)
-	return ask
+	return attempt
 }
 
-// advance moves the clock and notes the actions.
-func (b *bench) advance(d time.Duration) []Action {
+// advance moves the clock and records the gate's actions.
+func (b *testBench) advance(d time.Duration) []Action {
 	b.now += d
 	actions := b.g.Advance(b.now)
 	for _, a := range actions {
@@ -100,24 +99,25 @@
 	return actions
 }
 
-// done ends a running attempt with a whole output.
-func (b *bench) done(key core.AttemptKey) {
+// finish ends a running attempt with a complete output.
+func (b *testBench) finish(key core.AttemptKey) {
 	b.g.Finish(b.now, key, Ending{Kind: EndDone, Cost: 1, Bytes: 10})
 	b.advance(0)
 }
 
-// serve ends the oldest running attempt after d and returns its key.
-func (b *bench) serve(d time.Duration) core.AttemptKey {
+// finishOldest moves the clock by d, ends the oldest running attempt and returns its
+// key.
+func (b *testBench) finishOldest(d time.Duration) core.AttemptKey {
 	b.now += d
 	key := b.g.running[0].key
-	b.done(key)
+	b.finish(key)
 	return key
 }
 
-// measure lets the gate measure n attempts that take d each.
-func (b *bench) measure(n int, d time.Duration) {
+// measure runs n attempts of duration d each, so that the gate has latency samples.
+func (b *testBench) measure(n int, d time.Duration) {
 	for range n {
-		b.admit(b.ask("measure"))
-		b.serve(d)
+		b.admit(b.newAttempt("measure"))
+		b.finishOldest(d)
 	}
 }
--- a/core/gate/load.go
+++ b/core/gate/load.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Load is what the gate knows of its upstream.
+// Load is a snapshot of the upstream's load.
 type Load struct {
 	Queued   int
 	InFlight int
 	Capacity int
 	// Wait is the expected wait of a new attempt of priority 0 from a workspace
-	// that has nothing waiting.
+	// without waiting attempts.
 	Wait       time.Duration
 	ServiceP50 time.Duration
 	ServiceP95 time.Duration
@@ -22,20 +22,21 @@
 	Failed     uint64
 }
 
-// Load returns the present load. Unfinished work counts as soon as it is late.
+// Load returns the present load. Unfinished work counts in the latency quantiles as
+// soon as it takes longer than the measured quantile.
 func (g *Gate) Load(now time.Duration) Load {
-	services := g.openServices(now)
-	firsts := g.openFirsts(now)
+	services := g.pendingServiceTimes(now)
+	firsts := g.pendingFirstChunks(now)
 	return Load{
 		Queued:     g.queue.size,
 		InFlight:   len(g.running),
 		Capacity:   g.upstream.capacity,
-		Wait:       g.wait(now, "", 0),
-		ServiceP50: g.service.middle(now, services),
-		ServiceP95: g.service.high(now, services),
-		FirstP50:   g.first.middle(now, firsts),
-		FirstP95:   g.first.high(now, firsts),
-		GapP95:     g.gap.high(now, g.openGaps(now)),
+		Wait:       g.expectedWait(now, "", 0),
+		ServiceP50: g.serviceTimes.p50(now, services),
+		ServiceP95: g.serviceTimes.p95(now, services),
+		FirstP50:   g.firstChunkTimes.p50(now, firsts),
+		FirstP95:   g.firstChunkTimes.p95(now, firsts),
+		GapP95:     g.chunkGaps.p95(now, g.pendingChunkGaps(now)),
 		Draining:   len(g.drain.sources) > 0,
 		Stalled:    g.Stalled(now),
 		Models:     g.Models(now),
@@ -44,15 +45,15 @@
 	}
 }
 
-// Wait returns the expected wait in the queue of a new attempt of a workspace.
+// Wait returns the expected time in the queue of a new attempt of a workspace.
 func (g *Gate) Wait(now time.Duration, workspace string, priority int) time.Duration {
 	if g.options.FIFO {
-		return g.wait(now, "", 0)
+		return g.expectedWait(now, "", 0)
 	}
-	return g.wait(now, workspace, clampPriority(priority))
+	return g.expectedWait(now, workspace, clampPriority(priority))
 }
 
-// Memory is how much the gate remembers.
+// Memory is how much state the gate holds.
 type Memory struct {
 	Attempts  int
 	KeptBytes int
@@ -61,7 +62,7 @@
 	Horizon time.Duration
 }
 
-// Memory returns how much the gate remembers.
+// Memory returns how much state the gate holds.
 func (g *Gate) Memory() Memory {
 	return Memory{Attempts: len(g.table), KeptBytes: g.keptBytes, Horizon: g.horizon}
 }
@@ -69,14 +70,13 @@
 // Unsettled returns how many attempts wait or run.
 func (g *Gate) Unsettled() int { return g.queue.size + len(g.running) }
 
-// Unacknowledged returns how many outputs are kept for a caller that may still
-// need them: those that are not acknowledged, except idempotent ones that were
-// sent whole.
+// Unacknowledged returns the number of outputs that a caller may still need: those
+// without an acknowledgement, except idempotent ones that were delivered completely.
 func (g *Gate) Unacknowledged() int {
 	count := 0
-	for _, r := range g.results {
+	for _, r := range g.keptOutputs {
 		sent := r.delivered && !r.claimed()
-		if r.kept && !r.charged && r.phase == phaseDone && !sent {
+		if r.outputKept && !r.charged && r.phase == phaseDone && !sent {
 			count++
 		}
 	}
--- a/core/gate/main_test.go
+++ b/core/gate/main_test.go
@@ -6,8 +6,8 @@
 	"acaciawinch/core/propertytest"
 )
 
-// propertyChecks is how many interleavings each property test plays, unless the
-// command line sets another number.
+// propertyChecks is how many interleavings each property test runs by default. A
+// command line flag overrides it.
 const propertyChecks = 10_000
 
 func TestMain(m *testing.M) { propertytest.Main(m, propertyChecks) }
--- a/core/gate/memory.go
+++ b/core/gate/memory.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// claimHeap holds the settled claimed attempts, the oldest ticket first, so that
-// forgetting moves the horizon as little as possible.
+// claimHeap is a min-heap of the settled claimed attempts by ticket clock, so that
+// forgetting one raises the horizon as little as possible.
 type claimHeap []*record
 
 // Len implements heap.Interface.
@@ -31,17 +31,18 @@
 	return last
 }
 
-// compactionSlack is how many dropped outputs may stay listed before the list is
+// compactionSlack is how many dropped outputs may remain in the list before it is
 // compacted.
 const compactionSlack = 64
 
-// drop is the time at which the output of an acknowledged claimed attempt goes.
-type drop struct {
+// pendingDrop is the time at which the output of an acknowledged claimed attempt is
+// dropped.
+type pendingDrop struct {
 	at time.Duration
 	r  *record
 }
 
-// settle ends an attempt and files its record to be forgotten later. Only settled
+// settle ends an attempt and lists its record to be forgotten later. Only settled
 // attempts are ever forgotten.
 func (g *Gate) settle(now time.Duration, r *record, end phase, reason Reason, detail string) {
 	r.phase = end
@@ -50,117 +51,118 @@
 	r.settledAt = now
 	switch {
 	case r.claimed():
-		heap.Push(&g.claims, r)
-	case r.mark:
-		g.marks = append(g.marks, r)
+		heap.Push(&g.settledClaimed, r)
+	case r.keyOnly:
+		g.keyOnlyTombstones = append(g.keyOnlyTombstones, r)
 	default:
-		g.unclaimed = append(g.unclaimed, r)
+		g.settledUnclaimed = append(g.settledUnclaimed, r)
 	}
 }
 
-// claimTombstone makes a tombstone hold against a ticket that has just been
-// refused or resolved by it. One of an attempt of which only the key was known
-// becomes a claimed one. One with an older ticket takes the newer, so that the
-// horizon covers both when it is forgotten.
-func (g *Gate) claimTombstone(now time.Duration, r *record, ticket *Ticket) {
+// bindTombstone makes a tombstone cover a ticket for which a caller has just been told
+// that the attempt is not run. A tombstone without a ticket, such as a key-only one,
+// takes this ticket and becomes claimed. A tombstone with an older ticket takes the
+// newer one, so that the horizon covers both when the tombstone is forgotten.
+func (g *Gate) bindTombstone(now time.Duration, r *record, ticket *Ticket) {
 	switch {
 	case ticket == nil:
 		return
 	case !r.claimed():
-		r.mark = false
+		r.keyOnly = false
 		r.ticket = ticket
 		r.settledAt = now
-		heap.Push(&g.claims, r)
+		heap.Push(&g.settledClaimed, r)
 	case ticket.Clock > r.ticket.Clock:
 		r.ticket = ticket
-		heap.Fix(&g.claims, slices.Index(g.claims, r))
+		heap.Fix(&g.settledClaimed, slices.Index(g.settledClaimed, r))
 	}
 }
 
-// keep notes that the runtime holds the output of a settled attempt.
-func (g *Gate) keep(r *record, bytes int) {
-	r.kept = true
-	r.bytes = bytes
+// recordKeptOutput records that the runtime keeps the output of a settled attempt.
+func (g *Gate) recordKeptOutput(r *record, bytes int) {
+	r.outputKept = true
+	r.outputBytes = bytes
 	g.keptBytes += bytes
 	g.keptCount++
-	g.results = append(g.results, r)
+	g.keptOutputs = append(g.keptOutputs, r)
 }
 
 // dropOutput tells the runtime to drop the output of a settled attempt.
 func (g *Gate) dropOutput(r *record) {
-	if !r.kept {
+	if !r.outputKept {
 		return
 	}
-	g.release(r)
-	g.act(Action{Kind: ActionDrop, Key: r.key})
+	g.releaseOutput(r)
+	g.emit(Action{Kind: ActionDrop, Key: r.key})
 }
 
-// release takes an output off the books.
-func (g *Gate) release(r *record) {
-	if !r.kept {
+// releaseOutput removes an output from the accounting of kept outputs.
+func (g *Gate) releaseOutput(r *record) {
+	if !r.outputKept {
 		return
 	}
-	r.kept = false
-	g.keptBytes -= r.bytes
+	r.outputKept = false
+	g.keptBytes -= r.outputBytes
 	g.keptCount--
 }
 
-// forgetOld forgets what is too old or too much.
-func (g *Gate) forgetOld(now time.Duration) {
+// forgetExpired drops outputs and forgets records that exceed a limit of age, count or
+// size.
+func (g *Gate) forgetExpired(now time.Duration) {
 	g.dropAcknowledged(now)
-	g.dropExcess()
+	g.dropExcessOutputs()
 	g.forgetUnclaimed(now)
-	g.forgetMarks(now)
-	g.forgetClaims(now)
+	g.forgetKeyOnlyTombstones(now)
+	g.forgetClaimed(now)
 }
 
-// dropAcknowledged drops the outputs of claimed attempts whose time after the
-// acknowledgement is up.
+// dropAcknowledged drops the outputs of acknowledged claimed attempts that are due.
 func (g *Gate) dropAcknowledged(now time.Duration) {
-	for len(g.drops) > 0 && g.drops[0].at <= now {
-		g.dropOutput(g.drops[0].r)
-		g.drops = g.drops[1:]
+	for len(g.pendingDrops) > 0 && g.pendingDrops[0].at <= now {
+		g.dropOutput(g.pendingDrops[0].r)
+		g.pendingDrops = g.pendingDrops[1:]
 	}
 }
 
-// dropExcess drops the oldest outputs until the rest is within its bound.
-func (g *Gate) dropExcess() {
-	for len(g.results) > 0 && g.keptBytes > g.options.MaxKeptBytes {
-		g.dropOutput(g.results[0])
-		g.results = g.results[1:]
+// dropExcessOutputs drops the oldest outputs until the remaining ones fit into
+// Options.MaxKeptBytes.
+func (g *Gate) dropExcessOutputs() {
+	for len(g.keptOutputs) > 0 && g.keptBytes > g.options.MaxKeptBytes {
+		g.dropOutput(g.keptOutputs[0])
+		g.keptOutputs = g.keptOutputs[1:]
 	}
-	if len(g.results) > 2*g.keptCount+compactionSlack {
-		g.results = slices.DeleteFunc(g.results, func(r *record) bool { return !r.kept })
+	if len(g.keptOutputs) > 2*g.keptCount+compactionSlack {
+		g.keptOutputs = slices.DeleteFunc(g.keptOutputs, func(r *record) bool { return !r.outputKept })
 	}
 }
 
 // forgetUnclaimed forgets settled idempotent attempts.
 func (g *Gate) forgetUnclaimed(now time.Duration) {
-	for len(g.unclaimed) > 0 {
-		r := g.unclaimed[0]
-		if len(g.unclaimed) <= g.options.MaxUnclaimed && now-r.settledAt < g.options.KeepResult {
+	for len(g.settledUnclaimed) > 0 {
+		r := g.settledUnclaimed[0]
+		if len(g.settledUnclaimed) <= g.options.MaxUnclaimed && now-r.settledAt < g.options.KeepResult {
 			return
 		}
-		g.unclaimed = g.unclaimed[1:]
+		g.settledUnclaimed = g.settledUnclaimed[1:]
 		if !r.claimed() {
 			g.forget(r)
 		}
 	}
 }
 
-// forgetMarks forgets tombstones of which only the key is known. The attempt may
-// be claimed. Its ticket is not younger than the mark, because a cancellation
-// comes after the probe. A mark is kept for the ticket lifetime, so that the
-// attempt's ticket has expired by then; if it goes earlier for want of room, the
-// horizon takes its place.
-func (g *Gate) forgetMarks(now time.Duration) {
-	for len(g.marks) > 0 {
-		r := g.marks[0]
+// forgetKeyOnlyTombstones forgets tombstones of which only the key is known. Their
+// attempt may be claimed. Its ticket is not younger than the tombstone, because a
+// cancellation comes after the probe. The tombstone is kept for the ticket lifetime,
+// after which the attempt's ticket has expired too. If it has to be forgotten earlier
+// to limit their number, the horizon is raised instead.
+func (g *Gate) forgetKeyOnlyTombstones(now time.Duration) {
+	for len(g.keyOnlyTombstones) > 0 {
+		r := g.keyOnlyTombstones[0]
 		expired := now-r.settledAt > g.options.TicketLifetime
-		if !r.claimed() && !expired && len(g.marks) <= g.options.MaxUnclaimed {
+		if !r.claimed() && !expired && len(g.keyOnlyTombstones) <= g.options.MaxUnclaimed {
 			return
 		}
-		g.marks = g.marks[1:]
+		g.keyOnlyTombstones = g.keyOnlyTombstones[1:]
 		if r.claimed() {
 			continue
 		}
@@ -171,15 +173,15 @@
 	}
 }
 
-// forgetClaims forgets settled claimed attempts and raises the horizon to their
-// tickets, so that from then on nobody is told that such an attempt was not run.
-func (g *Gate) forgetClaims(now time.Duration) {
-	for len(g.claims) > 0 {
-		r := g.claims[0]
-		if len(g.claims) <= g.options.MaxClaimed && now-r.settledAt < g.options.KeepClaimed {
+// forgetClaimed forgets settled claimed attempts and raises the horizon to their
+// tickets, so that no caller is told later that such an attempt was not run.
+func (g *Gate) forgetClaimed(now time.Duration) {
+	for len(g.settledClaimed) > 0 {
+		r := g.settledClaimed[0]
+		if len(g.settledClaimed) <= g.options.MaxClaimed && now-r.settledAt < g.options.KeepClaimed {
 			return
 		}
-		heap.Pop(&g.claims)
+		heap.Pop(&g.settledClaimed)
 		g.horizon = max(g.horizon, r.ticket.Clock)
 		g.forget(r)
 	}
@@ -187,8 +189,8 @@
 
 // forget removes a settled attempt.
 func (g *Gate) forget(r *record) {
-	g.chargeAged(r)
-	g.release(r)
+	g.chargeExpired(r)
+	g.releaseOutput(r)
 	delete(g.table, r.key)
-	g.act(Action{Kind: ActionForget, Key: r.key})
+	g.emit(Action{Kind: ActionForget, Key: r.key})
 }
--- a/core/gate/model.go
+++ b/core/gate/model.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// modelName returns the name of a model version in reports, empty without a model.
+// modelName returns the reported name of a model version, or "" without a model.
 func modelName(model, version string) string {
 	if model == "" {
 		return ""
@@ -13,21 +13,22 @@
 	return model + "@" + version
 }
 
-// BeginUnload notes that an order is about to take a model from the engine: no
-// new work for it is admitted from now on, whatever the lagging report says.
+// BeginUnload records that an order to unload a model is about to be given. No new
+// work for the model is admitted from now on, even while the upstream's delayed
+// report still lists it.
 func (g *Gate) BeginUnload(now time.Duration, model string) {
 	g.CancelUnload(model)
 	u := &g.upstream
-	u.unloads = append(u.unloads, unload{model: model, until: now + g.options.ModelLag})
+	u.pendingUnloads = append(u.pendingUnloads, pendingUnload{model: model, until: now + g.options.ModelReportLag})
 }
 
-// CancelUnload takes BeginUnload back, because the model is wanted again.
+// CancelUnload reverts BeginUnload, because the model is needed again.
 func (g *Gate) CancelUnload(model string) {
 	u := &g.upstream
-	u.unloads = slices.DeleteFunc(u.unloads, func(e unload) bool { return e.model == model })
+	u.pendingUnloads = slices.DeleteFunc(u.pendingUnloads, func(e pendingUnload) bool { return e.model == model })
 }
 
-// Using returns how many attempts wait or run with a model.
+// Using returns how many waiting or running attempts use a model.
 func (g *Gate) Using(model string) int {
 	count := 0
 	for _, list := range [][]*record{g.queue.all(), g.running} {
@@ -40,25 +41,26 @@
 	return count
 }
 
-// Models returns what the engine holds: what it reports, without what orders are
-// taking away. A model that is being loaded counts once the report shows it.
+// Models returns the models that the engine reports, without those being unloaded. A
+// model that is being loaded is listed once the report shows it.
 func (g *Gate) Models(now time.Duration) []string {
 	u := &g.upstream
-	u.unloads = slices.DeleteFunc(u.unloads, func(e unload) bool { return e.until <= now })
+	u.pendingUnloads = slices.DeleteFunc(u.pendingUnloads, func(e pendingUnload) bool { return e.until <= now })
 	models := slices.Clone(u.models)
-	for _, e := range u.unloads {
+	for _, e := range u.pendingUnloads {
 		models = slices.DeleteFunc(models, func(m string) bool { return m == e.model })
 	}
 	return models
 }
 
-// holds tells whether the engine holds a model version, as far as is known.
-func (g *Gate) holds(now time.Duration, model, version string) bool {
-	if model == "" || !g.upstream.known {
+// modelLoaded reports whether a model version is loaded. It is assumed to be loaded
+// until the upstream has reported.
+func (g *Gate) modelLoaded(now time.Duration, model, version string) bool {
+	if model == "" || !g.upstream.reported {
 		return true
 	}
 	return slices.Contains(g.Models(now), modelName(model, version))
 }
 
-// Reported returns what the engine reports that it holds.
+// Reported returns the models that the engine reports, including those being unloaded.
 func (g *Gate) Reported() []string { return slices.Clone(g.upstream.models) }
--- a/core/gate/options.go
+++ b/core/gate/options.go
@@ -6,57 +6,60 @@
 	"acaciawinch/core"
 )
 
-// Options bound and tune a Gate. Zero durations and counts take the defaults.
+// Options configures a Gate. Zero durations and counts take the defaults.
 type Options struct {
-	// Upstream is the upstream's name, for errors.
+	// Upstream is the upstream's name, for error messages.
 	Upstream core.UpstreamID
-	// Incarnation is the side process's own.
+	// Incarnation is the incarnation of the sidecar process.
 	Incarnation core.Incarnation
-	// Capacity is how many attempts the upstream runs at once; zero waits for
-	// the upstream's own report.
+	// Capacity is how many attempts the upstream runs at once; zero takes it from the
+	// upstream's report.
 	Capacity int
-	// FIFO serves in order of arrival, without bound, classes, sharing or
-	// admission by deadline. It is a baseline for measurements.
+	// FIFO serves attempts in order of arrival, without a queue bound, classes, fair
+	// sharing or admission by deadline. It is a baseline for measurements.
 	FIFO bool
-	// MaxQueued bounds the attempts that wait.
+	// MaxQueued bounds the number of waiting attempts.
 	MaxQueued int
-	// StarvationTurns is how often in a row a waiting class can be passed over.
+	// StarvationTurns is how many times in a row a class with waiting attempts can be
+	// passed over.
 	StarvationTurns int
-	// TicketLifetime is the age at which a ticket is refused.
+	// TicketLifetime is the age above which a ticket is refused.
 	TicketLifetime time.Duration
-	// KeepResult is how long a result of an idempotent attempt is kept, and how
-	// long a claimed one is kept after its acknowledgement.
+	// KeepResult is how long the result of an idempotent attempt is kept, and how long
+	// the result of a claimed attempt is kept after its acknowledgement.
 	KeepResult time.Duration
-	// KeepClaimed is how long a claimed attempt is remembered. It is longer than
-	// TicketLifetime.
+	// KeepClaimed is how long a settled claimed attempt is remembered. It must be longer
+	// than TicketLifetime.
 	KeepClaimed time.Duration
-	// MaxClaimed and MaxUnclaimed bound the settled attempts that are remembered.
+	// MaxClaimed and MaxUnclaimed bound the number of settled attempts that are
+	// remembered.
 	MaxClaimed   int
 	MaxUnclaimed int
-	// MaxKeptBytes bounds the output kept of settled attempts.
+	// MaxKeptBytes bounds the total size of the outputs kept of settled attempts.
 	MaxKeptBytes int
-	// Grace is how long an idempotent attempt without a reader goes on.
+	// Grace is how long an idempotent attempt without a reader continues.
 	Grace time.Duration
-	// ClaimedOverrun is how long a started claimed attempt may go on behind its
+	// ClaimedOverrun is how long a running claimed attempt may continue after its
 	// deadline, so that its outcome can still become known.
 	ClaimedOverrun time.Duration
-	// DrainWindow is how long after the begin of a drain waiting attempts may
-	// still start.
+	// DrainWindow is how long after the start of a drain waiting attempts may still
+	// start.
 	DrainWindow time.Duration
-	// StallMin and StallMax bound the quiet time after which an upstream that
-	// holds work counts as stalled. StallMax holds while nothing is measured.
+	// StallMin and StallMax bound the time without progress after which an upstream
+	// with running work counts as stalled. StallMax applies until latencies are
+	// measured.
 	StallMin time.Duration
 	StallMax time.Duration
-	// TrialMin and TrialMax bound the wait before a stalled upstream is tried
-	// with one attempt; the wait doubles with each failure.
+	// TrialMin and TrialMax bound the delay before a stalled upstream gets one trial
+	// attempt; the delay doubles with each failure.
 	TrialMin time.Duration
 	TrialMax time.Duration
-	// ModelLag is how long the taking away of a model overrides the upstream's
-	// report, which lags.
-	ModelLag time.Duration
+	// ModelReportLag is how long an unload order overrides the upstream's report, which is
+	// delayed.
+	ModelReportLag time.Duration
 }
 
-// DefaultTicketLifetime is the age at which a ticket is refused.
+// DefaultTicketLifetime is the default of Options.TicketLifetime.
 const DefaultTicketLifetime = 60 * time.Second
 
 // Defaults of Options.
@@ -75,11 +78,11 @@
 	defaultStallMax        = 5 * time.Second
 	defaultTrialMin        = 500 * time.Millisecond
 	defaultTrialMax        = 8 * time.Second
-	defaultModelLag        = 5 * time.Second
+	defaultModelReportLag  = 5 * time.Second
 )
 
-// withDefaults returns the options with every zero value filled in, except
-// Upstream, Incarnation and Capacity.
+// withDefaults returns the options with the defaults for all zero durations and
+// counts except Capacity.
 func (o Options) withDefaults() Options {
 	setDefault(&o.MaxQueued, defaultMaxQueued)
 	setDefault(&o.StarvationTurns, defaultStarvationTurns)
@@ -96,14 +99,14 @@
 	setDefault(&o.StallMax, defaultStallMax)
 	setDefault(&o.TrialMin, defaultTrialMin)
 	setDefault(&o.TrialMax, defaultTrialMax)
-	setDefault(&o.ModelLag, defaultModelLag)
+	setDefault(&o.ModelReportLag, defaultModelReportLag)
 	return o
 }
 
-// setDefault sets *value if it is zero.
-func setDefault[T comparable](value *T, preset T) {
+// setDefault sets *value to defaultValue if it is zero.
+func setDefault[T comparable](value *T, defaultValue T) {
 	var zero T
 	if *value == zero {
-		*value = preset
+		*value = defaultValue
 	}
 }
--- a/core/gate/overload_test.go
+++ b/core/gate/overload_test.go
@@ -11,24 +11,24 @@
 	"acaciawinch/core"
 )
 
-// simulation drives a gate before an upstream with a fixed number of places and
-// random service times, by a fake clock.
+// simulation drives a gate with a fake clock in front of an upstream with a fixed
+// number of slots and random service times.
 type simulation struct {
 	g        *Gate
 	random   *rand.Rand
 	now      time.Duration
 	deadline time.Duration
-	// ends holds when each running attempt ends at the upstream.
-	ends     map[core.AttemptKey]time.Duration
-	asks     map[core.AttemptKey]simAsk
-	arrived  map[string]int
-	answered map[string]int
-	started  int
-	evicted  int
+	// endTimes holds when each running attempt ends at the upstream.
+	endTimes       map[core.AttemptKey]time.Duration
+	submitted      map[core.AttemptKey]simAttempt
+	arrived        map[string]int
+	completed      map[string]int
+	started        int
+	refusedInQueue int
 }
 
-// simAsk is what the simulation knows of one ask.
-type simAsk struct {
+// simAttempt is the workspace and arrival time of a submitted attempt.
+type simAttempt struct {
 	workspace string
 	at        time.Duration
 }
@@ -36,26 +36,26 @@
 // simStep is the step of the fake clock.
 const simStep = time.Millisecond
 
-// newSimulation returns a simulation that has not begun.
+// newSimulation returns a simulation in which nothing has arrived.
 func newSimulation(options Options) *simulation {
 	options.Incarnation = incarnation
 	s := &simulation{
-		g:        New(options),
-		random:   rand.New(rand.NewPCG(1, 2)),
-		deadline: time.Second,
-		ends:     map[core.AttemptKey]time.Duration{},
-		asks:     map[core.AttemptKey]simAsk{},
-		arrived:  map[string]int{},
-		answered: map[string]int{},
+		g:         New(options),
+		random:    rand.New(rand.NewPCG(1, 2)),
+		deadline:  time.Second,
+		endTimes:  map[core.AttemptKey]time.Duration{},
+		submitted: map[core.AttemptKey]simAttempt{},
+		arrived:   map[string]int{},
+		completed: map[string]int{},
 	}
 	s.g.ObserveReport(0, Report{})
 	return s
 }
 
-// run lets workspaces send for a time, each at its rate per second.
-func (s *simulation) run(length time.Duration, rates map[string]float64, order []string) {
+// run lets workspaces send for the given time, each at its rate per second.
+func (s *simulation) run(length time.Duration, rates map[string]float64, workspaces []string) {
 	for end := s.now + length; s.now < end; s.now += simStep {
-		for _, workspace := range order {
+		for _, workspace := range workspaces {
 			if s.random.Float64() < rates[workspace]*simStep.Seconds() {
 				s.arrive(workspace)
 			}
@@ -66,8 +66,8 @@
 
 // arrive submits one attempt.
 func (s *simulation) arrive(workspace string) {
-	key := core.AttemptKey{Request: core.RequestID(fmt.Sprint(len(s.asks))), Side: incarnation}
-	s.asks[key] = simAsk{workspace: workspace, at: s.now}
+	key := core.AttemptKey{Request: core.RequestID(fmt.Sprint(len(s.submitted))), Side: incarnation}
+	s.submitted[key] = simAttempt{workspace: workspace, at: s.now}
 	s.arrived[workspace]++
 	d := s.g.Submit(s.now, Ask{Key: key, Workspace: workspace, Remaining: s.deadline, Weight: 1, Cost: 1})
 	if d.Verdict == Admitted {
@@ -75,10 +75,10 @@
 	}
 }
 
-// step ends what is due and carries out the gate's actions.
+// step ends the attempts that are due and carries out the gate's actions.
 func (s *simulation) step() {
 	for _, r := range append([]*record(nil), s.g.running...) {
-		if end, ok := s.ends[r.key]; ok && s.now >= end {
+		if end, ok := s.endTimes[r.key]; ok && s.now >= end {
 			s.end(r.key)
 		}
 	}
@@ -86,41 +86,41 @@
 		switch a.Kind {
 		case ActionStart:
 			s.started++
-			s.ends[a.Key] = s.now + ms(50) + time.Duration(s.random.Int64N(int64(ms(100))))
+			s.endTimes[a.Key] = s.now + ms(50) + time.Duration(s.random.Int64N(int64(ms(100))))
 		case ActionStop:
-			delete(s.ends, a.Key)
+			delete(s.endTimes, a.Key)
 			s.g.Finish(s.now, a.Key, Ending{Kind: EndFailed, Cost: 1})
 		case ActionRefuse:
-			s.evicted++
+			s.refusedInQueue++
 		}
 	}
 }
 
-// end answers one attempt.
+// end completes one attempt.
 func (s *simulation) end(key core.AttemptKey) {
-	delete(s.ends, key)
-	ask := s.asks[key]
+	delete(s.endTimes, key)
+	attempt := s.submitted[key]
 	s.g.Finish(s.now, key, Ending{Kind: EndDone, Cost: 1})
 	s.g.Acknowledge(s.now, key)
-	if s.now-ask.at <= s.deadline {
-		s.answered[ask.workspace]++
+	if s.now-attempt.at <= s.deadline {
+		s.completed[attempt.workspace]++
 	}
 }
 
-// share returns the answered part of what a workspace sent.
-func (s *simulation) share(workspace string) float64 {
-	return float64(s.answered[workspace]) / float64(s.arrived[workspace])
+// goodputShare returns the fraction of a workspace's attempts that completed in time.
+func (s *simulation) goodputShare(workspace string) float64 {
+	return float64(s.completed[workspace]) / float64(s.arrived[workspace])
 }
 
 func TestOverloadKeepsTheGoodputOfTheCapacity(t *testing.T) {
 	goodput := func(options Options) float64 {
 		options.Capacity = 4
 		s := newSimulation(options)
-		// Four places of 100 ms each are 40 a second; 60 arrive.
+		// Four slots at 100 ms per attempt complete 40 a second; 60 arrive.
 		s.run(60*time.Second, map[string]float64{"a": 20, "b": 20, "c": 20}, []string{"a", "b", "c"})
-		answered := s.answered["a"] + s.answered["b"] + s.answered["c"]
-		t.Logf("answered %d, started %d, refused in the queue %d, of %d", answered, s.started, s.evicted, len(s.asks))
-		return float64(answered) / (60 * 40)
+		completed := s.completed["a"] + s.completed["b"] + s.completed["c"]
+		t.Logf("completed %d, started %d, refused in the queue %d, of %d", completed, s.started, s.refusedInQueue, len(s.submitted))
+		return float64(completed) / (60 * 40)
 	}
 	fair, fifo := goodput(Options{}), goodput(Options{FIFO: true})
 	t.Logf("goodput: gate %.3f, baseline %.3f", fair, fifo)
@@ -128,16 +128,16 @@
 	assert.Assert(t, fifo < 0.75)
 }
 
-func TestBurstOfTenTimesItsShareLeavesOthersWhole(t *testing.T) {
+func TestBurstOfTenTimesItsShareDoesNotAffectOthers(t *testing.T) {
 	s := newSimulation(Options{Capacity: 4})
-	order := []string{"a", "b", "c", "burst"}
-	s.run(20*time.Second, map[string]float64{"a": 5, "b": 5, "c": 5, "burst": 5}, order)
-	s.run(20*time.Second, map[string]float64{"a": 5, "b": 5, "c": 5, "burst": 50}, order)
-	for _, workspace := range order {
-		t.Logf("%s: %d of %d", workspace, s.answered[workspace], s.arrived[workspace])
+	workspaces := []string{"a", "b", "c", "burst"}
+	s.run(20*time.Second, map[string]float64{"a": 5, "b": 5, "c": 5, "burst": 5}, workspaces)
+	s.run(20*time.Second, map[string]float64{"a": 5, "b": 5, "c": 5, "burst": 50}, workspaces)
+	for _, workspace := range workspaces {
+		t.Logf("%s: %d of %d", workspace, s.completed[workspace], s.arrived[workspace])
 	}
-	for _, workspace := range order[:3] {
-		assert.Assert(t, s.share(workspace) >= 0.99, workspace)
+	for _, workspace := range workspaces[:3] {
+		assert.Assert(t, s.goodputShare(workspace) >= 0.99, workspace)
 	}
-	assert.Assert(t, s.share("burst") < 0.7)
+	assert.Assert(t, s.goodputShare("burst") < 0.7)
 }
--- a/core/gate/prefix.go
+++ b/core/gate/prefix.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// maxPrefixes bounds the prompt prefixes that are remembered.
+// maxPrefixes bounds the number of prompt prefixes that are remembered.
 const maxPrefixes = 1024
 
-// Prefixes is the prompt prefixes that an engine is believed to hold in its
-// cache. It is a hint: events of the engine come late and with gaps, and the
-// engine evicts as it likes.
+// Prefixes is the set of prompt prefixes that an engine is believed to have in its
+// cache. It is only a hint: the engine's events arrive late and incompletely, and the
+// engine evicts prefixes at its own discretion.
 type Prefixes struct {
-	// hashes is in order of use, the latest last.
+	// hashes is in order of use, the most recent last.
 	hashes []uint64
 }
 
-// Use notes that the engine has just worked with a prefix, or says so. Hash 0
+// Use records that the engine has used a prefix or reported it as cached. Hash 0
 // means no prefix.
 func (p *Prefixes) Use(hash uint64) {
 	if hash == 0 {
@@ -26,14 +26,14 @@
 	p.hashes = append(p.hashes, hash)
 }
 
-// Evict notes that the engine has dropped a prefix.
+// Evict records that the engine has evicted a prefix.
 func (p *Prefixes) Evict(hash uint64) {
-	if at := slices.Index(p.hashes, hash); at >= 0 {
-		p.hashes = slices.Delete(p.hashes, at, at+1)
+	if i := slices.Index(p.hashes, hash); i >= 0 {
+		p.hashes = slices.Delete(p.hashes, i, i+1)
 	}
 }
 
-// Has tells whether the engine is believed to hold a prefix.
+// Has reports whether the engine is believed to have a prefix in its cache.
 func (p *Prefixes) Has(hash uint64) bool {
 	return hash != 0 && slices.Contains(p.hashes, hash)
 }
--- a/core/gate/promise.go
+++ b/core/gate/promise.go
@@ -7,77 +7,78 @@
 	"time"
 )
 
-// promiseSlack is the part of its own service time by which a waiting attempt
-// must be able to start before its last moment: service times are estimates.
-const promiseSlack = 0.25
+// startSlack is the part of its own expected service time by which a waiting attempt
+// must be able to start before its latest start time, because service times are
+// estimates.
+const startSlack = 0.25
 
-// next takes the attempt to start out of the queue: the one whose turn it is, if
-// then all others can still start in time, or else the one whose last moment is
-// nearest. Returns nil if none waits.
+// popNext removes and returns the attempt to start: the next in the order of the queue
+// if all others could then still start in time, otherwise the one with the earliest
+// latest start time. It returns nil if no attempt waits.
 //
-// Admission promised each waiting attempt that it would make its deadline. What
-// came later and went first may use the time that was left for that. The promises
-// are weighed together, because several whose last moments lie close to each other
-// need as many places, and places come free one by one.
-func (g *Gate) next(now time.Duration) *record {
+// Each waiting attempt was admitted because it was expected to meet its deadline.
+// Attempts that arrived later but are served first may use up the time that remained
+// for it. All waiting attempts are checked together, because several with similar
+// latest start times need as many slots, and slots become free one by one.
+func (g *Gate) popNext(now time.Duration) *record {
 	if g.queue.size == 0 || g.options.FIFO {
 		return g.queue.pop()
 	}
 	s := g.schedule(now)
-	if s.keptAfter(g.queue.peek()) {
+	if s.feasibleAfter(g.queue.peek()) {
 		return g.queue.pop()
 	}
-	nearest := s.waiting[0]
-	g.queue.take(nearest)
-	return nearest
+	mostUrgent := s.waiting[0]
+	g.queue.removeOutOfOrder(mostUrgent)
+	return mostUrgent
 }
 
-// schedule is the waiting attempts in the order of their last moments to start,
-// and the places at the upstream that they will take.
+// schedule is the waiting attempts in the order of their latest start times, and the
+// slots at the upstream that they will take.
 type schedule struct {
-	now     time.Duration
-	pace    pace
-	waiting []*record
-	// places holds when each place is free, counted from now.
-	places durationHeap
+	now      time.Duration
+	estimate latency
+	waiting  []*record
+	// slots holds the time from now until each slot is free.
+	slots durationHeap
 }
 
-// schedule returns the schedule of all that waits now.
+// schedule returns the schedule of all waiting attempts.
 func (g *Gate) schedule(now time.Duration) schedule {
-	pace := g.pace(now)
+	estimate := g.estimateLatency(now)
 	waiting := g.queue.all()
 	slices.SortStableFunc(waiting, func(a, b *record) int {
-		return cmp.Compare(pace.lastStart(a), pace.lastStart(b))
+		return cmp.Compare(estimate.latestStart(a), estimate.latestStart(b))
 	})
-	places := g.places(now, pace, max(1, g.upstream.capacity))
-	return schedule{now: now, pace: pace, waiting: waiting, places: places}
+	slots := g.slotFreeTimes(now, estimate, max(1, g.upstream.capacity))
+	return schedule{now: now, estimate: estimate, waiting: waiting, slots: slots}
 }
 
-// lastStart returns the last moment at which the attempt can start and likely
-// make its deadline.
-func (p pace) lastStart(r *record) time.Duration { return r.deadline - p.service(r.cost) }
+// latestStart returns the latest time at which the attempt can start and is still
+// expected to meet its deadline.
+func (l latency) latestStart(r *record) time.Duration { return r.deadline - l.serviceTime(r.cost) }
 
-// keptAfter tells whether all other waiting attempts can start in time, nearest
-// last moment first, if first takes the next place.
-func (s schedule) keptAfter(first *record) bool {
-	s.places = slices.Clone(s.places)
-	s.place(first)
+// feasibleAfter reports whether all other waiting attempts can start in time, in the
+// order of their latest start times, if first takes the next free slot.
+func (s schedule) feasibleAfter(first *record) bool {
+	s.slots = slices.Clone(s.slots)
+	s.assignSlot(first)
 	for _, r := range s.waiting {
 		if r == first {
 			continue
 		}
-		slack := time.Duration(promiseSlack * float64(s.pace.service(r.cost)))
-		if s.place(r) > s.pace.lastStart(r)-slack {
+		slack := time.Duration(startSlack * float64(s.estimate.serviceTime(r.cost)))
+		if s.assignSlot(r) > s.estimate.latestStart(r)-slack {
 			return false
 		}
 	}
 	return true
 }
 
-// place gives r the place that is free first and returns when it starts.
-func (s schedule) place(r *record) time.Duration {
-	start := s.now + s.places[0]
-	s.places[0] += s.pace.service(r.cost)
-	heap.Fix(&s.places, 0)
+// assignSlot assigns r to the slot that is free first and returns its start time.
+func (s schedule) assignSlot(r *record) time.Duration {
+	start := s.now + s.slots[0]
+	s.slots[0] += s.estimate.serviceTime(r.cost)
+	heap.Fix(&s.slots, 0)
 	return start
 }
--- a/core/gate/protocol_test.go
+++ b/core/gate/protocol_test.go
@@ -10,32 +10,32 @@
 	"acaciawinch/core"
 )
 
-// life is what the model knows of one attempt.
-type life struct {
+// modelAttempt is the model's state of one attempt.
+type modelAttempt struct {
 	key    core.AttemptKey
 	ticket *Ticket
 	// waiting and running follow the gate's actions.
 	waiting bool
 	running bool
 	starts  int
-	// executed is set from the start on, and taken back if the upstream proves
-	// that it did not begin.
+	// executed is set at the start, and cleared if the upstream proves that it did not
+	// begin the work.
 	executed bool
-	// promised is set once anybody was told that the attempt is not run.
-	promised bool
+	// promisedNotRun is set once any caller was told that the attempt is not run.
+	promisedNotRun bool
 }
 
-// model drives a gate with messages that are late, doubled and out of order, and
-// keeps its own record of what was started and promised.
+// model drives a gate with delayed, duplicated and reordered messages, and keeps its own
+// record of what was started and promised.
 type model struct {
-	t       *rapid.T
-	g       *Gate
-	options Options
-	now     time.Duration
-	lives   []*life
+	t        *rapid.T
+	g        *Gate
+	options  Options
+	now      time.Duration
+	attempts []*modelAttempt
 }
 
-// smallOptions are bounds so narrow that every one of them is reached.
+// smallOptions returns limits that are low enough for every one to be reached.
 func smallOptions() Options {
 	return Options{
 		Incarnation:    incarnation,
@@ -65,48 +65,48 @@
 	return m
 }
 
-// choose returns an attempt that is known to the model, or nil.
-func (m *model) choose(match func(*life) bool) *life {
-	var fitting []*life
-	for _, l := range m.lives {
-		if match(l) {
-			fitting = append(fitting, l)
+// choose draws one of the matching attempts, or returns nil if there is none.
+func (m *model) choose(match func(*modelAttempt) bool) *modelAttempt {
+	var matching []*modelAttempt
+	for _, attempt := range m.attempts {
+		if match(attempt) {
+			matching = append(matching, attempt)
 		}
 	}
-	if len(fitting) == 0 {
+	if len(matching) == 0 {
 		return nil
 	}
-	return rapid.SampledFrom(fitting).Draw(m.t, "attempt")
+	return rapid.SampledFrom(matching).Draw(m.t, "attempt")
 }
 
-// any matches every attempt.
-func anyLife(*life) bool { return true }
+// anyAttempt matches every attempt.
+func anyAttempt(*modelAttempt) bool { return true }
 
-// claimedLife matches attempts with a ticket.
-func claimedLife(l *life) bool { return l.ticket != nil }
+// claimedAttempt matches attempts with a ticket.
+func claimedAttempt(attempt *modelAttempt) bool { return attempt.ticket != nil }
 
-// runningLife matches attempts at the upstream.
-func runningLife(l *life) bool { return l.running }
+// runningAttempt matches attempts that run at the upstream.
+func runningAttempt(attempt *modelAttempt) bool { return attempt.running }
 
-// create makes a new attempt; a claimed one gets its ticket from the clock now.
+// create adds a new attempt; a claimed one gets a ticket with the present time.
 func (m *model) create(*rapid.T) {
-	l := &life{key: core.AttemptKey{Request: core.RequestID(fmt.Sprint(len(m.lives))), Stage: "s", Number: 1, Side: incarnation}}
+	attempt := &modelAttempt{key: core.AttemptKey{Request: core.RequestID(fmt.Sprint(len(m.attempts))), Stage: "s", Number: 1, Side: incarnation}}
 	if rapid.Bool().Draw(m.t, "claimed") {
-		l.ticket = &Ticket{Nonce: uint64(len(m.lives)), Clock: m.now}
+		attempt.ticket = &Ticket{Nonce: uint64(len(m.attempts)), Clock: m.now}
 	}
-	m.lives = append(m.lives, l)
+	m.attempts = append(m.attempts, attempt)
 }
 
-// run delivers the attempt's Run message, perhaps once more or very late.
+// run delivers the Run message of an attempt, possibly a duplicate or a very late one.
 func (m *model) run(*rapid.T) {
-	l := m.choose(anyLife)
-	if l == nil {
+	attempt := m.choose(anyAttempt)
+	if attempt == nil {
 		return
 	}
 	d := m.g.Submit(m.now, Ask{
-		Key:       l.key,
+		Key:       attempt.key,
 		Workspace: rapid.SampledFrom([]string{"a", "b"}).Draw(m.t, "workspace"),
-		Ticket:    l.ticket,
+		Ticket:    attempt.ticket,
 		Remaining: ms(rapid.IntRange(0, 60).Draw(m.t, "remaining")),
 		Priority:  rapid.IntRange(0, 1).Draw(m.t, "priority"),
 		Weight:    rapid.IntRange(1, 3).Draw(m.t, "weight"),
@@ -114,180 +114,179 @@
 	})
 	switch d.Verdict {
 	case Admitted:
-		m.admitted(l)
+		m.admitted(attempt)
 	case Refused:
-		m.promise(l, "refused by "+string(d.Reason))
+		m.recordNotRun(attempt, "refused by "+string(d.Reason))
 	}
 	m.advance(0)
 }
 
 // admitted checks that an attempt may be admitted.
-func (m *model) admitted(l *life) {
-	if l.waiting || l.running {
-		m.t.Fatalf("%v admitted while it waits or runs", l.key)
+func (m *model) admitted(attempt *modelAttempt) {
+	if attempt.waiting || attempt.running {
+		m.t.Fatalf("%v admitted while it waits or runs", attempt.key)
 	}
-	if l.ticket != nil && (l.starts > 0 || l.promised) {
-		m.t.Fatalf("claimed %v admitted again", l.key)
+	if attempt.ticket != nil && (attempt.starts > 0 || attempt.promisedNotRun) {
+		m.t.Fatalf("claimed %v admitted again", attempt.key)
 	}
-	l.waiting = true
+	attempt.waiting = true
 	if rapid.Bool().Draw(m.t, "watched") {
-		m.g.Watch(l.key)
+		m.g.Watch(attempt.key)
 	}
 }
 
-// promise notes that somebody was told that the attempt was not and will not be
-// run. Only claimed attempts are held to it for ever.
-func (m *model) promise(l *life, how string) {
-	if l.ticket == nil {
+// recordNotRun records that a caller was told that the attempt was not and will not be
+// run. Only for claimed attempts does this hold forever.
+func (m *model) recordNotRun(attempt *modelAttempt, event string) {
+	if attempt.ticket == nil {
 		return
 	}
-	if l.executed || l.waiting {
-		m.t.Fatalf("%v %s, but it ran or waits", l.key, how)
+	if attempt.executed || attempt.waiting {
+		m.t.Fatalf("%v %s, but it ran or waits", attempt.key, event)
 	}
-	l.promised = true
+	attempt.promisedNotRun = true
 }
 
-// advance moves the clock and checks the actions.
+// advance moves the clock and checks the gate's actions.
 func (m *model) advance(d time.Duration) {
 	m.now += d
 	for _, a := range m.g.Advance(m.now) {
-		l := m.find(a.Key)
+		attempt := m.find(a.Key)
 		switch a.Kind {
 		case ActionStart:
-			m.started(l)
+			m.started(attempt)
 		case ActionRefuse:
-			l.waiting = false
-			m.promise(l, "refused in the queue by "+string(a.Reason))
+			attempt.waiting = false
+			m.recordNotRun(attempt, "refused in the queue by "+string(a.Reason))
 		case ActionStop:
-			if !l.running {
-				m.t.Fatalf("%v stopped, but it does not run", l.key)
+			if !attempt.running {
+				m.t.Fatalf("%v stopped, but it does not run", attempt.key)
 			}
 		}
 	}
 }
 
 // started checks that an attempt may start.
-func (m *model) started(l *life) {
-	if !l.waiting || l.running {
-		m.t.Fatalf("%v started, but it does not wait", l.key)
+func (m *model) started(attempt *modelAttempt) {
+	if !attempt.waiting || attempt.running {
+		m.t.Fatalf("%v started, but it does not wait", attempt.key)
 	}
-	if l.ticket != nil && l.starts > 0 {
-		m.t.Fatalf("claimed %v started twice", l.key)
+	if attempt.ticket != nil && attempt.starts > 0 {
+		m.t.Fatalf("claimed %v started twice", attempt.key)
 	}
-	if l.promised {
-		m.t.Fatalf("%v started after somebody was told that it is not run", l.key)
+	if attempt.promisedNotRun {
+		m.t.Fatalf("%v started after a caller was told that it is not run", attempt.key)
 	}
 	drained := len(m.g.DrainSources()) > 0 && m.now-m.g.drain.since >= m.options.DrainWindow
 	if drained {
-		m.t.Fatalf("%v started after the drain window", l.key)
+		m.t.Fatalf("%v started after the drain window", attempt.key)
 	}
-	l.waiting = false
-	l.running = true
-	l.executed = true
-	l.starts++
+	attempt.waiting = false
+	attempt.running = true
+	attempt.executed = true
+	attempt.starts++
 }
 
 // find returns the attempt of key.
-func (m *model) find(key core.AttemptKey) *life {
-	for _, l := range m.lives {
-		if l.key == key {
-			return l
+func (m *model) find(key core.AttemptKey) *modelAttempt {
+	for _, attempt := range m.attempts {
+		if attempt.key == key {
+			return attempt
 		}
 	}
 	m.t.Fatalf("action for unknown attempt %v", key)
 	return nil
 }
 
-// finish ends a running attempt in one of the three ways.
+// finish ends a running attempt with one of the three kinds of ending.
 func (m *model) finish(*rapid.T) {
-	l := m.choose(runningLife)
-	if l == nil {
+	attempt := m.choose(runningAttempt)
+	if attempt == nil {
 		return
 	}
 	kind := rapid.SampledFrom([]EndKind{EndDone, EndDone, EndFailed, EndNotRun}).Draw(m.t, "end")
-	m.end(l, kind)
+	m.end(attempt, kind)
 }
 
 // end ends a running attempt.
-func (m *model) end(l *life, kind EndKind) {
-	l.running = false
+func (m *model) end(attempt *modelAttempt, kind EndKind) {
+	attempt.running = false
 	if kind == EndNotRun {
-		l.executed = false
+		attempt.executed = false
 	}
-	m.g.Finish(m.now, l.key, Ending{Kind: kind, Cost: 1, Bytes: 15})
+	m.g.Finish(m.now, attempt.key, Ending{Kind: kind, Cost: 1, Bytes: 15})
 	m.advance(0)
 }
 
-// resolve asks what became of a claimed attempt.
+// resolve queries the state of a claimed attempt.
 func (m *model) resolve(*rapid.T) {
-	l := m.choose(claimedLife)
-	if l == nil {
+	attempt := m.choose(claimedAttempt)
+	if attempt == nil {
 		return
 	}
-	state, _ := m.g.Resolve(m.now, l.key, *l.ticket)
+	state, _ := m.g.Resolve(m.now, attempt.key, *attempt.ticket)
 	switch state {
 	case StateNotRun:
-		m.promise(l, "resolved as not run")
+		m.recordNotRun(attempt, "resolved as not run")
 	case StateRunning:
-		if !l.waiting && !l.running {
-			m.t.Fatalf("%v resolved as running", l.key)
+		if !attempt.waiting && !attempt.running {
+			m.t.Fatalf("%v resolved as running", attempt.key)
 		}
 	case StateDone, StateFailed:
-		if !l.executed || l.running {
-			m.t.Fatalf("%v resolved as ended", l.key)
+		if !attempt.executed || attempt.running {
+			m.t.Fatalf("%v resolved as ended", attempt.key)
 		}
 	}
 	m.advance(0)
 }
 
-// attach asks to follow an attempt.
+// attach requests to follow an attempt.
 func (m *model) attach(*rapid.T) {
-	l := m.choose(anyLife)
-	if l == nil {
+	attempt := m.choose(anyAttempt)
+	if attempt == nil {
 		return
 	}
-	d := m.g.Attach(m.now, l.key)
+	d := m.g.Attach(m.now, attempt.key)
 	if d.Verdict == Refused {
-		m.promise(l, "refused to attach by "+string(d.Reason))
+		m.recordNotRun(attempt, "refused to attach by "+string(d.Reason))
 	}
 	m.advance(0)
 }
 
-// cancel cancels an attempt.
 func (m *model) cancel(*rapid.T) {
-	l := m.choose(anyLife)
-	if l == nil {
+	attempt := m.choose(anyAttempt)
+	if attempt == nil {
 		return
 	}
-	running := l.running
-	started := m.g.Cancel(m.now, l.key, CauseHedgeLost)
+	running := attempt.running
+	started := m.g.Cancel(m.now, attempt.key, CauseHedgeLost)
 	if running && !started {
-		m.t.Fatalf("cancel of %v says that it was not started", l.key)
+		m.t.Fatalf("cancel of %v reports that it was not started", attempt.key)
 	}
 	m.advance(0)
 	if !started {
-		m.promise(l, "cancelled before its start")
+		m.recordNotRun(attempt, "cancelled before its start")
 	}
 }
 
-// follow adds or removes a reader, or acknowledges.
+// follow adds or removes a reader, or acknowledges the result.
 func (m *model) follow(*rapid.T) {
-	l := m.choose(anyLife)
-	if l == nil {
+	attempt := m.choose(anyAttempt)
+	if attempt == nil {
 		return
 	}
 	switch rapid.IntRange(0, 2).Draw(m.t, "follow") {
 	case 0:
-		m.g.Watch(l.key)
+		m.g.Watch(attempt.key)
 	case 1:
-		m.g.Unwatch(m.now, l.key, rapid.Bool().Draw(m.t, "complete"))
+		m.g.Unwatch(m.now, attempt.key, rapid.Bool().Draw(m.t, "complete"))
 	default:
-		m.g.Acknowledge(m.now, l.key)
+		m.g.Acknowledge(m.now, attempt.key)
 	}
 	m.advance(0)
 }
 
-// tick lets time pass.
+// tick advances the clock.
 func (m *model) tick(*rapid.T) { m.advance(ms(rapid.IntRange(1, 40).Draw(m.t, "ms"))) }
 
 // drain switches a drain on or off.
@@ -297,7 +296,7 @@
 	m.advance(0)
 }
 
-// observe lets the upstream report, stay silent or make progress.
+// observe makes the upstream report, stay silent or make progress.
 func (m *model) observe(*rapid.T) {
 	switch rapid.IntRange(0, 2).Draw(m.t, "observation") {
 	case 0:
@@ -305,24 +304,24 @@
 	case 1:
 		m.g.ObserveSilence(m.now)
 	default:
-		if l := m.choose(runningLife); l != nil {
-			m.g.Progress(m.now, l.key)
+		if attempt := m.choose(runningAttempt); attempt != nil {
+			m.g.Progress(m.now, attempt.key)
 		}
 	}
 	m.advance(0)
 }
 
-// check checks the bounds after every step.
+// check checks the limits after every step.
 func (m *model) check(*rapid.T) {
 	if err := m.g.Fault(); err != nil {
 		m.t.Fatal(err)
 	}
 	o := m.options
 	if m.g.queue.size > o.MaxQueued || m.g.queue.size != len(m.g.queue.all()) {
-		m.t.Fatalf("%d wait", m.g.queue.size)
+		m.t.Fatalf("%d attempts wait in the queue", m.g.queue.size)
 	}
 	if len(m.g.running) > o.Capacity {
-		m.t.Fatalf("%d run", len(m.g.running))
+		m.t.Fatalf("%d attempts run", len(m.g.running))
 	}
 	if limit := m.g.Unsettled() + o.MaxClaimed + 2*o.MaxUnclaimed; m.g.Memory().Attempts > limit {
 		m.t.Fatalf("%d attempts remembered, limit %d", m.g.Memory().Attempts, limit)
@@ -331,39 +330,40 @@
 		m.t.Fatalf("%d bytes kept", m.g.Memory().KeptBytes)
 	}
 	waiting, running := 0, 0
-	for _, l := range m.lives {
-		waiting += count(l.waiting)
-		running += count(l.running)
+	for _, attempt := range m.attempts {
+		waiting += oneIf(attempt.waiting)
+		running += oneIf(attempt.running)
 	}
 	if waiting != m.g.queue.size || running != len(m.g.running) {
 		m.t.Fatalf("model has %d and %d, gate %d and %d", waiting, running, m.g.queue.size, len(m.g.running))
 	}
 }
 
-// count returns 1 for true.
-func count(yes bool) int {
+// oneIf returns 1 for true and 0 for false.
+func oneIf(yes bool) int {
 	if yes {
 		return 1
 	}
 	return 0
 }
 
-// settle ends all that runs and lets the rest age: nothing may stay behind.
+// settle ends all running attempts and lets the remaining state expire. Nothing may
+// remain.
 func (m *model) settle() {
 	for _, source := range []DrainSource{DrainCall, DrainHostList} {
 		m.g.SetDrain(m.now, source, false)
 	}
 	for range 100 {
-		for _, l := range m.lives {
-			if l.running {
-				m.end(l, EndDone)
+		for _, attempt := range m.attempts {
+			if attempt.running {
+				m.end(attempt, EndDone)
 			}
 		}
 		m.advance(ms(10))
 		m.check(m.t)
 	}
 	if m.g.Memory().Attempts != 0 || m.g.Memory().KeptBytes != 0 {
-		m.t.Fatalf("left behind: %+v", m.g.Memory())
+		m.t.Fatalf("state remains: %+v", m.g.Memory())
 	}
 }
 
--- a/core/gate/queue.go
+++ b/core/gate/queue.go
@@ -4,62 +4,61 @@
 	"slices"
 )
 
-// queue holds the attempts that wait: classes by priority, and within a class
-// one flow for each workspace.
+// queue holds the waiting attempts, in one class per priority, and within a class in
+// one flow per workspace.
 type queue struct {
-	turns   int
-	size    int
-	classes []*class
+	starvationTurns int
+	size            int
+	classes         []*class
 }
 
-// class is the attempts of one priority.
+// class holds the waiting attempts of one priority.
 type class struct {
 	priority int
-	// virtual is the start tag of the attempt served last.
-	virtual float64
-	flows   []*flow
-	// passed counts the turns that went to higher classes, since this class was
-	// last served, while it had work waiting.
-	passed int
+	// virtualTime is the start tag of the attempt served last.
+	virtualTime float64
+	flows       []*flow
+	// skippedTurns counts the turns given to higher classes since this class was last
+	// served, while it had attempts waiting.
+	skippedTurns int
 }
 
-// flow is the waiting attempts of one workspace in one class, in order of arrival.
+// flow holds the waiting attempts of one workspace in one class, in order of arrival.
 type flow struct {
 	workspace string
 	waiting   []*record
-	// start is the virtual start tag of the first waiting attempt.
-	start float64
-	// finish is the virtual finish tag of the attempt served last.
-	finish float64
+	// startTag is the virtual start tag of the first waiting attempt.
+	startTag float64
+	// finishTag is the virtual finish tag of the attempt served last.
+	finishTag float64
 }
 
-// newQueue returns an empty queue.
-func newQueue(turns int) *queue { return &queue{turns: turns} }
+func newQueue(starvationTurns int) *queue { return &queue{starvationTurns: starvationTurns} }
 
-// push adds an attempt behind those of its workspace and class.
+// push appends an attempt to the flow of its workspace and class.
 func (q *queue) push(r *record) {
-	c := q.class(r.priority)
-	f := c.flow(r.workspace)
+	c := q.classFor(r.priority)
+	f := c.flowFor(r.workspace)
 	if len(f.waiting) == 0 {
-		f.start = max(c.virtual, f.finish)
+		f.startTag = max(c.virtualTime, f.finishTag)
 	}
 	f.waiting = append(f.waiting, r)
 	q.size++
 }
 
-// class returns the class of priority, which it adds if it is missing. Classes
-// are in falling order of priority.
-func (q *queue) class(priority int) *class {
-	at, found := slices.BinarySearchFunc(q.classes, priority, func(c *class, p int) int { return p - c.priority })
+// classFor returns the class with the given priority, and adds it if it is missing.
+// Classes are sorted by descending priority.
+func (q *queue) classFor(priority int) *class {
+	i, found := slices.BinarySearchFunc(q.classes, priority, func(c *class, p int) int { return p - c.priority })
 	if !found {
-		q.classes = slices.Insert(q.classes, at, &class{priority: priority})
+		q.classes = slices.Insert(q.classes, i, &class{priority: priority})
 	}
-	return q.classes[at]
+	return q.classes[i]
 }
 
-// flow returns the flow of workspace, which it adds if it is missing.
-func (c *class) flow(workspace string) *flow {
-	if f := c.find(workspace); f != nil {
+// flowFor returns the flow of workspace, and adds it if it is missing.
+func (c *class) flowFor(workspace string) *flow {
+	if f := c.findFlow(workspace); f != nil {
 		return f
 	}
 	f := &flow{workspace: workspace}
@@ -67,8 +66,8 @@
 	return f
 }
 
-// find returns the flow of workspace, or nil.
-func (c *class) find(workspace string) *flow {
+// findFlow returns the flow of workspace, or nil.
+func (c *class) findFlow(workspace string) *flow {
 	for _, f := range c.flows {
 		if f.workspace == workspace {
 			return f
@@ -79,17 +78,17 @@
 
 // pop removes and returns the attempt that is served next, or nil.
 func (q *queue) pop() *record {
-	c := q.turn()
+	c := q.nextClass()
 	if c == nil {
 		return nil
 	}
-	q.pass(c)
-	f := c.first()
+	q.countSkippedTurns(c)
+	f := c.nextFlow()
 	r := f.waiting[0]
 	f.waiting = f.waiting[1:]
-	c.virtual = f.start
-	f.finish = f.start + r.cost/float64(r.weight)
-	f.start = f.finish
+	c.virtualTime = f.startTag
+	f.finishTag = f.startTag + r.cost/float64(r.weight)
+	f.startTag = f.finishTag
 	c.prune()
 	q.size--
 	return r
@@ -97,29 +96,29 @@
 
 // peek returns the attempt that pop would return, or nil.
 func (q *queue) peek() *record {
-	c := q.turn()
+	c := q.nextClass()
 	if c == nil {
 		return nil
 	}
-	return c.first().waiting[0]
+	return c.nextFlow().waiting[0]
 }
 
-// take removes a waiting attempt out of its turn and charges its flow for it, so
-// that its workspace gets no more than its share.
-func (q *queue) take(r *record) {
-	c := q.class(r.priority)
-	f := c.find(r.workspace)
-	at := slices.Index(f.waiting, r)
-	f.waiting = slices.Delete(f.waiting, at, at+1)
-	f.finish = f.start + r.cost/float64(r.weight)
-	f.start = f.finish
+// removeOutOfOrder removes a waiting attempt before its turn and charges its flow for
+// it, so that its workspace gets no more than its share.
+func (q *queue) removeOutOfOrder(r *record) {
+	c := q.classFor(r.priority)
+	f := c.findFlow(r.workspace)
+	i := slices.Index(f.waiting, r)
+	f.waiting = slices.Delete(f.waiting, i, i+1)
+	f.finishTag = f.startTag + r.cost/float64(r.weight)
+	f.startTag = f.finishTag
 	c.prune()
 	q.size--
 }
 
-// turn returns the class that is served next: the one passed over longest if
-// its turns are up, else the highest that has work waiting.
-func (q *queue) turn() *class {
+// nextClass returns the class that is served next: the one skipped most often if it
+// has reached the starvation limit, otherwise the highest with attempts waiting.
+func (q *queue) nextClass() *class {
 	var best, starving *class
 	for _, c := range q.classes {
 		if c.empty() {
@@ -128,7 +127,7 @@
 		if best == nil {
 			best = c
 		}
-		if c.passed >= q.turns && (starving == nil || c.passed > starving.passed) {
+		if c.skippedTurns >= q.starvationTurns && (starving == nil || c.skippedTurns > starving.skippedTurns) {
 			starving = c
 		}
 	}
@@ -138,17 +137,18 @@
 	return best
 }
 
-// pass counts the turn that goes to served for the waiting classes below it.
-func (q *queue) pass(served *class) {
+// countSkippedTurns counts a skipped turn for the non-empty classes below served, and
+// resets the count of served.
+func (q *queue) countSkippedTurns(served *class) {
 	for _, c := range q.classes {
 		if c.priority < served.priority && !c.empty() {
-			c.passed++
+			c.skippedTurns++
 		}
 	}
-	served.passed = 0
+	served.skippedTurns = 0
 }
 
-// empty tells whether nothing waits in the class.
+// empty reports whether no attempts wait in the class.
 func (c *class) empty() bool {
 	for _, f := range c.flows {
 		if len(f.waiting) > 0 {
@@ -158,57 +158,57 @@
 	return true
 }
 
-// first returns the flow with the lowest start tag; of equal ones the one whose
-// first attempt came first.
-func (c *class) first() *flow {
+// nextFlow returns the flow with the lowest start tag; ties go to the flow whose first
+// attempt arrived first.
+func (c *class) nextFlow() *flow {
 	var best *flow
 	for _, f := range c.flows {
 		if len(f.waiting) == 0 {
 			continue
 		}
-		if best == nil || f.before(best) {
+		if best == nil || f.servedBefore(best) {
 			best = f
 		}
 	}
 	return best
 }
 
-// before tells whether f is served before other. Both have work waiting.
-func (f *flow) before(other *flow) bool {
-	if f.start != other.start {
-		return f.start < other.start
+// servedBefore reports whether f is served before other. Neither may be empty.
+func (f *flow) servedBefore(other *flow) bool {
+	if f.startTag != other.startTag {
+		return f.startTag < other.startTag
 	}
 	return f.waiting[0].sequence < other.waiting[0].sequence
 }
 
-// prune removes the flows that are idle and whose past no longer counts. If
-// nothing waits in the class then its busy period is over: the virtual time moves
-// behind all that was served, and every past is forgotten.
+// prune removes empty flows whose finish tag no longer affects the order. When the
+// class becomes empty its busy period is over: the virtual time advances to the
+// highest finish tag, so that all flows are removed.
 func (c *class) prune() {
 	if c.empty() {
 		for _, f := range c.flows {
-			c.virtual = max(c.virtual, f.finish)
+			c.virtualTime = max(c.virtualTime, f.finishTag)
 		}
 	}
 	c.flows = slices.DeleteFunc(c.flows, func(f *flow) bool {
-		return len(f.waiting) == 0 && f.finish <= c.virtual
+		return len(f.waiting) == 0 && f.finishTag <= c.virtualTime
 	})
 }
 
-// remove takes an attempt out of the queue. It tells whether it was there.
+// remove removes an attempt from the queue and reports whether it was queued.
 func (q *queue) remove(r *record) bool {
-	f := q.class(r.priority).find(r.workspace)
+	f := q.classFor(r.priority).findFlow(r.workspace)
 	if f == nil {
 		return false
 	}
-	at := slices.Index(f.waiting, r)
-	if at < 0 {
+	i := slices.Index(f.waiting, r)
+	if i < 0 {
 		return false
 	}
-	f.waiting = slices.Delete(f.waiting, at, at+1)
+	f.waiting = slices.Delete(f.waiting, i, i+1)
 	q.size--
-	if q.class(r.priority).empty() {
-		q.class(r.priority).passed = 0
+	if q.classFor(r.priority).empty() {
+		q.classFor(r.priority).skippedTurns = 0
 	}
 	return true
 }
--- a/core/gate/sample.go
+++ b/core/gate/sample.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// How many samples a window holds, and for how long. The median comes from few
-// samples, so that at three calls a second a change of speed shows in about two
-// seconds; the high quantile needs more.
+// Sizes of a window and the maximum age of its samples. The median uses few samples,
+// so that at three calls a second a change of speed shows within about two seconds;
+// the high quantile needs more.
 const (
 	medianSamples = 11
 	windowSamples = 64
-	windowAge     = 30 * time.Second
+	maxSampleAge  = 30 * time.Second
 )
 
 // The quantiles that are reported.
@@ -20,18 +20,17 @@
 	highQuantile = 0.95
 )
 
-// sample is one measured duration.
 type sample struct {
 	at    time.Duration
 	value time.Duration
 }
 
-// window holds the latest samples of one kind, oldest first.
+// window holds the most recent samples of one kind, oldest first.
 type window struct {
 	samples []sample
 }
 
-// add adds a sample and drops the oldest beyond the bound.
+// add appends a sample and removes the oldest one if the window is full.
 func (w *window) add(now, value time.Duration) {
 	if len(w.samples) == windowSamples {
 		w.samples = slices.Delete(w.samples, 0, 1)
@@ -39,56 +38,57 @@
 	w.samples = append(w.samples, sample{at: now, value: value})
 }
 
-// recent returns the values of the last n samples that are not too old.
+// recent returns the values of the last n samples that are not older than
+// maxSampleAge.
 func (w *window) recent(now time.Duration, n int) []time.Duration {
 	from := max(0, len(w.samples)-n)
 	values := make([]time.Duration, 0, n)
 	for _, s := range w.samples[from:] {
-		if now-s.at <= windowAge {
+		if now-s.at <= maxSampleAge {
 			values = append(values, s.value)
 		}
 	}
 	return values
 }
 
-// middle returns the median of the latest samples, zero without any. Open holds
-// how long unfinished measurements have taken so far: those that are above the
-// median already count as samples, since their end can only be later. A straggler
-// thus shows before its first slow answer.
-func (w *window) middle(now time.Duration, open []time.Duration) time.Duration {
-	return w.quantile(now, medianSamples, median, open)
+// p50 returns the median of the latest samples, or zero without samples. Pending holds
+// the elapsed times of unfinished measurements. Those above the median already count
+// as samples, since their final values can only be higher, so a straggler shows before
+// its first slow response.
+func (w *window) p50(now time.Duration, pending []time.Duration) time.Duration {
+	return w.quantile(now, medianSamples, median, pending)
 }
 
-// high returns the 95th percentile in the same way.
-func (w *window) high(now time.Duration, open []time.Duration) time.Duration {
-	return w.quantile(now, windowSamples, highQuantile, open)
+// p95 returns the 95th percentile in the same way.
+func (w *window) p95(now time.Duration, pending []time.Duration) time.Duration {
+	return w.quantile(now, windowSamples, highQuantile, pending)
 }
 
-// quantile returns the q-quantile of the last n samples and the open measurements
-// above it.
-func (w *window) quantile(now time.Duration, n int, q float64, open []time.Duration) time.Duration {
+// quantile returns the q-quantile of the last n samples and of the pending
+// measurements above their q-quantile.
+func (w *window) quantile(now time.Duration, n int, q float64, pending []time.Duration) time.Duration {
 	values := w.recent(now, n)
 	if len(values) == 0 {
 		return 0
 	}
 	slices.Sort(values)
-	base := pick(values, q)
-	late := 0
-	for _, value := range open {
+	base := nearestRank(values, q)
+	above := 0
+	for _, value := range pending {
 		if value > base {
 			values = append(values, value)
-			late++
+			above++
 		}
 	}
-	if late == 0 {
+	if above == 0 {
 		return base
 	}
 	slices.Sort(values)
-	return pick(values, q)
+	return nearestRank(values, q)
 }
 
-// pick returns the q-quantile of sorted values by nearest rank.
-func pick(sorted []time.Duration, q float64) time.Duration {
-	at := int(q * float64(len(sorted)))
-	return sorted[min(at, len(sorted)-1)]
+// nearestRank returns the q-quantile of sorted values by nearest rank.
+func nearestRank(sorted []time.Duration, q float64) time.Duration {
+	rank := int(q * float64(len(sorted)))
+	return sorted[min(rank, len(sorted)-1)]
 }
--- a/core/gate/state.go
+++ b/core/gate/state.go
@@ -6,7 +6,7 @@
 	"acaciawinch/core/chart"
 )
 
-// The states and events of the upstream's chart that the gate uses.
+// The name of the upstream's state chart, and the states and events that the gate uses.
 const (
 	upstreamChart = "upstream"
 
@@ -23,26 +23,26 @@
 	eventResume   chart.Event = "resume"
 )
 
-// State returns the upstream's state by its chart.
-func (g *Gate) State() chart.State { return g.machine.State() }
+// State returns the upstream's state in its state chart.
+func (g *Gate) State() chart.State { return g.stateMachine.State() }
 
-// Fault returns the first event that the chart did not allow, and clears it. It
-// means that the gate's own rules are broken.
+// Fault returns and clears the error of the first event that the state chart did not
+// allow. Such an error is a bug in the gate.
 func (g *Gate) Fault() error {
 	err := g.fault
 	g.fault = nil
 	return err
 }
 
-// fire takes an event of the chart.
+// fire sends an event to the state machine.
 func (g *Gate) fire(event chart.Event) {
-	if err := g.machine.Fire(event); err != nil && g.fault == nil {
+	if err := g.stateMachine.Fire(event); err != nil && g.fault == nil {
 		g.fault = err
 	}
 }
 
-// updateState brings the chart's state in line with what is known: first whether
-// the upstream drains, then whether it answers and makes progress.
+// updateState updates the state machine: draining takes precedence over whether the
+// upstream responds and makes progress.
 func (g *Gate) updateState() {
 	if len(g.drain.sources) > 0 {
 		g.updateDraining()
@@ -52,7 +52,7 @@
 		g.fire(eventResume)
 	}
 	u := &g.upstream
-	healthy := u.known && u.stall == stallNone && u.capacity > 0
+	healthy := u.reported && u.stall == stallNone && u.capacity > 0
 	switch g.State() {
 	case stateConnecting, stateStalled:
 		if healthy {
@@ -65,7 +65,7 @@
 	}
 }
 
-// updateDraining moves a draining upstream on.
+// updateDraining updates the state machine of a draining upstream.
 func (g *Gate) updateDraining() {
 	switch g.State() {
 	case stateConnecting, stateAvailable, stateStalled:
@@ -76,13 +76,13 @@
 	}
 }
 
-// Why says why the upstream is in its present state.
+// Why returns the reason for the upstream's present state.
 func (g *Gate) Why() string {
 	switch g.State() {
 	case stateConnecting, stateStalled:
-		return g.upstream.describe()
+		return g.upstream.stallDetail()
 	case stateDraining, stateDrained:
 		return fmt.Sprint(g.drain.sources)
 	}
-	return "the upstream answers"
+	return "the upstream responds"
 }
--- a/core/gate/submit.go
+++ b/core/gate/submit.go
@@ -7,68 +7,70 @@
 	"acaciawinch/core"
 )
 
-// Submit decides about an attempt that asks to run.
-func (g *Gate) Submit(now time.Duration, ask Ask) Decision {
-	d := g.decide(now, ask)
+// Submit decides whether an attempt is admitted, and queues it if so.
+func (g *Gate) Submit(now time.Duration, attempt Ask) Decision {
+	d := g.decide(now, attempt)
 	d.Queued = g.queue.size
 	d.Running = len(g.running)
 	switch d.Verdict {
 	case Admitted:
-		g.enqueue(now, ask)
+		g.enqueue(now, attempt)
 	case Refused:
-		g.bury(now, ask, d)
+		g.leaveTombstone(now, attempt, d)
 	}
 	return d
 }
 
-// decide returns the verdict on ask. It changes nothing but that it may push
-// another attempt out of a full queue.
-func (g *Gate) decide(now time.Duration, ask Ask) Decision {
-	if ask.Key.Side != g.options.Incarnation {
+// decide returns the decision on attempt. Its only side effect is that it may evict
+// another attempt from a full queue.
+func (g *Gate) decide(now time.Duration, attempt Ask) Decision {
+	if attempt.Key.Side != g.options.Incarnation {
 		return refusal(ReasonIncarnation, 0, "the attempt is meant for another incarnation")
 	}
-	if known, ok := g.table[ask.Key]; ok {
-		return g.repeated(known, ask.Ticket)
+	if known, ok := g.table[attempt.Key]; ok {
+		return g.decideKnown(known, attempt.Ticket)
 	}
-	if d, ok := g.checkTicket(now, ask.Ticket); !ok {
+	if d, ok := g.checkTicket(now, attempt.Ticket); !ok {
 		return d
 	}
-	if d, ok := g.checkUpstream(now, ask); !ok {
+	if d, ok := g.checkUpstream(now, attempt); !ok {
 		return d
 	}
-	return g.fit(now, ask)
+	return g.decideAdmission(now, attempt)
 }
 
-// refusal returns a decision to refuse.
+// refusal returns a decision that refuses an attempt.
 func refusal(reason Reason, retryAfter time.Duration, format string, args ...any) Decision {
 	return Decision{Verdict: Refused, Reason: reason, RetryAfter: retryAfter, Detail: fmt.Sprintf(format, args...)}
 }
 
-// repeated decides about an attempt that is known. It never runs again.
-func (g *Gate) repeated(known *record, ticket *Ticket) Decision {
+// decideKnown returns the decision on an attempt that is in the table. It is never run
+// again.
+func (g *Gate) decideKnown(known *record, ticket *Ticket) Decision {
 	if known.phase == phaseRefused {
-		if g.mayHide(known, ticket) {
-			return Decision{Verdict: Gone, Reason: ReasonTicketExpired, Detail: "the ticket is behind the horizon"}
+		if g.mayMaskForgotten(known, ticket) {
+			return Decision{Verdict: Gone, Reason: ReasonTicketExpired, Detail: "the ticket is at or before the horizon"}
 		}
-		return refusal(repeatedReason(known), 0, "refused before: %s", known.detail)
+		return refusal(tombstoneReason(known), 0, "already refused: %s", known.detail)
 	}
 	if !known.sameTicket(ticket) {
 		return Decision{Verdict: Gone, Reason: ReasonInvalid, Detail: "the attempt is known under another claim"}
 	}
-	if known.settled() && !known.kept {
+	if known.settled() && !known.outputKept {
 		return Decision{Verdict: Gone, Detail: "the attempt has ended and its output is not kept"}
 	}
 	return Decision{Verdict: Attached}
 }
 
-// mayHide tells whether a tombstone of which no ticket is known may stand where a
-// claimed attempt was forgotten: then it proves nothing about that attempt.
-func (g *Gate) mayHide(known *record, ticket *Ticket) bool {
+// mayMaskForgotten reports whether a tombstone without a ticket may have replaced the
+// record of a forgotten claimed attempt. In that case the tombstone doesn't prove that
+// the attempt was not run.
+func (g *Gate) mayMaskForgotten(known *record, ticket *Ticket) bool {
 	return ticket != nil && !known.claimed() && ticket.Clock <= g.horizon
 }
 
-// repeatedReason is the reason for which a tombstone refuses.
-func repeatedReason(known *record) Reason {
+// tombstoneReason returns the reason with which a tombstone refuses an attempt.
+func tombstoneReason(known *record) Reason {
 	if known.reason == ReasonCancelled {
 		return ReasonCancelled
 	}
@@ -81,91 +83,94 @@
 	case ticket == nil:
 		return Decision{}, true
 	case ticket.Clock > now:
-		return refusal(ReasonInvalid, 0, "the ticket is ahead of this side's clock"), false
+		return refusal(ReasonInvalid, 0, "the ticket is ahead of the sidecar's clock"), false
 	case ticket.Clock <= g.horizon:
-		return Decision{Verdict: Gone, Reason: ReasonTicketExpired, Detail: "the ticket is behind the horizon"}, false
+		return Decision{Verdict: Gone, Reason: ReasonTicketExpired, Detail: "the ticket is at or before the horizon"}, false
 	case now-ticket.Clock > g.options.TicketLifetime:
-		return refusal(ReasonTicketExpired, 0, "the ticket is %s old", now-ticket.Clock), false
+		return refusal(ReasonTicketExpired, 0, "the ticket has expired: it is %s old", now-ticket.Clock), false
 	}
 	return Decision{}, true
 }
 
-// checkUpstream refuses work that the upstream must not or can't take.
-func (g *Gate) checkUpstream(now time.Duration, ask Ask) (Decision, bool) {
+// checkUpstream refuses work that the upstream must not or can't accept.
+func (g *Gate) checkUpstream(now time.Duration, attempt Ask) (Decision, bool) {
 	switch g.State() {
 	case stateDraining, stateDrained:
 		return refusal(ReasonDraining, 0, "the upstream is draining: %v", g.drain.sources), false
 	case stateConnecting, stateStalled:
 		if !g.trialDue(now) {
-			return refusal(ReasonStalled, g.upstream.retryAfter(now), "%s", g.upstream.describe()), false
+			return refusal(ReasonStalled, g.upstream.retryAfter(now), "%s", g.upstream.stallDetail()), false
 		}
 	}
-	if !g.holds(now, ask.Model, ask.Version) {
-		return refusal(ReasonModelNotLoaded, 0, "%s@%s is not loaded", ask.Model, ask.Version), false
+	if !g.modelLoaded(now, attempt.Model, attempt.Version) {
+		return refusal(ReasonModelNotLoaded, 0, "%s@%s is not loaded", attempt.Model, attempt.Version), false
 	}
 	return Decision{}, true
 }
 
-// waitMargin multiplies the expected wait before it is set against the deadline:
-// attempts that come later may be served first, and an attempt that is refused
-// now can still go elsewhere, while one that is refused in the queue cannot.
+// waitMargin multiplies the expected wait before it is compared with the deadline.
+// Attempts that arrive later may be served first, and an attempt that is refused now
+// can still go to another upstream in time, while one that is refused from the queue
+// can't.
 const waitMargin = 3
 
-// marginOf returns the multiplier for an ask. Committed work is admitted up to the
-// edge: to refuse it leaves an unknown outcome, and the room between the edge and
-// the margin is kept for it. It has no turn before others, so that the sharing
-// between workspaces holds; the urgent start brings it in before its deadline.
-func marginOf(ask Ask) time.Duration {
-	if ask.Committed {
+// waitMarginFor returns the multiplier for an attempt. Committed work is admitted
+// without a margin: refusing it leaves an unknown outcome, and the time between the
+// deadline and the margin is reserved for it. It has no precedence in the queue, so
+// that the sharing between workspaces holds; popNext starts it early if its deadline
+// is at risk.
+func waitMarginFor(attempt Ask) time.Duration {
+	if attempt.Committed {
 		return 1
 	}
 	return waitMargin
 }
 
-// fit admits ask if it can be finished in time and finds a place in the queue.
-func (g *Gate) fit(now time.Duration, ask Ask) Decision {
+// decideAdmission admits attempt if it can finish in time and the queue has room or
+// can evict another attempt.
+func (g *Gate) decideAdmission(now time.Duration, attempt Ask) Decision {
 	if g.options.FIFO {
 		return Decision{Verdict: Admitted}
 	}
-	priority := clampPriority(ask.Priority)
-	wait := g.wait(now, ask.Workspace, priority)
-	service := g.pace(now).service(ask.Cost)
+	priority := clampPriority(attempt.Priority)
+	wait := g.expectedWait(now, attempt.Workspace, priority)
+	service := g.estimateLatency(now).serviceTime(attempt.Cost)
 	d := Decision{Verdict: Admitted, Wait: wait, Service: service}
-	if ask.Remaining <= 0 || service > ask.Remaining {
+	if attempt.Remaining <= 0 || service > attempt.Remaining {
 		d.Verdict, d.Reason = Refused, ReasonDeadline
-		d.Detail = "the deadline is shorter than the service time"
+		d.Detail = "the remaining time is shorter than the expected service time"
 		return d
 	}
-	margin := marginOf(ask)
-	if late := margin*wait + service - ask.Remaining; late > 0 {
+	margin := waitMarginFor(attempt)
+	if late := margin*wait + service - attempt.Remaining; late > 0 {
 		d.Verdict, d.Reason, d.RetryAfter = Refused, ReasonDeadline, late/margin
-		d.Detail = "the queue is longer than the deadline"
+		d.Detail = "the expected queue wait exceeds the remaining time"
 		return d
 	}
 	if g.queue.size < g.options.MaxQueued {
 		return d
 	}
-	victim := g.queue.victim(ask.Workspace, priority, max(1, ask.Weight))
-	if victim == nil {
-		d.Verdict, d.Reason, d.RetryAfter = Refused, ReasonQueueFull, g.placeAfter(now)
+	candidate := g.queue.evictionCandidate(attempt.Workspace, priority, max(1, attempt.Weight))
+	if candidate == nil {
+		d.Verdict, d.Reason, d.RetryAfter = Refused, ReasonQueueFull, g.nextSlotFree(now)
 		d.Detail = "the queue is full"
 		return d
 	}
-	g.refuseQueued(now, victim, Decision{
+	g.refuseQueued(now, candidate, Decision{
 		Reason:     ReasonQueueFull,
-		RetryAfter: g.wait(now, victim.workspace, victim.priority),
-		Detail:     "gave way to a workspace below its share",
+		RetryAfter: g.expectedWait(now, candidate.workspace, candidate.priority),
+		Detail:     "evicted from the full queue for a workspace below its share",
 	})
 	return d
 }
 
-// clampPriority returns priority within the range of classes.
+// clampPriority limits priority to the range of classes.
 func clampPriority(priority int) int { return min(max(priority, MinPriority), MaxPriority) }
 
 // enqueue adds an admitted attempt to the table and the queue. It has no reader
 // until Watch is called.
-func (g *Gate) enqueue(now time.Duration, ask Ask) {
-	r := newRecord(ask)
+func (g *Gate) enqueue(now time.Duration, attempt Ask) {
+	r := newRecord(attempt)
 	if g.options.FIFO {
 		r.workspace, r.priority = "", 0
 	}
@@ -173,47 +178,47 @@
 	r.sequence = g.sequence
 	r.phase = phaseQueued
 	r.queuedAt = now
-	r.orphanSince = now
-	r.deadline = now + ask.Remaining
+	r.unwatchedSince = now
+	r.deadline = now + attempt.Remaining
 	g.table[r.key] = r
 	g.queue.push(r)
 }
 
-// newRecord returns the record of an ask.
-func newRecord(ask Ask) *record {
+// newRecord returns a record for attempt.
+func newRecord(attempt Ask) *record {
 	return &record{
-		key:       ask.Key,
-		workspace: ask.Workspace,
-		model:     modelName(ask.Model, ask.Version),
-		ticket:    ask.Ticket,
-		priority:  clampPriority(ask.Priority),
-		weight:    max(1, ask.Weight),
-		cost:      max(1, ask.Cost),
+		key:       attempt.Key,
+		workspace: attempt.Workspace,
+		model:     modelName(attempt.Model, attempt.Version),
+		ticket:    attempt.Ticket,
+		priority:  clampPriority(attempt.Priority),
+		weight:    max(1, attempt.Weight),
+		cost:      max(1, attempt.Cost),
 	}
 }
 
-// bury leaves a tombstone of a claimed attempt that is refused for the first
-// time. A wrong incarnation needs none, since it can never become right.
-func (g *Gate) bury(now time.Duration, ask Ask, d Decision) {
-	if known, ok := g.table[ask.Key]; ok {
-		g.claimTombstone(now, known, ask.Ticket)
+// leaveTombstone adds or updates a tombstone for a claimed attempt that was refused.
+// An attempt for another incarnation needs none, since it can never be accepted.
+func (g *Gate) leaveTombstone(now time.Duration, attempt Ask, d Decision) {
+	if known, ok := g.table[attempt.Key]; ok {
+		g.bindTombstone(now, known, attempt.Ticket)
 		return
 	}
-	if ask.Ticket == nil || d.Reason == ReasonIncarnation {
+	if attempt.Ticket == nil || d.Reason == ReasonIncarnation {
 		return
 	}
-	g.addTombstone(now, newRecord(ask), d.Reason, d.Detail)
+	g.addTombstone(now, newRecord(attempt), d.Reason, d.Detail)
 }
 
-// addTombstone adds a record of an attempt that never runs.
+// addTombstone adds a record of an attempt that must never run.
 func (g *Gate) addTombstone(now time.Duration, r *record, reason Reason, detail string) {
 	g.table[r.key] = r
 	g.settle(now, r, phaseRefused, reason, detail)
 }
 
-// mark remembers that an attempt of which only the key is known is never to be
-// started, because it was cancelled or given up before it came.
-func (g *Gate) mark(now time.Duration, key core.AttemptKey, detail string) {
-	r := &record{key: key, mark: true, weight: 1}
+// addKeyOnlyTombstone adds a tombstone for an attempt of which only the key is known,
+// because it was cancelled or abandoned before it arrived.
+func (g *Gate) addKeyOnlyTombstone(now time.Duration, key core.AttemptKey, detail string) {
+	r := &record{key: key, keyOnly: true, weight: 1}
 	g.addTombstone(now, r, ReasonCancelled, detail)
 }
--- a/core/gate/submit_test.go
+++ b/core/gate/submit_test.go
@@ -11,63 +11,63 @@
 )
 
 func TestAttemptForAnotherIncarnationIsRefused(t *testing.T) {
-	b := newBench(t, Options{})
-	ask := b.claimed()
-	ask.Key.Side = incarnation + 1
-	d := b.submit(ask)
+	b := newTestBench(t, Options{})
+	attempt := b.newClaimedAttempt()
+	attempt.Key.Side = incarnation + 1
+	d := b.submit(attempt)
 	assert.Equal(t, d.Verdict, Refused)
 	assert.Equal(t, d.Reason, ReasonIncarnation)
 	assert.Equal(t, len(b.started), 0)
 }
 
 func TestWorkThatCanNotFinishInTimeIsRefusedWithRetryAfter(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newTestBench(t, Options{})
 	b.measure(5, ms(100))
 	for range 4 {
-		b.admit(b.ask("a"))
+		b.admit(b.newAttempt("a"))
 	}
-	ask := b.ask("a")
-	ask.Remaining = ms(300)
-	d := b.submit(ask)
+	attempt := b.newAttempt("a")
+	attempt.Remaining = ms(300)
+	d := b.submit(attempt)
 	assert.Equal(t, d.Verdict, Refused)
 	assert.Equal(t, d.Reason, ReasonDeadline)
-	// One runs and three wait, 100 ms each, and the ask takes 100 ms itself. Three
-	// times the wait must fit into the other 200 ms.
+	// One attempt runs and three wait, 100 ms each, and the new one takes 100 ms itself.
+	// Three times the wait must fit into the other 200 ms.
 	assert.Equal(t, d.Wait, ms(400))
 	assert.Equal(t, d.RetryAfter, ms(1000)/3)
 }
 
-func TestCommittedWorkIsAdmittedUpToTheEdge(t *testing.T) {
-	b := newBench(t, Options{})
+func TestCommittedWorkIsAdmittedWithoutWaitMargin(t *testing.T) {
+	b := newTestBench(t, Options{})
 	b.measure(5, ms(100))
-	b.admit(b.ask("a"))
-	b.admit(b.ask("a"))
-	ask := b.ask("a")
-	ask.Remaining = ms(300)
-	assert.Equal(t, b.submit(ask).Reason, ReasonDeadline)
-	committed := b.ask("a")
+	b.admit(b.newAttempt("a"))
+	b.admit(b.newAttempt("a"))
+	attempt := b.newAttempt("a")
+	attempt.Remaining = ms(300)
+	assert.Equal(t, b.submit(attempt).Reason, ReasonDeadline)
+	committed := b.newAttempt("a")
 	committed.Remaining, committed.Committed = ms(299), true
 	assert.Equal(t, b.submit(committed).Reason, ReasonDeadline)
-	committed = b.ask("a")
+	committed = b.newAttempt("a")
 	committed.Remaining, committed.Committed = ms(300), true
 	b.admit(committed)
 }
 
-func TestDeadlineShorterThanServiceIsRefusedThoughTheQueueIsEmpty(t *testing.T) {
-	b := newBench(t, Options{})
+func TestDeadlineShorterThanServiceTimeIsRefusedWithAnEmptyQueue(t *testing.T) {
+	b := newTestBench(t, Options{})
 	b.measure(5, ms(100))
-	ask := b.ask("a")
-	ask.Remaining = ms(99)
-	d := b.submit(ask)
+	attempt := b.newAttempt("a")
+	attempt.Remaining = ms(99)
+	d := b.submit(attempt)
 	assert.Equal(t, d.Reason, ReasonDeadline)
 	assert.Equal(t, len(b.started), 5)
 }
 
 func TestQueuedWorkWhoseDeadlineBecameImpossibleIsRefusedAsNotRun(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newTestBench(t, Options{})
 	b.measure(5, ms(100))
-	b.admit(b.ask("a"))
-	waiting := b.ask("a")
+	b.admit(b.newAttempt("a"))
+	waiting := b.newAttempt("a")
 	waiting.Remaining = ms(400)
 	waiting.Ticket = &Ticket{Nonce: 1, Clock: b.now}
 	b.admit(waiting)
@@ -80,91 +80,91 @@
 }
 
 func TestModelThatIsNotLoadedIsRefused(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newTestBench(t, Options{})
 	b.g.ObserveReport(b.now, Report{Models: []string{"m@1"}})
-	ask := b.ask("a")
-	ask.Model, ask.Version = "m", "2"
-	assert.Equal(t, b.submit(ask).Reason, ReasonModelNotLoaded)
+	attempt := b.newAttempt("a")
+	attempt.Model, attempt.Version = "m", "2"
+	assert.Equal(t, b.submit(attempt).Reason, ReasonModelNotLoaded)
 	b.g.ObserveReport(b.now, Report{Models: []string{"m@1", "m@2"}})
-	b.admit(ask)
+	b.admit(attempt)
 	assert.Equal(t, b.g.Using("m@2"), 1)
 	b.g.BeginUnload(b.now, "m@2")
-	// The report lags and still shows it.
+	// The report is delayed and still lists the model.
 	b.g.ObserveReport(b.now, Report{Models: []string{"m@1", "m@2"}})
-	other := b.ask("a")
+	other := b.newAttempt("a")
 	other.Model, other.Version = "m", "2"
 	assert.Equal(t, b.submit(other).Reason, ReasonModelNotLoaded)
-	b.advance(defaultModelLag)
+	b.advance(defaultModelReportLag)
 	assert.DeepEqual(t, b.g.Models(b.now), []string{"m@1", "m@2"})
 }
 
-func TestFirstInFirstOutBaselineTakesAllInOrderOfArrival(t *testing.T) {
-	b := newBench(t, Options{FIFO: true, MaxQueued: 1})
+func TestFIFOBaselineAdmitsAllInOrderOfArrival(t *testing.T) {
+	b := newTestBench(t, Options{FIFO: true, MaxQueued: 1})
 	b.measure(5, ms(100))
 	var keys []core.AttemptKey
 	for i := range 6 {
-		ask := b.ask(fmt.Sprint(i % 2))
-		ask.Priority = i % 3
-		ask.Remaining = ms(601)
-		keys = append(keys, b.admit(ask).Key)
+		attempt := b.newAttempt(fmt.Sprint(i % 2))
+		attempt.Priority = i % 3
+		attempt.Remaining = ms(601)
+		keys = append(keys, b.admit(attempt).Key)
 	}
 	for range 6 {
-		b.serve(ms(100))
+		b.finishOldest(ms(100))
 	}
 	assert.DeepEqual(t, b.started[5:], keys)
 }
 
 func TestDuplicateOfAKnownAttemptIsNeverRunAgain(t *testing.T) {
-	b := newBench(t, Options{})
-	ask := b.admit(b.claimed())
-	assert.Equal(t, b.submit(ask).Verdict, Attached)
-	b.done(ask.Key)
-	assert.Equal(t, b.submit(ask).Verdict, Attached)
-	b.g.Acknowledge(b.now, ask.Key)
+	b := newTestBench(t, Options{})
+	attempt := b.admit(b.newClaimedAttempt())
+	assert.Equal(t, b.submit(attempt).Verdict, Attached)
+	b.finish(attempt.Key)
+	assert.Equal(t, b.submit(attempt).Verdict, Attached)
+	b.g.Acknowledge(b.now, attempt.Key)
 	b.advance(defaultKeepResult)
-	d := b.submit(ask)
+	d := b.submit(attempt)
 	assert.Equal(t, d.Verdict, Gone, "its output is dropped, and it did run: %+v", d)
 	assert.Equal(t, len(b.started), 1)
 }
 
 func TestSameAttemptUnderAnotherClaimIsNotRun(t *testing.T) {
-	b := newBench(t, Options{})
-	ask := b.admit(b.claimed())
-	other := ask
-	other.Ticket = &Ticket{Nonce: ask.Ticket.Nonce + 1, Clock: b.now}
+	b := newTestBench(t, Options{})
+	attempt := b.admit(b.newClaimedAttempt())
+	other := attempt
+	other.Ticket = &Ticket{Nonce: attempt.Ticket.Nonce + 1, Clock: b.now}
 	assert.Equal(t, b.submit(other).Verdict, Gone)
-	state, _ := b.g.Resolve(b.now, ask.Key, *other.Ticket)
+	state, _ := b.g.Resolve(b.now, attempt.Key, *other.Ticket)
 	assert.Equal(t, state, StateGone)
 	assert.Equal(t, len(b.started), 1)
 }
 
 func TestQueueIsBounded(t *testing.T) {
-	b := newBench(t, Options{MaxQueued: 3})
+	b := newTestBench(t, Options{MaxQueued: 3})
 	for range 4 {
-		b.admit(b.ask("a"))
+		b.admit(b.newAttempt("a"))
 	}
-	d := b.submit(b.ask("a"))
+	d := b.submit(b.newAttempt("a"))
 	assert.Equal(t, d.Reason, ReasonQueueFull)
 	assert.Equal(t, b.g.queue.size, 3)
 }
 
 func TestRefusedClaimIsNeverRunLater(t *testing.T) {
-	b := newBench(t, Options{})
+	b := newTestBench(t, Options{})
 	b.g.SetDrain(b.now, DrainCall, true)
-	ask := b.claimed()
-	assert.Equal(t, b.submit(ask).Reason, ReasonDraining)
+	attempt := b.newClaimedAttempt()
+	assert.Equal(t, b.submit(attempt).Reason, ReasonDraining)
 	b.g.SetDrain(b.now, DrainCall, false)
-	d := b.submit(ask)
+	d := b.submit(attempt)
 	assert.Equal(t, d.Verdict, Refused)
 	assert.Equal(t, d.Reason, ReasonTombstone)
 }
 
 func TestTicketOlderThanItsLifetimeIsRefused(t *testing.T) {
-	b := newBench(t, Options{})
-	ask := b.claimed()
+	b := newTestBench(t, Options{})
+	attempt := b.newClaimedAttempt()
 	b.advance(DefaultTicketLifetime + 1)
-	assert.Equal(t, b.submit(ask).Reason, ReasonTicketExpired)
-	ahead := b.claimed()
+	assert.Equal(t, b.submit(attempt).Reason, ReasonTicketExpired)
+	ahead := b.newClaimedAttempt()
 	ahead.Ticket.Clock = b.now + time.Second
 	assert.Equal(t, b.submit(ahead).Reason, ReasonInvalid)
 }
--- a/core/gate/upstream.go
+++ b/core/gate/upstream.go
@@ -2,68 +2,69 @@
 
 import "time"
 
-// Report is an upstream's own report of its state.
+// Report is an upstream's report of its own state.
 type Report struct {
 	Capacity int
 	Leaving  bool
-	// Models lists what the engine holds, as "model@version"; nil if the upstream
-	// is no engine.
+	// Models lists the loaded models as "model@version"; nil if the upstream is not an
+	// engine.
 	Models []string
-	// LastFencing is the highest fencing number that the engine has seen.
+	// LastFencing is the highest fencing token that the engine has seen.
 	LastFencing uint64
 }
 
-// Rules of the detection of a stalled upstream.
+// Parameters of stall detection.
 const (
-	// silentReports is how many reports in a row must be missing.
-	silentReports = 2
-	// stallFactor is how many times longer than usual the upstream may be quiet.
+	// maxMissedReports is how many consecutive missed reports make an upstream stalled.
+	maxMissedReports = 2
+	// stallFactor is how many times the 95th percentile of the chunk latency the upstream
+	// may go without progress.
 	stallFactor = 4
 )
 
-// stallKind tells why an upstream counts as stalled.
+// stallKind is why an upstream counts as stalled.
 type stallKind string
 
 // The kinds of stalls.
 const (
 	stallNone stallKind = ""
-	// stallSilent: it does not answer at all.
-	stallSilent stallKind = "the upstream does not answer"
-	// stallHung: it holds work and makes no progress.
+	// stallSilent: it does not respond at all.
+	stallSilent stallKind = "the upstream does not respond"
+	// stallHung: it has running work and makes no progress.
 	stallHung stallKind = "the upstream makes no progress"
 )
 
-// upstreamState is what is known of the upstream itself.
+// upstreamState is the observed state of the upstream.
 type upstreamState struct {
 	capacity int
-	known    bool
+	reported bool
 	models   []string
-	// unloads holds the models that orders are taking away.
-	unloads []unload
-	// missing counts the reports in a row that failed.
-	missing int
-	stall   stallKind
-	// heldSince is when the upstream went from holding no work to holding some.
-	heldSince    time.Duration
+	// pendingUnloads holds the models that are being unloaded.
+	pendingUnloads []pendingUnload
+	// missedReports counts the consecutive reports that failed.
+	missedReports int
+	stall         stallKind
+	// busySince is when the upstream last went from idle to running work.
+	busySince    time.Duration
 	lastProgress time.Duration
-	// trialAt is when a hung upstream may be tried with one attempt.
-	trialAt   time.Duration
-	trialWait time.Duration
-	trying    bool
+	// trialAt is when a hung upstream may get one trial attempt.
+	trialAt    time.Duration
+	trialDelay time.Duration
+	inTrial    bool
 }
 
-// unload is a model that an order takes away, until the upstream's report can be
-// trusted to show it.
-type unload struct {
+// pendingUnload is a model that an order unloads. It overrides the upstream's report
+// until the given time, when the report is expected to be up to date.
+type pendingUnload struct {
 	model string
 	until time.Duration
 }
 
-// ObserveReport notes a report of the upstream.
+// ObserveReport records a report of the upstream.
 func (g *Gate) ObserveReport(now time.Duration, report Report) {
 	u := &g.upstream
-	u.known = true
-	u.missing = 0
+	u.reported = true
+	u.missedReports = 0
 	u.models = report.Models
 	if g.options.Capacity == 0 && report.Capacity > 0 {
 		u.capacity = report.Capacity
@@ -76,63 +77,62 @@
 	g.updateState()
 }
 
-// Judged tells whether it is known if the upstream answers: it has reported, or
-// was silent for long enough to count as stalled.
-func (g *Gate) Judged() bool { return g.upstream.known || g.upstream.stall != stallNone }
+// Judged reports whether it is known if the upstream responds: it has either reported
+// or was silent for long enough to count as stalled.
+func (g *Gate) Judged() bool { return g.upstream.reported || g.upstream.stall != stallNone }
 
-// ObserveSilence notes that the upstream gave no report, or refused a connection.
+// ObserveSilence records that the upstream gave no report or refused a connection.
 func (g *Gate) ObserveSilence(now time.Duration) {
 	u := &g.upstream
-	u.missing++
-	if u.missing >= silentReports && u.stall == stallNone {
+	u.missedReports++
+	if u.missedReports >= maxMissedReports && u.stall == stallNone {
 		g.markStalled(now, stallSilent)
 	}
 }
 
-// progressed notes that the upstream did some work: whatever was thought of it,
-// it is not stalled.
-func (g *Gate) progressed(now time.Duration) {
+// recordProgress records that the upstream made progress, which ends any stall.
+func (g *Gate) recordProgress(now time.Duration) {
 	u := &g.upstream
 	u.lastProgress = now
-	u.missing = 0
+	u.missedReports = 0
 	u.stall = stallNone
-	u.trying = false
-	u.trialWait = g.options.TrialMin
+	u.inTrial = false
+	u.trialDelay = g.options.TrialMin
 	g.updateState()
 }
 
-// watchUpstream notices that the upstream holds work without progress.
-func (g *Gate) watchUpstream(now time.Duration) {
+// detectHang marks the upstream as stalled if it has running work without progress.
+func (g *Gate) detectHang(now time.Duration) {
 	u := &g.upstream
 	if len(g.running) == 0 {
 		return
 	}
-	quiet := now - max(u.lastProgress, u.heldSince)
-	if quiet <= g.quietLimit(now) {
+	idle := now - max(u.lastProgress, u.busySince)
+	if idle <= g.hangTimeout(now) {
 		return
 	}
-	if u.stall == stallNone || u.trying {
+	if u.stall == stallNone || u.inTrial {
 		g.markStalled(now, stallHung)
 	}
 }
 
-// quietLimit returns how long the upstream may hold work without progress.
-func (g *Gate) quietLimit(now time.Duration) time.Duration {
-	usual := max(g.first.high(now, nil), g.gap.high(now, nil))
+// hangTimeout returns how long the upstream may run work without progress.
+func (g *Gate) hangTimeout(now time.Duration) time.Duration {
+	usual := max(g.firstChunkTimes.p95(now, nil), g.chunkGaps.p95(now, nil))
 	if usual == 0 {
 		return g.options.StallMax
 	}
 	return min(max(stallFactor*usual, g.options.StallMin), g.options.StallMax)
 }
 
-// markStalled marks the upstream as stalled and refuses all that waits: it has
-// not run, and its callers can still go elsewhere in time.
+// markStalled marks the upstream as stalled and refuses all waiting attempts. They
+// have not run, and their callers can still go to another upstream in time.
 func (g *Gate) markStalled(now time.Duration, kind stallKind) {
 	u := &g.upstream
 	u.stall = kind
-	u.trying = false
-	u.trialAt = now + u.trialWait
-	u.trialWait = min(2*u.trialWait, g.options.TrialMax)
+	u.inTrial = false
+	u.trialAt = now + u.trialDelay
+	u.trialDelay = min(2*u.trialDelay, g.options.TrialMax)
 	for _, r := range g.queue.all() {
 		g.refuseQueued(now, r, Decision{
 			Reason:     ReasonStalled,
@@ -143,55 +143,56 @@
 	g.updateState()
 }
 
-// Stalled tells whether new work is refused because the upstream is stalled. A
-// hung upstream that holds nothing any more is tried with one attempt from time
-// to time, and is not reported as stalled until that attempt comes.
+// Stalled reports whether new work is refused because the upstream is stalled. A hung
+// upstream without running work gets a trial attempt from time to time, and is not
+// reported as stalled while a trial is due and that attempt has not arrived.
 func (g *Gate) Stalled(now time.Duration) bool {
 	u := &g.upstream
 	if u.stall == stallNone {
-		return !u.known || u.capacity == 0
+		return !u.reported || u.capacity == 0
 	}
 	return !g.trialDue(now)
 }
 
-// trialDue tells whether a hung upstream may be tried now.
+// trialDue reports whether a hung upstream may get a trial attempt now.
 func (g *Gate) trialDue(now time.Duration) bool {
 	u := &g.upstream
 	if u.stall != stallHung {
 		return false
 	}
-	return now >= u.trialAt && u.missing < silentReports && len(g.running) == 0 && g.queue.size == 0
+	return now >= u.trialAt && u.missedReports < maxMissedReports && len(g.running) == 0 && g.queue.size == 0
 }
 
-// room returns how many attempts may be at the upstream at once.
-func (g *Gate) room(now time.Duration) int {
+// concurrencyLimit returns how many attempts may run at the upstream at once.
+func (g *Gate) concurrencyLimit(now time.Duration) int {
 	u := &g.upstream
 	switch u.stall {
 	case stallNone:
 		return u.capacity
 	case stallHung:
-		return g.trialRoom(now)
+		return g.trialLimit(now)
 	}
 	return 0
 }
 
-// trialRoom lets one attempt through to a hung upstream when a trial is due.
-func (g *Gate) trialRoom(now time.Duration) int {
+// trialLimit returns 1 and begins a trial if a trial of a hung upstream is due and an
+// attempt waits; otherwise it returns 0.
+func (g *Gate) trialLimit(now time.Duration) int {
 	u := &g.upstream
 	if now < u.trialAt || len(g.running) > 0 || g.queue.size == 0 {
 		return 0
 	}
-	u.trying = true
+	u.inTrial = true
 	return 1
 }
 
-// retryAfter returns when a stalled upstream may take work again.
+// retryAfter returns the time until a stalled upstream may accept work again.
 func (u *upstreamState) retryAfter(now time.Duration) time.Duration {
 	return max(u.trialAt-now, 0)
 }
 
-// describe says why the upstream counts as stalled.
-func (u *upstreamState) describe() string {
+// stallDetail returns the reason why the upstream counts as stalled.
+func (u *upstreamState) stallDetail() string {
 	if u.stall == stallNone {
 		return "the upstream has not reported yet"
 	}
