--- a/core/chart/bench_test.go
+++ b/core/chart/bench_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// BenchmarkFire measures one event of a running request's chart.
+// BenchmarkFire measures one event of the chart of a stage call.
 func BenchmarkFire(b *testing.B) {
 	machine := MustLoad("stage_call").StartAt("receiving", "u")
 	b.ReportAllocs()
--- a/core/chart/chart.go
+++ b/core/chart/chart.go
@@ -1,7 +1,7 @@
 // Package chart interprets the state charts of acaciawinch. A chart is a TOML
 // file in charts/; it is embedded in the binary and loaded into a state-machine
-// library. An event that a chart does not allow in the present state is an error
-// with step and peer, never ignored.
+// library. An event that a chart does not allow in the current state is never
+// ignored: it causes an error with step and peer.
 package chart
 
 import (
@@ -15,18 +15,18 @@
 // State names a state of a chart.
 type State string
 
-// Event names what moves a machine from one state to another.
+// Event names an event that causes a transition.
 type Event string
 
 // StateSpec describes one state.
 type StateSpec struct {
 	Name  State  `toml:"name"`
 	Means string `toml:"means"`
-	// Final marks a state that nothing leaves.
+	// Final marks a state without outgoing transitions.
 	Final bool `toml:"final"`
 }
 
-// Transition describes one move.
+// Transition describes one transition between states.
 type Transition struct {
 	From  State  `toml:"from"`
 	Event Event  `toml:"event"`
@@ -34,8 +34,7 @@
 	Means string `toml:"means"`
 }
 
-// Chart is one state chart. It does not change, and may be used by many
-// goroutines.
+// Chart is one state chart. It is immutable and safe for concurrent use.
 type Chart struct {
 	Name        string       `toml:"name"`
 	Means       string       `toml:"means"`
@@ -43,28 +42,29 @@
 	States      []StateSpec  `toml:"state"`
 	Transitions []Transition `toml:"transition"`
 
-	// shared is configured once. The state of each Machine is outside it and
-	// reaches it by the context of a call, so that a Machine costs two words.
+	// shared is configured once for all machines. It gets the state of a Machine
+	// through the context of a call, so that a Machine needs only two
+	// words for its state.
 	shared *stateless.StateMachine
 	final  map[State]bool
 }
 
-// Machine is one thing that goes through a chart. It is for one goroutine at a
-// time.
+// Machine is one instance of a chart, with its current state. It is not safe for
+// concurrent use.
 type Machine struct {
 	chart *Chart
 	peer  string
 	state State
 }
 
-// Start returns a machine in the chart's initial state. Peer names what the
-// machine is about or talks to, for errors.
+// Start returns a machine in the chart's initial state. The argument peer names the
+// machine's subject or its remote end, for errors.
 func (c *Chart) Start(peer string) *Machine {
 	return &Machine{chart: c, peer: peer, state: c.Initial}
 }
 
-// StartAt returns a machine in a given state. It panics if the chart has no such
-// state, which is a mistake in the calling code.
+// StartAt returns a machine in the given state. It panics if the chart has no such
+// state, which is a bug in the calling code.
 func (c *Chart) StartAt(state State, peer string) *Machine {
 	if _, ok := c.final[state]; !ok {
 		panic("chart " + c.Name + " has no state " + string(state))
@@ -72,41 +72,41 @@
 	return &Machine{chart: c, peer: peer, state: state}
 }
 
-// State returns the present state.
+// State returns the current state.
 func (m *Machine) State() State { return m.state }
 
-// Final tells whether nothing leaves the present state.
+// Final reports whether the current state is final.
 func (m *Machine) Final() bool { return m.chart.final[m.state] }
 
-// Fire takes an event. If the chart does not allow it in the present state, the
-// state stays and the error, of code Internal, names chart, state and event as
-// its step.
+// Fire applies an event. If the chart does not allow it in the current state, the
+// state is unchanged and Fire returns an error of code Internal, with chart and
+// state as its step and the event in its text.
 func (m *Machine) Fire(event Event) error {
 	ctx := context.WithValue(context.Background(), machineKey{}, m)
 	return m.chart.shared.FireCtx(ctx, event)
 }
 
-// Allows tells whether the event may be fired in the present state.
+// Allows reports whether the chart allows the event in the current state.
 func (m *Machine) Allows(event Event) bool {
 	ctx := context.WithValue(context.Background(), machineKey{}, m)
 	allowed, err := m.chart.shared.CanFireCtx(ctx, event)
 	return err == nil && allowed
 }
 
-// machineKey is the context key of the machine that an event is fired at.
+// machineKey is the context key of the machine that gets an event.
 type machineKey struct{}
 
-// machineOf returns the machine that an event is fired at.
-func machineOf(ctx context.Context) *Machine {
+// machineFrom returns the machine stored in ctx.
+func machineFrom(ctx context.Context) *Machine {
 	return ctx.Value(machineKey{}).(*Machine)
 }
 
 // configure loads the chart into the state-machine library. Charts have neither
-// guards nor actions, so an event is a plain look-up, and calls of different
-// machines can't disturb each other.
+// guards nor actions, so an event is a plain lookup, and calls for different
+// machines can't affect each other.
 func (c *Chart) configure() {
 	c.shared = stateless.NewStateMachineWithExternalStorage(loadState, storeState, stateless.FiringImmediate)
-	c.shared.OnUnhandledTrigger(c.refuse)
+	c.shared.OnUnhandledTrigger(c.rejectEvent)
 	c.final = make(map[State]bool, len(c.States))
 	for _, state := range c.States {
 		c.final[state.Name] = state.Final
@@ -122,19 +122,19 @@
 	}
 }
 
-// loadState reads the state of the machine in ctx for the library.
+// loadState returns the state of the machine in ctx to the library.
 func loadState(ctx context.Context) (stateless.State, error) {
-	return machineOf(ctx).state, nil
+	return machineFrom(ctx).state, nil
 }
 
-// storeState writes the state of the machine in ctx for the library.
+// storeState sets the state of the machine in ctx for the library.
 func storeState(ctx context.Context, state stateless.State) error {
-	machineOf(ctx).state = state.(State)
+	machineFrom(ctx).state = state.(State)
 	return nil
 }
 
-// refuse is the answer to an event that the chart does not allow.
-func (c *Chart) refuse(ctx context.Context, state stateless.State, event stateless.Trigger, _ []string) error {
+// rejectEvent returns the error for an event that the chart does not allow.
+func (c *Chart) rejectEvent(ctx context.Context, state stateless.State, event stateless.Trigger, _ []string) error {
 	step := c.Name + "." + string(state.(State))
-	return fault.New(fault.Internal, step, machineOf(ctx).peer, "the chart does not allow event %q here", event)
+	return fault.New(fault.Internal, step, machineFrom(ctx).peer, "the chart does not allow event %q in this state", event)
 }
--- a/core/chart/chart_test.go
+++ b/core/chart/chart_test.go
@@ -10,7 +10,7 @@
 	"acaciawinch/core/fault"
 )
 
-// allNames are the charts that the system is designed around.
+// allNames lists the charts that must exist.
 var allNames = []string{"claim", "config_change", "process", "request", "stage_call", "upstream"}
 
 func TestChartsAreComplete(t *testing.T) {
@@ -19,9 +19,9 @@
 	assert.DeepEqual(t, Names(), allNames)
 }
 
-// TestWalk walks every chart: it reaches each state by events alone, takes each
-// transition, and fires each event in each state that does not allow it.
-func TestWalk(t *testing.T) {
+// TestEveryEventInEveryState reaches each state of every chart by events alone,
+// takes each transition, and fires each event in each state that does not allow it.
+func TestEveryEventInEveryState(t *testing.T) {
 	for _, name := range Names() {
 		chart := MustLoad(name)
 		events := make(map[Event]bool)
@@ -32,14 +32,15 @@
 			machine := reach(t, chart, state.Name)
 			assert.Equal(t, machine.Final(), state.Final)
 			for event := range events {
-				walk(t, chart, state.Name, event)
+				checkEvent(t, chart, state.Name, event)
 			}
 		}
 	}
 }
 
-// walk fires one event in one state and compares with the chart's file.
-func walk(t *testing.T, chart *Chart, from State, event Event) {
+// checkEvent fires one event in one state and compares the result with the chart's
+// transitions.
+func checkEvent(t *testing.T, chart *Chart, from State, event Event) {
 	t.Helper()
 	machine := reach(t, chart, from)
 	for _, transition := range chart.Transitions {
@@ -51,14 +52,14 @@
 		}
 	}
 	assert.Assert(t, !machine.Allows(event))
-	var refused *fault.Error
-	assert.Assert(t, errors.As(machine.Fire(event), &refused), "%s allows %s in %s", chart.Name, event, from)
-	assert.Equal(t, refused.Step, chart.Name+"."+string(from))
-	assert.Equal(t, refused.Peer, "peer-1")
+	var rejected *fault.Error
+	assert.Assert(t, errors.As(machine.Fire(event), &rejected), "%s allows %s in %s", chart.Name, event, from)
+	assert.Equal(t, rejected.Step, chart.Name+"."+string(from))
+	assert.Equal(t, rejected.Peer, "peer-1")
 	assert.Equal(t, machine.State(), from)
 }
 
-// reach returns a machine that came to a state by a path of events.
+// reach returns a machine that reached the given state by a path of events.
 func reach(t *testing.T, chart *Chart, to State) *Machine {
 	t.Helper()
 	path, ok := chart.Path(to)
@@ -71,31 +72,31 @@
 	return machine
 }
 
-// TestBrokenChartsAreRefused shows that each rule of the check can fail.
-func TestBrokenChartsAreRefused(t *testing.T) {
+// TestInvalidChartsAreRejected shows that each rule of the validation can fail.
+func TestInvalidChartsAreRejected(t *testing.T) {
 	head := "name = \"x\"\nmeans = \"m\"\ninitial = \"a\"\n"
 	stateA := "[[state]]\nname = \"a\"\nmeans = \"m\"\n"
 	stateB := "[[state]]\nname = \"b\"\nmeans = \"m\"\nfinal = true\n"
-	move := func(from, event, to string) string {
+	transition := func(from, event, to string) string {
 		return "[[transition]]\nfrom = \"" + from + "\"\nevent = \"" + event + "\"\nto = \"" + to + "\"\nmeans = \"m\"\n"
 	}
-	good := head + stateA + stateB + move("a", "go", "b")
+	good := head + stateA + stateB + transition("a", "go", "b")
 	_, err := parse("x.toml", []byte(good))
 	assert.NilError(t, err)
-	broken := map[string]string{
+	invalid := map[string]string{
 		"unknown key":           "colour = \"red\"\n" + good,
-		"the name is":           good[len("name = \"x\"\n"):],
-		"not a state":           head + stateB,
-		"stands twice":          good + stateA,
-		"names no state":        good + move("a", "jump", "c"),
-		"leaves the final":      good + move("b", "back", "a"),
-		"event \"go\" in state": good + move("a", "go", "a"),
-		"can't be reached":      good + "[[state]]\nname = \"c\"\nmeans = \"m\"\nfinal = true\n",
-		"nothing leaves it":     head + stateA,
-		"lacks an event":        good + move("a", "", "b"),
+		"differs from":          good[len("name = \"x\"\n"):],
+		"does not exist":        head + stateB,
+		"is defined twice":      good + stateA,
+		"an unknown state":      good + transition("a", "jump", "c"),
+		"leaves the final":      good + transition("b", "back", "a"),
+		"event \"go\" in state": good + transition("a", "go", "a"),
+		"is unreachable":        good + "[[state]]\nname = \"c\"\nmeans = \"m\"\nfinal = true\n",
+		"no transition leaves":  head + stateA,
+		"lacks an event":        good + transition("a", "", "b"),
 		"lacks a name":          good + "[[state]]\nname = \"c\"\n",
 	}
-	for want, text := range broken {
+	for want, text := range invalid {
 		_, err := parse("x.toml", []byte(text))
 		assert.ErrorContains(t, err, want)
 		assert.Assert(t, fault.Is(err, fault.Invalid))
--- a/core/chart/diagram.go
+++ b/core/chart/diagram.go
@@ -37,7 +37,8 @@
 	return b.String()
 }
 
-// Page returns docs/CHARTS.md: all charts by name.
+// Page returns the text of docs/CHARTS.md: the sections of all charts, sorted by
+// name.
 func Page() string {
 	var b strings.Builder
 	b.WriteString("# State charts\n\n")
--- a/core/chart/load.go
+++ b/core/chart/load.go
@@ -13,17 +13,17 @@
 )
 
 //go:embed charts/*.toml
-var files embed.FS
+var chartFiles embed.FS
 
-// folder holds the embedded charts.
-const folder = "charts"
+// chartDir is the directory of the embedded charts.
+const chartDir = "charts"
 
-// loaded holds all charts by name. They are read once: they are part of the
-// binary, so a second reading could find nothing else.
+// loaded returns all charts by name. They are parsed once, because they are part of
+// the binary and can't change.
 var loaded = sync.OnceValues(loadAll)
 
-// Load returns the chart of a name. Errors have code NotFound, or Invalid if any
-// embedded chart breaks a rule.
+// Load returns the chart with the given name. Errors have code NotFound, or Invalid
+// if any embedded chart is invalid.
 func Load(name string) (*Chart, error) {
 	charts, err := loaded()
 	if err != nil {
@@ -36,8 +36,8 @@
 	return chart, nil
 }
 
-// MustLoad returns the chart of a name and panics if it can't: the charts are
-// part of the binary, and a test loads all of them.
+// MustLoad returns the chart with the given name and panics on an error: the charts
+// are part of the binary, and a test loads all of them.
 func MustLoad(name string) *Chart {
 	chart, err := Load(name)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return chart
 }
 
-// Names returns the names of all charts, sorted.
+// Names returns the sorted names of all charts, or nil if they can't be loaded.
 func Names() []string {
 	charts, err := loaded()
 	if err != nil {
@@ -60,15 +60,15 @@
 	return names
 }
 
-// loadAll reads every embedded chart.
+// loadAll parses every embedded chart.
 func loadAll() (map[string]*Chart, error) {
-	entries, err := files.ReadDir(folder)
+	entries, err := chartFiles.ReadDir(chartDir)
 	if err != nil {
 		return nil, fault.Wrap(fault.Internal, "chart.load", "", err)
 	}
 	charts := make(map[string]*Chart, len(entries))
 	for _, entry := range entries {
-		data, err := files.ReadFile(path.Join(folder, entry.Name()))
+		data, err := chartFiles.ReadFile(path.Join(chartDir, entry.Name()))
 		if err != nil {
 			return nil, fault.Wrap(fault.Internal, "chart.load", "", err)
 		}
@@ -81,7 +81,8 @@
 	return charts, nil
 }
 
-// parse reads and checks one chart. Errors have code Invalid and name the file.
+// parse decodes and validates one chart. Errors have code Invalid and name the
+// file.
 func parse(file string, data []byte) (*Chart, error) {
 	chart := &Chart{}
 	meta, err := toml.Decode(string(data), chart)
@@ -92,7 +93,7 @@
 		return nil, fault.New(fault.Invalid, "chart.parse", "", "%s: unknown key %s", file, unknown[0])
 	}
 	if chart.Name != strings.TrimSuffix(file, ".toml") {
-		return nil, fault.New(fault.Invalid, "chart.parse", "", "%s: the name is %q", file, chart.Name)
+		return nil, fault.New(fault.Invalid, "chart.parse", "", "%s: the chart's name %q differs from the file's", file, chart.Name)
 	}
 	if problem := chart.check(); problem != "" {
 		return nil, fault.New(fault.Invalid, "chart.parse", "", "%s: %s", file, problem)
