--- a/core/claim/actor_test.go
+++ b/core/claim/actor_test.go
@@ -11,32 +11,34 @@
 	"acaciawinch/core/claim"
 )
 
-// rules keep worlds small; some results are too large for their record.
+// rules has small limits, so that interleavings are short and some results are too
+// large for their record.
 var rules = claim.Rules{Patience: 1, MaxPatience: 4, MaxRounds: 4, MaxReads: 6, RetryAfter: 1, MaxResultBytes: 9}
 
-// actor is one request at one entry. Every step of it is one effect or one
-// reception of an answer, so that anything may happen in between.
+// actor is one request at one entry. Each of its steps is either one effect or the
+// receipt of one response, so that any other event may happen in between.
 type actor struct {
 	w       *world
-	ask     claim.Ask
-	look    bool
+	spec    claim.Ask
+	lookup  bool
 	rng     *rand.Rand
 	machine *claim.Machine
 	finish  *claim.Finishing
-	// answer is the reception that the next step makes.
-	answer func()
-	// owned is the claim to dispatch or that was dispatched.
-	owned     claim.Record
-	version   uint64
-	sent      bool
-	silent    bool
-	running   bool
-	releasing bool
-	over      bool
-	status    claim.Status
+	// receive passes on the response that the next step receives; nil if none.
+	receive func()
+	// owned is the claim whose attempt is to be dispatched or was dispatched.
+	owned      claim.Record
+	version    uint64
+	sent       bool
+	noResponse bool
+	running    bool
+	releasing  bool
+	ended      bool
+	status     claim.Status
 }
 
-// newActor starts an ask for one of two keys, through the chooser.
+// newActor returns an actor that opens or looks up the claim of one of two keys, as
+// w.pick chooses.
 func newActor(w *world) *actor {
 	w.started++
 	request := core.RequestID(fmt.Sprintf("r%d", w.started))
@@ -47,55 +49,56 @@
 	}
 	id := claim.Identity{Workspace: "w", Pipeline: "p", Key: key, Stage: "s"}
 	a := &actor{w: w, rng: rand.New(rand.NewPCG(uint64(w.started), uint64(w.pick("rng", 1<<16))))}
-	a.ask = claim.Ask{Identity: id, Request: request, Attempt: 1, Target: w.probe(w.pick("target", 2)), Minted: minted}
-	if w.broken == noMintedRule {
-		a.ask.Minted = true
+	a.spec = claim.Ask{Identity: id, Request: request, Attempt: 1, Target: w.probe(w.pick("target", 2)), Minted: minted}
+	if w.disabled == noMintedRule {
+		a.spec.Minted = true
 	}
-	looks := 6
-	if w.broken == noEpoch {
-		// The violation needs a look and two rivals: more looks find it sooner.
-		looks = 2
+	lookupOdds := 6
+	if w.disabled == noEpoch {
+		// The violation needs a lookup and two competing requests: with more lookups
+		// the search finds it sooner.
+		lookupOdds = 2
 	}
-	a.look = !minted && w.pick("look", looks) == looks-1
-	if a.look {
+	a.lookup = !minted && w.pick("look", lookupOdds) == lookupOdds-1
+	if a.lookup {
 		a.machine = claim.Look(id, rules, a.rng)
 		return a
 	}
-	a.machine = claim.Open(a.ask, rules, a.rng)
+	a.machine = claim.Open(a.spec, rules, a.rng)
 	return a
 }
 
-// step makes the actor's next step.
 func (a *actor) step() {
 	switch {
-	case a.answer != nil:
-		receive := a.answer
-		a.answer = nil
+	case a.receive != nil:
+		receive := a.receive
+		a.receive = nil
 		receive()
 	case a.machine != nil:
-		a.protocol()
+		a.stepMachine()
 	case a.finish != nil:
-		a.record()
+		a.stepFinish()
 	case !a.sent:
 		a.dispatch()
-	case a.silent:
-		a.askOwn()
+	case a.noResponse:
+		a.resolveOwn()
 	case a.running:
-		a.await()
+		a.pollResult()
 	default:
-		a.over = true
+		a.ended = true
 	}
 }
 
-// protocol makes one call of the claim machine; the answer is received later.
-func (a *actor) protocol() {
+// stepMachine makes one call of the claim machine. The response is received in the
+// next step.
+func (a *actor) stepMachine() {
 	if a.w.chance("give up", 60) {
 		a.machine.GiveUp()
 	}
 	step := a.machine.Next()
 	switch step.Call {
 	case claim.CallNone:
-		a.decided()
+		a.handleVerdict()
 	case claim.CallCreate, claim.CallUpdate:
 		a.write(step)
 	case claim.CallRead:
@@ -103,102 +106,102 @@
 	case claim.CallWait:
 		a.check(a.machine.Waited())
 	case claim.CallResolve:
-		answer := a.w.resolve(step.Record)
-		a.answer = func() { a.check(a.machine.Resolved(answer)) }
+		response := a.w.resolve(step.Record)
+		a.receive = func() { a.check(a.machine.Resolved(response)) }
 	}
 }
 
-// write makes a conditional write.
+// write makes a conditional write of the claim object.
 func (a *actor) write(step claim.Step) {
-	if a.look && a.w.broken == noAbandon {
-		a.answer = func() { a.check(a.machine.Wrote(claim.WriteOK, step.Version+1)) }
+	if a.lookup && a.w.disabled == noAbandon {
+		a.receive = func() { a.check(a.machine.Wrote(claim.WriteOK, step.Version+1)) }
 		return
 	}
-	answer, version := a.w.write(step)
-	a.answer = func() { a.check(a.machine.Wrote(answer, version)) }
+	response, version := a.w.write(step)
+	a.receive = func() { a.check(a.machine.Wrote(response, version)) }
 }
 
 // read reads the claim object.
 func (a *actor) read(step claim.Step) {
 	found, exists := a.w.objects[a.w.name(step)]
-	if a.w.broken == noIdentity {
-		found.record.Identity = a.ask.Identity
+	if a.w.disabled == noIdentity {
+		found.record.Identity = a.spec.Identity
 	}
-	if a.w.broken == noEpoch {
+	if a.w.disabled == noEpoch {
 		found.record.Epoch = 0
 	}
 	switch {
 	case a.w.down || a.w.chance("read fault", 10):
-		a.answer = func() { a.check(a.machine.Unreadable()) }
+		a.receive = func() { a.check(a.machine.Unreadable()) }
 	case !exists:
-		a.answer = func() { a.check(a.machine.Missing()) }
+		a.receive = func() { a.check(a.machine.Missing()) }
 	default:
-		a.answer = func() { a.check(a.machine.Found(found.record, found.version)) }
+		a.receive = func() { a.check(a.machine.Found(found.record, found.version)) }
 	}
 }
 
-// check fails the world if the protocol was broken.
+// check records a violation and ends the actor if err is not nil.
 func (a *actor) check(err error) {
 	if err != nil {
-		a.w.fail("%s: %v", a.ask.Request, err)
-		a.over = true
+		a.w.fail("%s: %v", a.spec.Request, err)
+		a.ended = true
 	}
 }
 
-// decided acts on the machine's verdict and checks it against the ledger.
-func (a *actor) decided() {
+// handleVerdict acts on the machine's verdict and checks it against the ledger.
+func (a *actor) handleVerdict() {
 	verdict := a.machine.Verdict()
 	a.machine = nil
 	a.status = verdict.Status
-	a.cover(verdict.Trail)
-	ran := a.w.ledger[a.ask.Key]
+	a.recordTrail(verdict.Trail)
+	ran := a.w.ledger[a.spec.Key]
 	if verdict.KeyNotRun && verdict.Status != claim.NotRun && len(ran) > 0 {
-		a.w.fail("%s was told %s as not run, but %v ran", a.ask.Request, verdict.Status, ran)
+		a.w.fail("%s got the verdict %s and the key as not run, but %v ran", a.spec.Request, verdict.Status, ran)
 	}
 	switch verdict.Status {
 	case claim.Mine:
 		a.owned, a.version = verdict.Record, verdict.Version
-		a.sent, a.silent, a.running = false, false, false
+		a.sent, a.noResponse, a.running = false, false, false
 		a.releasing = a.w.chance("release", 12)
 		return
 	case claim.Unavailable:
-		a.w.neverRuns[a.ask.Request] = "unavailable"
+		a.w.toldNotRun[a.spec.Request] = "unavailable"
 	case claim.NotRun:
-		told := a.ask.Request
-		if a.look {
-			told = verdict.Record.Request
+		request := a.spec.Request
+		if a.lookup {
+			request = verdict.Record.Request
 		}
-		a.w.neverRuns[told] = "not_run"
+		a.w.toldNotRun[request] = "not_run"
 	case claim.Done:
 		a.checkResult(verdict.Chunks)
 	case claim.Running:
-		// The real gate has a queue: there, running includes waiting.
+		// The real gate has a queue, and reports attempts in the queue as running.
 		_, queues := a.w.side(verdict.Record.Target).(*gateSide)
 		if len(ran) == 0 && !queues {
-			a.w.fail("%s was told running, but nothing ran", a.ask.Request)
+			a.w.fail("%s got the verdict running, but nothing ran", a.spec.Request)
 		}
 	}
-	a.over = true
+	a.ended = true
 }
 
-// cover notes the transitions of the claim chart that were taken.
-func (a *actor) cover(trail []chart.Event) {
+// recordTrail records the transitions of the claim chart that trail takes.
+func (a *actor) recordTrail(trail []chart.Event) {
 	walker := chart.MustLoad("claim").Start("")
 	for _, event := range trail {
-		a.w.taken[string(walker.State())+" "+string(event)] = true
+		a.w.transitions[string(walker.State())+" "+string(event)] = true
 		a.check(walker.Fire(event))
 	}
 }
 
-// checkResult fails the world if a result is not that of the actor's own key.
+// checkResult records a violation if a result is not that of the actor's own key.
 func (a *actor) checkResult(chunks [][]byte) {
 	got := string(bytes.Join(chunks, nil))
-	if !strings.HasPrefix(got, a.ask.Key+":") {
-		a.w.fail("%s of %s was given the result %q", a.ask.Request, a.ask.Key, got)
+	if !strings.HasPrefix(got, a.spec.Key+":") {
+		a.w.fail("%s of %s was given the result %q", a.spec.Request, a.spec.Key, got)
 	}
 }
 
-// dispatch sends the owned attempt to its side, once.
+// dispatch sends the owned attempt to its sidecar, once.
 func (a *actor) dispatch() {
 	if a.releasing {
 		a.releasing = false
@@ -207,13 +210,13 @@
 	}
 	a.sent = true
 	if a.w.chance("dispatch fault", 3) {
-		a.silent = true
+		a.noResponse = true
 		switch a.w.pick("dispatch fate", 3) {
 		case 0:
 			a.w.side(a.owned.Target).run(a.w, a.owned)
 		case 1:
 			sent := a.owned
-			a.w.late = append(a.w.late, message{run: &sent})
+			a.w.delayed = append(a.w.delayed, message{run: &sent})
 		}
 		return
 	}
@@ -223,35 +226,35 @@
 	case refused:
 		a.reassign()
 	default:
-		a.over = true
+		a.ended = true
 	}
 }
 
-// reassign follows a proof that the owned attempt has not run.
+// reassign replaces the owned attempt, after proof that it has not run.
 func (a *actor) reassign() {
 	a.machine = claim.Reassign(a.owned, a.version, a.w.probe(a.w.pick("target", 2)), rules, a.rng)
 }
 
-// askOwn finds out what became of a dispatch that was not answered.
-func (a *actor) askOwn() {
-	answer := a.w.resolve(a.owned)
-	a.silent = false
-	if answer.Incarnation != a.owned.Target.Incarnation {
-		a.over = true
+// resolveOwn queries the outcome of a dispatch that got no response.
+func (a *actor) resolveOwn() {
+	response := a.w.resolve(a.owned)
+	a.noResponse = false
+	if response.Incarnation != a.owned.Target.Incarnation {
+		a.ended = true
 		return
 	}
-	switch answer.State {
+	switch response.State {
 	case claim.SideNotRun:
 		a.reassign()
 	case claim.SideRunning, claim.SideDone:
 		a.running = true
 	default:
-		a.over = true
+		a.ended = true
 	}
 }
 
-// await takes the result of the running attempt once the side has it.
-func (a *actor) await() {
+// pollResult takes the result of the running attempt once the sidecar has it.
+func (a *actor) pollResult() {
 	switch a.w.side(a.owned.Target).follow(a.owned) {
 	case claim.SideRunning:
 	case claim.SideNotRun:
@@ -261,21 +264,21 @@
 		a.checkResult(resultOf(a.owned))
 		a.finish = claim.Finish(a.owned, a.version, resultOf(a.owned), rules)
 	default:
-		a.over = true
+		a.ended = true
 	}
 }
 
-// record makes one call of the recording of the result.
-func (a *actor) record() {
+// stepFinish makes one call that records the result.
+func (a *actor) stepFinish() {
 	step := a.finish.Next()
 	found, exists := a.w.objects[a.w.name(step)]
 	switch {
 	case step.Call == claim.CallNone:
 		a.finish = nil
-		a.over = true
+		a.ended = true
 	case step.Call == claim.CallUpdate:
-		answer, _ := a.w.write(step)
-		a.answer = func() { a.finish.Wrote(answer) }
+		response, _ := a.w.write(step)
+		a.receive = func() { a.finish.Wrote(response) }
 	case a.w.down:
 		a.finish.Unreadable()
 	case !exists:
--- a/core/claim/ask.go
+++ b/core/claim/ask.go
@@ -12,17 +12,17 @@
 	Request core.RequestID
 	Attempt uint32
 	Target  Target
-	// Minted is set if the entry made the key itself, so that no other request
-	// can have it.
+	// Minted is set if the entry generated the key itself, so that no other
+	// request can have it.
 	Minted bool
-	// DispatchWithin is how soon after the claim the stage will be dispatched,
-	// as the asker expects; zero if at once.
+	// DispatchWithin is the time after which the caller expects to dispatch the
+	// claimed stage; zero means immediately.
 	DispatchWithin time.Duration
 	// NowUnix is the wall clock in seconds, for expiry only.
 	NowUnix int64
 }
 
-// record returns the record of the ask's first attempt.
+// record returns an open record for the described attempt.
 func (a Ask) record(nonce uint64) Record {
 	return Record{
 		Identity:         a.Identity,
@@ -37,28 +37,28 @@
 	}
 }
 
-// Rules are the bounds of the protocol. The zero value is not usable; see
+// Rules are the limits of the protocol. The zero value is not usable; see
 // DefaultRules.
 type Rules struct {
-	// Patience is the least time that an open claim of another request is given
-	// before its side is asked, because the question has the attempt refused if
-	// it was not dispatched yet. It doubles with each further round.
+	// Patience is the minimum wait before the sidecar of another request's open
+	// claim is queried: Resolve makes the sidecar refuse an attempt that was not
+	// dispatched yet. It doubles with each further round.
 	Patience time.Duration
-	// MaxPatience bounds each wait, the owner's announced time included.
+	// MaxPatience bounds each wait, also one for the owner's DispatchWithin.
 	MaxPatience time.Duration
-	// MaxRounds bounds how often another request's claim is met before the
-	// verdict is Unknown.
+	// MaxRounds bounds how often an open claim of another request is found before
+	// the verdict is Unknown.
 	MaxRounds int
-	// MaxReads bounds how often the claim is read after lost answers.
+	// MaxReads bounds how often the claim is read after lost responses.
 	MaxReads int
-	// RetryAfter is what verdicts tell that may change by themselves.
+	// RetryAfter is set in verdicts that may change without a further request.
 	RetryAfter time.Duration
 	// MaxResultBytes is the largest result that a record holds.
 	MaxResultBytes int
 }
 
-// DefaultRules returns the bounds used in production. 512 KiB of result are at
-// most 700 KB in the record's base64, below the store's 1 MB.
+// DefaultRules returns the limits used in production. A result of 512 KiB takes
+// at most 700 KB in the record's base64, below the store's limit of 1 MB.
 func DefaultRules() Rules {
 	return Rules{
 		Patience:       25 * time.Millisecond,
--- a/core/claim/bench_test.go
+++ b/core/claim/bench_test.go
@@ -6,10 +6,10 @@
 	"acaciawinch/core/claim"
 )
 
-// BenchmarkOpen measures the decisions of one claim that meets no fault, with the
+// BenchmarkOpen measures the decisions of one claim without faults, including the
 // encoding of its record.
 func BenchmarkOpen(b *testing.B) {
-	a, rng := ask("k", "body")
+	a, rng := newAttempt("k", "body")
 	rules := claim.DefaultRules()
 	b.ReportAllocs()
 	for b.Loop() {
--- a/core/claim/claim_test.go
+++ b/core/claim/claim_test.go
@@ -11,15 +11,17 @@
 	"acaciawinch/core/fault"
 )
 
-// ask returns an ask with a body and its random source.
-func ask(key, body string) (claim.Ask, *rand.Rand) {
+// newAttempt returns the description of an attempt with the given key and body, and
+// a random source.
+func newAttempt(key, body string) (claim.Ask, *rand.Rand) {
 	id := claim.Identity{Workspace: "w", Pipeline: "p", Key: key, Stage: "s", BodyDigest: claim.DigestBody([]byte(body))}
 	target := claim.Target{Upstream: "u", Addr: "127.0.0.1:1", Incarnation: 7, SideClockUS: 3}
 	return claim.Ask{Identity: id, Request: "r", Attempt: 1, Target: target, NowUnix: 100}, rand.New(rand.NewPCG(1, 2))
 }
 
-// met returns a machine that met an existing claim and awaits the read.
-func met(t *testing.T, a claim.Ask, rng *rand.Rand) *claim.Machine {
+// openConflicted returns a machine whose create conflicted with an existing claim
+// and that expects the result of the read.
+func openConflicted(t *testing.T, a claim.Ask, rng *rand.Rand) *claim.Machine {
 	t.Helper()
 	m := claim.Open(a, claim.DefaultRules(), rng)
 	assert.Equal(t, m.Next().Call, claim.CallCreate)
@@ -29,35 +31,35 @@
 }
 
 func TestSameKeyWithAnotherBodyIsInvalid(t *testing.T) {
-	first, rng := ask("k", "body")
-	second, _ := ask("k", "other body")
+	first, rng := newAttempt("k", "body")
+	second, _ := newAttempt("k", "other body")
 	assert.Equal(t, first.Name(), second.Name())
 	written := claim.Open(first, claim.DefaultRules(), rng).Next().Record
-	m := met(t, second, rng)
+	m := openConflicted(t, second, rng)
 	err := m.Found(written, 1)
 	assert.Assert(t, fault.Is(err, fault.Invalid))
 	assert.Equal(t, m.Next().Call, claim.CallNone)
 	assert.Equal(t, m.Verdict().Status, claim.Invalid)
 }
 
-func TestAnotherKeysRecordIsNeverTaken(t *testing.T) {
-	first, rng := ask("k", "body")
-	second, _ := ask("other", "body")
+func TestRecordOfAnotherKeyIsRejected(t *testing.T) {
+	first, rng := newAttempt("k", "body")
+	second, _ := newAttempt("other", "body")
 	assert.Assert(t, first.Name() != second.Name())
 	done := claim.Open(first, claim.DefaultRules(), rng).Next().Record
 	done.State = claim.StateDone
 	done.Result = claim.NewResult([][]byte{[]byte("mine")}, 100)
-	m := met(t, second, rng)
+	m := openConflicted(t, second, rng)
 	assert.Assert(t, fault.Is(m.Found(done, 1), fault.Internal))
 	assert.Equal(t, len(m.Verdict().Chunks), 0)
 }
 
 func TestDeletedClaimIsUnknown(t *testing.T) {
-	a, rng := ask("k", "body")
+	a, rng := newAttempt("k", "body")
 	other := a
 	other.Request = "r2"
 	written := claim.Open(other, claim.DefaultRules(), rng).Next().Record
-	m := met(t, a, rng)
+	m := openConflicted(t, a, rng)
 	assert.NilError(t, m.Found(written, 1))
 	assert.NilError(t, m.Waited())
 	assert.NilError(t, m.Resolved(claim.SideAnswer{State: claim.SideNotRun, Incarnation: 7}))
@@ -66,8 +68,8 @@
 	assert.Equal(t, m.Verdict().Status, claim.Unknown)
 }
 
-func TestAnswerThatIsNotAwaited(t *testing.T) {
-	a, rng := ask("k", "body")
+func TestUnexpectedResponseIsAnInternalError(t *testing.T) {
+	a, rng := newAttempt("k", "body")
 	m := claim.Open(a, claim.DefaultRules(), rng)
 	assert.Assert(t, fault.Is(m.Waited(), fault.Internal))
 	assert.Assert(t, fault.Is(m.Missing(), fault.Internal))
@@ -79,16 +81,16 @@
 
 func TestRecordFitsTheStore(t *testing.T) {
 	rules := claim.DefaultRules()
-	a, rng := ask("k", "body")
+	a, rng := newAttempt("k", "body")
 	record := claim.Open(a, rules, rng).Next().Record
 	record.Result = claim.NewResult([][]byte{make([]byte, rules.MaxResultBytes)}, rules.MaxResultBytes)
 	assert.Assert(t, !record.Result.Omitted)
 	value, err := record.Encode()
 	assert.NilError(t, err)
 	assert.Assert(t, len(value) < 1<<20)
-	back, err := claim.Decode(value)
+	decoded, err := claim.Decode(value)
 	assert.NilError(t, err)
-	assert.Assert(t, reflect.DeepEqual(back, record))
+	assert.Assert(t, reflect.DeepEqual(decoded, record))
 	larger := claim.NewResult([][]byte{make([]byte, rules.MaxResultBytes), {1}}, rules.MaxResultBytes)
 	assert.Assert(t, larger.Omitted && len(larger.Chunks) == 0 && larger.Count == 2)
 }
--- a/core/claim/events.go
+++ b/core/claim/events.go
@@ -5,10 +5,10 @@
 	"acaciawinch/core/fault"
 )
 
-// claimChart is the state chart that every Machine goes through.
+// claimChart is the state chart of every Machine.
 var claimChart = chart.MustLoad("claim")
 
-// States of the claim chart in which a call is awaited.
+// States of the claim chart in which the machine expects the result of a call.
 const (
 	stateCreating chart.State = "creating"
 	stateReading  chart.State = "reading"
@@ -52,7 +52,7 @@
 	eventGaveUp          chart.Event = "gave_up"
 )
 
-// verdictOf translates the chart's final states.
+// verdictOf maps the chart's final states to verdicts.
 var verdictOf = map[chart.State]Status{
 	"mine":        Mine,
 	"done":        Done,
@@ -64,8 +64,8 @@
 	"invalid":     Invalid,
 }
 
-// fire takes an event of the chart. The first error stays, and the input that
-// caused it returns it.
+// fire fires an event of the chart. The first error is kept in m.err, and the
+// method that caused it returns it.
 func (m *Machine) fire(event chart.Event) {
 	m.trail = append(m.trail, event)
 	if err := m.chart.Fire(event); err != nil && m.err == nil {
@@ -73,7 +73,7 @@
 	}
 }
 
-// end takes an event that leads to a verdict and fills the verdict in.
+// end fires an event that leads to a final state and completes the verdict.
 func (m *Machine) end(event chart.Event, v Verdict) {
 	m.fire(event)
 	if m.err != nil {
@@ -88,17 +88,17 @@
 	m.verdict = v
 }
 
-// await checks that the machine awaits an answer of a kind.
-func (m *Machine) await(states ...chart.State) error {
+// expectState returns an error unless the machine is in one of the given states.
+func (m *Machine) expectState(states ...chart.State) error {
 	for _, state := range states {
 		if m.chart.State() == state {
 			return nil
 		}
 	}
-	return fault.New(fault.Internal, "claim."+string(m.chart.State()), m.peer(), "the answer is not awaited")
+	return fault.New(fault.Internal, "claim."+string(m.chart.State()), m.peer(), "no such response is expected in this state")
 }
 
-// peer names who the next call is for, for errors.
+// peer returns the receiver of the next call, for errors.
 func (m *Machine) peer() string {
 	if m.chart.State() == stateAsking {
 		return string(m.seen.Target.Upstream)
--- a/core/claim/finish.go
+++ b/core/claim/finish.go
@@ -2,12 +2,11 @@
 
 import "acaciawinch/core/fault"
 
-// Finishing carries the recording of a result. The driver makes the calls that
-// Next returns, as with Machine.
+// Finishing is a state machine that records a result in the claim. The driver
+// makes the calls that Next returns, as with Machine.
 //
-// Safe: an attempt that ran is never replaced, because its side never answers
-// NOT_RUN for it. So the only writers that can get in between record the same
-// result.
+// Safe: an attempt that ran is never replaced, because its sidecar never returns
+// NOT_RUN for it. So any concurrent writer of the claim records the same result.
 type Finishing struct {
 	record  Record
 	version uint64
@@ -17,26 +16,27 @@
 	err     error
 }
 
-// Finish returns what records chunks as the result of the owned or attached
-// attempt in record, read at version.
+// Finish returns a Finishing that records chunks as the result of the attempt in
+// record, which the caller owns or attached to and which has the given version.
 func Finish(record Record, version uint64, chunks [][]byte, rules Rules) *Finishing {
 	record.State = StateDone
 	record.Result = NewResult(chunks, rules.MaxResultBytes)
 	return &Finishing{record: record, version: version, call: CallUpdate, rules: rules}
 }
 
-// Next returns the call to make; CallNone at the end.
+// Next returns the call to make, or CallNone at the end.
 func (f *Finishing) Next() Step {
 	return Step{Call: f.call, Name: f.record.Name(), Record: f.record, Version: f.version}
 }
 
 // Err returns why the result could not be recorded, or nil, once Next returns
-// CallNone. The result is not lost by that: the side still holds it for a time.
+// CallNone. Such an error does not lose the result: the sidecar still keeps it
+// for a time.
 func (f *Finishing) Err() error { return f.err }
 
-// Wrote hands in the answer to the update.
-func (f *Finishing) Wrote(answer WriteAnswer) {
-	switch answer {
+// Wrote processes the store's response to the update.
+func (f *Finishing) Wrote(response WriteAnswer) {
+	switch response {
 	case WriteOK:
 		f.call = CallNone
 	case WriteUnavailable:
@@ -46,7 +46,7 @@
 	}
 }
 
-// Found hands in what the read after a conflict or a lost answer found.
+// Found processes the claim that was read after a conflict or a lost response.
 func (f *Finishing) Found(record Record, version uint64) {
 	f.reads++
 	switch {
@@ -62,13 +62,13 @@
 	}
 }
 
-// Missing hands in that the claim is no longer there.
+// Missing processes a read that found no claim.
 func (f *Finishing) Missing() { f.fail(fault.NotFound, "the claim was deleted") }
 
-// Unreadable hands in that the read had no answer.
+// Unreadable processes a read that failed.
 func (f *Finishing) Unreadable() { f.fail(fault.Unavailable, "the claim could not be read") }
 
-// fail ends with an error.
+// fail ends the recording with an error.
 func (f *Finishing) fail(code fault.Code, detail string) {
 	f.call = CallNone
 	f.err = fault.New(code, "claim.finish", "", "%s", detail)
--- a/core/claim/gate_test.go
+++ b/core/claim/gate_test.go
@@ -8,7 +8,7 @@
 	"acaciawinch/core/gate"
 )
 
-// gateSide is a side whose decisions are the real gate's. One tick is a
+// gateSide is a sidecar that uses the real gate for its decisions. One tick is a
 // millisecond of the gate's clock.
 type gateSide struct {
 	incarnation core.Incarnation
@@ -18,8 +18,8 @@
 	running     []core.AttemptKey
 }
 
-// newGateSide returns a gate whose memory is so small that it forgets within an
-// interleaving.
+// newGateSide returns a gateSide whose limits are so small that it evicts attempts
+// within an interleaving.
 func newGateSide(incarnation core.Incarnation) sideProcess {
 	s := &gateSide{incarnation: incarnation, now: time.Millisecond, records: make(map[core.AttemptKey]claim.Record)}
 	s.gate = gate.New(gate.Options{
@@ -45,14 +45,14 @@
 // clock implements sideProcess.
 func (s *gateSide) clock() uint64 { return uint64(s.now.Microseconds()) }
 
-// ticketOf returns the gate's form of a claim's ticket.
+// ticketOf returns the ticket of a claim for the gate.
 func ticketOf(record claim.Record) gate.Ticket {
 	clock := time.Duration(record.Target.SideClockUS) * time.Microsecond
 	return gate.Ticket{Nonce: record.Nonce, Clock: clock}
 }
 
 // run implements sideProcess.
-func (s *gateSide) run(w *world, record claim.Record) fate {
+func (s *gateSide) run(w *world, record claim.Record) dispatchOutcome {
 	ticket := ticketOf(record)
 	key := record.AttemptKey()
 	decision := s.gate.Submit(s.now, gate.Ask{
@@ -70,7 +70,7 @@
 	return admitted
 }
 
-// advance carries out the gate's actions.
+// advance carries out the actions that the gate returns.
 func (s *gateSide) advance(w *world) {
 	for _, action := range s.gate.Advance(s.now) {
 		switch action.Kind {
@@ -90,14 +90,14 @@
 func (s *gateSide) resolve(w *world, record claim.Record) claim.SideAnswer {
 	state, _ := s.gate.Resolve(s.now, record.AttemptKey(), ticketOf(record))
 	s.advance(w)
-	answer := claim.SideAnswer{Incarnation: s.incarnation, State: sideStates[state]}
+	response := claim.SideAnswer{Incarnation: s.incarnation, State: sideStates[state]}
 	if state == gate.StateDone {
-		answer.Chunks = resultOf(s.records[record.AttemptKey()])
+		response.Chunks = resultOf(s.records[record.AttemptKey()])
 	}
-	return answer
+	return response
 }
 
-// sideStates translates the gate's answers.
+// sideStates maps the states of the gate to those of a sidecar's response.
 var sideStates = map[gate.State]claim.SideState{
 	gate.StateDone:    claim.SideDone,
 	gate.StateRunning: claim.SideRunning,
@@ -109,11 +109,11 @@
 // tick implements sideProcess.
 func (s *gateSide) tick(ticks uint64) { s.now += time.Duration(ticks) * time.Millisecond }
 
-// evict implements sideProcess: the gate forgets by its own bounds.
+// evict implements sideProcess. The gate evicts attempts by its own limits.
 func (s *gateSide) evict(w *world) { s.advance(w) }
 
-// end implements sideProcess.
-func (s *gateSide) end(w *world, failed bool) {
+// endRuns implements sideProcess.
+func (s *gateSide) endRuns(w *world, failed bool) {
 	kind := gate.EndDone
 	if failed {
 		kind = gate.EndFailed
--- a/core/claim/inputs.go
+++ b/core/claim/inputs.go
@@ -5,74 +5,77 @@
 	"acaciawinch/core/fault"
 )
 
-// Wrote hands in the answer to a create or an update; version is the new one if
-// the write took effect.
-func (m *Machine) Wrote(answer WriteAnswer, version uint64) error {
-	if err := m.await(stateCreating, stateUpdating); err != nil {
+// Wrote processes the store's response to a create or an update. The argument
+// version is the new version if the write took effect.
+func (m *Machine) Wrote(response WriteAnswer, version uint64) error {
+	if err := m.expectState(stateCreating, stateUpdating); err != nil {
 		return err
 	}
 	if m.chart.State() == stateCreating {
-		m.created(answer, version)
+		m.handleCreate(response, version)
 	} else {
-		m.updated(answer, version)
+		m.handleUpdate(response, version)
 	}
 	return m.err
 }
 
-// created takes the answer to a create.
+// handleCreate processes the response to a create.
 //
-// Safe: the store creates a key once, so WriteOK makes this asker the only owner
-// of the first nonce. Every other answer leads to a read or gives up without a
+// Safe: the store creates a key once, so WriteOK makes this caller the only owner
+// of the first nonce. Every other response leads to a read or ends without a
 // dispatch. An ambiguous create that takes effect after the verdict leaves an
-// open claim that nobody dispatches; the next asker's Resolve proves that.
-func (m *Machine) created(answer WriteAnswer, version uint64) {
-	switch answer {
+// open claim that nobody dispatches; the Resolve of the next caller proves that.
+func (m *Machine) handleCreate(response WriteAnswer, version uint64) {
+	switch response {
 	case WriteOK:
-		m.see(m.first, version)
-		m.own(eventWritten)
+		m.observe(m.first, version)
+		m.endOwned(eventWritten)
 	case WriteConflict:
-		m.conflicted()
+		m.handleConflict()
 	case WriteUnavailable:
-		m.loseStore()
+		m.endStoreUnavailable()
 	default:
-		m.lostAnswer = true
-		m.expose(m.first.Epoch)
+		m.responseLost = true
+		m.noteMaybeStored(m.first.Epoch)
 		m.fire(eventAmbiguous)
 	}
 }
 
-// updated takes the answer to an update.
+// handleUpdate processes the response to an update.
 //
-// Safe: the update is conditional on the version under which the replaced nonce
-// was proved dead, so WriteOK means that nobody replaced it in between. After a
-// conflict pending is kept: an earlier sending of the same update, whose answer
-// was lost, may be what changed the version.
-func (m *Machine) updated(answer WriteAnswer, version uint64) {
-	switch answer {
+// Safe: the update is conditional on the version for which it was proved that the
+// attempt of the replaced nonce never runs, so WriteOK means that nobody replaced
+// the nonce in between. After a conflict, pending is kept: the version may have
+// been changed by an earlier transmission of the same update, whose response was
+// lost.
+func (m *Machine) handleUpdate(response WriteAnswer, version uint64) {
+	switch response {
 	case WriteOK:
-		m.tookEffect(version)
+		m.updateApplied(version)
 	case WriteConflict:
-		m.conflicted()
+		m.handleConflict()
 	case WriteUnavailable:
-		m.loseStore()
+		m.endStoreUnavailable()
 	default:
-		m.lostAnswer = true
-		m.expose(m.pending.record.Epoch)
+		m.responseLost = true
+		m.noteMaybeStored(m.pending.record.Epoch)
 		m.fire(eventAmbiguous)
 	}
 }
 
-// conflicted reads what the condition of a write met. Unless an earlier sending
-// of the write may have met itself, another request has the claim.
-func (m *Machine) conflicted() {
-	m.others = m.others || !m.lostAnswer
+// handleConflict reads the claim after a write whose condition did not hold.
+// Another request has written the claim, unless the response to an earlier
+// transmission of the same write was lost: then that transmission may have caused
+// the conflict.
+func (m *Machine) handleConflict() {
+	m.otherWrote = m.otherWrote || !m.responseLost
 	m.fire(eventConflict)
 }
 
-// tookEffect ends with the pending update known to be in the object, by the
-// answer to the update or by reading back its nonce.
-func (m *Machine) tookEffect(version uint64) {
-	m.see(m.pending.record, version)
+// updateApplied ends the machine once the pending update is known to be in the
+// object, from the response to the update or by reading back its nonce.
+func (m *Machine) updateApplied(version uint64) {
+	m.observe(m.pending.record, version)
 	reading := m.chart.State() == stateReading
 	retired := m.seen.State == StateAbandoned
 	switch {
@@ -81,52 +84,54 @@
 	case retired:
 		m.end(eventRetired, Verdict{KeyNotRun: true})
 	case reading:
-		m.own(eventOwnNonce)
+		m.endOwned(eventOwnNonce)
 	default:
-		m.own(eventWritten)
+		m.endOwned(eventWritten)
 	}
 }
 
-// own ends with the attempt owned. The key is not told to be not run: while the
-// answer was on its way, another request may have had the attempt refused and
-// run its own. Release proves it.
-func (m *Machine) own(event chart.Event) {
-	m.end(event, Verdict{KeyNotRun: m.ask.Minted})
+// endOwned ends the machine with the attempt owned. The verdict does not say that
+// the key has not run, unless the key is minted: while the response was in flight,
+// another request may have had the attempt refused and have run its own. Release
+// can prove that the key has not run.
+func (m *Machine) endOwned(event chart.Event) {
+	m.end(event, Verdict{KeyNotRun: m.spec.Minted})
 }
 
-// Missing hands in that a read found no object.
+// Missing processes a read that found no object.
 func (m *Machine) Missing() error {
-	if err := m.await(stateReading); err != nil {
+	if err := m.expectState(stateReading); err != nil {
 		return err
 	}
 	switch {
-	case m.goal == goalLook && !m.everSeen:
+	case m.goal == goalLookup && !m.everSeen:
 		m.end(eventNoClaim, Verdict{})
 	case m.everSeen:
-		// It was there and expired: nothing is known of what its attempt did.
+		// The claim existed and expired: it is not known whether its attempt ran.
 		m.end(eventExpired, Verdict{})
 	case m.tooManyReads():
-		m.loseStore()
+		m.endStoreUnavailable()
 	default:
-		// The lost create has not taken effect yet. The same record is sent again:
-		// whichever of the two sendings arrives first, the nonce is the same.
+		// The create whose response was lost has not taken effect yet. The same
+		// record is sent a second time: whichever transmission arrives first, the
+		// nonce is the same.
 		m.fire(eventMissing)
 	}
 	return m.err
 }
 
-// Unreadable hands in that a read had no answer.
+// Unreadable processes a read that failed.
 func (m *Machine) Unreadable() error {
-	if err := m.await(stateReading); err != nil {
+	if err := m.expectState(stateReading); err != nil {
 		return err
 	}
-	m.loseStore()
+	m.endStoreUnavailable()
 	return m.err
 }
 
-// Found hands in what a read found.
+// Found processes the record and the version that a read returned.
 func (m *Machine) Found(record Record, version uint64) error {
-	if err := m.await(stateReading); err != nil {
+	if err := m.expectState(stateReading); err != nil {
 		return err
 	}
 	if problem := m.mismatch(record); problem != nil {
@@ -138,42 +143,44 @@
 		m.resend()
 		return m.err
 	}
-	m.found(record, version)
+	m.handleFound(record, version)
 	return m.err
 }
 
-// found decides on a record that is not the one that a pending update replaces.
-func (m *Machine) found(record Record, version uint64) {
+// handleFound processes a record whose version is not the one that a pending
+// update replaces.
+func (m *Machine) handleFound(record Record, version uint64) {
 	if m.pending != nil && record.Nonce == m.pending.record.Nonce && record.State != StateDone {
-		m.tookEffect(version)
+		m.updateApplied(version)
 		return
 	}
 	m.pending = nil
-	m.see(record, version)
+	m.observe(record, version)
 	switch {
 	case record.State == StateDone:
 		m.foundDone(record)
-	case m.exposed && record.Epoch > m.epoch:
+	case m.maybeStored && record.Epoch > m.firstEpoch:
 		m.foundLaterEpoch(record)
 	case record.State == StateAbandoned:
 		m.foundAbandoned()
 	case record.Nonce == m.first.Nonce:
 		// Safe: nonces are random, so only this machine's create can have written
-		// it, and the read shows that it has not been replaced. If it is replaced
-		// after the read, its tombstone stands already and refuses the dispatch.
-		m.own(eventOwnNonce)
+		// this nonce, and the read shows that it has not been replaced. If it is
+		// replaced after the read, its sidecar has a tombstone for it by then and
+		// refuses the dispatch.
+		m.endOwned(eventOwnNonce)
 	default:
 		m.foundOther()
 	}
 }
 
-// mismatch refuses a record of another key or body, so that no request ever
-// takes the result of another. The error has code Invalid if only the body
-// differs, which is the caller's mistake, and Internal if the name's hash met
-// two keys.
+// mismatch returns an error for a record of another key or body, so that no
+// request ever gets the result of another. The error has code Invalid if only the
+// body differs, which is the client's mistake, and Internal if the hash in the
+// object's name is the same for two keys.
 func (m *Machine) mismatch(record Record) error {
-	want := m.ask.Identity
-	if m.goal == goalLook && want.BodyDigest == "" {
+	want := m.spec.Identity
+	if m.goal == goalLookup && want.BodyDigest == "" {
 		want.BodyDigest = record.BodyDigest
 	}
 	if record.Identity == want {
@@ -186,21 +193,21 @@
 	return fault.New(fault.Internal, "claim.reading", "", "the claim belongs to another key")
 }
 
-// resend sends a pending update again, because the object still has the version
-// on which it is conditional.
+// resend retries a pending update, because the object still has the version on
+// which the update is conditional.
 //
-// Safe: it is the same record under the same condition, so both sendings
-// together take effect at most once.
+// Safe: the retry has the same record and the same condition, so both
+// transmissions together take effect at most once.
 func (m *Machine) resend() {
 	if m.tooManyReads() {
-		m.loseStore()
+		m.endStoreUnavailable()
 		return
 	}
 	m.fire(eventUnchanged)
 }
 
-// foundDone ends with a recorded result, or asks the side for one that was too
-// large for the record.
+// foundDone ends the machine with the recorded result, or queries the sidecar for
+// a result that was too large for the record.
 func (m *Machine) foundDone(record Record) {
 	if record.Result == nil || record.Result.Omitted {
 		m.fire(eventOmitted)
@@ -209,14 +216,15 @@
 	m.end(eventRecorded, Verdict{Recorded: true, Chunks: record.Result.Chunks})
 }
 
-// foundLaterEpoch ends an ask that may have had the claim when a look abandoned
-// it. The look has told its asker that the request will not run, so it must not,
-// even if a later request with the key has opened the claim again.
+// foundLaterEpoch ends a machine whose request may have had the claim when a
+// lookup abandoned it. That lookup reported that the request will not run, so the
+// request must not run, even if a later request with the key has reopened the
+// claim.
 func (m *Machine) foundLaterEpoch(record Record) {
-	m.end(eventClosed, Verdict{KeyNotRun: m.ask.Minted || record.State == StateAbandoned})
+	m.end(eventClosed, Verdict{KeyNotRun: m.spec.Minted || record.State == StateAbandoned})
 }
 
-// foundAbandoned goes on from a claim whose last attempt was proved not run.
+// foundAbandoned processes a claim whose last attempt was proved not to have run.
 func (m *Machine) foundAbandoned() {
 	if m.goal != goalRun {
 		m.end(eventClosed, Verdict{KeyNotRun: true})
@@ -225,29 +233,30 @@
 	m.startUpdate(eventAbandoned, m.nextAttempt())
 }
 
-// foundOther waits before it asks the side of another request's open claim.
+// foundOther starts the wait before the query to the sidecar of another request's
+// open claim.
 func (m *Machine) foundOther() {
-	m.others = true
+	m.otherWrote = true
 	m.rounds++
-	spent := m.rounds > m.rules.MaxRounds || m.tooManyReads()
-	if spent || m.goal == goalRelease {
+	exhausted := m.rounds > m.rules.MaxRounds || m.tooManyReads()
+	if exhausted || m.goal == goalRelease {
 		m.end(eventContended, Verdict{RetryAfter: m.rules.RetryAfter})
 		return
 	}
-	m.wait = m.patience()
+	m.wait = m.waitTime()
 	m.fire(eventOtherOpen)
 }
 
-// Waited hands in that the wait is over.
+// Waited processes the end of a wait.
 func (m *Machine) Waited() error {
-	if err := m.await(stateWaiting); err != nil {
+	if err := m.expectState(stateWaiting); err != nil {
 		return err
 	}
 	m.fire(eventWaited)
 	return m.err
 }
 
-// tooManyReads counts a read against the bound.
+// tooManyReads counts a read and reports whether the limit is exceeded.
 func (m *Machine) tooManyReads() bool {
 	m.reads++
 	return m.reads > m.rules.MaxReads
--- a/core/claim/machine.go
+++ b/core/claim/machine.go
@@ -7,31 +7,32 @@
 	"acaciawinch/core/chart"
 )
 
-// goal is what a machine was made for.
+// goal is the purpose of a machine.
 type goal int
 
 const (
-	// goalRun wants to own an attempt.
+	// goalRun: own an attempt.
 	goalRun goal = iota
-	// goalReassign wants to replace its own attempt, which was proved not run.
+	// goalReassign: replace an owned attempt that was proved not to have run.
 	goalReassign
-	// goalRelease wants to end its own attempt, without another.
+	// goalRelease: abandon an owned attempt without replacing it.
 	goalRelease
-	// goalLook wants to know what became of the claim, without an attempt.
-	goalLook
+	// goalLookup: find out the outcome of a claim, without an attempt.
+	goalLookup
 )
 
-// pendingWrite is a conditional update whose answer may have been lost.
+// pendingWrite is a conditional update whose response may have been lost.
 type pendingWrite struct {
 	record  Record
 	version uint64
 }
 
-// Machine carries one ask through the claim chart. The driver makes the call that
-// Next returns and hands in the answer, until the call is CallNone. It does no
-// I/O and is for one goroutine.
+// Machine is the state machine of one operation on a claim. The driver makes the
+// call that Next returns and passes the response to the method named at the call's
+// constant, until the call is CallNone. A Machine does no I/O and must not be used
+// by several goroutines at once.
 type Machine struct {
-	ask   Ask
+	spec  Ask
 	name  string
 	rules Rules
 	rng   *rand.Rand
@@ -39,89 +40,90 @@
 
 	chart *chart.Machine
 	trail []chart.Event
-	// err is the first breach of the chart or of the claim's identity.
+	// err is the first violation of the chart or of the claim's identity.
 	err error
 
-	// first is the record of this ask's first attempt, with the nonce that all
-	// its creates carry.
+	// first is the record of this machine's first attempt. All its creates have
+	// the same nonce.
 	first Record
-	// seen is what the claim object is known to have held, with its version.
+	// seen is the last known content of the claim object, at seenVersion.
 	seen        Record
 	seenVersion uint64
 	everSeen    bool
-	// others is set once another request is known to have written the claim.
-	others bool
-	// pending is the update whose effect is not known; nil if none.
+	// otherWrote is set once another request is known to have written the claim.
+	otherWrote bool
+	// pending is the update that may have taken effect or not; nil if none.
 	pending *pendingWrite
-	// lostAnswer is set once an answer to the present write was lost.
-	lostAnswer bool
-	// exposed is set once a record of this ask may have been in the object, and
-	// epoch is the first in which that may have been.
-	exposed bool
-	epoch   uint64
-	// reads and rounds count against the bounds of the rules.
+	// responseLost is set once a response to the current write was lost.
+	responseLost bool
+	// maybeStored is set once a record of this machine may have been in the object,
+	// and firstEpoch is the first epoch in which that was possible.
+	maybeStored bool
+	firstEpoch  uint64
+	// reads and rounds count towards MaxReads and MaxRounds of the rules.
 	reads  int
 	rounds int
-	// wait is how long the present waiting lasts.
+	// wait is the duration of the current wait.
 	wait    time.Duration
 	verdict Verdict
 }
 
-// Open returns a machine that claims an attempt for ask. Randomness comes from
-// rng: nonces must differ from those of all other processes, so production seeds
-// it from the system's random source.
-func Open(ask Ask, rules Rules, rng *rand.Rand) *Machine {
-	m := newMachine(ask, rules, rng, goalRun)
-	m.first = ask.record(m.nonce())
-	m.ask.Attempt++
+// Open returns a machine that claims the described attempt. Nonces come from rng:
+// they must differ from those of all other processes, so production code seeds it
+// from the system's random source.
+func Open(spec Ask, rules Rules, rng *rand.Rand) *Machine {
+	m := newMachine(spec, rules, rng, goalRun)
+	m.first = spec.record(m.nonce())
+	m.spec.Attempt++
 	m.fire(eventOpen)
 	return m
 }
 
-// Reassign returns a machine that replaces the asker's own attempt by one at
-// another target. The caller vouches that its present attempt has not run and
-// never will: every message of it that was sent was answered by a refusal, or
-// none was sent and none will be.
+// Reassign returns a machine that replaces the caller's own attempt by one at
+// another target. The caller must guarantee that its current attempt has not run
+// and never will: every message that was sent for it was refused, or none was sent
+// and none will be.
 //
-// The update is conditional on the version under which the asker owned the
-// attempt. If another process has replaced it since, the update fails, and the
-// machine goes on as one that met another request's claim.
+// The update is conditional on the version under which the caller owned the
+// attempt. If another process has replaced the attempt since, the update fails,
+// and the machine continues as after finding another request's claim.
 func Reassign(owned Record, version uint64, target Target, rules Rules, rng *rand.Rand) *Machine {
-	m := newMachine(askOf(owned, target), rules, rng, goalReassign)
-	m.see(owned, version)
-	m.expose(owned.Epoch)
+	m := newMachine(specOf(owned, target), rules, rng, goalReassign)
+	m.observe(owned, version)
+	m.noteMaybeStored(owned.Epoch)
 	m.startUpdate(eventReplace, m.nextAttempt())
 	return m
 }
 
-// Release returns a machine that ends the asker's own attempt, under the same
-// condition as Reassign. The next asker then need not ask the side, which may be
-// gone by then.
+// Release returns a machine that abandons the caller's own attempt, under the same
+// condition as Reassign. The next caller then need not query the sidecar, which
+// may no longer run by then.
 func Release(owned Record, version uint64, rules Rules, rng *rand.Rand) *Machine {
-	m := newMachine(askOf(owned, owned.Target), rules, rng, goalRelease)
-	m.see(owned, version)
-	m.startUpdate(eventReplace, m.abandoned())
+	m := newMachine(specOf(owned, owned.Target), rules, rng, goalRelease)
+	m.observe(owned, version)
+	m.startUpdate(eventReplace, m.abandonedRecord())
 	return m
 }
 
-// Look returns a machine that finds out what became of a claim, without a wish
-// to run it. An attempt that turns out not to have run is abandoned, so that the
-// verdict NotRun stays true of the request that had claimed it: its dispatch
-// meets the side's tombstone, and its Reassign meets a newer version.
+// Look returns a machine that looks up the outcome of a claim without running the
+// stage. An attempt that has not run is abandoned, so that the verdict NotRun
+// stays true of the request that had claimed it: the sidecar refuses its dispatch
+// because of the tombstone, and its Reassign fails because the version is newer.
 func Look(id Identity, rules Rules, rng *rand.Rand) *Machine {
-	m := newMachine(Ask{Identity: id}, rules, rng, goalLook)
+	m := newMachine(Ask{Identity: id}, rules, rng, goalLookup)
 	m.fire(eventLook)
 	return m
 }
 
-// newMachine returns a machine at the chart's start.
-func newMachine(ask Ask, rules Rules, rng *rand.Rand, g goal) *Machine {
-	name := ask.Name()
-	return &Machine{ask: ask, name: name, rules: rules, rng: rng, goal: g, chart: claimChart.Start(name)}
+// newMachine returns a machine in the chart's initial state.
+func newMachine(spec Ask, rules Rules, rng *rand.Rand, g goal) *Machine {
+	name := spec.Name()
+	return &Machine{spec: spec, name: name, rules: rules, rng: rng, goal: g, chart: claimChart.Start(name)}
 }
 
-// askOf returns the ask that an owned record came from, for another target.
-func askOf(owned Record, target Target) Ask {
+// specOf returns the description of the attempt that follows an owned one, at the
+// given target.
+func specOf(owned Record, target Target) Ask {
 	return Ask{
 		Identity: owned.Identity,
 		Request:  owned.Request,
@@ -161,12 +163,13 @@
 // Verdict returns the verdict once Next returns CallNone.
 func (m *Machine) Verdict() Verdict { return m.verdict }
 
-// Err returns why there is no verdict once Next returns CallNone: Invalid if the
-// key was used with another body, Internal if a rule of the code was broken.
+// Err returns why the machine failed, once Next returns CallNone. The code is
+// Invalid if the key was used with another body, and Internal if the driver or the
+// stored claim violated the protocol.
 func (m *Machine) Err() error { return m.err }
 
-// see remembers what the claim object holds.
-func (m *Machine) see(record Record, version uint64) {
+// observe stores the content and version of the claim object.
+func (m *Machine) observe(record Record, version uint64) {
 	m.seen = record
 	m.seenVersion = version
 	m.everSeen = true
@@ -181,51 +184,53 @@
 	}
 }
 
-// nextAttempt returns the record that replaces the seen one by an attempt of
-// this ask. Each replacement gets a new nonce and attempt number: those of an
-// update that lost may have a tombstone already.
+// nextAttempt returns the record that replaces the seen one by an attempt of this
+// machine. Each replacement gets a new nonce and attempt number: those of an update
+// that conflicted may have a tombstone already.
 func (m *Machine) nextAttempt() Record {
-	record := m.ask.record(m.nonce())
+	record := m.spec.record(m.nonce())
 	record.CreatedUnix = m.seen.CreatedUnix
 	record.Epoch = m.seen.Epoch
-	m.ask.Attempt++
+	m.spec.Attempt++
 	return record
 }
 
-// abandoned returns the record that replaces the seen one and allows no attempt.
-// The new nonce lets the writer know its own write by reading it back.
-func (m *Machine) abandoned() Record {
+// abandonedRecord returns the record that replaces the seen one and allows no
+// attempt. The new nonce lets the writer recognize its own write when it reads the
+// object back.
+func (m *Machine) abandonedRecord() Record {
 	record := m.seen
 	record.State = StateAbandoned
 	record.Nonce = m.nonce()
-	if m.goal == goalLook {
+	if m.goal == goalLookup {
 		record.Epoch++
 	}
 	return record
 }
 
-// expose notes that a record of this ask may have been in the object.
-func (m *Machine) expose(epoch uint64) {
-	if !m.exposed {
-		m.exposed = true
-		m.epoch = epoch
+// noteMaybeStored records that a record of this machine may have been in the
+// object since the given epoch.
+func (m *Machine) noteMaybeStored(epoch uint64) {
+	if !m.maybeStored {
+		m.maybeStored = true
+		m.firstEpoch = epoch
 	}
 }
 
-// startUpdate makes the conditional update of the seen version the next call.
+// startUpdate makes a conditional update of the seen version the next call.
 func (m *Machine) startUpdate(event chart.Event, record Record) {
 	m.pending = &pendingWrite{record: record, version: m.seenVersion}
-	m.lostAnswer = false
+	m.responseLost = false
 	m.fire(event)
 }
 
-// maxDoublings keeps the doubled patience far from overflow.
+// maxDoublings keeps the doubled wait far from overflow.
 const maxDoublings = 10
 
-// patience returns how long to wait before the side of the seen claim is asked.
-// The random part keeps two askers that displace each other from doing so in
-// step.
-func (m *Machine) patience() time.Duration {
+// waitTime returns how long to wait before the sidecar of the seen claim is
+// queried. The random part keeps two callers that replace each other's attempts
+// from doing so in lockstep.
+func (m *Machine) waitTime() time.Duration {
 	wait := m.rules.Patience << min(m.rounds-1, maxDoublings)
 	wait += time.Duration(m.rng.Int64N(int64(wait) + 1))
 	wait = max(wait, m.seen.DispatchWithin())
--- a/core/claim/property_test.go
+++ b/core/claim/property_test.go
@@ -12,36 +12,36 @@
 	"acaciawinch/core/claim"
 )
 
-// Bounds of one interleaving and of the searches.
+// Limits of one interleaving and of the searches.
 const (
 	stepsPerWorld  = 90
-	asksPerWorld   = 5
-	calmSteps      = 2000
+	actorsPerWorld = 5
+	settleSteps    = 2000
 	interleavings  = 10000
-	mutationSearch = 200000
+	mutationSeeds  = 200000
 )
 
-// play runs one interleaving with faults, then one without until all is quiet,
-// and returns what was violated.
-func play(pick chooser, broken mutation, newSide func(core.Incarnation) sideProcess) *world {
-	w := newWorld(pick, broken, newSide)
+// runInterleaving runs one interleaving with faults and continues it without faults
+// until all actors have ended. It returns the world with the first violation.
+func runInterleaving(pick chooser, disabled mutation, newSide func(core.Incarnation) sideProcess) *world {
+	w := newWorld(pick, disabled, newSide)
 	actors := []*actor{newActor(w)}
 	for range stepsPerWorld {
-		if w.problem != "" {
+		if w.violation != "" {
 			return w
 		}
-		actors = turn(w, actors)
+		actors = runTurn(w, actors)
 	}
 	settle(w, actors)
 	return w
 }
 
-// turn lets one thing happen.
-func turn(w *world, actors []*actor) []*actor {
+// runTurn makes one event happen, and returns the actors with any new one.
+func runTurn(w *world, actors []*actor) []*actor {
 	switch n := w.pick("turn", 24); {
-	case n == 0 && len(w.late) > 0:
-		w.deliver(w.pick("late", len(w.late)))
-	case n == 1 && w.started < asksPerWorld:
+	case n == 0 && len(w.delayed) > 0:
+		w.deliver(w.pick("late", len(w.delayed)))
+	case n == 1 && w.started < actorsPerWorld:
 		actors = append(actors, newActor(w))
 	case n == 2:
 		ticks := uint64(w.pick("ticks", ticketLifetime)) + 1
@@ -57,32 +57,32 @@
 	case n == 6:
 		w.down = w.pick("down", 3) == 0
 	case n == 7 && w.pick("crash", 4) == 0:
-		actors[w.pick("actor", len(actors))].over = true
+		actors[w.pick("actor", len(actors))].ended = true
 		w.lossy = true
 	default:
-		// The others are as if paused.
-		if a := actors[w.pick("actor", len(actors))]; !a.over {
+		// All other actors are as if paused.
+		if a := actors[w.pick("actor", len(actors))]; !a.ended {
 			a.step()
 		}
 	}
 	return actors
 }
 
-// settle ends the faults, delivers what was held back, and checks that every ask
-// comes to an end and that a new one is told something better than unknown,
-// unless a side forgot or an entry died.
+// settle ends the faults, delivers the delayed messages, and checks that every
+// actor ends and that a new one gets a verdict other than unknown, unless a sidecar
+// lost state or an entry crashed.
 func settle(w *world, actors []*actor) {
-	w.calm, w.down = true, false
-	for len(w.late) > 0 {
+	w.faultFree, w.down = true, false
+	for len(w.delayed) > 0 {
 		w.deliver(0)
 	}
 	for range 2 {
 		actors = append(actors, newActor(w))
 	}
-	for range calmSteps {
+	for range settleSteps {
 		busy := false
 		for _, a := range actors {
-			if !a.over {
+			if !a.ended {
 				busy = true
 				a.step()
 			}
@@ -90,62 +90,64 @@
 		for _, s := range w.sides {
 			w.finishRuns(s)
 		}
-		if !busy || w.problem != "" {
+		if !busy || w.violation != "" {
 			break
 		}
 	}
 	for _, a := range actors {
-		if !a.over {
-			w.fail("%s of %s never ended", a.ask.Request, a.ask.Key)
+		if !a.ended {
+			w.fail("%s of %s did not end", a.spec.Request, a.spec.Key)
 		}
 	}
 	last := actors[len(actors)-1]
 	if !w.lossy && last.status == claim.Unknown {
-		w.fail("%s of %s was told unknown though all sides remember", last.ask.Request, last.ask.Key)
+		w.fail("%s of %s got the verdict unknown though no sidecar lost state", last.spec.Request, last.spec.Key)
 	}
 }
 
-// TestAtMostOnce plays interleavings of entries, store and sides, once with a
-// model of the sides and once with the real gate. It checks in each that no key
-// runs twice, that whoever was told not_run never ran, before or after, that
-// results go to their own key, and that all ends when faults stop.
+// TestAtMostOnce runs interleavings of entries, store and sidecars, once with a
+// model of the sidecars and once with the real gate. It checks in each that no key
+// runs twice, that a request reported as not run never ran, before or after, that
+// results go to their own key, and that all requests end when faults stop.
 func TestAtMostOnce(t *testing.T) {
-	t.Run("model", func(t *testing.T) { checkCoverage(t, playMany(t, newModel)) })
-	t.Run("gate", func(t *testing.T) { playMany(t, newGateSide) })
+	t.Run("model", func(t *testing.T) { checkCoverage(t, runInterleavings(t, newSideModel)) })
+	t.Run("gate", func(t *testing.T) { runInterleavings(t, newGateSide) })
 }
 
-// playMany plays the interleavings and returns the transitions that were taken.
-func playMany(t *testing.T, newSide func(core.Incarnation) sideProcess) map[string]bool {
+// runInterleavings runs the interleavings and returns the transitions that were
+// taken.
+func runInterleavings(t *testing.T, newSide func(core.Incarnation) sideProcess) map[string]bool {
 	t.Helper()
 	taken := make(map[string]bool)
-	ran, played := 0, 0
+	ran, completed := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := play(func(label string, n int) int { return rapid.IntRange(0, n-1).Draw(t, label) }, none, newSide)
-		if w.problem != "" {
-			t.Fatal(w.problem)
+		w := runInterleaving(func(label string, n int) int { return rapid.IntRange(0, n-1).Draw(t, label) }, none, newSide)
+		if w.violation != "" {
+			t.Fatal(w.violation)
 		}
-		played++
+		completed++
 		ran += len(w.ledger)
-		for transition := range w.taken {
+		for transition := range w.transitions {
 			taken[transition] = true
 		}
 	})
-	t.Logf("%d interleavings, %d keys ran", played, ran)
-	assert.Assert(t, played >= interleavings)
-	assert.Assert(t, ran > interleavings/2, "too few worlds run anything")
+	t.Logf("%d interleavings, %d keys ran", completed, ran)
+	assert.Assert(t, completed >= interleavings)
+	assert.Assert(t, ran > interleavings/2, "too few interleavings run a stage")
 	return taken
 }
 
-// elsewhere are transitions that other tests take: they need a deleted or a
-// foreign object, which no interleaving here has.
-var elsewhere = map[string]bool{"reading mismatch": true, "reading expired": true}
+// coveredElsewhere lists the transitions that other tests take: they need a deleted
+// object or one of another key, which no interleaving here has.
+var coveredElsewhere = map[string]bool{"reading mismatch": true, "reading expired": true}
 
-// checkCoverage fails if an interleaving took no transition of the claim chart.
+// checkCoverage fails the test if a transition of the claim chart was taken by no
+// interleaving.
 func checkCoverage(t *testing.T, taken map[string]bool) {
 	t.Helper()
 	for _, transition := range chart.MustLoad("claim").Transitions {
 		name := string(transition.From) + " " + string(transition.Event)
-		assert.Assert(t, taken[name] || elsewhere[name], "no interleaving took %q", name)
+		assert.Assert(t, taken[name] || coveredElsewhere[name], "no interleaving took %q", name)
 	}
 }
 
@@ -159,17 +161,17 @@
 		noIdentity: "no identity check", noMintedRule: "not_run told of a caller's key", noAbandon: "look without abandoning",
 		noEpoch: "no epoch",
 	}
-	for broken := none + 1; broken < mutations; broken++ {
-		t.Run(names[broken], func(t *testing.T) {
-			for seed := range uint64(mutationSearch) {
+	for disabled := none + 1; disabled < mutations; disabled++ {
+		t.Run(names[disabled], func(t *testing.T) {
+			for seed := range uint64(mutationSeeds) {
 				rng := rand.New(rand.NewPCG(seed, 1))
-				w := play(func(_ string, n int) int { return rng.IntN(n) }, broken, newModel)
-				if w.problem != "" {
-					t.Logf("interleaving %d: %s", seed, w.problem)
+				w := runInterleaving(func(_ string, n int) int { return rng.IntN(n) }, disabled, newSideModel)
+				if w.violation != "" {
+					t.Logf("interleaving %d: %s", seed, w.violation)
 					return
 				}
 			}
-			t.Fatal("the checker found nothing")
+			t.Fatal("the checker found no violation")
 		})
 	}
 }
--- a/core/claim/record.go
+++ b/core/claim/record.go
@@ -11,13 +11,13 @@
 	"acaciawinch/core/fault"
 )
 
-// Prefix is what the names of all claim objects begin with.
+// Prefix is the common prefix of the names of all claim objects.
 const Prefix = "claims/"
 
-// digestBytes is how much of a SHA-256 is kept in names and digests.
+// digestBytes is the length to which SHA-256 is truncated in names and digests.
 const digestBytes = 16
 
-// State tells how far a claimed stage is, as its record says.
+// State is the progress of a claimed stage, as stored in its record.
 type State string
 
 // The states of a record.
@@ -26,31 +26,31 @@
 	StateOpen State = "open"
 	// StateDone: the attempt ran; the record holds the result or its digest.
 	StateDone State = "done"
-	// StateAbandoned: the attempt has not run and never will; the next asker may
+	// StateAbandoned: the attempt has not run and never will; the next caller may
 	// start another one.
 	StateAbandoned State = "abandoned"
 )
 
-// Identity names the claim and the request that it stands for.
+// Identity identifies a claim and the body of the request it was made for.
 type Identity struct {
 	Workspace string `json:"workspace"`
 	Pipeline  string `json:"pipeline"`
-	// Key is the caller's idempotency key, or the request id if there was none.
+	// Key is the client's idempotency key, or the request id if there was none.
 	Key   string `json:"key"`
 	Stage string `json:"stage"`
 	// BodyDigest is the digest of the request's body, by DigestBody.
 	BodyDigest string `json:"body_digest"`
 }
 
-// Target is the side process that an attempt is meant for.
+// Target is the sidecar that an attempt is dispatched to.
 type Target struct {
 	Upstream core.UpstreamID `json:"upstream"`
-	// Addr is the IP:port of the side.
+	// Addr is the IP:port of the sidecar.
 	Addr        string           `json:"addr"`
 	Zone        string           `json:"zone"`
 	Incarnation core.Incarnation `json:"incarnation"`
-	// SideClockUS is the ticket: the side's own clock when it was chosen, in
-	// microseconds since the side started.
+	// SideClockUS is the ticket: the sidecar's own clock when it was chosen, in
+	// microseconds since the sidecar started.
 	SideClockUS uint64 `json:"side_clock_us"`
 }
 
@@ -58,41 +58,42 @@
 type Record struct {
 	Identity
 	State State `json:"state"`
-	// Request and Attempt name the present attempt; Nonce tells it from all others.
+	// Request and Attempt identify the current attempt; Nonce distinguishes it from
+	// all others.
 	Request core.RequestID `json:"request"`
 	Attempt uint32         `json:"attempt"`
 	Nonce   uint64         `json:"nonce"`
-	// Minted is set if the entry made the key itself.
+	// Minted is set if the entry generated the key itself.
 	Minted bool   `json:"minted,omitempty"`
 	Target Target `json:"target"`
-	// Epoch rises with each time that a look abandons the claim. A request that
-	// had the claim in an earlier epoch may have been told to be not run, so it
-	// starts nothing.
+	// Epoch is incremented each time a lookup abandons the claim. A request that
+	// had the claim in an earlier epoch may have been reported as not run, so it
+	// must not start the stage.
 	Epoch uint64 `json:"epoch,omitempty"`
-	// DispatchWithinMS is how soon after the write the owner means to dispatch.
-	// Another asker waits that long before it has the attempt refused.
+	// DispatchWithinMS is the time after the write within which the owner intends
+	// to dispatch. Another caller waits that long before it has the attempt refused.
 	DispatchWithinMS int64 `json:"dispatch_within_ms,omitempty"`
 	// Result is present exactly in StateDone.
 	Result *Result `json:"result,omitempty"`
-	// CreatedUnix is the first writer's wall clock in seconds. Only the expiry
-	// after a day reads it, so hosts' clocks may differ by minutes.
+	// CreatedUnix is the wall clock of the first writer in seconds. It is used only
+	// for the expiry after a day, so the clocks of hosts may differ by minutes.
 	CreatedUnix int64 `json:"created_unix"`
 }
 
 // Result is the output of a claimed stage.
 type Result struct {
-	// Chunks are absent if they were larger than the bound; the side may still
-	// hold them.
+	// Chunks are absent if they were larger than the limit; the sidecar may still
+	// keep them.
 	Chunks [][]byte `json:"chunks,omitempty"`
-	// Count and Digest are those of the whole output.
+	// Count is the number of chunks of the whole output, and Digest its digest.
 	Count  int    `json:"count"`
 	Digest string `json:"digest"`
 	// Omitted is set if the chunks were too large for the record.
 	Omitted bool `json:"omitted,omitempty"`
 }
 
-// NewResult returns the result of chunks, without the chunks if they hold more
-// than maxBytes.
+// NewResult returns the result of chunks, without the chunks if they have more
+// than maxBytes in total.
 func NewResult(chunks [][]byte, maxBytes int) *Result {
 	result := &Result{Count: len(chunks), Digest: DigestChunks(chunks)}
 	size := 0
@@ -107,7 +108,7 @@
 	return result
 }
 
-// Scope is the prefix of the names of all claims of one key.
+// Scope returns the prefix of the names of all claims of one key.
 func Scope(workspace, pipeline, key string) string {
 	return Prefix + digestStrings(workspace, pipeline, key) + "/"
 }
@@ -117,12 +118,12 @@
 	return Scope(id.Workspace, id.Pipeline, id.Key) + id.Stage
 }
 
-// AttemptKey returns the key of the present attempt.
+// AttemptKey returns the key of the current attempt.
 func (r Record) AttemptKey() core.AttemptKey {
 	return core.AttemptKey{Request: r.Request, Stage: r.Stage, Number: r.Attempt, Side: r.Target.Incarnation}
 }
 
-// DispatchWithin returns how soon after the write the owner means to dispatch.
+// DispatchWithin returns DispatchWithinMS as a duration.
 func (r Record) DispatchWithin() time.Duration {
 	return time.Duration(r.DispatchWithinMS) * time.Millisecond
 }
@@ -136,8 +137,8 @@
 	return value, nil
 }
 
-// Decode reads a record. Errors have code Internal: only this package writes
-// claims.
+// Decode parses the value of a claim object. Errors have code Internal, because
+// only this package writes claims.
 func Decode(value []byte) (Record, error) {
 	var record Record
 	if err := json.Unmarshal(value, &record); err != nil {
@@ -152,17 +153,17 @@
 }
 
 // DigestChunks returns the digest of an output, over its bytes in order. It does
-// not depend on where the output was cut into chunks.
+// not depend on how the output was split into chunks.
 func DigestChunks(chunks [][]byte) string {
 	digest := sha256.New()
 	for _, chunk := range chunks {
 		digest.Write(chunk)
 	}
-	return sum(digest)
+	return hexDigest(digest)
 }
 
-// digestStrings hashes parts with their lengths, so that ("ab", "c") and
-// ("a", "bc") differ.
+// digestStrings returns a digest of parts. It includes their lengths, so that
+// ("ab", "c") and ("a", "bc") differ.
 func digestStrings(parts ...string) string {
 	digest := sha256.New()
 	for _, part := range parts {
@@ -172,10 +173,10 @@
 		}
 		digest.Write([]byte(part))
 	}
-	return sum(digest)
+	return hexDigest(digest)
 }
 
-// sum returns the kept part of a hash in hex.
-func sum(digest hash.Hash) string {
+// hexDigest returns the truncated hash in hex.
+func hexDigest(digest hash.Hash) string {
 	return hex.EncodeToString(digest.Sum(nil)[:digestBytes])
 }
--- a/core/claim/resolve.go
+++ b/core/claim/resolve.go
@@ -1,18 +1,18 @@
 package claim
 
-// Resolved hands in the side's answer about the seen attempt.
-func (m *Machine) Resolved(answer SideAnswer) error {
-	if err := m.await(stateAsking); err != nil {
+// Resolved processes the sidecar's response about the attempt in the seen record.
+func (m *Machine) Resolved(response SideAnswer) error {
+	if err := m.expectState(stateAsking); err != nil {
 		return err
 	}
-	state := m.believed(answer)
+	state := m.verifiedState(response)
 	switch {
 	case state == SideUnreachable:
 		m.end(eventSideUnreachable, Verdict{RetryAfter: m.rules.RetryAfter})
 	case m.seen.State == StateDone:
-		m.resolvedOmitted(state, answer.Chunks)
+		m.resolvedOmitted(state, response.Chunks)
 	case state == SideDone:
-		m.end(eventSideDone, Verdict{Chunks: answer.Chunks})
+		m.end(eventSideDone, Verdict{Chunks: response.Chunks})
 	case state == SideRunning:
 		m.end(eventSideRunning, Verdict{})
 	case state == SideNotRun:
@@ -25,35 +25,37 @@
 	return m.err
 }
 
-// believed returns the answer's state, or SideGone if another incarnation than
-// the claim's answered. A side that was restarted, or another host that got the
-// address, has an empty table: its "never seen" proves nothing about what the
-// earlier process handed to the upstream.
-func (m *Machine) believed(answer SideAnswer) SideState {
-	if answer.State == SideUnreachable {
+// verifiedState returns the state in the response, or SideGone if the responding
+// incarnation is not the one in the claim. A sidecar that was restarted, or another
+// host that got the address, has an empty table: its "never seen" proves nothing
+// about what the earlier process handed to the upstream.
+func (m *Machine) verifiedState(response SideAnswer) SideState {
+	if response.State == SideUnreachable {
 		return SideUnreachable
 	}
-	if answer.Incarnation != m.seen.Target.Incarnation {
+	if response.Incarnation != m.seen.Target.Incarnation {
 		return SideGone
 	}
-	return answer.State
+	return response.State
 }
 
-// resolvedNotRun replaces the seen attempt, which has a tombstone now.
+// resolvedNotRun replaces the seen attempt, for which the sidecar now has a
+// tombstone.
 //
-// Safe: the tombstone stands before the update is sent, so whatever becomes of
-// the update, the old nonce is dead. The update is conditional on the version
-// that carried the old nonce: of all askers that got the same answer one wins.
+// Safe: the tombstone exists before the update is sent, so the attempt of the old
+// nonce never runs, whether or not the update succeeds. The update is conditional
+// on the version that has the old nonce: of all callers that got the same response
+// one succeeds.
 func (m *Machine) resolvedNotRun() {
-	if m.goal == goalLook {
-		m.startUpdate(eventSideNotRun, m.abandoned())
+	if m.goal == goalLookup {
+		m.startUpdate(eventSideNotRun, m.abandonedRecord())
 		return
 	}
 	m.startUpdate(eventSideNotRun, m.nextAttempt())
 }
 
-// resolvedOmitted ends with a result of which the record has only the digest.
-// Other chunks than those that were recorded are no result.
+// resolvedOmitted ends the machine with a result of which the record has only the
+// digest. Chunks with another digest are not accepted as the result.
 func (m *Machine) resolvedOmitted(state SideState, chunks [][]byte) {
 	recorded := m.seen.Result
 	if state == SideDone && recorded != nil && DigestChunks(chunks) == recorded.Digest {
@@ -63,8 +65,9 @@
 	m.end(eventResultLost, Verdict{})
 }
 
-// GiveUp ends the machine early, as when the request's deadline has passed. The
-// verdict is truthful in any state, because the asker owns nothing yet.
+// GiveUp ends the machine early, for example when the request's deadline has
+// passed. The verdict is correct in any state, because the caller does not own an
+// attempt of this machine yet.
 func (m *Machine) GiveUp() {
 	state := m.chart.State()
 	switch {
@@ -72,24 +75,26 @@
 	case state == stateWaiting || state == stateAsking || m.otherMayRun():
 		m.end(eventGaveUp, Verdict{RetryAfter: m.rules.RetryAfter})
 	default:
-		m.end(eventOutOfTime, Verdict{RetryAfter: m.rules.RetryAfter, KeyNotRun: m.ask.Minted})
+		m.end(eventOutOfTime, Verdict{RetryAfter: m.rules.RetryAfter, KeyNotRun: m.spec.Minted})
 	}
 }
 
-// loseStore ends without an attempt of this ask because the store does not answer.
+// endStoreUnavailable ends the machine without an attempt because the store does
+// not respond.
 //
-// This ask has started nothing and will start nothing: an update or create of
-// it that takes effect later leaves an open claim that nobody dispatches. What
-// another request with the same key did is a different question. It is ruled out
-// only if no other request can have the key.
-func (m *Machine) loseStore() {
+// This machine's caller has started nothing and will start nothing: an update or
+// create that takes effect later leaves an open claim that nobody dispatches.
+// Another request with the same key may have run the stage nevertheless. That is
+// ruled out only if no other request can have the key.
+func (m *Machine) endStoreUnavailable() {
 	if m.otherMayRun() {
 		m.end(eventLostSight, Verdict{RetryAfter: m.rules.RetryAfter})
 		return
 	}
-	m.end(eventStoreDown, Verdict{RetryAfter: m.rules.RetryAfter, KeyNotRun: m.ask.Minted})
+	m.end(eventStoreDown, Verdict{RetryAfter: m.rules.RetryAfter, KeyNotRun: m.spec.Minted})
 }
 
-// otherMayRun tells whether another request is known to have claimed the stage.
-// Only lookers write a minted key's claim besides its owner, and they run nothing.
-func (m *Machine) otherMayRun() bool { return m.others && !m.ask.Minted }
+// otherMayRun reports whether another request is known to have claimed the stage.
+// Besides its owner, only lookups write the claim of a minted key, and they run
+// nothing.
+func (m *Machine) otherMayRun() bool { return m.otherWrote && !m.spec.Minted }
--- a/core/claim/step.go
+++ b/core/claim/step.go
@@ -7,28 +7,29 @@
 	"acaciawinch/core/chart"
 )
 
-// Status is the verdict of a claim.
+// Status is the kind of a verdict.
 type Status int
 
 // The verdicts.
 const (
-	// Mine: the asker owns the attempt and may dispatch it, once.
+	// Mine: the caller owns the attempt and may dispatch it, once.
 	Mine Status = iota + 1
 	// Done: the stage ran; its result is present.
 	Done
-	// Running: another request of the same key has it running; attach to it.
+	// Running: an attempt of another request with the same key is running; attach
+	// to it.
 	Running
-	// Unknown: an attempt may have run. The claim stays as it is.
+	// Unknown: an attempt may have run. The claim is left unchanged.
 	Unknown
-	// Unavailable: the store did not answer. The asker has started nothing and
+	// Unavailable: the store did not respond. The caller has started nothing and
 	// will start nothing.
 	Unavailable
-	// NotRun: proved that neither the asker nor, for a look, the request named in
-	// the record has run it or ever will.
+	// NotRun: it is proved that neither the caller nor, for a lookup, the request
+	// named in the record has run the stage or ever will.
 	NotRun
-	// Absent: a look found no claim.
+	// Absent: a lookup found no claim.
 	Absent
-	// Invalid: the claim is that of another body or key.
+	// Invalid: the claim belongs to another body or key.
 	Invalid
 )
 
@@ -46,43 +47,45 @@
 // String returns the verdict's name.
 func (s Status) String() string { return statusNames[s] }
 
-// Verdict is what a claim came to.
+// Verdict is the result of an operation on a claim.
 type Verdict struct {
 	Status Status
-	// Record and Version are those of the claim that decided, if one was seen.
+	// Record and Version are those of the claim on which the verdict is based, if
+	// one was seen.
 	Record  Record
 	Version uint64
-	// Chunks are the result in Done.
+	// Chunks are the result, with Done.
 	Chunks [][]byte
-	// Recorded tells, in Done, whether the claim object holds the result already.
+	// Recorded reports, with Done, whether the claim object holds the result or its
+	// digest already.
 	Recorded bool
-	// KeyNotRun tells that no attempt of any request with this key had run at the
-	// moment that decided, and that those which had claimed it by then never will.
-	// It holds with NotRun and, for a key that the entry made itself, with Mine
-	// and Unavailable: then nobody else can have asked for it.
+	// KeyNotRun is set if no attempt of any request with this key had run at the
+	// moment on which the verdict is based, and those that had claimed it by then
+	// never will. It can be set with NotRun and, for a minted key, with Mine and
+	// Unavailable: no other request can have a minted key.
 	KeyNotRun bool
-	// RetryAfter tells when asking again is worth while; zero if it is not.
+	// RetryAfter is when a retry may succeed; zero if a retry is of no use.
 	RetryAfter time.Duration
-	// Trail is the events of the claim chart that led here, in order.
+	// Trail is the events of the claim chart that led to the verdict, in order.
 	Trail []chart.Event
 }
 
-// Call is what the driver of a machine has to do next.
+// Call is the kind of call that the driver of a machine has to make next.
 type Call int
 
 // The calls.
 const (
-	// CallNone: the verdict is reached.
+	// CallNone: the machine has ended.
 	CallNone Call = iota
-	// CallCreate: create the object; answer by Wrote.
+	// CallCreate: create the object, then call Wrote.
 	CallCreate
-	// CallUpdate: update the object if it has the version; answer by Wrote.
+	// CallUpdate: update the object if it has the version, then call Wrote.
 	CallUpdate
-	// CallRead: read the object; answer by Found, Missing or Unreadable.
+	// CallRead: read the object, then call Found, Missing or Unreadable.
 	CallRead
-	// CallWait: wait for the duration; answer by Waited.
+	// CallWait: wait for the duration, then call Waited.
 	CallWait
-	// CallResolve: ask the record's side for the record's attempt; answer by
+	// CallResolve: query the record's sidecar for the record's attempt, then call
 	// Resolved.
 	CallResolve
 )
@@ -90,19 +93,19 @@
 // Step is the next call with its arguments.
 type Step struct {
 	Call Call
-	// Name is the claim object's.
+	// Name is the name of the claim object.
 	Name string
-	// Record is to be written, or names the attempt to resolve.
+	// Record is the record to write, or names the attempt to resolve.
 	Record Record
-	// Version is the condition of an update.
+	// Version is the version on which an update is conditional.
 	Version uint64
 	Wait    time.Duration
 }
 
-// WriteAnswer is how the store answered a conditional write.
+// WriteAnswer is the store's response to a conditional write.
 type WriteAnswer int
 
-// The answers to a write.
+// The responses to a write.
 const (
 	// WriteOK: the write took effect.
 	WriteOK WriteAnswer = iota + 1
@@ -114,29 +117,30 @@
 	WriteUnavailable
 )
 
-// SideState is how a side answered Resolve.
+// SideState is the state of an attempt in a sidecar's response to Resolve.
 type SideState int
 
-// The answers of a side.
+// The states that a sidecar can report.
 const (
-	// SideDone: the attempt finished; the result is in the answer.
+	// SideDone: the attempt finished; the result is in the response.
 	SideDone SideState = iota + 1
 	// SideRunning: the attempt is queued or running.
 	SideRunning
 	// SideNotRun: the attempt has not run and is refused from now on.
 	SideNotRun
-	// SideGone: the side can't know.
+	// SideGone: the sidecar can't tell, because it is another incarnation or has
+	// evicted the attempt.
 	SideGone
 	// SideFailed: the attempt was handed to the upstream and has no result.
 	SideFailed
-	// SideUnreachable: there was no answer.
+	// SideUnreachable: there was no response.
 	SideUnreachable
 )
 
-// SideAnswer is a side's answer to Resolve.
+// SideAnswer is a sidecar's response to Resolve.
 type SideAnswer struct {
 	State SideState
-	// Incarnation is the answering process's.
+	// Incarnation is that of the responding sidecar.
 	Incarnation core.Incarnation
 	Chunks      [][]byte
 }
--- a/core/claim/world_test.go
+++ b/core/claim/world_test.go
@@ -7,7 +7,8 @@
 	"acaciawinch/core/claim"
 )
 
-// mutation disables one mechanism, so that a test can see the checker fail.
+// mutation is a mechanism to disable, so that a test can show that the checker
+// detects its absence.
 type mutation int
 
 const (
@@ -26,12 +27,12 @@
 	mutations
 )
 
-// ticketLifetime is how old a ticket a side accepts, and how long it keeps
-// tombstones, in ticks.
+// ticketLifetime is the highest age of a ticket that a sidecar accepts, and how
+// long it keeps tombstones, in ticks.
 const ticketLifetime = 10
 
-// chooser picks a number from 0 to n-1. All that happens in a world follows from
-// its picks.
+// chooser returns a number from 0 to n-1. Its results determine everything that
+// happens in a world.
 type chooser func(label string, n int) int
 
 // object is one value of the store.
@@ -40,40 +41,41 @@
 	version uint64
 }
 
-// message is a write or dispatch that the network holds back.
+// message is a write or dispatch that the network delays.
 type message struct {
 	write *claim.Step
 	run   *claim.Record
 }
 
-// fate is what became of a dispatched message.
-type fate int
+// dispatchOutcome is a sidecar's response to a dispatched attempt.
+type dispatchOutcome int
 
 const (
-	// admitted: the side runs the attempt.
-	admitted fate = iota + 1
-	// refused: proved not run.
+	// admitted: the sidecar runs the attempt.
+	admitted dispatchOutcome = iota + 1
+	// refused: it is proved that the attempt has not run.
 	refused
-	// unclear: the side proves nothing.
+	// unclear: the response proves nothing.
 	unclear
 )
 
-// sideProcess is a side: the model below, or the real gate.
+// sideProcess is a sidecar: the model below, or the real gate.
 type sideProcess interface {
-	// id and clock are what a probe tells.
+	// id and clock return what a probe reports.
 	id() core.Incarnation
 	clock() uint64
-	run(w *world, record claim.Record) fate
+	run(w *world, record claim.Record) dispatchOutcome
 	resolve(w *world, record claim.Record) claim.SideAnswer
-	// tick moves the clock, evict drops old results, end ends what runs.
+	// tick advances the clock, evict drops old results, and endRuns ends all running
+	// attempts.
 	tick(ticks uint64)
 	evict(w *world)
-	end(w *world, failed bool)
-	// follow tells how far an admitted attempt is.
+	endRuns(w *world, failed bool)
+	// follow returns the state of an admitted attempt.
 	follow(record claim.Record) claim.SideState
 }
 
-// attempt is one claimed attempt as a side knows it.
+// attempt is the sidecar's state of one claimed attempt.
 type attempt struct {
 	record claim.Record
 	at     uint64
@@ -81,8 +83,9 @@
 	failed bool
 }
 
-// side is a model of a side process: the rules that core/claim's safety rests on.
-type side struct {
+// sideModel is a model of a sidecar: the rules on which the safety of core/claim
+// depends.
+type sideModel struct {
 	incarnation core.Incarnation
 	now         uint64
 	seen        map[uint64]*attempt
@@ -90,39 +93,39 @@
 	horizon     uint64
 }
 
-// world is one store, two sides and the executions that upstreams saw.
+// world is one store, two sidecars and the executions at their upstreams.
 type world struct {
-	pick    chooser
-	broken  mutation
-	calm    bool
-	down    bool
-	objects map[string]object
-	version uint64
-	sides   []sideProcess
-	// newSide makes a side with an empty table.
+	pick      chooser
+	disabled  mutation
+	faultFree bool
+	down      bool
+	objects   map[string]object
+	version   uint64
+	sides     []sideProcess
+	// newSide returns a sidecar with an empty table.
 	newSide func(core.Incarnation) sideProcess
-	late    []message
-	// ledger is what ran, by key.
+	delayed []message
+	// ledger lists the requests that ran, by key.
 	ledger map[string][]core.RequestID
-	// neverRuns are requests that were told not_run.
-	neverRuns map[core.RequestID]string
-	// lossy is set once a side forgot something, so that unknown is truthful.
-	lossy   bool
-	started int
-	taken   map[string]bool
-	problem string
+	// toldNotRun holds the requests that were reported as not run, with the verdict.
+	toldNotRun map[core.RequestID]string
+	// lossy is set once state was lost, so that the verdict unknown is correct.
+	lossy       bool
+	started     int
+	transitions map[string]bool
+	violation   string
 }
 
-// newWorld returns a world without asks.
-func newWorld(pick chooser, broken mutation, newSide func(core.Incarnation) sideProcess) *world {
+// newWorld returns a world without actors.
+func newWorld(pick chooser, disabled mutation, newSide func(core.Incarnation) sideProcess) *world {
 	w := &world{
-		newSide:   newSide,
-		pick:      pick,
-		broken:    broken,
-		objects:   make(map[string]object),
-		ledger:    make(map[string][]core.RequestID),
-		neverRuns: make(map[core.RequestID]string),
-		taken:     make(map[string]bool),
+		newSide:     newSide,
+		pick:        pick,
+		disabled:    disabled,
+		objects:     make(map[string]object),
+		ledger:      make(map[string][]core.RequestID),
+		toldNotRun:  make(map[core.RequestID]string),
+		transitions: make(map[string]bool),
 	}
 	for i := range 2 {
 		w.sides = append(w.sides, newSide(core.Incarnation(i+1)))
@@ -130,26 +133,27 @@
 	return w
 }
 
-// newModel returns a model of a side with an empty table.
-func newModel(incarnation core.Incarnation) sideProcess {
-	return &side{incarnation: incarnation, now: 1, seen: make(map[uint64]*attempt), tombstones: make(map[uint64]uint64)}
+// newSideModel returns a sideModel with an empty table.
+func newSideModel(incarnation core.Incarnation) sideProcess {
+	return &sideModel{incarnation: incarnation, now: 1, seen: make(map[uint64]*attempt), tombstones: make(map[uint64]uint64)}
 }
 
-// fail notes the first violation.
+// fail records the first violation.
 func (w *world) fail(format string, args ...any) {
-	if w.problem == "" {
-		w.problem = fmt.Sprintf(format, args...)
+	if w.violation == "" {
+		w.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// chance is true once in n, and never in calm times.
+// chance returns true in one of n cases, and never while w.faultFree is set.
 func (w *world) chance(label string, n int) bool {
-	return !w.calm && w.pick(label, n) == n-1
+	return !w.faultFree && w.pick(label, n) == n-1
 }
 
-// name is the object's key. With colliding names two keys share one object.
+// name returns the name of the step's object. With the mutation noIdentity all
+// keys share one object, as if the hashes in their names collided.
 func (w *world) name(step claim.Step) string {
-	if w.broken == noIdentity {
+	if w.disabled == noIdentity {
 		return "one"
 	}
 	return step.Name
@@ -158,10 +162,10 @@
 // apply carries out a conditional write.
 func (w *world) apply(step claim.Step) (claim.WriteAnswer, uint64) {
 	name := w.name(step)
-	now, exists := w.objects[name]
+	current, exists := w.objects[name]
 	create := step.Call == claim.CallCreate
-	wrong := create == exists || (!create && now.version != step.Version)
-	if wrong && (w.broken != noCondition || create) {
+	conflict := create == exists || (!create && current.version != step.Version)
+	if conflict && (w.disabled != noCondition || create) {
 		return claim.WriteConflict, 0
 	}
 	if ran := w.ledger[step.Record.Key]; step.Record.State != claim.StateDone && len(ran) > 0 {
@@ -172,7 +176,7 @@
 	return claim.WriteOK, w.version
 }
 
-// write is apply with the faults of network and store.
+// write calls apply, with faults of the network and the store.
 func (w *world) write(step claim.Step) (claim.WriteAnswer, uint64) {
 	if w.down {
 		return claim.WriteUnavailable, 0
@@ -184,15 +188,15 @@
 	case 0:
 		w.apply(step)
 	case 1:
-		w.late = append(w.late, message{write: &step})
+		w.delayed = append(w.delayed, message{write: &step})
 	}
-	if w.broken == noReadBack {
+	if w.disabled == noReadBack {
 		return claim.WriteOK, w.version
 	}
 	return claim.WriteAmbiguous, 0
 }
 
-// side returns the side process at a target's address, whatever its incarnation.
+// side returns the sidecar at a target's address, whatever its incarnation.
 func (w *world) side(target claim.Target) sideProcess {
 	if target.Addr == "side-0" {
 		return w.sides[0]
@@ -200,7 +204,7 @@
 	return w.sides[1]
 }
 
-// probe returns a target as a router would choose it now.
+// probe returns the target that a router would choose now for sidecar i.
 func (w *world) probe(i int) claim.Target {
 	s := w.sides[i]
 	addr := fmt.Sprintf("side-%d", i)
@@ -208,20 +212,20 @@
 }
 
 // id implements sideProcess.
-func (s *side) id() core.Incarnation { return s.incarnation }
+func (s *sideModel) id() core.Incarnation { return s.incarnation }
 
 // clock implements sideProcess.
-func (s *side) clock() uint64 { return s.now }
+func (s *sideModel) clock() uint64 { return s.now }
 
 // run implements sideProcess.
-func (s *side) run(w *world, record claim.Record) fate {
-	_, dead := s.tombstones[record.Nonce]
+func (s *sideModel) run(w *world, record claim.Record) dispatchOutcome {
+	_, tombstoned := s.tombstones[record.Nonce]
 	_, seen := s.seen[record.Nonce]
 	expired := s.now > record.Target.SideClockUS+ticketLifetime
 	switch {
-	case record.Target.Incarnation != s.incarnation && w.broken != noRunIncarnation:
+	case record.Target.Incarnation != s.incarnation && w.disabled != noRunIncarnation:
 		return refused
-	case dead, expired && w.broken != noTicket:
+	case tombstoned, expired && w.disabled != noTicket:
 		return refused
 	case seen:
 		return unclear
@@ -231,18 +235,19 @@
 	return admitted
 }
 
-// execute notes an execution at the upstream and checks what must hold of it.
+// execute records an execution at the upstream. It is a violation if the key ran
+// before or the request was reported as not run.
 func (w *world) execute(record claim.Record) {
 	w.ledger[record.Key] = append(w.ledger[record.Key], record.Request)
 	if len(w.ledger[record.Key]) > 1 {
 		w.fail("key %s ran more than once: %v", record.Key, w.ledger[record.Key])
 	}
-	if why, told := w.neverRuns[record.Request]; told {
-		w.fail("request %s ran after not_run was told: %s", record.Request, why)
+	if verdict, reported := w.toldNotRun[record.Request]; reported {
+		w.fail("request %s ran after it was reported as not run: %s", record.Request, verdict)
 	}
 }
 
-// resolve asks a side about an attempt.
+// resolve queries the sidecar of an attempt, which may be unreachable.
 func (w *world) resolve(record claim.Record) claim.SideAnswer {
 	if w.chance("unreachable", 8) {
 		return claim.SideAnswer{State: claim.SideUnreachable}
@@ -251,41 +256,41 @@
 }
 
 // resolve implements sideProcess.
-func (s *side) resolve(w *world, record claim.Record) claim.SideAnswer {
-	answer := claim.SideAnswer{Incarnation: s.incarnation}
-	if w.broken == noResolveIncarnation {
-		answer.Incarnation = record.Target.Incarnation
+func (s *sideModel) resolve(w *world, record claim.Record) claim.SideAnswer {
+	response := claim.SideAnswer{Incarnation: s.incarnation}
+	if w.disabled == noResolveIncarnation {
+		response.Incarnation = record.Target.Incarnation
 	} else if record.Target.Incarnation != s.incarnation {
-		answer.State = claim.SideGone
-		return answer
+		response.State = claim.SideGone
+		return response
 	}
 	known, seen := s.seen[record.Nonce]
 	switch {
 	case seen && known.failed:
-		answer.State = claim.SideFailed
+		response.State = claim.SideFailed
 	case seen && known.done:
-		answer.State = claim.SideDone
-		answer.Chunks = resultOf(known.record)
+		response.State = claim.SideDone
+		response.Chunks = resultOf(known.record)
 	case seen:
-		answer.State = claim.SideRunning
-	case record.Target.SideClockUS < s.horizon && w.broken != noHorizon:
-		answer.State = claim.SideGone
+		response.State = claim.SideRunning
+	case record.Target.SideClockUS < s.horizon && w.disabled != noHorizon:
+		response.State = claim.SideGone
 	default:
-		answer.State = claim.SideNotRun
-		if w.broken != noTombstone {
+		response.State = claim.SideNotRun
+		if w.disabled != noTombstone {
 			s.tombstones[record.Nonce] = s.now
 		}
 	}
-	return answer
+	return response
 }
 
-// resultOf is the output of an execution.
+// resultOf returns the output of an execution.
 func resultOf(record claim.Record) [][]byte {
 	return [][]byte{[]byte(record.Key), []byte(":" + string(record.Request))}
 }
 
 // tick implements sideProcess.
-func (s *side) tick(ticks uint64) {
+func (s *sideModel) tick(ticks uint64) {
 	s.now += ticks
 	for nonce, at := range s.tombstones {
 		if s.now > at+ticketLifetime {
@@ -294,8 +299,8 @@
 	}
 }
 
-// evict implements sideProcess. Dropping a result moves the horizon.
-func (s *side) evict(w *world) {
+// evict implements sideProcess. Dropping a result raises the horizon.
+func (s *sideModel) evict(w *world) {
 	for nonce, known := range s.seen {
 		if known.done && s.now > known.at+ticketLifetime {
 			delete(s.seen, nonce)
@@ -305,8 +310,8 @@
 	}
 }
 
-// end implements sideProcess.
-func (s *side) end(w *world, failed bool) {
+// endRuns implements sideProcess.
+func (s *sideModel) endRuns(w *world, failed bool) {
 	for _, known := range s.seen {
 		if !known.done && failed {
 			known.failed = true
@@ -317,7 +322,7 @@
 }
 
 // follow implements sideProcess.
-func (s *side) follow(record claim.Record) claim.SideState {
+func (s *sideModel) follow(record claim.Record) claim.SideState {
 	known, ok := s.seen[record.Nonce]
 	switch {
 	case !ok:
@@ -331,19 +336,20 @@
 	}
 }
 
-// finishRuns ends what runs at a side, or fails it: it ran and has no result.
-func (w *world) finishRuns(s sideProcess) { s.end(w, w.chance("failed", 6)) }
+// finishRuns ends all running attempts of a sidecar, by chance as failed: such an
+// attempt ran and has no result.
+func (w *world) finishRuns(s sideProcess) { s.endRuns(w, w.chance("failed", 6)) }
 
-// restart replaces a side by a new incarnation that knows nothing.
+// restart replaces a sidecar by a new incarnation with an empty table.
 func (w *world) restart(i int) {
 	w.sides[i] = w.newSide(w.sides[i].id() + 10)
 	w.lossy = true
 }
 
-// deliver hands a held-back message to its receiver.
+// deliver passes a delayed message to its receiver.
 func (w *world) deliver(i int) {
-	m := w.late[i]
-	w.late = append(w.late[:i:i], w.late[i+1:]...)
+	m := w.delayed[i]
+	w.delayed = append(w.delayed[:i:i], w.delayed[i+1:]...)
 	if m.write != nil {
 		w.apply(*m.write)
 		return
