--- a/core/request/action.go
+++ b/core/request/action.go
@@ -6,10 +6,10 @@
 	"acaciawinch/core"
 )
 
-// Action is something that the runtime does for the request.
+// Action is an operation that the runtime executes for the request.
 type Action interface{ action() }
 
-// Cause says why an attempt is made; cost is charged to it.
+// Cause is the reason for an attempt; the cost of the attempt is accounted to it.
 type Cause string
 
 // The causes of attempts.
@@ -18,20 +18,21 @@
 	CauseRetry  Cause = "retry"
 	CauseHedge  Cause = "hedge"
 	CauseResume Cause = "resume"
-	// CauseCheck is of no attempt: it only asks whether a later stage can be made.
+	// CauseCheck marks no real attempt, only a check whether a later stage can finish
+	// in time.
 	CauseCheck Cause = "check"
 )
 
-// Choose asks for an upstream; the answer is Chosen or NotChosen.
+// Choose requests an upstream; the response is Chosen or NotChosen.
 type Choose struct {
 	Attempt AttemptID
 	Stage   int
-	// Remaining is the time left for the stage; zero sets no bound.
+	// Remaining is the time that remains for the stage; zero sets no bound.
 	Remaining time.Duration
-	// Exclude names upstreams not to choose.
+	// Exclude lists upstreams not to choose.
 	Exclude []core.UpstreamID
 	Hedge   bool
-	// Check is set if the choice only tells whether the stage can be made in time.
+	// Check is set if the choice only checks whether the stage can finish in time.
 	Check bool
 	// After delays the choice.
 	After time.Duration
@@ -46,13 +47,13 @@
 	Number    uint32
 	Cause     Cause
 	Remaining time.Duration
-	// Resume is how many chunks of the stage's output are there already.
+	// Resume is the number of chunks of the stage's output received already.
 	Resume int
 	Reason string
 }
 
-// Attach follows an attempt on a new stream, from its own chunk From on. An
-// earlier stream of the attempt is closed.
+// Attach opens a new stream of an attempt, starting with the attempt's own chunk
+// From. An earlier stream of the attempt is closed.
 type Attach struct {
 	Attempt AttemptID
 	Stage   int
@@ -62,10 +63,11 @@
 	Reason string
 }
 
-// Ping asks the side of an attempt whether it lives; the answer is Pinged.
+// Ping is a health check of an attempt's sidecar; the response is Pinged.
 type Ping struct{ Attempt AttemptID }
 
-// Resolve asks a side what became of a claimed attempt; the answer is Resolved.
+// Resolve queries a sidecar for the outcome of a claimed attempt; the response is
+// Resolved.
 type Resolve struct {
 	Attempt AttemptID
 	Stage   int
@@ -73,7 +75,7 @@
 	Reason  string
 }
 
-// CancelReason is the cause to which a cancelled attempt is charged.
+// CancelReason is the reason to which the cost of a cancelled attempt is accounted.
 type CancelReason string
 
 // The reasons to cancel an attempt.
@@ -84,7 +86,7 @@
 	CancelSuperseded CancelReason = "superseded"
 )
 
-// Cancel ends an attempt; the answer is Cancelled.
+// Cancel cancels an attempt; the response is Cancelled.
 type Cancel struct {
 	Attempt AttemptID
 	Stage   int
@@ -92,10 +94,11 @@
 	Detail  string
 }
 
-// Acknowledge tells a side that the attempt's result is held. No answer.
+// Acknowledge confirms to a sidecar that the attempt's result was received. It has
+// no response.
 type Acknowledge struct{ Attempt AttemptID }
 
-// End is how an attempt ended, from the entry's view.
+// End is how an attempt ended, as the entry sees it.
 type End string
 
 // The ends of attempts.
@@ -107,30 +110,31 @@
 	EndCancelled End = "cancelled"
 )
 
-// Report tells how an attempt for which an upstream was chosen ended. There is
-// exactly one for each. No answer.
+// Report reports how an attempt ended for which an upstream was chosen. There is
+// exactly one Report for each such attempt. It has no response.
 type Report struct {
 	Attempt AttemptID
 	Stage   int
 	End     End
-	// Sent is set if the attempt was dispatched, and Wasted names the cause if
-	// its work served no answer.
+	// Sent is set if the attempt was dispatched. Wasted is the reason why its work
+	// contributed to no answer, or empty.
 	Sent     bool
 	Wasted   string
 	Duration time.Duration
 }
 
-// OpenClaim claims the attempt for the chosen upstream; the answer is Claimed.
+// OpenClaim claims the stage for the attempt and its chosen upstream; the response
+// is Claimed.
 type OpenClaim struct {
 	Attempt AttemptID
 	Stage   int
 	Number  uint32
-	// DispatchWithin is how long the stages before are expected to take.
+	// DispatchWithin is how long the earlier stages are expected to take.
 	DispatchWithin time.Duration
 }
 
 // Reassign moves the claim to the upstream chosen for the attempt, after proof
-// that the attempt before has not run; the answer is Claimed.
+// that the previous attempt has not run; the response is Claimed.
 type Reassign struct {
 	Attempt AttemptID
 	Stage   int
@@ -138,33 +142,33 @@
 	Reason  string
 }
 
-// Release ends a claim of which no Run was sent or every Run was refused; the
-// answer is Released.
+// Release releases a claim under which no Run was sent or every Run was refused;
+// the response is Released.
 type Release struct{ Stage int }
 
-// Finish records the stage's result in the claim; the answer is Finished.
+// Finish records the stage's result in the claim; the response is Finished.
 type Finish struct {
 	Attempt AttemptID
 	Stage   int
 	Chunks  [][]byte
 }
 
-// Emit hands one chunk of the answer to the caller. Chunks come in order.
+// Emit delivers one chunk of the answer to the caller. Chunks are in order.
 type Emit struct {
 	Index uint64
 	Data  []byte
 }
 
-// Note records a decision that has no other action.
+// Note records a decision that causes no other action.
 type Note struct {
 	Attempt AttemptID
 	Stage   int
-	// Kind is a few words; Reason says why.
+	// Kind classifies the decision; Reason explains it.
 	Kind   NoteKind
 	Reason string
 }
 
-// NoteKind names a decision that is only noted.
+// NoteKind is the kind of a recorded decision.
 type NoteKind string
 
 // The kinds of notes.
@@ -175,7 +179,7 @@
 	NoteKept     NoteKind = "kept_result"
 	NoteLeft     NoteKind = "left"
 	NoteSettling NoteKind = "settling"
-	// NoteTrial: a stage is tried although upstreams are said to be too slow.
+	// NoteTrial: a stage is tried although its upstreams are estimated to be too slow.
 	NoteTrial NoteKind = "trial"
 	// NoteBug: a state chart was violated.
 	NoteBug NoteKind = "bug"
@@ -186,35 +190,36 @@
 
 // The causes of giving up.
 const (
-	// GiveUpOverload: no upstream would have made it in time.
+	// GiveUpOverload: no upstream would have finished in time.
 	GiveUpOverload GiveUpCause = "overload"
-	// GiveUpNoUpstream: no upstream answers or is fit for the work.
+	// GiveUpNoUpstream: no upstream responds or is fit for the work.
 	GiveUpNoUpstream GiveUpCause = "no_upstream"
 	// GiveUpUnavailable: the platform's store can't hold the claim.
 	GiveUpUnavailable GiveUpCause = "unavailable"
 	// GiveUpConflict: the idempotency key was used with another body.
 	GiveUpConflict GiveUpCause = "conflict"
-	// GiveUpLimit: the workspace's bound is reached.
+	// GiveUpLimit: the limit of the workspace is reached.
 	GiveUpLimit GiveUpCause = "limit"
 	// GiveUpDeadline: the deadline passed.
 	GiveUpDeadline GiveUpCause = "deadline"
-	// GiveUpFailed: attempts failed and no retry was left.
+	// GiveUpFailed: attempts failed and no further retry was allowed.
 	GiveUpFailed GiveUpCause = "failed"
-	// GiveUpUnknown: a claimed attempt may have run and can't be resolved.
+	// GiveUpUnknown: a claimed attempt may have run and its outcome can't be resolved.
 	GiveUpUnknown GiveUpCause = "unresolved"
-	// GiveUpCallerGone: nobody waits for the answer.
+	// GiveUpCallerGone: the caller no longer waits for the answer.
 	GiveUpCallerGone GiveUpCause = "caller_gone"
 )
 
-// Answer ends the request for the caller. There is exactly one.
+// Answer is the final result of the request for the caller. Each request has
+// exactly one.
 type Answer struct {
 	Outcome core.Outcome
 	// Cause is empty if the outcome is answered.
 	Cause GiveUpCause
-	// Step and Detail say where and why the request was given up.
+	// Step and Detail describe where and why the request was given up.
 	Step   string
 	Detail string
-	// RetryAfter is zero if no time is known.
+	// RetryAfter is when the caller may retry, or zero if that is not known.
 	RetryAfter time.Duration
 }
 
--- a/core/request/ahead.go
+++ b/core/request/ahead.go
@@ -1,26 +1,27 @@
 package request
 
-// lookAhead asks, before s is dispatched, whether the costliest of the later
-// stages can be made in time. It is asked at the admission, so that a request
-// that will be refused is refused at once and costs nothing, and again before a
-// stage that must run at most once, so that none is left half done.
-func (m *Machine) lookAhead(s *stage) {
+// checkLaterStages checks, before s is dispatched, whether the slowest of the later
+// stages can finish in time. The check is made at admission, so that a request
+// that would be refused later is refused at once and at no cost, and again before
+// each stage that must run at most once, so that the request does not fail after
+// it.
+func (m *Machine) checkLaterStages(s *stage) {
 	if s.check != nil || s.cleared {
 		return
 	}
-	later := m.costliest(s)
+	later := m.slowest(s)
 	if later == nil || m.mayHaveRun() {
 		s.cleared = true
 		return
 	}
 	s.check = m.newAttempt(later, CauseCheck)
-	later.numbers-- // it is no attempt of the stage
+	later.attemptCount-- // a check is not an attempt of the stage
 	m.choose(s.check, 0)
 }
 
-// costliest returns the idempotent stage behind s that takes longest, or nil.
-// Claimed stages choose their upstream early anyway.
-func (m *Machine) costliest(s *stage) *stage {
+// slowest returns the idempotent stage after s with the longest median service
+// time, or nil. Non-idempotent stages choose their upstream in advance anyway.
+func (m *Machine) slowest(s *stage) *stage {
 	estimates := m.estimates()
 	var found *stage
 	for _, later := range m.stages[s.index+1:] {
@@ -34,18 +35,19 @@
 	return found
 }
 
-// checkRefused gives the request up if a later stage can't be made. A measure of
-// the past without a queue is no proof; the stage itself will tell. Nor is it
-// that no upstream is fit, until it stays so for a while.
+// checkRefused gives the request up if a later stage can't finish in time. An
+// estimate from past measurements without a queue does not count: the stage itself
+// will show how long it takes. That no upstream is fit counts only after some
+// retries.
 func (m *Machine) checkRefused(a *attempt, e NotChosen) {
 	s := a.stage
-	idle := e.Late && e.RetryAfter <= m.rules.TrialWait && s.spec.Declared > 0
+	idle := e.Late && e.RetryAfter <= m.rules.MaxTrialWait && s.spec.Declared > 0
 	switch {
 	case idle || m.ending != nil:
 		m.end(a, EndCancelled, "")
-		m.checked(a)
-	case !e.Late && s.chooses < m.rules.ChooseTries:
-		s.chooses++
+		m.finishCheck(a)
+	case !e.Late && s.choiceRetries < m.rules.ChooseTries:
+		s.choiceRetries++
 		m.choose(a, m.rules.ChooseBackoff)
 	default:
 		m.end(a, EndCancelled, "")
@@ -58,8 +60,8 @@
 	}
 }
 
-// checked lets the stage that waited for the check go.
-func (m *Machine) checked(a *attempt) {
+// finishCheck dispatches the stage that waited for the check.
+func (m *Machine) finishCheck(a *attempt) {
 	if m.ending != nil {
 		return
 	}
@@ -71,10 +73,10 @@
 	}
 }
 
-// dispatchReady dispatches the attempt of a stage that waited for its check.
+// dispatchReady dispatches the attempt of a stage whose check has passed.
 func (m *Machine) dispatchReady(s *stage) {
 	if s.spec.NonIdempotent {
-		m.enterClaimed(s)
+		m.dispatchClaimed(s)
 		return
 	}
 	for _, a := range m.attempts {
--- a/core/request/attempt.go
+++ b/core/request/attempt.go
@@ -8,22 +8,23 @@
 	"acaciawinch/core"
 )
 
-// attemptState tells how far an attempt is. The stage's chart holds the state of
-// the stage; this one belongs to a single attempt of it.
+// attemptState is the state of a single attempt. The state of its stage is kept by
+// the stage's state chart.
 type attemptState int
 
 const (
 	// choosing: an upstream is being chosen.
 	choosing attemptState = iota
-	// claiming: the claim of a chosen attempt is awaited.
+	// claiming: an upstream was chosen; the response to the claim is awaited.
 	claiming
-	// ready: the claim is held; the input is awaited.
+	// ready: an upstream is chosen and any claim is held; the stage's input or the
+	// check of the later stages is awaited.
 	ready
 	// sent: the attempt was dispatched or attached to; events are awaited.
 	sent
-	// resolving: the side is asked what became of the attempt.
+	// resolving: the sidecar is being queried for the outcome of the attempt.
 	resolving
-	// cancelling: the attempt was cancelled; proof that it won't start is awaited.
+	// cancelling: the attempt was cancelled; proof that it will not start is awaited.
 	cancelling
 	// ended: nothing is awaited.
 	ended
@@ -39,19 +40,19 @@
 
 	upstream core.UpstreamID
 	expected time.Duration
-	// foreign marks a claimed attempt of another request with the same key, which
-	// this one follows.
+	// foreign marks a claimed attempt of another request with the same idempotency
+	// key, to which this request is attached.
 	foreign bool
-	// dispatched is set once a Run may have left this process, and started once
-	// the upstream is known to have it.
+	// dispatched is set once a Run may have left this process, started once the
+	// upstream is known to have the attempt.
 	dispatched bool
 	started    bool
-	// loose is set from the dispatch until the attempt is known to be over at its
-	// side: finished, failed, refused, or cancelled with the side's word.
-	loose bool
-	// reattached is set if the present stream is an Attach.
+	// outstanding is set from the dispatch until the attempt is known to have ended
+	// at its sidecar: finished, failed, refused, or cancelled with confirmation.
+	outstanding bool
+	// reattached is set if the current stream was opened by an Attach.
 	reattached bool
-	// chosen and reported make sure that each choice is reported once.
+	// chosen and reported ensure that each choice gets exactly one Report.
 	chosen   bool
 	reported bool
 
@@ -59,16 +60,16 @@
 
 	sentAt    time.Time
 	startedAt time.Time
-	heardAt   time.Time
+	lastSeen  time.Time
 	chunkAt   time.Time
-	// pingDue is when the side is asked whether it lives; pinging while an answer
-	// is awaited; pingEvery doubles with each answer.
+	// pingDue is when the sidecar is pinged next; pinging is set while a response is
+	// awaited; pingEvery doubles with each response.
 	pingDue   time.Time
 	pingEvery time.Duration
 	pinging   bool
-	// stayUntil suppresses the silence bounds while no retry is allowed.
-	stayUntil time.Time
-	resolves  int
+	// keepUntil suppresses the silence bounds while no retry is allowed.
+	keepUntil    time.Time
+	resolveTries int
 }
 
 // attemptOutput checks the order and the digest of one attempt's chunks.
@@ -76,27 +77,27 @@
 	// next is the index of the next chunk.
 	next   uint64
 	digest *xxhash.Digest
-	// pending holds chunks that came before their turn.
+	// pending holds chunks that arrived before an earlier one.
 	pending map[uint64][]byte
-	// closing is the closing event once it came.
+	// closing is the closing event, once received.
 	closing *Done
 }
 
-// newAttempt adds an attempt of s that waits for an upstream.
+// newAttempt adds an attempt of s in state choosing.
 func (m *Machine) newAttempt(s *stage, cause Cause) *attempt {
-	s.numbers++
+	s.attemptCount++
 	a := &attempt{
 		id:     AttemptID(len(m.attempts)),
 		stage:  s,
 		cause:  cause,
-		number: s.numbers,
+		number: s.attemptCount,
 		output: attemptOutput{digest: xxhash.New()},
 	}
 	m.attempts = append(m.attempts, a)
 	return a
 }
 
-// find returns the attempt of an event, or nil if there is none.
+// find returns the attempt with the given ID, or nil if there is none.
 func (m *Machine) find(id AttemptID) *attempt {
 	if id < 0 || int(id) >= len(m.attempts) {
 		return nil
@@ -104,11 +105,11 @@
 	return m.attempts[id]
 }
 
-// live tells whether events of the attempt's stream matter.
+// live reports whether the attempt is sent or resolving.
 func (a *attempt) live() bool { return a.state == sent || a.state == resolving }
 
-// others returns how many other attempts of the stage are live.
-func (m *Machine) others(a *attempt) int {
+// liveOthers returns how many other attempts of the stage are live.
+func (m *Machine) liveOthers(a *attempt) int {
 	n := 0
 	for _, other := range m.attempts {
 		if other != a && other.stage == a.stage && other.live() {
@@ -118,15 +119,15 @@
 	return n
 }
 
-// heard notes a sign of life of the attempt's side.
-func (m *Machine) heard(a *attempt) {
-	a.heardAt = m.now
+// markSeen records that the attempt's sidecar is alive and delays the next ping.
+func (m *Machine) markSeen(a *attempt) {
+	a.lastSeen = m.now
 	a.pingEvery = m.rules.PingAfter
 	a.pingDue = m.now.Add(a.pingEvery)
 }
 
-// end ends the attempt and reports it if an upstream was chosen. Wasted is the
-// cause of a pass that served no answer.
+// end ends the attempt and reports it if an upstream was chosen. The argument
+// wasted is the reason why the attempt's work contributed to no answer.
 func (m *Machine) end(a *attempt, how End, wasted string) {
 	a.state = ended
 	m.report(a, how, wasted)
@@ -135,7 +136,7 @@
 	}
 }
 
-// report tells how the attempt ended, once.
+// report emits the Report of the attempt, once.
 func (m *Machine) report(a *attempt, how End, wasted string) {
 	if !a.chosen || a.reported {
 		return
@@ -148,12 +149,12 @@
 	if a.started {
 		r.Wasted = wasted
 	}
-	m.do(r)
+	m.addAction(r)
 }
 
-// cancel asks the side to end the attempt and waits for its word.
+// cancel asks the sidecar to cancel the attempt and awaits its confirmation.
 func (m *Machine) cancel(a *attempt, reason CancelReason, how End, detail string) {
 	m.end(a, how, string(reason))
 	a.state = cancelling
-	m.do(Cancel{Attempt: a.id, Stage: a.stage.index, Reason: reason, Detail: detail})
+	m.addAction(Cancel{Attempt: a.id, Stage: a.stage.index, Reason: reason, Detail: detail})
 }
--- a/core/request/claimed.go
+++ b/core/request/claimed.go
@@ -4,23 +4,23 @@
 	"time"
 )
 
-// claimState is what is known of a non-idempotent stage's claim.
+// claimState is the state of a non-idempotent stage's claim.
 type claimState struct {
 	// owner is the attempt that the claim is for.
 	owner *attempt
 	// held is set while this request owns the claim.
 	held bool
-	// used is set while a Run under the claim may have reached its side.
+	// used is set while a Run under the claim may have reached its sidecar.
 	used bool
-	// mayHaveRun is set once an attempt may have run without proof of the contrary.
+	// mayHaveRun is set once an attempt has run, or no proof shows that it has not.
 	mayHaveRun bool
-	// rounds counts how often the claim was asked for.
+	// rounds counts the OpenClaim calls.
 	rounds int
-	// busy counts the claim's calls that are on their way.
-	busy int
+	// inFlight counts the claim's calls in flight.
+	inFlight int
 }
 
-// mayHaveRun tells whether any non-idempotent stage has run or may have.
+// mayHaveRun reports whether any non-idempotent stage has run or may have run.
 func (m *Machine) mayHaveRun() bool {
 	for _, s := range m.stages {
 		if s.claim.mayHaveRun {
@@ -31,8 +31,8 @@
 }
 
 // prepareClaim chooses the upstream of the next non-idempotent stage and claims
-// it, beside the stages before it. It is called at the start and behind each
-// non-idempotent stage, so at most one claim is open that has not been used.
+// the stage, while the stages before it run. It is called at the start and after
+// each non-idempotent stage, so at most one unused claim is open.
 func (m *Machine) prepareClaim() {
 	for _, s := range m.stages {
 		if s.spec.NonIdempotent && !s.done {
@@ -42,19 +42,19 @@
 	}
 }
 
-// claimFor claims the stage for the upstream that was chosen.
+// claimFor claims the stage for the upstream chosen for the attempt.
 func (m *Machine) claimFor(a *attempt) {
 	s := a.stage
 	s.claim.owner = a
-	s.claim.busy++
+	s.claim.inFlight++
 	a.state = claiming
 	m.fire(s, "claim")
 	if s.claim.held {
-		m.do(Reassign{Attempt: a.id, Stage: s.index, Number: a.number, Reason: "the attempt before has not run"})
+		m.addAction(Reassign{Attempt: a.id, Stage: s.index, Number: a.number, Reason: "the previous attempt has not run"})
 		return
 	}
 	s.claim.rounds++
-	m.do(OpenClaim{Attempt: a.id, Stage: s.index, Number: a.number, DispatchWithin: m.untilStage(s)})
+	m.addAction(OpenClaim{Attempt: a.id, Stage: s.index, Number: a.number, DispatchWithin: m.untilStage(s)})
 }
 
 // untilStage returns how long the stages before s are expected to take.
@@ -66,36 +66,37 @@
 	return total
 }
 
-// onClaimed acts on the verdict of the claim.
+// onClaimed handles the status of the claim.
 func (m *Machine) onClaimed(e Claimed) {
 	a := m.find(e.Attempt)
-	if a == nil || a.stage.claim.owner != a || a.stage.claim.busy == 0 {
+	if a == nil || a.stage.claim.owner != a || a.stage.claim.inFlight == 0 {
 		return
 	}
 	s := a.stage
-	s.claim.busy--
+	s.claim.inFlight--
 	s.claim.held = e.Status == ClaimMine
 	if a.state != claiming || m.ending != nil {
-		m.claimedLate(a, e)
+		m.handleLateClaim(a, e)
 		return
 	}
 	switch e.Status {
 	case ClaimMine:
 		a.state = ready
 		if m.current == s.index {
-			m.enterClaimed(s)
+			m.dispatchClaimed(s)
 		}
 	case ClaimDone:
-		m.claimDone(a, e)
+		m.useEarlierResult(a, e)
 	case ClaimRunning:
 		m.followForeign(a)
 	default:
-		m.claimLost(a, e)
+		m.giveUpUnclaimed(a, e)
 	}
 }
 
-// claimedLate handles a verdict that came after the request was given up.
-func (m *Machine) claimedLate(a *attempt, e Claimed) {
+// handleLateClaim handles a claim status that no longer matters to the attempt,
+// mostly because the request was given up.
+func (m *Machine) handleLateClaim(a *attempt, e Claimed) {
 	m.end(a, EndCancelled, "")
 	s := a.stage
 	switch e.Status {
@@ -107,36 +108,36 @@
 	m.trySettle()
 }
 
-// claimLost gives the request up, since its stage can't be claimed.
-func (m *Machine) claimLost(a *attempt, e Claimed) {
+// giveUpUnclaimed gives the request up because its stage can't be claimed.
+func (m *Machine) giveUpUnclaimed(a *attempt, e Claimed) {
 	s := a.stage
 	m.end(a, EndCancelled, "")
-	give := ending{cause: GiveUpUnavailable, step: "claim." + s.spec.Name, detail: e.Detail, retryAfter: e.RetryAfter}
+	reason := ending{cause: GiveUpUnavailable, step: "claim." + s.spec.Name, detail: e.Detail, retryAfter: e.RetryAfter}
 	event := "claim_refused"
 	switch e.Status {
 	case ClaimUnknown:
 		s.claim.mayHaveRun = true
-		give.cause, event = GiveUpUnknown, "claim_unknown"
+		reason.cause, event = GiveUpUnknown, "claim_unknown"
 	case ClaimInvalid:
-		give.cause = GiveUpConflict
+		reason.cause = GiveUpConflict
 	default:
 		s.claim.mayHaveRun = e.Seen
-		if give.retryAfter == 0 {
-			give.retryAfter = m.rules.RetryAfterFailure
+		if reason.retryAfter == 0 {
+			reason.retryAfter = m.rules.RetryAfterFailure
 		}
 	}
 	m.fire(s, eventOf(event))
-	m.giveUp(give)
+	m.giveUp(reason)
 }
 
-// claimDone takes the result that an earlier request with the key left behind.
-// The stages before it are not needed any more.
-func (m *Machine) claimDone(a *attempt, e Claimed) {
+// useEarlierResult uses the result that an earlier request with the same
+// idempotency key stored. The stages before it are no longer needed.
+func (m *Machine) useEarlierResult(a *attempt, e Claimed) {
 	s := a.stage
 	m.end(a, EndCancelled, "")
 	s.claim.mayHaveRun = true
 	s.output = e.Chunks
-	m.note(a, NoteKept, "an earlier request with the key has run the stage")
+	m.note(a, NoteKept, "an earlier request with the same idempotency key ran the stage")
 	m.skipTo(s)
 	m.fire(s, "claim_done")
 	if !e.Recorded {
@@ -145,7 +146,8 @@
 	m.stageDone(s)
 }
 
-// followForeign follows the attempt of another request with the same key.
+// followForeign attaches to the attempt of another request with the same
+// idempotency key.
 func (m *Machine) followForeign(a *attempt) {
 	s := a.stage
 	m.end(a, EndCancelled, "")
@@ -154,10 +156,11 @@
 	s.claim.mayHaveRun = true
 	m.skipTo(s)
 	m.fire(s, "claim_running")
-	m.attach(a, 0, "another request with the key has it running")
+	m.attach(a, 0, "another request with the same idempotency key is running the stage")
 }
 
-// skipTo makes s the current stage. The stages before it are not needed.
+// skipTo makes s the current stage and cancels the stages before it, which are no
+// longer needed.
 func (m *Machine) skipTo(s *stage) {
 	for _, before := range m.stages[:s.index] {
 		if before.done || before.call.Final() {
@@ -173,78 +176,79 @@
 	m.current = s.index
 }
 
-// enterClaimed dispatches the claimed attempt if its claim is held; if not, the
-// claim's verdict will.
-func (m *Machine) enterClaimed(s *stage) {
-	m.lookAhead(s)
+// dispatchClaimed dispatches the claimed attempt if its claim is held; otherwise
+// onClaimed does so once the claim is granted.
+func (m *Machine) dispatchClaimed(s *stage) {
+	m.checkLaterStages(s)
 	a := s.claim.owner
 	if a == nil || a.state != ready || !s.cleared || m.current != s.index {
 		return
 	}
 	if _, fits := m.allowance(s); !fits {
-		m.refuseForTime(s)
+		m.refuseForDeadline(s)
 		return
 	}
-	// Safe: the claim names this attempt, its upstream and the side's incarnation,
-	// and no Run of it has left this process.
+	// This is safe: the claim names this attempt, its upstream and the sidecar's
+	// incarnation, and no Run of the attempt has left this process.
 	m.fire(s, "claimed")
 	s.claim.used = true
 	m.send(a)
 }
 
-// claimedRefused acts on a refusal of a claimed attempt. Only the answer to the
-// Run itself proves anything: an Attach may arrive before the Run.
+// claimedRefused handles a refusal of a claimed attempt. Only the response to the
+// Run itself is proof: an Attach may arrive before the Run.
 func (m *Machine) claimedRefused(a *attempt, e Refused) {
 	if a.reattached || e.Refusal == RefusalAmbiguous || a.foreign {
-		m.resolve(a, "the side refused: "+e.Detail)
+		m.resolve(a, "the sidecar refused the attempt: "+e.Detail)
 		return
 	}
-	m.notRun(a, EndRefused, e.Refusal == RefusalInvalid, e.Detail)
+	m.handleNotRun(a, EndRefused, e.Refusal == RefusalInvalid, e.Detail)
 }
 
-// claimedFailed acts on a failure of a claimed attempt.
+// claimedFailed handles the failure of a claimed attempt.
 func (m *Machine) claimedFailed(a *attempt, e Failed) {
 	if a.foreign && !e.MayHaveRun {
 		m.resolve(a, e.Detail)
 		return
 	}
 	if e.MayHaveRun {
-		m.lost(a, EndFailed, e.Detail)
+		m.giveUpUnresolved(a, EndFailed, e.Detail)
 		return
 	}
-	m.notRun(a, EndFailed, false, e.Detail)
+	m.handleNotRun(a, EndFailed, false, e.Detail)
 }
 
-// claimedBroken acts on a broken stream of a claimed attempt.
+// claimedBroken handles a broken stream of a claimed attempt.
 func (m *Machine) claimedBroken(a *attempt, e Broken) {
 	switch {
 	case e.NotSent && !a.reattached:
-		m.notRun(a, EndSilent, false, e.Detail)
+		m.handleNotRun(a, EndSilent, false, e.Detail)
 	case a.reattached:
-		m.resolve(a, "the stream broke again: "+e.Detail)
+		m.resolve(a, "the stream broke after reattaching: "+e.Detail)
 	default:
 		m.attach(a, 0, "the stream broke: "+e.Detail)
 	}
 }
 
-// claimedSilent acts on a side that does not answer. The attempt is sought on a
-// new connection, in case that only the old one is dead, until patience ends.
+// claimedSilent handles a sidecar that does not respond. It attaches to the
+// attempt on a new connection, in case only the previous one is dead, until
+// ClaimedSilenceTimeout has passed.
 func (m *Machine) claimedSilent(a *attempt) {
-	if m.now.Sub(a.heardAt) >= m.rules.ClaimedPatience {
-		m.lost(a, EndSilent, "the side does not answer")
+	if m.now.Sub(a.lastSeen) >= m.rules.ClaimedSilenceTimeout {
+		m.giveUpUnresolved(a, EndSilent, "the sidecar does not respond")
 		return
 	}
-	heard := a.heardAt
-	m.attach(a, 0, "the side does not answer")
-	a.heardAt = heard
+	lastSeen := a.lastSeen
+	m.attach(a, 0, "the sidecar does not respond")
+	a.lastSeen = lastSeen
 }
 
-// notRun goes elsewhere after proof that the claimed attempt has not run and
-// never will.
-func (m *Machine) notRun(a *attempt, how End, final bool, detail string) {
+// handleNotRun chooses an upstream anew after proof that the claimed attempt has
+// not run and never will, or gives the request up if the limits are reached.
+func (m *Machine) handleNotRun(a *attempt, how End, final bool, detail string) {
 	s := a.stage
 	foreign := a.foreign
-	a.loose = false
+	a.outstanding = false
 	m.end(a, how, "")
 	if m.ending != nil {
 		return
@@ -259,22 +263,22 @@
 		m.fire(s, "refused")
 	}
 	s.refusals++
-	give := ending{cause: s.refusedCause(), step: "stage." + s.spec.Name, detail: detail, retryAfter: s.retryAfter}
+	reason := ending{cause: s.refusedCause(), step: "stage." + s.spec.Name, detail: detail, retryAfter: s.retryAfter}
 	switch {
 	case final:
-		give.cause = GiveUpFailed
-		m.giveUp(give)
+		reason.cause = GiveUpFailed
+		m.giveUp(reason)
 	case s.refusals > m.rules.MaxRefusals, foreign && s.claim.rounds >= m.rules.MaxClaimRounds:
-		m.giveUp(give)
+		m.giveUp(reason)
 	default:
 		s.claim.owner = nil
 		m.choose(m.newAttempt(s, CauseFirst), 0)
 	}
 }
 
-// lost gives the request up: a claimed attempt may have run and nothing more can
-// be learnt in time.
-func (m *Machine) lost(a *attempt, how End, detail string) {
+// giveUpUnresolved gives the request up because a claimed attempt may have run
+// and its outcome can't be determined in time.
+func (m *Machine) giveUpUnresolved(a *attempt, how End, detail string) {
 	s := a.stage
 	m.end(a, how, "")
 	s.claim.mayHaveRun = true
--- a/core/request/event.go
+++ b/core/request/event.go
@@ -6,32 +6,32 @@
 	"acaciawinch/core"
 )
 
-// AttemptID names one attempt within a request. It is not the attempt's number
-// on the wire, which counts by stage.
+// AttemptID identifies an attempt within a request. It is not the attempt's
+// number on the wire, which is counted per stage.
 type AttemptID int
 
 // Event is something that happened to the request.
 type Event interface{ event() }
 
-// Chosen tells that an upstream was chosen for an attempt.
+// Chosen reports that an upstream was chosen for an attempt.
 type Chosen struct {
 	Attempt  AttemptID
 	Upstream core.UpstreamID
-	// Expected is the expected time from dispatch to the whole result.
+	// Expected is the expected time from dispatch to the complete result.
 	Expected time.Duration
 }
 
-// NotChosen tells that no upstream could be chosen for an attempt.
+// NotChosen reports that no upstream could be chosen for an attempt.
 type NotChosen struct {
 	Attempt AttemptID
-	// Late is set if upstreams could do the work, but not in time. Otherwise none
-	// answered or is fit, which may be over in a moment.
+	// Late is set if upstreams could do the work, but not in time. Otherwise no
+	// upstream responds or is fit for the work, which may last only a moment.
 	Late       bool
 	RetryAfter time.Duration
 	Detail     string
 }
 
-// Started tells that an attempt was handed to its upstream.
+// Started reports that an attempt was handed to its upstream.
 type Started struct{ Attempt AttemptID }
 
 // Chunk is one part of an attempt's output, numbered from zero.
@@ -45,34 +45,35 @@
 type Done struct {
 	Attempt AttemptID
 	Chunks  uint64
-	// Digest is the xxhash64 of the attempt's own chunks in order.
+	// Digest is the xxhash64 of the attempt's own chunks, in order.
 	Digest uint64
 }
 
-// Refusal classifies what a side's refusal means for the request.
+// Refusal classifies what a sidecar's refusal means for the request.
 type Refusal int
 
 // The classes of refusals.
 const (
-	// RefusalProved: the attempt has not run and will not.
+	// RefusalProved: the attempt has not run and never will.
 	RefusalProved Refusal = iota + 1
-	// RefusalInvalid: as RefusalProved, and no other side would take it.
+	// RefusalInvalid: as RefusalProved, and every other sidecar would refuse it too.
 	RefusalInvalid
-	// RefusalAmbiguous: the side can't say what became of the attempt.
+	// RefusalAmbiguous: the sidecar does not know the outcome of the attempt.
 	RefusalAmbiguous
 )
 
-// Refused tells that a side refused an attempt.
+// Refused reports that a sidecar refused an attempt.
 type Refused struct {
 	Attempt AttemptID
 	Refusal Refusal
-	// Late is set if the side could do the work, but not in time.
+	// Late is set if the sidecar could do the work, but not in time.
 	Late       bool
 	RetryAfter time.Duration
 	Detail     string
 }
 
-// Failed tells that an attempt was handed to its upstream and has no result.
+// Failed reports that an attempt was handed to its upstream and ended without a
+// result.
 type Failed struct {
 	Attempt AttemptID
 	// MayHaveRun is set if the upstream may have carried out the work.
@@ -80,7 +81,7 @@
 	Detail     string
 }
 
-// Broken tells that the stream of an attempt ended without a closing event.
+// Broken reports that the stream of an attempt ended without a closing event.
 type Broken struct {
 	Attempt AttemptID
 	// NotSent is set if the Run certainly never left this process.
@@ -88,30 +89,31 @@
 	Detail  string
 }
 
-// Pinged is the answer to a Ping.
+// Pinged is the response to a Ping.
 type Pinged struct {
 	Attempt AttemptID
 	Alive   bool
 }
 
-// Resolution is what a side says became of a claimed attempt.
+// Resolution is the outcome of a claimed attempt, as its sidecar reports it.
 type Resolution int
 
 // The resolutions.
 const (
-	// ResolvedNotRun: proved not run; the side refuses it from now on.
+	// ResolvedNotRun: proved not run; the sidecar refuses the attempt from now on.
 	ResolvedNotRun Resolution = iota + 1
-	// ResolvedDone: the attempt ran; the chunks are present.
+	// ResolvedDone: the attempt ran; Resolved.Chunks holds its result.
 	ResolvedDone
 	// ResolvedRunning: the attempt is queued or running.
 	ResolvedRunning
-	// ResolvedGone: the side can't know, or the attempt failed midway.
+	// ResolvedGone: the sidecar has no record of the outcome, or the attempt failed
+	// while it ran.
 	ResolvedGone
-	// ResolvedUnreachable: the side did not answer.
+	// ResolvedUnreachable: the sidecar did not respond.
 	ResolvedUnreachable
 )
 
-// Resolved is the answer to a Resolve.
+// Resolved is the response to a Resolve.
 type Resolved struct {
 	Attempt    AttemptID
 	Resolution Resolution
@@ -119,20 +121,20 @@
 	Detail     string
 }
 
-// Cancelled is the answer to a Cancel.
+// Cancelled is the response to a Cancel.
 type Cancelled struct {
 	Attempt AttemptID
-	// Confirmed is set if the side answered. Then an attempt that has not started
-	// never will.
+	// Confirmed is set if the sidecar responded. An attempt that has not started
+	// by then never will.
 	Confirmed bool
 	// Started is set if the attempt had been handed to the upstream.
 	Started bool
 }
 
-// ClaimStatus is the verdict of a claim.
+// ClaimStatus is the result of a claim call.
 type ClaimStatus int
 
-// The verdicts; see core/claim.
+// The claim statuses; see core/claim.
 const (
 	ClaimMine ClaimStatus = iota + 1
 	ClaimDone
@@ -144,41 +146,41 @@
 	ClaimInvalid
 )
 
-// Claimed is the answer to OpenClaim and Reassign.
+// Claimed is the response to an OpenClaim or a Reassign.
 type Claimed struct {
 	Attempt AttemptID
 	Status  ClaimStatus
 	// Seen is set if another request's claim of the key may have run the stage.
 	Seen bool
-	// Chunks are the result with ClaimDone; Recorded tells that the claim holds it.
+	// Chunks are the result with ClaimDone; Recorded is set if the claim holds it.
 	Chunks     [][]byte
 	Recorded   bool
 	RetryAfter time.Duration
 	Detail     string
 }
 
-// Finished is the answer to Finish.
+// Finished is the response to a Finish.
 type Finished struct {
 	Attempt AttemptID
 	// Recorded is set if the claim holds the result.
 	Recorded bool
 }
 
-// Released is the answer to Release.
+// Released is the response to a Release.
 type Released struct{ Stage int }
 
-// Denied tells that the request may not run: its workspace's bound is reached.
-// Until that is known, nothing but the first stage may be chosen for, and that
-// only if it is idempotent.
+// Denied reports that the request may not run because the limit of its workspace
+// is reached. Until that is decided, an upstream may be chosen for the first stage
+// only, and only if that stage is idempotent.
 type Denied struct {
 	RetryAfter time.Duration
 	Detail     string
 }
 
-// CallerGone tells that nobody waits for the answer any more.
+// CallerGone reports that the caller no longer waits for the answer.
 type CallerGone struct{}
 
-// Tick tells that the time of Wake has come.
+// Tick reports that the time returned by Wake has come.
 type Tick struct{}
 
 func (Chosen) event()     {}
--- a/core/request/failure.go
+++ b/core/request/failure.go
@@ -4,13 +4,14 @@
 	"time"
 )
 
-// onRefused goes elsewhere: the side proved that it does not run the attempt.
+// onRefused chooses another upstream if the sidecar proved that it does not run the
+// attempt.
 func (m *Machine) onRefused(e Refused) {
 	a := m.find(e.Attempt)
 	if a == nil || a.state == ended {
 		return
 	}
-	a.loose = a.loose && (e.Refusal == RefusalAmbiguous || a.reattached)
+	a.outstanding = a.outstanding && (e.Refusal == RefusalAmbiguous || a.reattached)
 	if a.state == cancelling {
 		m.settled(a, e.Refusal != RefusalAmbiguous && !a.reattached)
 		return
@@ -34,30 +35,31 @@
 		m.giveUp(ending{cause: GiveUpFailed, step: "stage." + s.spec.Name, detail: e.Detail})
 		return
 	}
-	m.elsewhere(a, "refused", e.Detail)
+	m.chooseAnother(a, "refused", e.Detail)
 }
 
-// elsewhere chooses another upstream after a refusal. That costs no pass, so it
-// does not draw on the retry budget; it is bounded by a count.
-func (m *Machine) elsewhere(a *attempt, why, detail string) {
+// chooseAnother chooses another upstream after a refusal. The refused attempt did
+// no work, so this does not draw on the retry budget; MaxRefusals bounds it.
+func (m *Machine) chooseAnother(a *attempt, event, detail string) {
 	s := a.stage
-	if m.others(a) > 0 {
-		m.loseOne(s)
+	if m.liveOthers(a) > 0 {
+		m.endHedging(s)
 		return
 	}
 	if s.call.State() == "reattaching" {
-		why = "lost"
+		event = "lost"
 	}
-	m.fire(s, eventOf(why))
+	m.fire(s, eventOf(event))
 	s.refusals++
 	if s.refusals > m.rules.MaxRefusals {
 		m.giveUp(ending{cause: s.refusedCause(), step: "stage." + s.spec.Name, detail: detail, retryAfter: s.retryAfter})
 		return
 	}
-	m.choose(m.newAttempt(s, m.causeAgain(s)), 0)
+	m.choose(m.newAttempt(s, m.retryCause(s)), 0)
 }
 
-// refusedCause returns why a request is given up whose stage the sides refused.
+// refusedCause returns the cause of giving up a request whose stage was refused by
+// the sidecars.
 func (s *stage) refusedCause() GiveUpCause {
 	if s.late {
 		return GiveUpOverload
@@ -65,16 +67,16 @@
 	return GiveUpNoUpstream
 }
 
-// loseOne notes that one of two attempts is gone and the other goes on.
-func (m *Machine) loseOne(s *stage) {
+// endHedging records that one of two hedged attempts ended and the other continues.
+func (m *Machine) endHedging(s *stage) {
 	if s.call.State() == "hedged" {
 		m.fire(s, "failed")
 	}
 }
 
-// causeAgain returns the cause of a further attempt. An output that the stage's
-// upstreams can't go on behind is dropped, unless the caller has it already.
-func (m *Machine) causeAgain(s *stage) Cause {
+// retryCause returns the cause of a further attempt. Output that the stage's
+// upstreams can't resume is dropped, unless the caller already has it.
+func (m *Machine) retryCause(s *stage) Cause {
 	last := s.index == len(m.stages)-1
 	if !s.spec.Resumable && !(last && m.emitted > 0) {
 		s.output = nil
@@ -88,13 +90,13 @@
 	return CauseRetry
 }
 
-// onFailed tries again under the retry budget.
+// onFailed retries the attempt if the retry budget allows it.
 func (m *Machine) onFailed(e Failed) {
 	a := m.find(e.Attempt)
 	if a == nil || a.state == ended {
 		return
 	}
-	a.loose = false
+	a.outstanding = false
 	a.started = a.started || e.MayHaveRun
 	if a.state == cancelling {
 		m.settled(a, !e.MayHaveRun)
@@ -110,18 +112,18 @@
 	m.attemptFailed(a, EndFailed, e.Detail)
 }
 
-// attemptFailed ends an idempotent attempt that gave no result, and makes another
-// if there is none beside it and the budget allows one.
+// attemptFailed ends an idempotent attempt without a result, and starts another if
+// no other is live and the retry budget allows it.
 func (m *Machine) attemptFailed(a *attempt, how End, detail string) {
 	s := a.stage
-	if a.loose {
-		// The side goes on with it for a while, or has yet to get it.
+	if a.outstanding {
+		// The sidecar may still run the attempt, or receive it later.
 		m.cancel(a, CancelSuperseded, how, detail)
 	} else {
 		m.end(a, how, "failed")
 	}
-	if m.others(a) > 0 {
-		m.loseOne(s)
+	if m.liveOthers(a) > 0 {
+		m.endHedging(s)
 		return
 	}
 	event := "failed"
@@ -141,20 +143,20 @@
 		})
 		return
 	}
-	m.choose(m.newAttempt(s, m.causeAgain(s)), 0)
+	m.choose(m.newAttempt(s, m.retryCause(s)), 0)
 }
 
-// mayRetry tells whether one more attempt of the stage may be made, and takes it
-// from the budget.
+// mayRetry reports whether one more attempt of the stage may be made, and withdraws
+// it from the retry budget.
 func (m *Machine) mayRetry(s *stage) bool {
 	if s.dispatched >= m.rules.MaxAttempts {
 		return false
 	}
-	return m.know.RetryBudget(s.spec.Service).Withdraw(m.now)
+	return m.services.RetryBudget(s.spec.Service).Withdraw(m.now)
 }
 
-// onBroken follows the attempt on a new stream to the same side, which keeps it
-// for a while; if that breaks too, another upstream takes over.
+// onBroken attaches to the attempt on a new stream to the same sidecar, which keeps
+// the attempt for a while; if that stream breaks too, another upstream takes over.
 func (m *Machine) onBroken(e Broken) {
 	a := m.find(e.Attempt)
 	if a == nil || a.state != sent {
@@ -166,29 +168,30 @@
 	}
 	switch {
 	case e.NotSent && !a.reattached:
-		a.loose = false
+		a.outstanding = false
 		m.end(a, EndSilent, "")
-		m.elsewhere(a, "refused", e.Detail)
-	case a.reattached || m.others(a) > 0:
+		m.chooseAnother(a, "refused", e.Detail)
+	case a.reattached || m.liveOthers(a) > 0:
 		m.attemptFailed(a, EndSilent, e.Detail)
 	default:
 		m.attach(a, 0, "the stream broke: "+e.Detail)
 	}
 }
 
-// attach follows the attempt on a new stream.
+// attach opens a new stream of the attempt.
 func (m *Machine) attach(a *attempt, after time.Duration, reason string) {
 	a.state = sent
 	a.reattached = true
-	m.heard(a)
+	m.markSeen(a)
 	a.pingDue = a.pingDue.Add(after)
 	if state := a.stage.call.State(); state == "dispatched" || state == "receiving" {
 		m.fire(a.stage, "broken")
 	}
-	m.do(Attach{Attempt: a.id, Stage: a.stage.index, From: a.output.next, After: after, Reason: reason})
+	m.addAction(Attach{Attempt: a.id, Stage: a.stage.index, From: a.output.next, After: after, Reason: reason})
 }
 
-// onPinged leaves an attempt whose side does not answer at all.
+// onPinged handles the result of a ping: an idempotent attempt whose sidecar does
+// not respond is replaced.
 func (m *Machine) onPinged(e Pinged) {
 	a := m.find(e.Attempt)
 	if a == nil || !a.live() || !a.pinging {
@@ -199,7 +202,7 @@
 		a.pingEvery = min(2*a.pingEvery, m.rules.PingMax)
 		a.pingDue = m.now.Add(a.pingEvery)
 		if a.stage.spec.NonIdempotent {
-			a.heardAt = m.now
+			a.lastSeen = m.now
 		}
 		return
 	}
@@ -208,26 +211,26 @@
 		m.claimedSilent(a)
 		return
 	}
-	m.leave(a, EndSilent, "the side does not answer")
+	m.replaceStalled(a, EndSilent, "the sidecar does not respond")
 }
 
-// leave gives up an idempotent attempt that shows no progress, and makes another
-// if there is none beside it. While no retry is allowed the attempt is kept: a
-// slow answer is better than none.
-func (m *Machine) leave(a *attempt, how End, reason string) {
+// replaceStalled cancels an idempotent attempt without progress, and starts another
+// if no other is live. While no retry is allowed the attempt is kept: a slow result
+// is better than none.
+func (m *Machine) replaceStalled(a *attempt, how End, reason string) {
 	s := a.stage
-	if m.others(a) > 0 {
+	if m.liveOthers(a) > 0 {
 		m.cancel(a, CancelSuperseded, how, reason)
-		m.loseOne(s)
+		m.endHedging(s)
 		return
 	}
 	if _, fits := m.allowance(s); !fits || !m.mayRetry(s) {
-		a.stayUntil = m.now.Add(m.rules.StayFor)
-		a.pingDue = a.stayUntil
-		m.note(a, NoteStayed, reason+", but there is no time or budget for another")
+		a.keepUntil = m.now.Add(m.rules.KeepSilentFor)
+		a.pingDue = a.keepUntil
+		m.note(a, NoteStayed, reason+"; kept, since there is no time or budget for another attempt")
 		return
 	}
-	s.left++
+	s.stalled++
 	m.note(a, NoteLeft, reason)
 	m.cancel(a, CancelSuperseded, how, reason)
 	event := "failed"
@@ -235,5 +238,5 @@
 		event = "lost"
 	}
 	m.fire(s, eventOf(event))
-	m.choose(m.newAttempt(s, m.causeAgain(s)), 0)
+	m.choose(m.newAttempt(s, m.retryCause(s)), 0)
 }
--- a/core/request/giveup.go
+++ b/core/request/giveup.go
@@ -13,20 +13,20 @@
 	step       string
 	detail     string
 	retryAfter time.Duration
-	// settleUntil bounds the wait for proof that nothing starts later.
+	// settleUntil bounds the wait for proof that no attempt starts later.
 	settleUntil time.Time
 }
 
 // eventOf returns a chart event by name.
 func eventOf(name string) chart.Event { return chart.Event(name) }
 
-// giveUp withdraws everything and answers the caller, at once or as soon as the
+// giveUp withdraws all attempts and answers the caller, at once or as soon as the
 // cancelled attempts have settled.
 func (m *Machine) giveUp(e ending) {
 	if m.ending != nil || m.answered {
 		return
 	}
-	e.settleUntil = m.now.Add(m.rules.SettleBound)
+	e.settleUntil = m.now.Add(m.rules.SettleTimeout)
 	if e.cause != GiveUpCallerGone && m.deadline.Before(e.settleUntil) {
 		e.settleUntil = m.deadline
 	}
@@ -38,11 +38,12 @@
 	m.releaseUnused()
 	m.trySettle()
 	if !m.answered {
-		m.do(Note{Stage: min(m.current, len(m.stages)-1), Kind: NoteSettling, Reason: "waiting for proof that nothing starts later"})
+		m.addAction(Note{Stage: min(m.current, len(m.stages)-1), Kind: NoteSettling, Reason: "waiting for proof that no attempt starts later"})
 	}
 }
 
-// cancelReasonOf returns what the passes of a given-up request are charged to.
+// cancelReasonOf returns the reason to which the cost of the attempts of a
+// given-up request is accounted.
 func cancelReasonOf(cause GiveUpCause) CancelReason {
 	switch cause {
 	case GiveUpDeadline, GiveUpOverload:
@@ -53,17 +54,18 @@
 	return CancelSuperseded
 }
 
-// withdraw ends one attempt of a request or stage that is not wanted any more.
+// withdraw ends one attempt of a request or stage that is no longer needed.
 //
-// A claimed attempt that has started is not cancelled: it would be neither run
-// nor not run. It goes on, and its result is recorded for whoever asks again
-// with the key. An attempt of another request is none of ours to cancel.
+// A claimed attempt that has started is not cancelled, as it would then be neither
+// run nor not run. It continues, and its result is recorded for a retry with the
+// same idempotency key. An attempt that belongs to another request is not
+// cancelled either.
 func (m *Machine) withdraw(a *attempt, reason CancelReason, detail string) {
 	switch {
 	case a.state == choosing || a.state == ready:
 		m.end(a, EndCancelled, "")
 	case a.state == claiming:
-		// The verdict will come; claimedLate acts on it.
+		// The response to the claim will follow; handleLateClaim handles it.
 		m.report(a, EndCancelled, "")
 	case !a.live():
 	case !a.stage.spec.NonIdempotent:
@@ -82,7 +84,7 @@
 	}
 }
 
-// onCancelled takes the side's word on a cancelled attempt.
+// onCancelled handles the sidecar's response to a Cancel.
 func (m *Machine) onCancelled(e Cancelled) {
 	a := m.find(e.Attempt)
 	if a == nil || a.state != cancelling {
@@ -90,7 +92,7 @@
 	}
 	if !a.stage.spec.NonIdempotent {
 		if e.Confirmed {
-			a.loose = false
+			a.outstanding = false
 			a.started = a.started || e.Started
 			a.state = ended
 			m.trySettle()
@@ -100,13 +102,14 @@
 	m.settled(a, e.Confirmed && !e.Started && !a.started)
 }
 
-// settled ends a cancelled attempt. Proved tells that it has not run and won't.
+// settled ends a cancelled attempt. The argument proved is set if the attempt is
+// proved not to have run and never to run.
 func (m *Machine) settled(a *attempt, proved bool) {
 	a.state = ended
 	s := a.stage
 	if s.spec.NonIdempotent {
 		if proved {
-			a.loose = false
+			a.outstanding = false
 			s.claim.used = false
 			m.release(s)
 		} else {
@@ -116,7 +119,8 @@
 	m.trySettle()
 }
 
-// trySettle answers the caller if nothing is left to wait for.
+// trySettle answers the caller of a given-up request, unless it still waits for
+// proof that may change the outcome.
 func (m *Machine) trySettle() {
 	if m.ending == nil || m.answered {
 		return
@@ -127,8 +131,9 @@
 	m.answerGivenUp()
 }
 
-// unsettled tells whether proof may still come that changes the outcome: of a
-// claimed attempt that was cancelled, or, for a refusal, of any.
+// unsettled reports whether proof that changes the outcome may still arrive: for a
+// cancelled claimed attempt or, if the request is refused, for any cancelled
+// attempt.
 func (m *Machine) unsettled() bool {
 	if m.mayHaveRun() {
 		return false
@@ -144,7 +149,7 @@
 	return false
 }
 
-// refusal tells whether the request was refused rather than failed.
+// refusal reports whether the request was refused rather than failed.
 func (e *ending) refusal() bool {
 	switch e.cause {
 	case GiveUpOverload, GiveUpNoUpstream, GiveUpUnavailable, GiveUpConflict, GiveUpLimit:
@@ -153,13 +158,13 @@
 	return false
 }
 
-// answerGivenUp tells the caller the truth as far as it is proved.
+// answerGivenUp answers the caller with the outcome that is proved by now.
 func (m *Machine) answerGivenUp() {
 	outcome := m.outcome()
 	m.endStages()
-	m.fireLifeEnd(outcome)
+	m.fireLifecycleEnd(outcome)
 	m.answered = true
-	m.do(Answer{
+	m.addAction(Answer{
 		Outcome:    outcome,
 		Cause:      m.ending.cause,
 		Step:       m.ending.step,
@@ -168,15 +173,15 @@
 	})
 }
 
-// outcome returns the strongest outcome that is proved.
+// outcome returns the most definite outcome that is proved.
 func (m *Machine) outcome() core.Outcome {
 	loose, started := false, false
 	for _, a := range m.attempts {
 		if a.state == cancelling && a.stage.spec.NonIdempotent {
-			// The side did not say in time whether the attempt had started.
+			// The sidecar did not report in time whether the attempt had started.
 			a.stage.claim.mayHaveRun = true
 		}
-		loose = loose || a.loose
+		loose = loose || a.outstanding
 		started = started || a.started
 	}
 	switch {
@@ -192,7 +197,7 @@
 	return core.OutcomeFailed
 }
 
-// endStages moves the stages that are not over to the end of their charts.
+// endStages moves the unfinished stages to a final state of their charts.
 func (m *Machine) endStages() {
 	for _, s := range m.stages {
 		switch {
@@ -205,8 +210,8 @@
 	}
 }
 
-// fireLifeEnd moves the request to the end of its chart.
-func (m *Machine) fireLifeEnd(outcome core.Outcome) {
+// fireLifecycleEnd moves the request to the final state for the outcome.
+func (m *Machine) fireLifecycleEnd(outcome core.Outcome) {
 	event := "failed"
 	switch outcome {
 	case core.OutcomeNotRun:
@@ -214,14 +219,14 @@
 	case core.OutcomeUnknown:
 		event = "lost_track"
 	}
-	m.fireLife(eventOf(event))
+	m.fireLifecycle(eventOf(event))
 }
 
-// followUntil returns how long claimed attempts are followed behind the answer.
+// followUntil returns how long claimed attempts are followed after the answer.
 func (m *Machine) followUntil() time.Time { return m.deadline.Add(m.rules.FollowGrace) }
 
-// endFollowing stops following claimed attempts. Their sides keep the results,
-// and the claims name the sides.
+// endFollowing stops following claimed attempts once followUntil has passed. Their
+// results are not lost: the sidecars keep them, and the claims name the sidecars.
 func (m *Machine) endFollowing() {
 	if m.now.Before(m.followUntil()) {
 		return
--- a/core/request/machine.go
+++ b/core/request/machine.go
@@ -8,74 +8,76 @@
 	"acaciawinch/core/latency"
 )
 
-// Machine carries one request from its admission to its answer. It is for one
-// goroutine.
+// Machine drives one request from its admission to its answer. It is not safe for
+// concurrent use.
 type Machine struct {
-	plan  Plan
-	know  Knowledge
-	rules Rules
-	// life follows the request chart.
-	life *chart.Machine
+	plan     Plan
+	services Knowledge
+	rules    Rules
+	// lifecycle holds the state in the request chart.
+	lifecycle *chart.Machine
 
 	stages   []*stage
 	attempts []*attempt
-	// current is the stage whose output is wanted next.
+	// current is the index of the stage whose output is needed next.
 	current int
-	// emitted is how many chunks the caller has.
+	// emitted is the number of chunks delivered to the caller.
 	emitted uint64
 
 	now      time.Time
 	deadline time.Time
 	out      []Action
 
-	// ending is set once the request is given up, answered once the caller was told.
+	// ending is set once the request is given up, answered once the caller has its
+	// answer.
 	ending   *ending
 	answered bool
 }
 
-// StepLimit is the step at which a request ends whose workspace's bound is reached.
+// StepLimit is the step reported for a request that is denied because the limit of
+// its workspace is reached.
 const StepLimit = "admission.workspace"
 
 // stage is the state of one stage.
 type stage struct {
 	index int
 	spec  Stage
-	// call follows the stage_call chart.
+	// call holds the state in the stage_call chart.
 	call *chart.Machine
-	// output holds the chunks so far, in order. It is whole if done is set.
+	// output holds the chunks so far, in order. It is complete if done is set.
 	output [][]byte
 	done   bool
-	// leader is the attempt whose chunks are taken.
+	// leader is the attempt whose chunks become the output.
 	leader *attempt
-	// numbers counts attempts, dispatched those that were sent.
-	numbers    uint32
-	dispatched int
-	refusals   int
-	// left counts the attempts that were left for their silence.
-	left    int
-	chooses int
-	hedged  bool
-	// check is the question whether the rest of the pipeline can be made, asked
-	// before the stage is dispatched; cleared is set once it was answered.
+	// attemptCount counts all attempts, dispatched those that were sent.
+	attemptCount uint32
+	dispatched   int
+	refusals     int
+	// stalled counts the attempts that were replaced because they stalled.
+	stalled       int
+	choiceRetries int
+	hedged        bool
+	// check is the check of the later stages that is made before the stage is
+	// dispatched; cleared is set once it has passed or is not needed.
 	check   *attempt
 	cleared bool
-	// trial is set once upstreams are asked without a bound on their time.
+	// trial is set once an upstream is chosen without a bound on its time.
 	trial      bool
 	exclude    []core.UpstreamID
 	retryAfter time.Duration
-	// late is set once a side refused for want of time or of room.
+	// late is set once a sidecar refused for lack of time or capacity.
 	late bool
 
 	claim claimState
 }
 
-// New returns the machine of one request, named for errors by id.
-func New(id core.RequestID, plan Plan, know Knowledge, rules Rules) *Machine {
+// New returns the machine of one request. The id identifies it in errors.
+func New(id core.RequestID, plan Plan, services Knowledge, rules Rules) *Machine {
 	m := &Machine{
-		plan:  plan,
-		know:  know,
-		rules: rules,
-		life:  chart.MustLoad("request").Start(string(id)),
+		plan:      plan,
+		services:  services,
+		rules:     rules,
+		lifecycle: chart.MustLoad("request").Start(string(id)),
 	}
 	for i, spec := range plan.Stages {
 		m.stages = append(m.stages, &stage{
@@ -91,27 +93,27 @@
 func (m *Machine) Start(now time.Time) []Action {
 	m.begin(now)
 	m.deadline = now.Add(m.plan.Deadline)
-	m.fireLife("admitted")
+	m.fireLifecycle("admitted")
 	if _, fits := m.allowance(m.stages[0]); !fits {
-		m.refuseForTime(m.stages[0])
-		return m.take()
+		m.refuseForDeadline(m.stages[0])
+		return m.takeActions()
 	}
 	m.prepareClaim()
 	m.enter(0)
-	return m.take()
+	return m.takeActions()
 }
 
 // Handle takes one event and returns the actions that follow. Events of attempts
 // that have ended change nothing.
 func (m *Machine) Handle(now time.Time, event Event) []Action {
 	m.begin(now)
-	m.dispatch(event)
+	m.handleEvent(event)
 	m.timers()
-	return m.take()
+	return m.takeActions()
 }
 
-// dispatch passes an event to its handler.
-func (m *Machine) dispatch(event Event) {
+// handleEvent passes an event to its handler.
+func (m *Machine) handleEvent(event Event) {
 	switch e := event.(type) {
 	case Chosen:
 		m.onChosen(e)
@@ -151,13 +153,13 @@
 // Output returns the whole output of a stage that is done.
 func (m *Machine) Output(stage int) [][]byte { return m.stages[stage].output }
 
-// Partial returns the chunks that an attempt which resumes a stage starts behind.
+// Partial returns the chunks after which an attempt that resumes a stage starts.
 func (m *Machine) Partial(stage int) [][]byte { return m.stages[stage].output }
 
-// Answered tells whether the caller has its final answer.
+// Answered reports whether the caller has its final answer.
 func (m *Machine) Answered() bool { return m.answered }
 
-// Over tells whether nothing is left to be done, also behind the answer.
+// Over reports whether all work has ended, including the work after the answer.
 func (m *Machine) Over() bool {
 	if !m.answered {
 		return false
@@ -168,14 +170,14 @@
 		}
 	}
 	for _, s := range m.stages {
-		if s.claim.busy > 0 {
+		if s.claim.inFlight > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// begin starts the handling of one event. Time never goes back.
+// begin starts the handling of one event. The machine's time never goes back.
 func (m *Machine) begin(now time.Time) {
 	if now.After(m.now) {
 		m.now = now
@@ -183,41 +185,41 @@
 	m.out = nil
 }
 
-// do adds an action.
-func (m *Machine) do(action Action) { m.out = append(m.out, action) }
+// addAction adds an action to be returned by Start or Handle.
+func (m *Machine) addAction(action Action) { m.out = append(m.out, action) }
 
-// take returns the collected actions.
-func (m *Machine) take() []Action {
+// takeActions returns the collected actions and clears them.
+func (m *Machine) takeActions() []Action {
 	out := m.out
 	m.out = nil
 	return out
 }
 
-// note records a decision without an action of its own.
+// note records a decision that causes no other action.
 func (m *Machine) note(a *attempt, kind NoteKind, reason string) {
-	m.do(Note{Attempt: a.id, Stage: a.stage.index, Kind: kind, Reason: reason})
+	m.addAction(Note{Attempt: a.id, Stage: a.stage.index, Kind: kind, Reason: reason})
 }
 
-// remaining returns the time left until the deadline.
+// remaining returns the time remaining until the deadline.
 func (m *Machine) remaining() time.Duration { return m.deadline.Sub(m.now) }
 
-// estimates returns what is expected of each stage.
+// estimates returns the latency estimate of each stage.
 func (m *Machine) estimates() []latency.Estimate {
 	estimates := make([]latency.Estimate, len(m.plan.Stages))
 	for i, s := range m.plan.Stages {
-		estimates[i] = m.know.Estimate(s.Service).OrDeclared(s.Declared)
+		estimates[i] = m.services.Estimate(s.Service).OrDeclared(s.Declared)
 	}
 	return estimates
 }
 
-// estimate returns what is expected of one stage.
+// estimate returns the latency estimate of one stage.
 func (m *Machine) estimate(s *stage) latency.Estimate {
-	return m.know.Estimate(s.spec.Service).OrDeclared(s.spec.Declared)
+	return m.services.Estimate(s.spec.Service).OrDeclared(s.spec.Declared)
 }
 
-// allowance returns the stage's part of the time left, or false if the rest of
-// the pipeline can't make the deadline. Once a non-idempotent stage has run, the
-// rest is worth trying to the end.
+// allowance returns the stage's part of the time remaining, or false if the
+// remaining stages can't finish before the deadline. Once a non-idempotent stage
+// may have run, the remaining stages are tried until the deadline.
 func (m *Machine) allowance(s *stage) (time.Duration, bool) {
 	remaining := m.remaining()
 	if m.mayHaveRun() {
@@ -230,36 +232,36 @@
 	if part, fits := latency.Split(remaining, estimates, s.index); fits {
 		return part, true
 	}
-	return m.leastAllowance(s)
+	return m.bestCaseAllowance(s)
 }
 
-// leastAllowance returns what is left for the stage if all others take no longer
-// than they are known to need at best.
+// bestCaseAllowance returns the time that remains for the stage if all others take
+// only their best-case time, or false if that is not enough for the stage.
 //
-// Measured medians alone must not refuse a request: a service of which the last
-// thing known is that it was slow would be refused for ever, because nothing
-// would be measured of it again. The router's probes tell how it is now.
-func (m *Machine) leastAllowance(s *stage) (time.Duration, bool) {
+// Measured medians alone must not refuse a request: a service whose last
+// measurements were slow would be refused forever, because it would never be
+// measured again. The router's probes show its current state.
+func (m *Machine) bestCaseAllowance(s *stage) (time.Duration, bool) {
 	remaining := m.remaining()
 	for _, other := range m.stages[m.current:] {
 		if other != s {
-			remaining -= m.least(other)
+			remaining -= m.bestCaseTime(other)
 		}
 	}
-	return remaining, remaining > 0 && remaining >= m.least(s)
+	return remaining, remaining > 0 && remaining >= m.bestCaseTime(s)
 }
 
-// least returns what a stage needs at best: its declared median, or the measured
-// one if that is shorter.
-func (m *Machine) least(s *stage) time.Duration {
-	measured := m.know.Estimate(s.spec.Service).ServiceP50
+// bestCaseTime returns the shortest service time to expect of a stage: its declared
+// median, or the measured one if that is shorter.
+func (m *Machine) bestCaseTime(s *stage) time.Duration {
+	measured := m.services.Estimate(s.spec.Service).ServiceP50
 	if measured > 0 && measured < s.spec.Declared {
 		return measured
 	}
 	return s.spec.Declared
 }
 
-// step names the present step for the caller.
+// step returns the name of the current step, which the caller is told.
 func (m *Machine) step() string {
 	if m.current >= len(m.stages) {
 		return "answer"
@@ -267,26 +269,27 @@
 	return "stage." + m.stages[m.current].spec.Name
 }
 
-// fireLife moves the request along its chart.
-func (m *Machine) fireLife(event chart.Event) {
-	if err := m.life.Fire(event); err != nil {
-		m.broken(err)
+// fireLifecycle fires an event in the request chart.
+func (m *Machine) fireLifecycle(event chart.Event) {
+	if err := m.lifecycle.Fire(event); err != nil {
+		m.invariantViolated(err)
 	}
 }
 
-// fire moves a stage along its chart. Behind the answer the stages are at the end
-// of their charts; claimed attempts that are still followed change nothing there.
+// fire fires an event in the chart of a stage. After the answer all stages are in
+// final states; claimed attempts that are still followed no longer change them.
 func (m *Machine) fire(s *stage, event chart.Event) {
 	if m.answered {
 		return
 	}
 	if err := s.call.Fire(event); err != nil {
-		m.broken(err)
+		m.invariantViolated(err)
 	}
 }
 
-// broken gives the request up because a rule of the code itself was broken.
-func (m *Machine) broken(err error) {
-	m.do(Note{Stage: m.current, Kind: NoteBug, Reason: err.Error()})
+// invariantViolated gives the request up because of a bug: a state chart does not
+// allow an event that was fired.
+func (m *Machine) invariantViolated(err error) {
+	m.addAction(Note{Stage: m.current, Kind: NoteBug, Reason: err.Error()})
 	m.giveUp(ending{cause: GiveUpFailed, step: m.step(), detail: err.Error()})
 }
--- a/core/request/machine_test.go
+++ b/core/request/machine_test.go
@@ -10,19 +10,19 @@
 	"acaciawinch/core"
 )
 
-// maxSteps is more than any request takes.
+// maxSteps is more steps than any request takes.
 const maxSteps = 2000
 
-// TestRandomOrders drives requests through random fates of their attempts, with
-// events late, twice, out of order and lost, and checks what must always hold.
+// TestRandomOrders runs requests whose attempts end in random ways, with events
+// late, duplicated, out of order and lost, and checks the invariants.
 func TestRandomOrders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stages := rapid.IntRange(1, 5).Draw(t, "stages")
 		claimed := rapid.IntRange(-1, stages-1).Draw(t, "claimed")
-		w := newWorld(t, stages, claimed)
-		gone := w.dice.IntN(500)
-		denied := w.dice.IntN(200)
-		for i := 0; i < maxSteps && (!w.m.Over() || len(w.pool) > 0); i++ {
+		w := newSimulation(t, stages, claimed)
+		gone := w.random.IntN(500)
+		denied := w.random.IntN(200)
+		for i := 0; i < maxSteps && (!w.m.Over() || len(w.pending) > 0); i++ {
 			if i == gone {
 				w.handle(CallerGone{})
 			}
@@ -35,11 +35,11 @@
 	})
 }
 
-// check checks a request that is over against the truth.
-func (w *world) check(claimed int) {
-	assert.Assert(w.t, w.m.Over(), "the request never ends")
+// check compares the answer of a request that is over with what actually ran.
+func (w *simulation) check(claimed int) {
+	assert.Assert(w.t, w.m.Over(), "the request has not ended after maxSteps steps")
 	assert.Equal(w.t, w.answers, 1)
-	assert.Assert(w.t, !w.answerAt.After(w.deadline), "the answer came %s late", w.answerAt.Sub(w.deadline))
+	assert.Assert(w.t, !w.answerAt.After(w.deadline), "the answer came %s after the deadline", w.answerAt.Sub(w.deadline))
 	for i, chunk := range w.emitted {
 		assert.Assert(w.t, bytes.Equal(chunk, chunkOf(len(w.stages)-1, i)))
 	}
@@ -50,7 +50,7 @@
 	case core.OutcomeNotRun:
 		assert.Equal(w.t, len(w.emitted), 0)
 		assert.Equal(w.t, w.ran[claimed], 0)
-		assert.Equal(w.t, len(w.late), 0, "a stage started behind not_run")
+		assert.Equal(w.t, len(w.late), 0, "a stage started after the answer not_run")
 	case core.OutcomeFailed:
 		assert.Equal(w.t, w.ran[claimed], 0)
 	case core.OutcomeUnknown:
--- a/core/request/main_test.go
+++ b/core/request/main_test.go
@@ -6,8 +6,8 @@
 	"acaciawinch/core/propertytest"
 )
 
-// courses is how many random courses a run takes, unless the command line says
-// otherwise.
-const courses = 10_000
+// randomRequests is how many random requests a property is checked with, unless the
+// command line sets another number.
+const randomRequests = 10_000
 
-func TestMain(m *testing.M) { propertytest.Main(m, courses) }
+func TestMain(m *testing.M) { propertytest.Main(m, randomRequests) }
--- a/core/request/output.go
+++ b/core/request/output.go
@@ -1,21 +1,21 @@
 package request
 
-// onStarted notes that the upstream has the attempt.
+// onStarted handles the report that the upstream has the attempt.
 func (m *Machine) onStarted(e Started) {
 	a := m.find(e.Attempt)
 	if a == nil || a.state == ended {
 		return
 	}
-	m.showStarted(a)
+	m.markStarted(a)
 }
 
-// showStarted notes a sign that the upstream has the attempt.
-func (m *Machine) showStarted(a *attempt) {
+// markStarted records that the upstream has the attempt.
+func (m *Machine) markStarted(a *attempt) {
 	if !a.started {
 		a.started = true
 		a.startedAt = m.now
 	}
-	m.heard(a)
+	m.markSeen(a)
 	if a.state != sent {
 		return
 	}
@@ -27,46 +27,46 @@
 	}
 }
 
-// onChunk takes a chunk if it is the attempt's next one and the attempt leads.
-// Chunks that come early wait for their turn; those that come twice are dropped.
+// onChunk accepts the attempt's next chunk. Chunks that arrive early are buffered,
+// duplicates are dropped.
 func (m *Machine) onChunk(e Chunk) {
 	a := m.find(e.Attempt)
 	if a == nil || a.state != sent {
-		m.dropped(a, "a chunk of an attempt that has ended")
+		m.noteDropped(a, "chunk of an attempt that has ended")
 		return
 	}
-	m.showStarted(a)
+	m.markStarted(a)
 	out := &a.output
 	switch {
 	case e.Index < out.next:
-		m.note(a, NoteDropped, "a chunk that came before")
+		m.note(a, NoteDropped, "duplicate chunk")
 		return
 	case e.Index > out.next:
-		m.keepEarly(a, e)
+		m.bufferEarly(a, e)
 		return
 	}
-	m.takeChunk(a, e.Data)
+	m.acceptChunk(a, e.Data)
 	for a.state == sent {
 		data, ok := out.pending[out.next]
 		if !ok {
 			break
 		}
 		delete(out.pending, out.next)
-		m.takeChunk(a, data)
+		m.acceptChunk(a, data)
 	}
 	m.tryClose(a)
 }
 
-// dropped notes an event that changed nothing.
-func (m *Machine) dropped(a *attempt, reason string) {
+// noteDropped records an event that changed nothing.
+func (m *Machine) noteDropped(a *attempt, reason string) {
 	if a != nil && a.state != cancelling {
 		m.note(a, NoteDropped, reason)
 	}
 }
 
-// keepEarly holds a chunk that came before its turn. Too many of them mean that
-// one was lost: the attempt is followed on a new stream.
-func (m *Machine) keepEarly(a *attempt, e Chunk) {
+// bufferEarly buffers a chunk that arrived before an earlier one. More than
+// MaxPending of them mean that a chunk was lost: the stream then counts as broken.
+func (m *Machine) bufferEarly(a *attempt, e Chunk) {
 	out := &a.output
 	if len(out.pending) >= m.rules.MaxPending {
 		clear(out.pending)
@@ -79,14 +79,15 @@
 	out.pending[e.Index] = e.Data
 }
 
-// takeChunk adds the attempt's next chunk to the stage's output.
-func (m *Machine) takeChunk(a *attempt, data []byte) {
+// acceptChunk adds the attempt's next chunk to its digest and, if the attempt leads,
+// to the stage's output.
+func (m *Machine) acceptChunk(a *attempt, data []byte) {
 	s := a.stage
 	a.output.next++
 	a.chunkAt = m.now
 	_, _ = a.output.digest.Write(data) // never fails
 	if s.leader == nil {
-		m.lead(a)
+		m.setLeader(a)
 	}
 	if s.leader != a {
 		return
@@ -95,8 +96,9 @@
 	m.emit(s)
 }
 
-// lead makes the attempt the one whose chunks are taken, and cancels the others.
-func (m *Machine) lead(a *attempt) {
+// setLeader makes the attempt the one whose chunks become the output, and cancels
+// the others.
+func (m *Machine) setLeader(a *attempt) {
 	s := a.stage
 	s.leader = a
 	if s.call.State() == "hedged" {
@@ -113,44 +115,46 @@
 		}
 		switch {
 		case other.live():
-			m.cancel(other, reason, EndCancelled, "another attempt went ahead")
+			m.cancel(other, reason, EndCancelled, "another attempt was faster")
 		case other.state == choosing:
 			m.end(other, EndCancelled, "")
 		}
 	}
 }
 
-// emit hands the caller the chunks that it lacks, if s is the last stage.
+// emit delivers the chunks that the caller does not have yet, if s is the last
+// stage.
 func (m *Machine) emit(s *stage) {
 	if s.index != len(m.stages)-1 || m.ending != nil {
 		return
 	}
 	for ; m.emitted < uint64(len(s.output)); m.emitted++ {
 		if m.emitted == 0 {
-			m.fireLife("first_chunk")
+			m.fireLifecycle("first_chunk")
 		}
-		m.do(Emit{Index: m.emitted, Data: s.output[m.emitted]})
+		m.addAction(Emit{Index: m.emitted, Data: s.output[m.emitted]})
 	}
 }
 
-// onDone keeps the closing event and closes the output if all chunks are there.
+// onDone stores the closing event and closes the output if all chunks were received.
 func (m *Machine) onDone(e Done) {
 	a := m.find(e.Attempt)
 	if a == nil || a.state != sent {
-		m.doneLate(a)
+		m.handleLateDone(a)
 		return
 	}
-	m.showStarted(a)
-	a.loose = false
+	m.markStarted(a)
+	a.outstanding = false
 	if a.output.closing == nil {
 		a.output.closing = &e
 	}
 	m.tryClose(a)
 }
 
-// doneLate takes notice of a cancelled claimed attempt that ran to its end.
-func (m *Machine) doneLate(a *attempt) {
-	m.dropped(a, "the end of an attempt that has ended")
+// handleLateDone handles the closing event of an attempt that accepts no output any
+// more. A cancelled claimed attempt has thus run.
+func (m *Machine) handleLateDone(a *attempt) {
+	m.noteDropped(a, "closing event of an attempt that has ended")
 	if a != nil && a.state == cancelling && a.stage.spec.NonIdempotent {
 		a.stage.claim.mayHaveRun = true
 		a.state = ended
@@ -158,8 +162,8 @@
 	}
 }
 
-// tryClose ends the stage if the attempt's output is whole, or gives the attempt
-// up if its count or digest is wrong.
+// tryClose ends the stage if the attempt's output is complete, or rejects the
+// output if its count or digest is wrong.
 func (m *Machine) tryClose(a *attempt) {
 	closing := a.output.closing
 	if closing == nil || a.state != sent || a.output.next < closing.Chunks {
@@ -176,23 +180,23 @@
 	m.complete(a)
 }
 
-// complete ends the stage with the attempt's whole output.
+// complete ends the stage with the attempt's complete output.
 func (m *Machine) complete(a *attempt) {
 	s := a.stage
 	m.end(a, EndOK, "")
 	if s.spec.NonIdempotent {
 		// The result is acknowledged only once the claim holds it: until then the
-		// side's copy is the only one that outlives this process.
+		// sidecar's copy is the only one that survives a crash of this process.
 		s.claim.mayHaveRun = true
 		m.finish(a)
 	} else {
-		m.do(Acknowledge{Attempt: a.id})
+		m.addAction(Acknowledge{Attempt: a.id})
 	}
 	m.fire(s, "done")
 	m.stageDone(s)
 }
 
-// stageDone goes on behind a stage whose whole output is there.
+// stageDone continues after a stage whose output is complete.
 func (m *Machine) stageDone(s *stage) {
 	s.done = true
 	if m.ending != nil {
@@ -200,7 +204,7 @@
 		return
 	}
 	if s.index < len(m.stages)-1 {
-		m.fireLife("stage_done")
+		m.fireLifecycle("stage_done")
 	}
 	if s.spec.NonIdempotent {
 		m.prepareClaim()
@@ -209,10 +213,10 @@
 	m.enter(s.index + 1)
 }
 
-// corrupt handles an output that does not match its closing event. Nothing of it
-// may be used; if the caller has a part already, the request fails.
+// corrupt handles an output that does not match its closing event. No part of it
+// may be used; if the caller already has a part, the request fails.
 func (m *Machine) corrupt(a *attempt) {
-	const detail = "the output does not match its count and digest"
+	const detail = "the output does not match the chunk count and digest of its closing event"
 	s := a.stage
 	if s.spec.NonIdempotent {
 		s.output = nil
@@ -231,9 +235,9 @@
 	m.attemptFailed(a, EndFailed, detail)
 }
 
-// deliver ends the request with its whole answer.
+// deliver ends the request with a complete answer.
 func (m *Machine) deliver() {
-	m.fireLife("delivered")
+	m.fireLifecycle("delivered")
 	m.answered = true
-	m.do(Answer{Outcome: "answered"})
+	m.addAction(Answer{Outcome: "answered"})
 }
--- a/core/request/plan.go
+++ b/core/request/plan.go
@@ -6,113 +6,116 @@
 	"acaciawinch/core/latency"
 )
 
-// Stage is one stage of the request's pipeline, as the machine needs it.
+// Stage describes one stage of the request's pipeline.
 type Stage struct {
 	Name    string
 	Service string
 	// NonIdempotent marks a stage that must run at most once.
 	NonIdempotent bool
-	// Resumable marks a stage whose upstreams go on behind the chunks at hand.
+	// Resumable marks a stage whose upstreams can continue after the chunks already
+	// received.
 	Resumable bool
-	// Declared is the template's median service time, used until one is measured.
+	// Declared is the median service time from the template, used until one is
+	// measured.
 	Declared time.Duration
 }
 
-// Plan is what a request asks for. It doesn't change.
+// Plan describes a request. It is immutable.
 type Plan struct {
 	Stages []Stage
-	// Minted is set if the entry made the idempotency key itself. Nobody else can
-	// ask with it, so an unused claim need not be released.
+	// Minted is set if the entry generated the idempotency key itself. No other
+	// request can use the key, so an unused claim need not be released.
 	Minted bool
-	// Deadline is the time allowed from the start.
+	// Deadline is the time allowed, counted from Start.
 	Deadline time.Duration
 }
 
-// Budget bounds extra calls of one service; core/budget.Budget is one.
+// Budget bounds the extra calls of one service; core/budget.Budget implements it.
 type Budget interface {
 	// Deposit records one ordinary call.
 	Deposit(now time.Time)
-	// Withdraw takes one extra call, or returns false.
+	// Withdraw takes one extra call from the budget, or returns false if it is
+	// exhausted.
 	Withdraw(now time.Time) bool
 }
 
-// Knowledge is what the entry knows of services, shared by all requests.
+// Knowledge is the entry's view of the services, shared by all requests.
 type Knowledge interface {
-	// Estimate returns what is expected of a service.
+	// Estimate returns the latency estimate of a service.
 	Estimate(service string) latency.Estimate
 	// RetryBudget and HedgeBudget bound the extra calls of a service.
 	RetryBudget(service string) Budget
 	HedgeBudget(service string) Budget
 }
 
-// Rules are the bounds of a machine. The zero value is not usable; see
-// DefaultRules.
+// Rules holds the limits and timeouts of a machine. The zero value is not usable;
+// see DefaultRules.
 type Rules struct {
 	// MaxAttempts bounds the dispatched attempts of a stage, hedges included.
 	MaxAttempts int
-	// MaxRefusals bounds how often a stage goes elsewhere after a refusal.
+	// MaxRefusals bounds how often a stage chooses another upstream after a refusal.
 	MaxRefusals int
-	// MaxClaimRounds bounds how often a stage's claim is opened again.
+	// MaxClaimRounds bounds how often a stage's claim is opened.
 	MaxClaimRounds int
-	// PingAfter is how long a side may be silent before it is asked whether it
-	// lives; each answer doubles the time, up to PingMax.
+	// PingAfter is how long a sidecar may be silent before it is pinged; each
+	// response doubles the time, up to PingMax.
 	PingAfter time.Duration
 	PingMax   time.Duration
-	// SettleBound is the longest wait for proof that cancelled attempts will not
+	// SettleTimeout is the longest wait for proof that cancelled attempts will not
 	// start, before a request that was given up gets its answer.
-	SettleBound time.Duration
+	SettleTimeout time.Duration
 	// SettleMargin is how long before the deadline a claimed attempt that has not
 	// started is cancelled.
 	SettleMargin time.Duration
-	// FollowGrace is how long after the deadline a claimed attempt is followed,
-	// so that its result is recorded for the next one who asks with the key.
+	// FollowGrace is how long after the deadline a claimed attempt is followed, so
+	// that its result is recorded for a retry with the same idempotency key.
 	FollowGrace time.Duration
-	// ClaimedPatience is the longest silence of the side of a claimed attempt
-	// before the outcome is told to be unknown.
-	ClaimedPatience time.Duration
-	// ResolveTries and ResolveBackoff bound the questions to a side that does not
-	// answer what became of a claimed attempt.
+	// ClaimedSilenceTimeout is the longest silence of the sidecar of a claimed attempt
+	// before the outcome is reported as unknown.
+	ClaimedSilenceTimeout time.Duration
+	// ResolveTries and ResolveBackoff bound the queries to a sidecar that does not
+	// report the outcome of a claimed attempt.
 	ResolveTries   int
 	ResolveBackoff time.Duration
-	// ChooseTries and ChooseBackoff bound the repeated choices while no upstream
-	// of a service answers.
+	// ChooseTries and ChooseBackoff bound the retries of a choice while no upstream
+	// of a service responds.
 	ChooseTries   int
 	ChooseBackoff time.Duration
-	// TrialWait is the longest wait that a refusal for want of time may tell of for
-	// the stage to be tried all the same.
-	TrialWait time.Duration
-	// CheckShare is the part of the time that would be left for a later stage in
-	// which it must be makeable already when the request is admitted. The rest
-	// makes up for what other requests bring in between.
+	// MaxTrialWait is the longest RetryAfter of a refusal for lack of time with which
+	// the stage is still tried once.
+	MaxTrialWait time.Duration
+	// CheckShare is the part of a later stage's allowance in which that stage must be
+	// able to finish when it is checked in advance. The remainder covers the load that
+	// other requests add in the meantime.
 	CheckShare float64
-	// StayFor is how long a silent attempt is kept when the retry budget is empty.
-	StayFor time.Duration
-	// MaxPending bounds the chunks held out of order.
+	// KeepSilentFor is how long a silent attempt is kept when no retry is allowed.
+	KeepSilentFor time.Duration
+	// MaxPending bounds the chunks that an attempt buffers out of order.
 	MaxPending int
-	// RetryAfterFailure is what a caller is told after failures.
+	// RetryAfterFailure is the retry delay that a caller is told after failures.
 	RetryAfterFailure time.Duration
 }
 
 // DefaultRules returns the bounds used in production.
 func DefaultRules() Rules {
 	return Rules{
-		MaxAttempts:       4,
-		MaxRefusals:       3,
-		MaxClaimRounds:    3,
-		PingAfter:         150 * time.Millisecond,
-		PingMax:           time.Second,
-		SettleBound:       100 * time.Millisecond,
-		SettleMargin:      60 * time.Millisecond,
-		FollowGrace:       time.Second,
-		ClaimedPatience:   2 * time.Second,
-		ResolveTries:      5,
-		ResolveBackoff:    50 * time.Millisecond,
-		ChooseTries:       3,
-		ChooseBackoff:     40 * time.Millisecond,
-		TrialWait:         100 * time.Millisecond,
-		CheckShare:        0.9,
-		StayFor:           250 * time.Millisecond,
-		MaxPending:        64,
-		RetryAfterFailure: time.Second,
+		MaxAttempts:           4,
+		MaxRefusals:           3,
+		MaxClaimRounds:        3,
+		PingAfter:             150 * time.Millisecond,
+		PingMax:               time.Second,
+		SettleTimeout:         100 * time.Millisecond,
+		SettleMargin:          60 * time.Millisecond,
+		FollowGrace:           time.Second,
+		ClaimedSilenceTimeout: 2 * time.Second,
+		ResolveTries:          5,
+		ResolveBackoff:        50 * time.Millisecond,
+		ChooseTries:           3,
+		ChooseBackoff:         40 * time.Millisecond,
+		MaxTrialWait:          100 * time.Millisecond,
+		CheckShare:            0.9,
+		KeepSilentFor:         250 * time.Millisecond,
+		MaxPending:            64,
+		RetryAfterFailure:     time.Second,
 	}
 }
--- a/core/request/stage.go
+++ b/core/request/stage.go
@@ -7,7 +7,7 @@
 	"acaciawinch/core/latency"
 )
 
-// enter makes stage i the current one, or ends the request behind the last.
+// enter makes stage i the current one, or ends the request after the last stage.
 func (m *Machine) enter(i int) {
 	m.current = i
 	if m.ending != nil {
@@ -23,24 +23,24 @@
 		return
 	}
 	if s.spec.NonIdempotent {
-		m.enterClaimed(s)
+		m.dispatchClaimed(s)
 		return
 	}
 	first := m.newAttempt(s, CauseFirst)
 	if i == 0 {
-		m.lookAhead(s)
+		m.checkLaterStages(s)
 	} else {
 		s.cleared = true
 	}
 	m.choose(first, 0)
 }
 
-// choose asks for an upstream for the attempt after a delay.
+// choose requests an upstream for the attempt, after a delay.
 func (m *Machine) choose(a *attempt, after time.Duration) {
 	allowance, fits := m.allowance(a.stage)
 	if !fits {
 		m.end(a, EndCancelled, "")
-		m.refuseForTime(a.stage)
+		m.refuseForDeadline(a.stage)
 		return
 	}
 	switch {
@@ -49,7 +49,7 @@
 	case a.cause == CauseCheck:
 		allowance = time.Duration(float64(allowance) * m.rules.CheckShare)
 	}
-	m.do(Choose{
+	m.addAction(Choose{
 		Attempt:   a.id,
 		Stage:     a.stage.index,
 		Remaining: allowance,
@@ -60,9 +60,9 @@
 	})
 }
 
-// refuseForTime gives the request up before the stage costs anything: the rest
-// of the pipeline can't make the deadline.
-func (m *Machine) refuseForTime(s *stage) {
+// refuseForDeadline gives the request up before the stage is dispatched, because
+// the remaining stages can't finish before the deadline.
+func (m *Machine) refuseForDeadline(s *stage) {
 	var wait time.Duration
 	for _, e := range m.estimates()[s.index:] {
 		wait += e.Wait
@@ -74,7 +74,7 @@
 	m.giveUp(ending{
 		cause:      cause,
 		step:       "stage." + s.spec.Name,
-		detail:     "the rest of the pipeline can't make the deadline",
+		detail:     "the remaining stages can't finish before the deadline",
 		retryAfter: max(wait, s.retryAfter),
 	})
 }
@@ -91,7 +91,7 @@
 	switch {
 	case a.cause == CauseCheck:
 		m.end(a, EndCancelled, "")
-		m.checked(a)
+		m.finishCheck(a)
 	case a.state != choosing || m.ending != nil || a.stage.done:
 		m.end(a, EndCancelled, "")
 	case a.stage.spec.NonIdempotent:
@@ -115,16 +115,16 @@
 	}
 	a.state = sent
 	a.dispatched = true
-	a.loose = true
+	a.outstanding = true
 	a.sentAt = m.now
-	m.heard(a)
+	m.markSeen(a)
 	s.dispatched++
 	s.exclude = append(s.exclude, a.upstream)
 	if a.cause == CauseFirst {
-		m.know.RetryBudget(s.spec.Service).Deposit(m.now)
-		m.know.HedgeBudget(s.spec.Service).Deposit(m.now)
+		m.services.RetryBudget(s.spec.Service).Deposit(m.now)
+		m.services.HedgeBudget(s.spec.Service).Deposit(m.now)
 	}
-	m.do(Run{
+	m.addAction(Run{
 		Attempt:   a.id,
 		Stage:     s.index,
 		Number:    a.number,
@@ -134,7 +134,7 @@
 	})
 }
 
-// onNotChosen tries again, does without a hedge, or gives the request up.
+// onNotChosen retries the choice, skips the hedge, or gives the request up.
 func (m *Machine) onNotChosen(e NotChosen) {
 	a := m.find(e.Attempt)
 	if a == nil || a.state != choosing {
@@ -150,11 +150,11 @@
 		m.note(a, NoteNoHedge, e.Detail)
 	case m.ending != nil || s.done:
 		m.end(a, EndCancelled, "")
-	case m.mayChooseAgain(s, e):
-		s.chooses++
+	case m.mayRetryChoice(s, e):
+		s.choiceRetries++
 		s.exclude = nil
 		m.choose(a, m.rules.ChooseBackoff)
-	case m.mayTry(s, e):
+	case m.mayRunTrial(s, e):
 		s.trial = true
 		m.note(a, NoteTrial, e.Detail)
 		m.choose(a, 0)
@@ -170,7 +170,7 @@
 	}
 }
 
-// causeOf returns why a request without an upstream is given up.
+// causeOf returns the cause of giving up a request without an upstream.
 func causeOf(e NotChosen) GiveUpCause {
 	if e.Late {
 		return GiveUpOverload
@@ -178,13 +178,13 @@
 	return GiveUpNoUpstream
 }
 
-// mayChooseAgain tells whether a failed choice is repeated: all upstreams may be
-// excluded, silent or unfit for a moment. A refusal for want of time is final,
-// unless upstreams that did not refuse for it are excluded, or a non-idempotent
-// stage may have run.
-func (m *Machine) mayChooseAgain(s *stage, e NotChosen) bool {
+// mayRetryChoice reports whether a failed choice is retried: all upstreams may be
+// excluded, silent or unfit for a moment. A refusal for lack of time is final,
+// unless upstreams that refused for other reasons are excluded, or a
+// non-idempotent stage may have run.
+func (m *Machine) mayRetryChoice(s *stage, e NotChosen) bool {
 	switch {
-	case s.chooses >= m.rules.ChooseTries:
+	case s.choiceRetries >= m.rules.ChooseTries:
 		return false
 	case e.Late && s.late && !m.mayHaveRun():
 		return false
@@ -192,37 +192,38 @@
 	return !e.Late || len(s.exclude) > 0
 }
 
-// mayTry tells whether a stage that upstreams are said to be too slow for is tried
-// all the same. If no queue is to blame, the only ground is what was measured
-// last; if every request were refused for it, nothing would be measured again.
-// The retry budget bounds the trials.
-func (m *Machine) mayTry(s *stage, e NotChosen) bool {
-	if s.trial || !e.Late || e.RetryAfter > m.rules.TrialWait || s.spec.Declared == 0 {
+// mayRunTrial reports whether a stage is tried although its upstreams are estimated
+// to be too slow. Without a queue, the estimate rests on the last measurements
+// alone; if it refused every request, nothing would be measured again. The retry
+// budget bounds these trials.
+func (m *Machine) mayRunTrial(s *stage, e NotChosen) bool {
+	if s.trial || !e.Late || e.RetryAfter > m.rules.MaxTrialWait || s.spec.Declared == 0 {
 		return false
 	}
-	_, fits := m.leastAllowance(s)
-	return fits && m.know.RetryBudget(s.spec.Service).Withdraw(m.now)
+	_, fits := m.bestCaseAllowance(s)
+	return fits && m.services.RetryBudget(s.spec.Service).Withdraw(m.now)
 }
 
-// hedge starts a second attempt beside a slow first one, if the budget allows it
-// and it can still be in time.
+// hedge starts a second attempt beside a slow first one, if the hedge budget
+// allows it and the second can still finish in time.
 func (m *Machine) hedge(a *attempt) {
 	s := a.stage
 	s.hedged = true
-	if !m.know.HedgeBudget(s.spec.Service).Withdraw(m.now) {
-		m.note(a, NoteNoHedge, "the hedge budget is empty")
+	if !m.services.HedgeBudget(s.spec.Service).Withdraw(m.now) {
+		m.note(a, NoteNoHedge, "the hedge budget is exhausted")
 		return
 	}
 	m.choose(m.newAttempt(s, CauseHedge), 0)
 }
 
-// hedgeDue returns when the attempt is slow enough for a hedge, or false.
+// hedgeDue returns when the attempt counts as slow enough to hedge, or false if it
+// is not hedged.
 func (m *Machine) hedgeDue(a *attempt) (time.Time, bool) {
 	s := a.stage
 	if s.hedged || s.spec.NonIdempotent || s.leader != nil || len(s.output) > 0 {
 		return time.Time{}, false
 	}
-	if a.reattached || s.dispatched >= m.rules.MaxAttempts || m.others(a) > 0 {
+	if a.reattached || s.dispatched >= m.rules.MaxAttempts || m.liveOthers(a) > 0 {
 		return time.Time{}, false
 	}
 	delay, pays := latency.HedgeDelay(m.estimate(s), m.deadline.Sub(a.sentAt))
@@ -232,13 +233,13 @@
 	return a.sentAt.Add(delay), true
 }
 
-// sendHedge dispatches a hedge if the slow attempt still shows no output.
+// sendHedge dispatches a hedge if the slow attempt still has no output.
 func (m *Machine) sendHedge(a *attempt) {
 	s := a.stage
 	slow := s.call.Allows("hedge") && s.leader == nil && len(s.output) == 0
 	if !slow {
 		m.end(a, EndCancelled, "")
-		m.note(a, NoteNoHedge, "the first attempt went ahead")
+		m.note(a, NoteNoHedge, "the first attempt progressed or ended")
 		return
 	}
 	m.fire(s, "hedge")
--- a/core/request/timers.go
+++ b/core/request/timers.go
@@ -6,7 +6,7 @@
 	"acaciawinch/core/latency"
 )
 
-// timers acts on what has become due.
+// timers handles the timers that are due.
 func (m *Machine) timers() {
 	if m.answered {
 		m.endFollowing()
@@ -16,7 +16,7 @@
 		m.trySettle()
 		return
 	}
-	if !m.now.Before(m.lastMoment()) {
+	if !m.now.Before(m.giveUpTime()) {
 		m.giveUp(ending{
 			cause:      GiveUpDeadline,
 			step:       m.step(),
@@ -33,71 +33,73 @@
 	}
 }
 
-// attemptTimers acts on what is due for one attempt.
+// attemptTimers handles the timers of one attempt that are due.
 func (m *Machine) attemptTimers(a *attempt) {
 	if !a.live() {
 		return
 	}
 	if due, reason, ok := m.silenceDue(a); ok && !m.now.Before(due) {
-		m.leave(a, EndSilent, reason)
+		m.replaceStalled(a, EndSilent, reason)
 		return
 	}
 	if due, ok := m.hedgeDue(a); ok && !m.now.Before(due) {
 		m.hedge(a)
 	}
-	if m.pingWanted(a) && !m.now.Before(a.pingDue) {
+	if m.needsPing(a) && !m.now.Before(a.pingDue) {
 		a.pinging = true
-		m.do(Ping{Attempt: a.id})
+		m.addAction(Ping{Attempt: a.id})
 	}
 }
 
-// pingWanted tells whether the attempt's side is to be asked when it is silent.
-func (m *Machine) pingWanted(a *attempt) bool { return a.state == sent && !a.pinging }
+// needsPing reports whether the attempt's sidecar is to be pinged while it is silent.
+func (m *Machine) needsPing(a *attempt) bool { return a.state == sent && !a.pinging }
 
-// silenceDue returns when the attempt counts as stalled although its side lives:
-// the time in the queue does not count, so it starts when the upstream has the
-// attempt. A claimed attempt is waited for, since no other may take its place.
+// silenceDue returns when the attempt counts as stalled although its sidecar is
+// alive. Time in the queue does not count: the silence is measured from when the
+// upstream has the attempt. A claimed attempt never counts as stalled, since no
+// other may replace it.
 func (m *Machine) silenceDue(a *attempt) (time.Time, string, bool) {
 	if a.stage.spec.NonIdempotent || a.state != sent || !a.started {
 		return time.Time{}, "", false
 	}
 	e := m.estimate(a.stage)
-	// Each attempt that was left doubles the patience with the next: if all are
-	// slow, it is not the upstream, and another attempt only adds to the cause.
-	patience := min(a.stage.left, maxDoublings)
-	bound := m.withRoomForAnother(latency.FirstBound(e)<<patience, max(e.FirstP95, e.ServiceP95), a.startedAt)
+	// Each stalled attempt doubles the bound for the next: if all of them are slow,
+	// the upstream is not to blame, and another attempt only adds to the load.
+	doublings := min(a.stage.stalled, maxDoublings)
+	bound := m.leaveTimeForRetry(latency.FirstBound(e)<<doublings, max(e.FirstP95, e.ServiceP95), a.startedAt)
 	due, reason := a.startedAt.Add(bound), "no first chunk within the bound"
 	if a.output.next > 0 {
-		bound = m.withRoomForAnother(latency.GapBound(e)<<patience, e.GapP95, a.chunkAt)
+		bound = m.leaveTimeForRetry(latency.GapBound(e)<<doublings, e.GapP95, a.chunkAt)
 		due, reason = a.chunkAt.Add(bound), "no further chunk within the bound"
 	}
-	if due.Before(a.stayUntil) {
-		due = a.stayUntil
+	if due.Before(a.keepUntil) {
+		due = a.keepUntil
 	}
 	return due, reason, true
 }
 
-// withRoomForAnother shortens a bound on silence that began at since, so that a
-// second attempt still fits before the deadline, but not so far that a call which
-// is merely slow, as some are known to be, counts as silent.
-func (m *Machine) withRoomForAnother(bound, usual time.Duration, since time.Time) time.Duration {
-	room := m.deadline.Sub(since) / shareOfSilence
-	return min(bound, max(room, slowFactor*usual, m.rules.StayFor))
+// leaveTimeForRetry shortens a bound on silence that began at since, so that a
+// second attempt still fits before the deadline, but not so far that a call counts
+// as silent that is only as slow as the usual slow calls.
+func (m *Machine) leaveTimeForRetry(bound, usual time.Duration, since time.Time) time.Duration {
+	room := m.deadline.Sub(since) / silenceDivisor
+	return min(bound, max(room, slowFactor*usual, m.rules.KeepSilentFor))
 }
 
-// The longest share of the time left that is spent on silence, and how many times
-// the usual high quantile is still a slow call.
 const (
-	shareOfSilence = 3
-	slowFactor     = 2
-	// maxDoublings bounds how often the patience with silence doubles.
+	// silenceDivisor sets how much of the time between the start of a silence and the
+	// deadline the silence may take: one part in silenceDivisor.
+	silenceDivisor = 3
+	// slowFactor times the usual 95th percentile still counts as a slow call.
+	slowFactor = 2
+	// maxDoublings bounds how often the bound on silence doubles.
 	maxDoublings = 4
 )
 
-// lastMoment returns when the request is given up for its deadline. While a
-// claimed attempt has not started it is a little earlier, so that the side can
-// still prove that it never will.
-func (m *Machine) lastMoment() time.Time {
+// giveUpTime returns when the request is given up because of its deadline. While a
+// claimed attempt has not started, that is SettleMargin before the deadline, so
+// that the sidecar can still prove that the attempt never will start.
+func (m *Machine) giveUpTime() time.Time {
 	for _, a := range m.attempts {
 		if a.live() && a.stage.spec.NonIdempotent && !a.started && !a.foreign {
 			return m.deadline.Add(-m.rules.SettleMargin)
@@ -106,7 +108,7 @@
 	return m.deadline
 }
 
-// Wake returns when Tick is wanted next.
+// Wake returns when the next Tick is due.
 func (m *Machine) Wake() time.Time {
 	switch {
 	case m.answered:
@@ -114,7 +116,7 @@
 	case m.ending != nil:
 		return m.ending.settleUntil
 	}
-	wake := m.lastMoment()
+	wake := m.giveUpTime()
 	for _, a := range m.attempts {
 		if a.live() {
 			wake = m.earliest(wake, a)
@@ -123,9 +125,9 @@
 	return wake
 }
 
-// earliest returns the earliest of wake and the attempt's own times.
+// earliest returns the earliest of wake and the times of the attempt's timers.
 func (m *Machine) earliest(wake time.Time, a *attempt) time.Time {
-	if m.pingWanted(a) && a.pingDue.Before(wake) {
+	if m.needsPing(a) && a.pingDue.Before(wake) {
 		wake = a.pingDue
 	}
 	if due, _, ok := m.silenceDue(a); ok && due.Before(wake) {
--- a/core/request/world_test.go
+++ b/core/request/world_test.go
@@ -13,37 +13,37 @@
 	"acaciawinch/core/latency"
 )
 
-// chunksPerStage is how many chunks each stage of the world gives.
+// chunksPerStage is how many chunks each simulated stage produces.
 const chunksPerStage = 3
 
-// dice is an even source of chance, seeded by rapid, and a Knowledge whose
-// budgets are left to it. Rapid's own draws favour small numbers, which would end
-// most requests after a few steps.
-type dice struct{ *rand.Rand }
+// randomSource is a uniform random source, seeded by rapid, and a Knowledge whose
+// budgets allow calls at random. Rapid's own draws favour small numbers, which
+// would end most requests after a few steps.
+type randomSource struct{ *rand.Rand }
 
-// newDice draws the seed.
-func newDice(t *rapid.T) dice {
+// newRandomSource returns a source with a seed drawn from rapid.
+func newRandomSource(t *rapid.T) randomSource {
 	seed := rapid.SliceOfN(rapid.Byte(), 16, 16).Draw(t, "seed")
-	return dice{rand.New(rand.NewPCG(xxhash.Sum64(seed), 0))}
+	return randomSource{rand.New(rand.NewPCG(xxhash.Sum64(seed), 0))}
 }
 
-// chance returns true in so many cases of a hundred.
-func (d dice) chance(percent int) bool { return d.IntN(100) < percent }
+// chance returns true with the given probability in percent.
+func (d randomSource) chance(percent int) bool { return d.IntN(100) < percent }
 
-func (dice) Estimate(string) latency.Estimate {
+func (randomSource) Estimate(string) latency.Estimate {
 	return latency.Estimate{
 		ServiceP50: 20 * time.Millisecond, ServiceP95: 40 * time.Millisecond,
 		FirstP50: 10 * time.Millisecond, FirstP95: 20 * time.Millisecond, GapP95: 5 * time.Millisecond,
 	}
 }
-func (d dice) RetryBudget(string) Budget { return d }
-func (d dice) HedgeBudget(string) Budget { return d }
-func (dice) Deposit(time.Time)           {}
-func (d dice) Withdraw(time.Time) bool   { return d.chance(75) }
-func chunkOf(stage, i int) []byte        { return fmt.Appendf(nil, "%d.%d ", stage, i) }
+func (d randomSource) RetryBudget(string) Budget { return d }
+func (d randomSource) HedgeBudget(string) Budget { return d }
+func (randomSource) Deposit(time.Time)           {}
+func (d randomSource) Withdraw(time.Time) bool   { return d.chance(75) }
+func chunkOf(stage, i int) []byte                { return fmt.Appendf(nil, "%d.%d ", stage, i) }
 
-// run is the truth about one attempt.
-type run struct {
+// simulatedRun is what actually happens to one attempt.
+type simulatedRun struct {
 	stage     int
 	resume    int
 	claimed   bool
@@ -51,20 +51,21 @@
 	delivered bool
 	tombstone bool
 	executed  bool
-	// proved is set once the machine was told that it has not run and never will.
+	// proved is set once an event proves that the attempt has not run and never will.
 	proved bool
 }
 
-// world plays the sides, the claims and the caller, and knows the truth.
-type world struct {
+// simulation simulates the sidecars, the claims and the caller, and records what
+// actually ran.
+type simulation struct {
 	t      *rapid.T
-	dice   dice
+	random randomSource
 	m      *Machine
 	now    time.Time
 	stages []Stage
-	runs   map[AttemptID]*run
-	// pool holds what may happen next, in any order.
-	pool []func()
+	runs   map[AttemptID]*simulatedRun
+	// pending holds the steps that may happen next, in any order.
+	pending []func()
 
 	emitted  [][]byte
 	answer   *Answer
@@ -75,10 +76,10 @@
 	late     []int
 }
 
-// newWorld starts a request whose stage `claimed` is non-idempotent, or none if
-// it is negative.
-func newWorld(t *rapid.T, stages, claimed int) *world {
-	w := &world{t: t, dice: newDice(t), now: time.Unix(1000, 0), runs: make(map[AttemptID]*run), ran: make(map[int]int)}
+// newSimulation starts a request whose stage `claimed` is non-idempotent, or none
+// if it is negative.
+func newSimulation(t *rapid.T, stages, claimed int) *simulation {
+	w := &simulation{t: t, random: newRandomSource(t), now: time.Unix(1000, 0), runs: make(map[AttemptID]*simulatedRun), ran: make(map[int]int)}
 	for i := range stages {
 		w.stages = append(w.stages, Stage{
 			Name: fmt.Sprint(i), Service: fmt.Sprint(i), NonIdempotent: i == claimed, Resumable: i == stages-1,
@@ -86,47 +87,47 @@
 	}
 	const deadline = 2 * time.Second
 	w.deadline = w.now.Add(deadline)
-	w.m = New("e-1", Plan{Stages: w.stages, Deadline: deadline}, w.dice, DefaultRules())
+	w.m = New("e-1", Plan{Stages: w.stages, Deadline: deadline}, w.random, DefaultRules())
 	w.act(w.m.Start(w.now))
 	return w
 }
 
-// later adds something that may happen, perhaps twice.
-func (w *world) later(event Event) {
-	w.pool = append(w.pool, func() { w.handle(event) })
-	if w.dice.chance(10) {
-		w.pool = append(w.pool, func() { w.handle(event) })
+// schedule adds an event to the pending steps, sometimes twice.
+func (w *simulation) schedule(event Event) {
+	w.pending = append(w.pending, func() { w.handle(event) })
+	if w.random.chance(10) {
+		w.pending = append(w.pending, func() { w.handle(event) })
 	}
 }
 
-// handle hands an event to the machine.
-func (w *world) handle(event Event) {
+// handle passes an event to the machine.
+func (w *simulation) handle(event Event) {
 	w.act(w.m.Handle(w.now, event))
 }
 
-// step lets one thing happen: something of the pool, or time alone. With an
-// empty pool time goes to where the machine wants to be woken.
-func (w *world) step() {
-	if len(w.pool) == 0 {
+// step runs a random pending step, or only advances the time. Without pending
+// steps the time advances to when the machine wants to be woken.
+func (w *simulation) step() {
+	if len(w.pending) == 0 {
 		if wake := w.m.Wake(); wake.After(w.now) {
 			w.now = wake
 		}
 		w.handle(Tick{})
 		return
 	}
-	if w.dice.chance(15) {
-		w.pass(time.Duration(w.dice.IntN(80)) * time.Millisecond)
+	if w.random.chance(15) {
+		w.pass(time.Duration(w.random.IntN(80)) * time.Millisecond)
 		return
 	}
-	w.pass(time.Duration(w.dice.IntN(2000)) * time.Microsecond)
-	i := w.dice.IntN(len(w.pool))
-	next := w.pool[i]
-	w.pool = append(w.pool[:i], w.pool[i+1:]...)
+	w.pass(time.Duration(w.random.IntN(2000)) * time.Microsecond)
+	i := w.random.IntN(len(w.pending))
+	next := w.pending[i]
+	w.pending = append(w.pending[:i], w.pending[i+1:]...)
 	next()
 }
 
-// pass lets time go on, at most to where the machine wants to be woken.
-func (w *world) pass(d time.Duration) {
+// pass advances the time by d, at most to when the machine wants to be woken.
+func (w *simulation) pass(d time.Duration) {
 	w.now = w.now.Add(d)
 	if wake := w.m.Wake(); !w.m.Answered() && w.now.After(wake) {
 		w.now = wake
@@ -134,8 +135,8 @@
 	}
 }
 
-// act carries out actions.
-func (w *world) act(actions []Action) {
+// act executes actions.
+func (w *simulation) act(actions []Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
 		case Choose:
@@ -145,19 +146,19 @@
 		case Attach:
 			w.attach(a)
 		case Ping:
-			w.later(Pinged{Attempt: a.Attempt, Alive: w.dice.chance(70)})
+			w.schedule(Pinged{Attempt: a.Attempt, Alive: w.random.chance(70)})
 		case Resolve:
-			w.pool = append(w.pool, func() { w.resolve(a) })
+			w.pending = append(w.pending, func() { w.resolve(a) })
 		case Cancel:
-			w.pool = append(w.pool, func() { w.cancel(a) })
+			w.pending = append(w.pending, func() { w.cancel(a) })
 		case OpenClaim:
 			w.claim(a.Attempt, a.Stage)
 		case Reassign:
 			w.claim(a.Attempt, a.Stage)
 		case Release:
-			w.later(Released(a))
+			w.schedule(Released(a))
 		case Finish:
-			w.later(Finished{Attempt: a.Attempt, Recorded: w.dice.chance(80)})
+			w.schedule(Finished{Attempt: a.Attempt, Recorded: w.random.chance(80)})
 		case Emit:
 			assert.Equal(w.t, a.Index, uint64(len(w.emitted)))
 			w.emitted = append(w.emitted, a.Data)
@@ -171,32 +172,32 @@
 	}
 }
 
-// choose answers a choice.
-func (w *world) choose(a Choose) {
-	if w.dice.chance(10) {
-		w.later(NotChosen{Attempt: a.Attempt, Late: w.dice.chance(50), RetryAfter: time.Second})
+// choose schedules the response to a Choose.
+func (w *simulation) choose(a Choose) {
+	if w.random.chance(10) {
+		w.schedule(NotChosen{Attempt: a.Attempt, Late: w.random.chance(50), RetryAfter: time.Second})
 		return
 	}
-	w.later(Chosen{Attempt: a.Attempt, Upstream: core.UpstreamID(fmt.Sprint(w.dice.IntN(4)))})
+	w.schedule(Chosen{Attempt: a.Attempt, Upstream: core.UpstreamID(fmt.Sprint(w.random.IntN(4)))})
 }
 
-// claim answers the opening or reassigning of a claim.
-func (w *world) claim(id AttemptID, stage int) {
+// claim schedules the response to an OpenClaim or a Reassign.
+func (w *simulation) claim(id AttemptID, stage int) {
 	e := Claimed{Attempt: id, Status: ClaimMine}
-	if w.dice.chance(30) {
-		e.Status = ClaimStatus(1 + w.dice.IntN(7))
+	if w.random.chance(30) {
+		e.Status = ClaimStatus(1 + w.random.IntN(7))
 	}
 	switch e.Status {
 	case ClaimDone:
 		e.Chunks = wholeOf(stage)
-		e.Recorded = w.dice.chance(50)
+		e.Recorded = w.random.chance(50)
 	case ClaimRunning:
-		w.runs[id] = &run{stage: stage, claimed: true, foreign: true, delivered: true, executed: true}
+		w.runs[id] = &simulatedRun{stage: stage, claimed: true, foreign: true, delivered: true, executed: true}
 	}
-	w.later(e)
+	w.schedule(e)
 }
 
-// wholeOf returns a stage's whole output.
+// wholeOf returns a stage's complete output.
 func wholeOf(stage int) [][]byte {
 	var chunks [][]byte
 	for i := range chunksPerStage {
@@ -205,8 +206,8 @@
 	return chunks
 }
 
-// run dispatches an attempt to one of many fates.
-func (w *world) run(a Run) {
+// run dispatches an attempt, which ends in one of several ways at random.
+func (w *simulation) run(a Run) {
 	claimed := w.stages[a.Stage].NonIdempotent
 	if claimed {
 		for _, other := range w.runs {
@@ -215,32 +216,32 @@
 			}
 		}
 	}
-	r := &run{stage: a.Stage, resume: a.Resume, claimed: claimed}
+	r := &simulatedRun{stage: a.Stage, resume: a.Resume, claimed: claimed}
 	w.runs[a.Attempt] = r
-	switch w.dice.IntN(8) {
+	switch w.random.IntN(8) {
 	case 0:
 		r.proved = true
-		w.later(Broken{Attempt: a.Attempt, NotSent: true})
-	case 1: // On its way: it arrives some time, or never.
-		w.later(Broken{Attempt: a.Attempt})
-		w.pool = append(w.pool, func() { w.deliver(r) })
+		w.schedule(Broken{Attempt: a.Attempt, NotSent: true})
+	case 1: // In flight: it arrives later or never.
+		w.schedule(Broken{Attempt: a.Attempt})
+		w.pending = append(w.pending, func() { w.deliver(r) })
 	case 2:
 		r.tombstone = true
 		r.proved = true
-		w.later(Refused{Attempt: a.Attempt, Refusal: RefusalProved, Late: w.dice.chance(50), RetryAfter: time.Second})
+		w.schedule(Refused{Attempt: a.Attempt, Refusal: RefusalProved, Late: w.random.chance(50), RetryAfter: time.Second})
 	case 3:
 		w.deliver(r)
-		if w.dice.chance(50) {
+		if w.random.chance(50) {
 			r.executed, w.ran[r.stage] = false, w.ran[r.stage]-1
 			r.proved = true
-			w.later(Failed{Attempt: a.Attempt})
+			w.schedule(Failed{Attempt: a.Attempt})
 			return
 		}
-		w.later(Failed{Attempt: a.Attempt, MayHaveRun: true})
-	case 4: // Silent: it runs, and nothing is heard.
-		w.pool = append(w.pool, func() { w.deliver(r) })
+		w.schedule(Failed{Attempt: a.Attempt, MayHaveRun: true})
+	case 4: // Silent: it runs, but sends no events.
+		w.pending = append(w.pending, func() { w.deliver(r) })
 	default:
-		w.pool = append(w.pool, func() {
+		w.pending = append(w.pending, func() {
 			if w.deliver(r) {
 				w.stream(a.Attempt, r, 0)
 			}
@@ -248,8 +249,8 @@
 	}
 }
 
-// deliver lets a Run reach its side. It returns false if the side refuses it.
-func (w *world) deliver(r *run) bool {
+// deliver lets a Run reach its sidecar. It returns false if the sidecar refuses it.
+func (w *simulation) deliver(r *simulatedRun) bool {
 	if r.tombstone || r.delivered {
 		return false
 	}
@@ -261,56 +262,57 @@
 	return true
 }
 
-// stream sends an attempt's events from its own chunk `from` on, perhaps broken
-// off, perhaps with a wrong closing event.
-func (w *world) stream(id AttemptID, r *run, from uint64) {
-	w.later(Started{Attempt: id})
+// stream schedules an attempt's events from its own chunk `from` on. The stream may
+// break, or end with a wrong digest.
+func (w *simulation) stream(id AttemptID, r *simulatedRun, from uint64) {
+	w.schedule(Started{Attempt: id})
 	digest := xxhash.New()
 	own := wholeOf(r.stage)[r.resume:]
 	cut := len(own) + 1
-	if w.dice.chance(25) {
-		cut = w.dice.IntN(len(own) + 1)
+	if w.random.chance(25) {
+		cut = w.random.IntN(len(own) + 1)
 	}
 	for i, chunk := range own {
 		digest.Write(chunk)
 		if i < cut && uint64(i) >= from {
-			w.later(Chunk{Attempt: id, Index: uint64(i), Data: chunk})
+			w.schedule(Chunk{Attempt: id, Index: uint64(i), Data: chunk})
 		}
 	}
 	if cut <= len(own) {
-		w.later(Broken{Attempt: id})
+		w.schedule(Broken{Attempt: id})
 		return
 	}
 	done := Done{Attempt: id, Chunks: uint64(len(own)), Digest: digest.Sum64()}
-	if w.dice.chance(5) {
+	if w.random.chance(5) {
 		done.Digest++
 	}
-	w.later(done)
+	w.schedule(done)
 }
 
-// attach follows an attempt on a new stream.
-func (w *world) attach(a Attach) {
+// attach opens a new stream of an attempt, which may fail.
+func (w *simulation) attach(a Attach) {
 	r := w.runs[a.Attempt]
 	switch {
-	case w.dice.chance(30):
-		w.later(Broken{Attempt: a.Attempt, NotSent: w.dice.chance(50)})
+	case w.random.chance(30):
+		w.schedule(Broken{Attempt: a.Attempt, NotSent: w.random.chance(50)})
 	case r.executed:
 		w.stream(a.Attempt, r, a.From)
-	default: // Whatever a side says to an Attach, the Run may still arrive.
-		w.later(Refused{Attempt: a.Attempt, Refusal: Refusal(1 + w.dice.IntN(3))})
+	default: // Whatever a sidecar responds to an Attach, the Run may still arrive.
+		w.schedule(Refused{Attempt: a.Attempt, Refusal: Refusal(1 + w.random.IntN(3))})
 	}
 }
 
-// resolve answers truthfully what became of an attempt, if at all.
-func (w *world) resolve(a Resolve) {
+// resolve schedules the true outcome of an attempt as the response to a Resolve, or
+// a response without an outcome.
+func (w *simulation) resolve(a Resolve) {
 	r := w.runs[a.Attempt]
 	e := Resolved{Attempt: a.Attempt}
 	switch {
-	case w.dice.chance(20):
+	case w.random.chance(20):
 		e.Resolution = ResolvedUnreachable
-	case w.dice.chance(10):
+	case w.random.chance(10):
 		e.Resolution = ResolvedGone
-	case r.executed && w.dice.chance(70):
+	case r.executed && w.random.chance(70):
 		e.Resolution, e.Chunks = ResolvedDone, wholeOf(r.stage)
 	case r.executed:
 		e.Resolution = ResolvedRunning
@@ -318,18 +320,19 @@
 		r.tombstone, r.proved = true, true
 		e.Resolution = ResolvedNotRun
 	}
-	w.later(e)
+	w.schedule(e)
 }
 
-// cancel ends an attempt; one that has not arrived gets a tombstone.
-func (w *world) cancel(a Cancel) {
+// cancel cancels an attempt, if the sidecar responds. An attempt that has not arrived
+// gets a tombstone.
+func (w *simulation) cancel(a Cancel) {
 	r := w.runs[a.Attempt]
-	if w.dice.chance(30) {
-		w.later(Cancelled{Attempt: a.Attempt})
+	if w.random.chance(30) {
+		w.schedule(Cancelled{Attempt: a.Attempt})
 		return
 	}
 	if !r.delivered {
 		r.tombstone = true
 	}
-	w.later(Cancelled{Attempt: a.Attempt, Confirmed: true, Started: r.executed})
+	w.schedule(Cancelled{Attempt: a.Attempt, Confirmed: true, Started: r.executed})
 }
