--- a/entry/admit/admit.go
+++ b/entry/admit/admit.go
@@ -1,5 +1,7 @@
-// Package admit bounds what an entry holds at once: requests, streams and
-// connections, and each workspace's requests.
+// Package admit limits the requests, streams and connections that are open at an
+// entry at once, and the requests in flight of each workspace. An adaptive limit for
+// each workspace and pipeline refuses requests that the upstreams would be too slow
+// for.
 package admit
 
 import (
@@ -7,50 +9,51 @@
 	"time"
 )
 
-// Refusal says why a request was not admitted; empty if it was.
+// Refusal is the reason why a request was not admitted; empty if it was admitted.
 type Refusal string
 
-// The reasons not to admit a request.
+// Reasons for not admitting a request.
 const (
-	Admitted      Refusal = ""
-	Draining      Refusal = "the entry is stopping"
-	TooMany       Refusal = "the entry holds as many requests as it may"
-	TooManyStream Refusal = "the entry holds as many streams as it may"
-	WorkspaceFull Refusal = "the workspace holds as many requests as it may"
-	Overloaded    Refusal = "the upstreams don't keep up with the workspace's requests"
+	Admitted        Refusal = ""
+	Draining        Refusal = "the entry is shutting down"
+	TooManyRequests Refusal = "the entry is at its limit of requests in flight"
+	TooManyStreams  Refusal = "the entry is at its limit of open streams"
+	WorkspaceFull   Refusal = "the workspace is at its limit of requests in flight"
+	Overloaded      Refusal = "the upstreams can't keep up with the workspace's requests"
 )
 
-// Ask describes a request that wants to enter.
+// Ask describes a request that is to be admitted.
 type Ask struct {
 	Workspace string
 	Pipeline  string
-	// Bound bounds the workspace's requests; zero means no bound. This entry alone
-	// holds no more than the bound of the whole fleet.
+	// Bound limits the workspace's requests in flight; zero means no limit. It is the
+	// limit for the whole fleet, which a single entry must not exceed either.
 	Bound int
-	// Stream is set if the answer is streamed.
+	// Stream is set if the response is streamed.
 	Stream bool
 }
 
-// End is how an admitted request ended, as far as the admission of others goes.
+// End is how an admitted request ended, as far as it matters for the adaptive limit.
 type End int
 
-// The ends of requests.
+// Ends of requests.
 const (
-	// EndOther tells nothing of the upstreams.
+	// EndOther says nothing about the upstreams' load.
 	EndOther End = iota
-	// EndAnswered: the whole answer came in time.
+	// EndAnswered means that the whole response arrived in time.
 	EndAnswered
-	// EndOverloaded: it was refused behind its admission for want of time.
+	// EndOverloaded means that the request was refused after its admission because its
+	// remaining time was too short.
 	EndOverloaded
 )
 
-// Limits are the bounds of a Gate.
+// Limits are the limits of a Gate over all workspaces.
 type Limits struct {
 	InFlight int
 	Streams  int
 }
 
-// Gate counts the requests in flight. It may be used by many goroutines.
+// Gate admits requests and counts those in flight. It is safe for concurrent use.
 type Gate struct {
 	limits Limits
 
@@ -59,84 +62,86 @@
 	inFlight    int
 	streams     int
 	byWorkspace map[string]int
-	// paces is by workspace and pipeline. An entry goes when nothing is in flight
-	// and there is no limit.
-	paces map[paceKey]*pace
-	idle  chan struct{}
+	// adaptive holds the limits by workspace and pipeline. A limit is deleted when no
+	// request is in flight under it and it is not in force.
+	adaptive map[limitKey]*adaptiveLimit
+	idle     chan struct{}
 }
 
 // NewGate returns a Gate with the given limits.
 func NewGate(limits Limits) *Gate {
-	return &Gate{limits: limits, byWorkspace: make(map[string]int), paces: make(map[paceKey]*pace), idle: make(chan struct{})}
+	return &Gate{limits: limits, byWorkspace: make(map[string]int), adaptive: make(map[limitKey]*adaptiveLimit), idle: make(chan struct{})}
 }
 
-// paceKey names what is paced together.
-type paceKey struct{ workspace, pipeline string }
+// limitKey identifies the requests that share an adaptive limit.
+type limitKey struct{ workspace, pipeline string }
 
 // Ticket is one admitted request. Leave must be called once.
 type Ticket struct {
-	gate *Gate
-	ask  Ask
-	pace *pace
-	// near is set if the request used the pace's limit.
-	near bool
+	gate     *Gate
+	ask      Ask
+	adaptive *adaptiveLimit
+	// nearLimit is set if the adaptive limit was nearly reached when the request was
+	// admitted.
+	nearLimit bool
 }
 
-// Enter admits a request, or tells why not and when to ask again. A zero time is
-// not known.
+// Enter admits a request, or returns why not and after how long to retry. The duration
+// is zero if that is not known.
 func (g *Gate) Enter(now time.Time, ask Ask) (*Ticket, Refusal, time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if refusal := g.refusal(ask); refusal != Admitted {
 		return nil, refusal, 0
 	}
-	key := paceKey{ask.Workspace, ask.Pipeline}
-	p, ok := g.paces[key]
+	key := limitKey{ask.Workspace, ask.Pipeline}
+	limit, ok := g.adaptive[key]
 	if !ok {
-		p = &pace{}
-		g.paces[key] = p
+		limit = &adaptiveLimit{}
+		g.adaptive[key] = limit
 	}
-	if !p.allows(now) {
-		return nil, Overloaded, p.retryAfter
+	if !limit.allows(now) {
+		return nil, Overloaded, limit.retryAfter
 	}
-	near := p.enter()
+	nearLimit := limit.admit()
 	g.inFlight++
 	g.byWorkspace[ask.Workspace]++
 	if ask.Stream {
 		g.streams++
 	}
-	return &Ticket{gate: g, ask: ask, pace: p, near: near}, Admitted, 0
+	return &Ticket{gate: g, ask: ask, adaptive: limit, nearLimit: nearLimit}, Admitted, 0
 }
 
-// refusal applies the limits in the order of their reach.
+// refusal checks the fixed limits, those of the whole entry first.
 func (g *Gate) refusal(ask Ask) Refusal {
 	switch {
 	case g.draining:
 		return Draining
 	case g.inFlight >= g.limits.InFlight:
-		return TooMany
+		return TooManyRequests
 	case ask.Stream && g.streams >= g.limits.Streams:
-		return TooManyStream
+		return TooManyStreams
 	case ask.Bound > 0 && g.byWorkspace[ask.Workspace] >= ask.Bound:
 		return WorkspaceFull
 	}
 	return Admitted
 }
 
-// Leave ends the request. RetryAfter is what an overloaded one was told.
+// Leave ends the request. With EndOverloaded, retryAfter is the retry delay that the client
+// was given.
 func (t *Ticket) Leave(now time.Time, end End, retryAfter time.Duration) {
 	g := t.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch end {
 	case EndAnswered:
-		t.pace.answered(now, t.near)
+		t.adaptive.answered(now, t.nearLimit)
 	case EndOverloaded:
-		t.pace.overloaded(now, retryAfter)
+		t.adaptive.overloaded(now, retryAfter)
 	}
-	t.pace.inFlight--
-	if t.pace.inFlight == 0 && t.pace.limit == 0 {
-		delete(g.paces, paceKey{t.ask.Workspace, t.ask.Pipeline})
+	t.adaptive.inFlight--
+	if t.adaptive.inFlight == 0 && t.adaptive.limit == 0 {
+		delete(g.adaptive, limitKey{t.ask.Workspace, t.ask.Pipeline})
 	}
 	g.inFlight--
 	if t.ask.Stream {
@@ -149,8 +154,8 @@
 	g.closeIfIdle()
 }
 
-// Drain ends the admission of requests. The returned channel is closed when
-// none is in flight. Drain may be called again.
+// Drain stops the admission of requests. The returned channel is closed when no
+// request is in flight any more. Drain may be called more than once.
 func (g *Gate) Drain() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -159,7 +164,8 @@
 	return g.idle
 }
 
-// closeIfIdle closes the idle channel once, when draining has emptied the gate.
+// closeIfIdle closes the idle channel, once, when the gate is draining and no request
+// is in flight.
 func (g *Gate) closeIfIdle() {
 	if !g.draining || g.inFlight > 0 {
 		return
@@ -171,14 +177,14 @@
 	}
 }
 
-// Counts are the present numbers of a Gate.
+// Counts are the current counts of a Gate.
 type Counts struct {
 	InFlight int  `json:"in_flight"`
 	Streams  int  `json:"streams"`
 	Draining bool `json:"draining"`
 }
 
-// Counts returns the present numbers.
+// Counts returns the current counts.
 func (g *Gate) Counts() Counts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/entry/admit/admit_test.go
+++ b/entry/admit/admit_test.go
@@ -10,7 +10,7 @@
 
 var now = time.Unix(1000, 0)
 
-// enter asks for a place of workspace.
+// enter requests admission at the time now.
 func enter(g *Gate, workspace string, bound int, stream bool) (*Ticket, Refusal) {
 	ticket, refusal, _ := g.Enter(now, Ask{Workspace: workspace, Pipeline: "p", Bound: bound, Stream: stream})
 	return ticket, refusal
@@ -21,13 +21,13 @@
 	first, refusal := enter(g, "w", 2, true)
 	assert.Equal(t, refusal, Admitted)
 	_, refusal = enter(g, "w", 2, true)
-	assert.Equal(t, refusal, TooManyStream)
+	assert.Equal(t, refusal, TooManyStreams)
 	second, _ := enter(g, "w", 2, false)
 	_, refusal = enter(g, "w", 2, false)
 	assert.Equal(t, refusal, WorkspaceFull)
 	third, _ := enter(g, "x", 0, false)
 	_, refusal = enter(g, "y", 0, false)
-	assert.Equal(t, refusal, TooMany)
+	assert.Equal(t, refusal, TooManyRequests)
 	idle := g.Drain()
 	first.Leave(now, EndOther, 0)
 	second.Leave(now, EndAnswered, 0)
@@ -41,24 +41,25 @@
 	third.Leave(now, EndOther, 0)
 	<-idle
 	assert.Equal(t, g.Counts(), Counts{Draining: true})
-	assert.Equal(t, len(g.paces), 0)
+	assert.Equal(t, len(g.adaptive), 0)
 }
 
-// TestPaceFindsTheCapacity offers twice what ten places serve: the limit settles
-// near them, few are refused behind their admission, and others are not held up.
-func TestPaceFindsTheCapacity(t *testing.T) {
+// TestAdaptiveLimitFindsTheCapacity offers twice the load of a capacity of ten: the
+// limit settles near the capacity, few requests are refused after their admission, and
+// another pipeline is not limited.
+func TestAdaptiveLimitFindsTheCapacity(t *testing.T) {
 	const capacity, rounds = 10, 400
 	g := NewGate(Limits{InFlight: 1000, Streams: 1})
 	at, served, late := now, 0, 0
 	for range rounds {
-		at = at.Add(cutEvery)
-		var in []*Ticket
+		at = at.Add(cutInterval)
+		var admitted []*Ticket
 		for range 2 * capacity {
 			if ticket, refusal, _ := g.Enter(at, Ask{Workspace: "w", Pipeline: "p"}); refusal == Admitted {
-				in = append(in, ticket)
+				admitted = append(admitted, ticket)
 			}
 		}
-		for i, ticket := range in {
+		for i, ticket := range admitted {
 			end := EndAnswered
 			if i >= capacity {
 				end = EndOverloaded
@@ -70,17 +71,17 @@
 		}
 	}
 	assert.Assert(t, served >= rounds*capacity*9/10, "served %d", served)
-	assert.Assert(t, late <= rounds*capacity/10, "refused late %d", late)
+	assert.Assert(t, late <= rounds*capacity/10, "refused after admission: %d", late)
 	_, refusal, after := enterAll(g, at)
 	assert.Equal(t, refusal, Overloaded)
 	assert.Equal(t, after, time.Second)
 	_, refusal, _ = g.Enter(at, Ask{Workspace: "w", Pipeline: "q"})
 	assert.Equal(t, refusal, Admitted)
-	_, refusal, _ = g.Enter(at.Add(2*paceLife), Ask{Workspace: "w", Pipeline: "p"})
+	_, refusal, _ = g.Enter(at.Add(2*limitLifetime), Ask{Workspace: "w", Pipeline: "p"})
 	assert.Equal(t, refusal, Admitted)
 }
 
-// enterAll takes places until one is refused.
+// enterAll requests admission until a request is refused.
 func enterAll(g *Gate, at time.Time) (*Ticket, Refusal, time.Duration) {
 	for {
 		if ticket, refusal, after := g.Enter(at, Ask{Workspace: "w", Pipeline: "p"}); refusal != Admitted {
@@ -89,7 +90,7 @@
 	}
 }
 
-func TestLimitListenerHoldsBack(t *testing.T) {
+func TestLimitListenerBoundsOpenConnections(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	l := LimitListener(inner, 1)
@@ -118,46 +119,46 @@
 	<-accepted
 }
 
-func TestPaceCutsOnceAndWinsBack(t *testing.T) {
-	p := pace{}
+func TestAdaptiveLimitCutsOncePerIntervalAndRecovers(t *testing.T) {
+	limit := adaptiveLimit{}
 	for range 10 {
-		p.enter()
+		limit.admit()
 	}
-	p.overloaded(now, 0)
-	p.overloaded(now.Add(cutEvery-1), 0)
-	assert.Equal(t, p.limit, 9.0)
-	p.overloaded(now.Add(cutEvery), 0)
-	assert.Assert(t, p.limit < 9)
-	before := p.limit
-	p.answered(now, false)
-	assert.Equal(t, p.limit, before)
+	limit.overloaded(now, 0)
+	limit.overloaded(now.Add(cutInterval-1), 0)
+	assert.Equal(t, limit.limit, 9.0)
+	limit.overloaded(now.Add(cutInterval), 0)
+	assert.Assert(t, limit.limit < 9)
+	before := limit.limit
+	limit.answered(now, false)
+	assert.Equal(t, limit.limit, before)
 	for range 9 {
-		p.answered(now, true)
+		limit.answered(now, true)
 	}
-	assert.Assert(t, p.limit > before+0.9 && p.limit < before+1.2)
-	before = p.limit
-	p.answered(now.Add(cutEvery+calm+1), true)
-	assert.Equal(t, p.limit, before+1)
+	assert.Assert(t, limit.limit > before+0.9 && limit.limit < before+1.2)
+	before = limit.limit
+	limit.answered(now.Add(cutInterval+fastGrowthAfter+1), true)
+	assert.Equal(t, limit.limit, before+1)
 	for i := range 100 {
-		p.overloaded(now.Add(time.Duration(i)*time.Minute), 0)
+		limit.overloaded(now.Add(time.Duration(i)*time.Minute), 0)
 	}
-	assert.Equal(t, p.limit, float64(leastLimit))
+	assert.Equal(t, limit.limit, float64(minLimit))
 }
 
-func TestRefusedRequestKeepsItsPlaceAsLongAsItShouldStayAway(t *testing.T) {
-	p := pace{}
+func TestRefusedRequestKeepsItsSlotUntilTheRetryDelayEnds(t *testing.T) {
+	limit := adaptiveLimit{}
 	for range 10 {
-		p.enter()
+		limit.admit()
 	}
-	p.overloaded(now, 300*time.Millisecond)
-	p.overloaded(now, time.Hour)
-	p.inFlight -= 2
-	assert.Equal(t, p.limit, 9.0)
-	assert.Assert(t, !p.allows(now))
-	assert.Assert(t, !p.allows(now.Add(299*time.Millisecond)))
-	p.inFlight--
-	assert.Assert(t, p.allows(now.Add(300*time.Millisecond)))
-	p.enter()
-	assert.Assert(t, !p.allows(now.Add(maxHold-1)))
-	assert.Assert(t, p.allows(now.Add(maxHold)))
+	limit.overloaded(now, 300*time.Millisecond)
+	limit.overloaded(now, time.Hour)
+	limit.inFlight -= 2
+	assert.Equal(t, limit.limit, 9.0)
+	assert.Assert(t, !limit.allows(now))
+	assert.Assert(t, !limit.allows(now.Add(299*time.Millisecond)))
+	limit.inFlight--
+	assert.Assert(t, limit.allows(now.Add(300*time.Millisecond)))
+	limit.admit()
+	assert.Assert(t, !limit.allows(now.Add(maxHold-1)))
+	assert.Assert(t, limit.allows(now.Add(maxHold)))
 }
--- a/entry/admit/listener.go
+++ b/entry/admit/listener.go
@@ -5,13 +5,13 @@
 	"sync"
 )
 
-// LimitListener returns a listener that holds at most n open connections; more
-// wait in the system's accept queue.
+// LimitListener returns a listener that keeps at most n connections open; further ones
+// wait in the accept queue of the operating system.
 func LimitListener(listener net.Listener, n int) net.Listener {
 	return &limitListener{Listener: listener, slots: make(chan struct{}, n), closed: make(chan struct{})}
 }
 
-// limitListener takes a slot for each connection before it accepts.
+// limitListener acquires a slot before it accepts a connection.
 type limitListener struct {
 	net.Listener
 	slots  chan struct{}
@@ -40,7 +40,7 @@
 	return l.Listener.Close()
 }
 
-// limitedConn gives its slot back when it is closed.
+// limitedConn releases its slot when it is closed.
 type limitedConn struct {
 	net.Conn
 	slots chan struct{}
--- a/entry/admit/pace.go
+++ b/entry/admit/pace.go
@@ -5,94 +5,97 @@
 	"time"
 )
 
-// Constants of the pace. A cut of a tenth loses little of the throughput while
-// the upstreams' queues are full, and is won back within as many answers as the
-// limit counts.
+// Constants of the adaptive limit. A cut of a tenth loses little throughput while the
+// upstreams' queues are full, and is recovered within about as many responses as the
+// limit allows requests in flight.
 const (
-	// cutShare is what is left of the limit after a cut.
-	cutShare = 0.9
-	// cutEvery is the shortest time between two cuts: the requests that are on
-	// their way when the first comes would be refused too.
-	cutEvery = 200 * time.Millisecond
-	// paceLife is how long the limit outlives the last sign of overload.
-	paceLife = 10 * time.Second
-	// nearLimit is the part of the limit from which on answers raise it: what is
-	// not used teaches nothing.
-	nearLimit = 0.8
-	// leastLimit is where cuts end: below it a burst of a few requests would be
-	// refused for one sign of overload.
-	leastLimit = 2
-	// maxHold is the longest time for which a refused request keeps its place.
+	// cutFactor is the factor by which a cut reduces the limit.
+	cutFactor = 0.9
+	// cutInterval is the shortest time between two cuts. Requests that are already in
+	// flight at the first cut are likely to be refused as well and must not cut again.
+	cutInterval = 200 * time.Millisecond
+	// limitLifetime is how long the limit stays in force after the last overload.
+	limitLifetime = 10 * time.Second
+	// nearLimitShare is the share of the limit that must be in use for responses to raise
+	// it: below, they don't show that the upstreams could take more.
+	nearLimitShare = 0.8
+	// minLimit is the least that cuts reduce the limit to. With less, a single overload
+	// would cause a burst of a few requests to be refused.
+	minLimit = 2
+	// maxHold is the longest time for which a refused request keeps its slot.
 	maxHold = time.Second
-	// calm is how long without a sign of overload the limit grows faster, by one
-	// for each answer.
-	calm = time.Second
+	// fastGrowthAfter is the time without overload after which the limit grows faster, by
+	// one for each response.
+	fastGrowthAfter = time.Second
 )
 
-// pace bounds the requests in flight of one workspace and pipeline by what the
-// upstreams take in time. It is an additive increase, multiplicative decrease: a
-// request that was refused for want of time behind its admission cuts the limit;
-// answers raise it. So most requests beyond the capacity are refused at
-// once, before they cost a pass, and not in the queue of the last stage.
+// adaptiveLimit bounds the requests in flight of one workspace and pipeline to what
+// the upstreams complete in time, by additive increase and multiplicative decrease: a
+// request that is refused after its admission because its remaining time is too short
+// cuts the limit; responses raise it. So most requests beyond the capacity are refused
+// at admission, before any stage has spent work on them, and not in the queue of the
+// last stage.
 //
-// A request that was refused behind its admission keeps its place for the time
-// that it was told to stay away. Refusals are over much sooner than answers: if
-// they gave back their places at once, more requests would be refused behind
-// their admission the fewer are answered.
-type pace struct {
+// A request that is refused after its admission keeps its slot for the retry delay that
+// its client was given, up to maxHold. A refusal takes much less time than a response:
+// if it freed its slot at once, the fewer requests complete, the more would be admitted
+// only to be refused later.
+type adaptiveLimit struct {
 	inFlight int
-	// held holds until when refused requests keep their places.
-	held []time.Time
-	// peak is the most that were in flight since the last cut.
+	// heldUntil holds the times until which refused requests keep their slots.
+	heldUntil []time.Time
+	// peak is the highest number in flight since the last cut.
 	peak int
-	// limit is zero while there is none.
-	limit      float64
-	lastCut    time.Time
-	lastSign   time.Time
-	retryAfter time.Duration
+	// limit is zero while no limit is in force.
+	limit        float64
+	lastCut      time.Time
+	lastOverload time.Time
+	retryAfter   time.Duration
 }
 
-// allows tells whether one more request may enter.
-func (p *pace) allows(now time.Time) bool {
-	if p.limit > 0 && now.Sub(p.lastSign) > paceLife {
-		p.limit = 0
-		p.peak = p.inFlight
+// allows reports whether one more request may be admitted.
+func (l *adaptiveLimit) allows(now time.Time) bool {
+	if l.limit > 0 && now.Sub(l.lastOverload) > limitLifetime {
+		l.limit = 0
+		l.peak = l.inFlight
 	}
-	p.held = slices.DeleteFunc(p.held, func(until time.Time) bool { return !now.Before(until) })
-	return p.limit == 0 || float64(p.inFlight+len(p.held)+1) <= p.limit
+	l.heldUntil = slices.DeleteFunc(l.heldUntil, func(until time.Time) bool { return !now.Before(until) })
+	return l.limit == 0 || float64(l.inFlight+len(l.heldUntil)+1) <= l.limit
 }
 
-// enter counts a request in and tells whether it used the limit.
-func (p *pace) enter() (near bool) {
-	p.inFlight++
-	p.peak = max(p.peak, p.inFlight)
-	return p.limit > 0 && float64(p.inFlight) >= nearLimit*p.limit
+// admit counts a request as in flight and reports whether the limit is now nearly
+// reached.
+func (l *adaptiveLimit) admit() (nearLimit bool) {
+	l.inFlight++
+	l.peak = max(l.peak, l.inFlight)
+	return l.limit > 0 && float64(l.inFlight) >= nearLimitShare*l.limit
 }
 
-// answered raises the limit by one for as many answers as it counts. Near tells
-// that the request used the limit.
-func (p *pace) answered(now time.Time, near bool) {
+// answered counts a response. It raises the limit by one for as many responses as the
+// limit allows requests in flight, if the limit was nearly reached (nearLimit) when the
+// request was admitted.
+func (l *adaptiveLimit) answered(now time.Time, nearLimit bool) {
 	switch {
-	case p.limit == 0 || !near:
-	case now.Sub(p.lastSign) > calm:
-		p.limit++
+	case l.limit == 0 || !nearLimit:
+	case now.Sub(l.lastOverload) > fastGrowthAfter:
+		l.limit++
 	default:
-		p.limit += 1 / p.limit
+		l.limit += 1 / l.limit
 	}
 }
 
-// overloaded cuts the limit, or sets the first one by the most that were in flight.
-func (p *pace) overloaded(now time.Time, retryAfter time.Duration) {
-	p.lastSign = now
-	p.retryAfter = retryAfter
-	p.held = append(p.held, now.Add(min(retryAfter, maxHold)))
-	if now.Sub(p.lastCut) < cutEvery {
+// overloaded cuts the limit. If none is in force, it sets one from the peak first.
+func (l *adaptiveLimit) overloaded(now time.Time, retryAfter time.Duration) {
+	l.lastOverload = now
+	l.retryAfter = retryAfter
+	l.heldUntil = append(l.heldUntil, now.Add(min(retryAfter, maxHold)))
+	if now.Sub(l.lastCut) < cutInterval {
 		return
 	}
-	p.lastCut = now
-	if p.limit == 0 {
-		p.limit = float64(p.peak)
+	l.lastCut = now
+	if l.limit == 0 {
+		l.limit = float64(l.peak)
 	}
-	p.limit = max(leastLimit, cutShare*p.limit)
-	p.peak = p.inFlight
+	l.limit = max(minLimit, cutFactor*l.limit)
+	l.peak = l.inFlight
 }
