--- a/entry/trace/trace.go
+++ b/entry/trace/trace.go
@@ -1,4 +1,5 @@
-// Package trace keeps the decisions of recent requests for explanations.
+// Package trace keeps the decisions made about recent requests in memory, so that the
+// outcome of a request can be explained.
 package trace
 
 import (
@@ -9,15 +10,15 @@
 	"acaciawinch/core"
 )
 
-// Alternative is one upstream that was weighed and not taken.
+// Alternative is an upstream that was considered and not chosen.
 type Alternative struct {
 	Upstream core.UpstreamID `json:"upstream"`
 	Reason   string          `json:"reason"`
 }
 
-// Decision is one decision about a request.
+// Decision is one decision made about a request.
 type Decision struct {
-	// AtUS is the time since admission in microseconds.
+	// AtUS is the time since the request's admission in microseconds.
 	AtUS int64 `json:"at_us"`
 	// Event and Name are the number and name of the log event.
 	Event        int             `json:"event"`
@@ -29,17 +30,18 @@
 	Alternatives []Alternative   `json:"alternatives,omitempty"`
 }
 
-// Trace is what is known of one request.
+// Trace is the record of one request and its decisions.
 type Trace struct {
 	RequestID core.RequestID `json:"request_id"`
 	Workspace string         `json:"workspace"`
 	Pipeline  string         `json:"pipeline"`
 	Revision  core.Revision  `json:"revision"`
 	Outcome   core.Outcome   `json:"outcome"`
-	// Step and Detail say where and why a request was given up.
+	// Step and Detail say where and why the request failed.
 	Step   string `json:"step,omitempty"`
 	Detail string `json:"detail,omitempty"`
-	// Chunks and Digest describe a whole answer.
+	// Chunks and Digest describe a complete response: its number of chunks and the digest
+	// of its content.
 	Chunks     int        `json:"chunks,omitempty"`
 	Digest     string     `json:"digest,omitempty"`
 	AdmittedAt time.Time  `json:"admitted_at"`
@@ -47,11 +49,10 @@
 	Decisions  []Decision `json:"decisions"`
 }
 
-// maxDecisions bounds the decisions kept of one request.
+// maxDecisions bounds the decisions kept for one request; further ones are dropped.
 const maxDecisions = 200
 
-// Ring keeps the newest traces, at most its capacity. It may be used by many
-// goroutines.
+// Ring keeps the newest traces, up to its capacity. It is safe for concurrent use.
 type Ring struct {
 	mu       sync.Mutex
 	capacity int
@@ -64,8 +65,8 @@
 	return &Ring{capacity: capacity, order: list.New(), byID: make(map[core.RequestID]*list.Element)}
 }
 
-// Begin adds a trace whose outcome is running. The oldest is dropped if the
-// ring is full.
+// Begin adds a trace and sets its outcome to running. If the ring is full, the oldest
+// trace is dropped.
 func (r *Ring) Begin(t Trace) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,7 +78,7 @@
 	}
 }
 
-// Add adds a decision to the trace of id, if it is still kept.
+// Add adds a decision to the trace of a request, unless that trace has been dropped.
 func (r *Ring) Add(id core.RequestID, d Decision) {
 	r.update(id, func(t *Trace) {
 		if len(t.Decisions) < maxDecisions {
@@ -86,7 +87,7 @@
 	})
 }
 
-// End records how the request ended.
+// End records in the trace of a request how it ended.
 func (r *Ring) End(id core.RequestID, end End) {
 	r.update(id, func(t *Trace) {
 		t.Outcome = end.Outcome
@@ -108,7 +109,7 @@
 	Duration time.Duration
 }
 
-// Get returns a copy of the trace of id.
+// Get returns a copy of the trace of a request, and false if it is not kept.
 func (r *Ring) Get(id core.RequestID) (Trace, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -121,7 +122,7 @@
 	return t, true
 }
 
-// update applies change to the trace of id under the lock.
+// update applies change to the trace of a request while holding the lock.
 func (r *Ring) update(id core.RequestID, change func(*Trace)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
