--- a/entry/clean/cleaner.go
+++ b/entry/clean/cleaner.go
@@ -17,17 +17,17 @@
 	"acaciawinch/platform/objects"
 )
 
-// passInterval is the time between two passes, and retryInterval that behind one
-// that did not come to its end.
+// passInterval is the time between two passes, retryInterval the time after a pass that
+// was not completed.
 const (
 	passInterval  = 24 * time.Hour
 	retryInterval = 15 * time.Minute
 )
 
-// ownerKey is what the entries' names are hashed with to find the one that cleans.
+// ownerKey is hashed together with each entry's name to determine the owner.
 const ownerKey = "config\x00"
 
-// Options are the parts of a Cleaner.
+// Options configure a Cleaner.
 type Options struct {
 	// Self is the entry's name in the host list.
 	Self    string
@@ -36,22 +36,22 @@
 	// Scope is where metrics are registered; nil drops them.
 	Scope    tally.Scope
 	Settings Settings
-	// Hosts returns the host list; empty while it is not known.
+	// Hosts returns the host list. It is empty until the list is known.
 	Hosts func() []fleet.Host
 	// Now is the wall clock; nil means time.Now.
 	Now func() time.Time
-	// Rate bounds the calls a second; 0 means that of the settings.
+	// Rate bounds the calls per second; 0 means Settings.CallsPerSecond.
 	Rate rate.Limit
 }
 
-// Cleaner removes configuration objects that are no longer kept.
+// Cleaner deletes configuration objects that need not be kept any longer.
 type Cleaner struct {
 	options Options
 	limiter *rate.Limiter
 	metrics *metrics
 }
 
-// New returns a Cleaner that does nothing until Run.
+// New returns a Cleaner. It does nothing until Run is called.
 func New(opts Options) *Cleaner {
 	if opts.Now == nil {
 		opts.Now = time.Now
@@ -62,23 +62,23 @@
 	return &Cleaner{options: opts, limiter: rate.NewLimiter(opts.Rate, 1), metrics: newMetrics(opts.Scope)}
 }
 
-// Run makes passes until ctx ends, while this entry is the one that cleans. It
-// returns nil.
+// Run makes passes while this entry is the owner, until ctx ends. It always returns
+// nil.
 func (c *Cleaner) Run(ctx context.Context) error {
 	if c.options.Settings.Revisions == 0 {
 		return nil
 	}
 	next := rand.N(c.options.Settings.firstPass())
 	for wait(ctx, next) {
-		next = c.turn(ctx)
+		next = c.passIfOwner(ctx)
 	}
 	return nil
 }
 
-// turn makes a pass if this entry is the one that cleans, and returns the time
-// until the next turn. While the host list is not known nobody can tell who cleans;
-// to wait for a whole interval then would leave the work undone for a day.
-func (c *Cleaner) turn(ctx context.Context) time.Duration {
+// passIfOwner makes a pass if this entry is the owner, and returns the time until the
+// next call. While the host list is not known, no entry knows whether it is the owner;
+// waiting for passInterval then would delay the pass by a day.
+func (c *Cleaner) passIfOwner(ctx context.Context) time.Duration {
 	switch {
 	case len(c.options.Hosts()) == 0:
 		return c.options.Settings.firstPass()
@@ -88,7 +88,7 @@
 	return passInterval
 }
 
-// wait waits, and tells whether ctx goes on.
+// wait waits for d and reports whether ctx is still active.
 func wait(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -100,23 +100,23 @@
 	}
 }
 
-// owns tells whether this entry is the one that cleans: the first by rendezvous
-// hash among those that are not leaving.
+// owns reports whether this entry is the owner: the entry with the highest rendezvous
+// weight among those that are not leaving.
 func (c *Cleaner) owns() bool {
-	owner, most := "", uint64(0)
+	owner, maxWeight := "", uint64(0)
 	for _, host := range c.options.Hosts() {
 		if host.Role != fleet.RoleEntry || host.Leaving {
 			continue
 		}
-		if weight := xxhash.Sum64String(ownerKey + host.Name); owner == "" || weight > most {
-			owner, most = host.Name, weight
+		if weight := xxhash.Sum64String(ownerKey + host.Name); owner == "" || weight > maxWeight {
+			owner, maxWeight = host.Name, weight
 		}
 	}
 	return owner != "" && owner == c.options.Self
 }
 
-// pass makes one pass and tells whether it came to its end. One that ctx ended
-// is not reported: another entry goes on with it.
+// pass makes one pass and reports whether it was completed. A pass that was ended by
+// ctx is neither logged nor counted: another entry continues the work.
 func (c *Cleaner) pass(ctx context.Context) bool {
 	machine := retention.New(c.options.Settings.policy(), c.options.Now())
 	for {
@@ -138,7 +138,7 @@
 	}
 }
 
-// carryOut makes one call of the object API.
+// carryOut makes one call to the object API.
 func (c *Cleaner) carryOut(ctx context.Context, action retention.Action) retention.Reply {
 	var reply retention.Reply
 	var err error
@@ -164,7 +164,7 @@
 	return reply
 }
 
-// report logs and counts the end of a pass.
+// report logs and counts a pass that has ended.
 func (c *Cleaner) report(r retention.Result) {
 	c.metrics.ended(r)
 	fields := observe.Fields{
--- a/entry/clean/cleaner_test.go
+++ b/entry/clean/cleaner_test.go
@@ -21,7 +21,7 @@
 	"acaciawinch/platform/objects/memory"
 )
 
-// store is an object API in memory that can be down.
+// store is an object API in memory. Its reads fail while down is set.
 type store struct {
 	*memory.Store
 	down bool
@@ -38,7 +38,7 @@
 	return s.Store.Get(ctx, key)
 }
 
-// change accepts one change of a drained upstream.
+// change adds a configuration change that drains an upstream.
 func (s *store) change(t *testing.T, number int) {
 	upstream := fmt.Sprint("u", number)
 	machine := accept.New(accept.Request{ChangeID: upstream, Change: config.Change{Drain: []string{upstream}}})
@@ -65,13 +65,13 @@
 	}
 }
 
-// count returns how many objects there are below a prefix.
+// count returns the number of objects whose keys have a prefix.
 func (s *store) count(prefix string) int {
 	listed, _ := s.List(context.Background(), prefix, "", math.MaxInt)
 	return len(listed)
 }
 
-// entries returns a host list of entries.
+// entries returns a host list of entries with the given names.
 func entries(names ...string) []fleet.Host {
 	var hosts []fleet.Host
 	for _, name := range names {
@@ -80,7 +80,7 @@
 	return hosts
 }
 
-// cleaner returns a Cleaner of a store, and its log.
+// cleaner returns a Cleaner of a store, and the buffer that its log is written to.
 func cleaner(t *testing.T, store *store, self string, hosts []fleet.Host) (*Cleaner, *bytes.Buffer) {
 	var text bytes.Buffer
 	log, err := observe.NewLogger(&text, self, "info")
@@ -92,7 +92,7 @@
 	}), &text
 }
 
-func TestAPassKeepsTheSettingsNumberOfRevisions(t *testing.T) {
+func TestPassKeepsTheConfiguredNumberOfRevisions(t *testing.T) {
 	store := newStore()
 	for i := range 130 {
 		store.change(t, i)
@@ -105,7 +105,7 @@
 	store.change(t, 130)
 }
 
-func TestAPassBehindAnOutageIsUnfinished(t *testing.T) {
+func TestPassDuringAnOutageIsUnfinished(t *testing.T) {
 	store := newStore()
 	store.down = true
 	c, log := cleaner(t, store, "e", entries("e"))
@@ -113,14 +113,14 @@
 	assert.Assert(t, strings.Contains(log.String(), "5013"), log)
 }
 
-func TestOneEntryCleans(t *testing.T) {
+func TestExactlyOneEntryOwnsTheCleaning(t *testing.T) {
 	hosts := entries("a", "b", "c", "d")
 	hosts = append(hosts, fleet.Host{Name: "u", Role: fleet.RoleUpstream})
 	owner := ""
 	for _, host := range hosts {
 		c, _ := cleaner(t, nil, host.Name, hosts)
 		if c.owns() {
-			assert.Equal(t, owner, "", "two entries clean")
+			assert.Equal(t, owner, "", "two entries are owners")
 			owner = host.Name
 		}
 	}
@@ -129,24 +129,24 @@
 		hosts[i].Leaving = hosts[i].Name == owner
 	}
 	c, _ := cleaner(t, nil, owner, hosts)
-	assert.Assert(t, !c.owns(), "an entry that is leaving cleans")
+	assert.Assert(t, !c.owns(), "an entry that is leaving is the owner")
 	c, _ = cleaner(t, nil, "a", nil)
-	assert.Assert(t, !c.owns(), "an entry without a host list cleans")
+	assert.Assert(t, !c.owns(), "an entry without a host list is the owner")
 }
 
-// TestAnUnknownHostListIsLookedAtAgainSoon checks that an entry which does not know
-// yet who cleans does not leave the work undone for a whole interval.
-func TestAnUnknownHostListIsLookedAtAgainSoon(t *testing.T) {
+// TestUnknownHostListIsCheckedAgainSoon checks that an entry that has no host list yet
+// does not wait for a whole passInterval before it tries again.
+func TestUnknownHostListIsCheckedAgainSoon(t *testing.T) {
 	c, _ := cleaner(t, newStore(), "e", nil)
 	c.options.Settings.FirstPassSeconds = 7
-	assert.Equal(t, c.turn(context.Background()), 7*time.Second)
+	assert.Equal(t, c.passIfOwner(context.Background()), 7*time.Second)
 	c.options.Hosts = func() []fleet.Host { return entries("another") }
-	assert.Equal(t, c.turn(context.Background()), passInterval)
+	assert.Equal(t, c.passIfOwner(context.Background()), passInterval)
 	c.options.Hosts = func() []fleet.Host { return entries("e") }
-	assert.Equal(t, c.turn(context.Background()), passInterval)
+	assert.Equal(t, c.passIfOwner(context.Background()), passInterval)
 }
 
-func TestAllIsKeptIfTheSettingsSaySo(t *testing.T) {
+func TestZeroRevisionsKeepsAll(t *testing.T) {
 	c, _ := cleaner(t, nil, "e", entries("e"))
 	c.options.Settings.Revisions = 0
 	assert.NilError(t, c.Run(context.Background()))
--- a/entry/clean/doc.go
+++ b/entry/clean/doc.go
@@ -1,5 +1,7 @@
-// Package clean is the runtime of the removal of old configuration objects: it
-// carries out the calls that package core/config/retention asks for, at a bounded
-// rate. One entry does so, given by a hash over the host list, only to save
-// effort: any number of entries at once do no harm.
+// Package clean deletes old configuration objects from the store. The protocol, which
+// decides what to read and delete, is package core/config/retention; this package makes
+// its calls at a bounded rate.
+//
+// One entry, the owner, does so. It is determined by rendezvous hashing over the host
+// list. That only saves calls: several entries may safely clean at the same time.
 package clean
--- a/entry/clean/metrics.go
+++ b/entry/clean/metrics.go
@@ -6,14 +6,14 @@
 	"acaciawinch/core/config/retention"
 )
 
-// metrics counts what the removal costs and does.
+// metrics counts the calls made and the objects deleted.
 type metrics struct {
 	scope tally.Scope
 	// reads and writes count the calls made.
 	reads, writes tally.Counter
-	// copies, parts and spared are those of retention.Result.
+	// copies, parts and spared sum up the fields of retention.Result.
 	copies, parts, spared tally.Counter
-	// oldest is the first revision kept, as of the last pass.
+	// oldest is the oldest revision kept after the last pass.
 	oldest tally.Gauge
 }
 
@@ -34,7 +34,7 @@
 	}
 }
 
-// called counts one call.
+// called counts a call to the object API.
 func (m *metrics) called(kind retention.ActionKind) {
 	switch kind {
 	case retention.ActionGet, retention.ActionList:
@@ -44,7 +44,7 @@
 	}
 }
 
-// ended counts one pass.
+// ended counts a pass and what it deleted.
 func (m *metrics) ended(r retention.Result) {
 	m.scope.Tagged(map[string]string{"outcome": string(r.Outcome)}).Counter("passes").Inc(1)
 	m.copies.Inc(int64(r.Copies))
--- a/entry/clean/settings.go
+++ b/entry/clean/settings.go
@@ -8,16 +8,16 @@
 	"acaciawinch/settings"
 )
 
-// Settings tell how much history of the configuration is kept. A change goes when
-// it is beyond both bounds.
+// Settings is how much of the configuration's history is kept. A change is deleted when
+// it exceeds both Revisions and Hours.
 type Settings struct {
-	// Revisions is how many revisions are kept at least; 0 keeps all for ever.
+	// Revisions is the minimum number of revisions kept; 0 keeps all of them forever.
 	Revisions int `toml:"revisions"`
-	// Hours is how long a change is kept at least.
+	// Hours is the minimum time for which a change is kept.
 	Hours int `toml:"hours"`
 	// FirstPassSeconds bounds the random time before the first pass.
 	FirstPassSeconds int `toml:"first_pass_seconds"`
-	// CallsPerSecond bounds the calls to the store.
+	// CallsPerSecond bounds the rate of calls to the store.
 	CallsPerSecond int `toml:"calls_per_second"`
 }
 
@@ -31,16 +31,16 @@
 
 	defaultFirstPassSeconds = 600
 	maxFirstPassSeconds     = 24 * 3600
-	// A day of 4,000 changes needs some 12,500 calls.
+	// Cleaning up a day with 4,000 changes takes about 12,500 calls.
 	defaultCallsPerSecond = 1
 	maxCallsPerSecond     = 1000
 )
 
-// batchSize is how many changes are removed for one update of the head, which
-// wakes every watch of the configuration.
+// batchSize is how many changes are deleted per update of the head object. Each such
+// update wakes every watch of the configuration, so there should be few.
 const batchSize = 200
 
-// DefaultSettings returns the settings of a process that names none.
+// DefaultSettings returns the settings of a process whose settings name none.
 func DefaultSettings() Settings {
 	return Settings{
 		Revisions:        defaultRevisions,
@@ -68,10 +68,10 @@
 	return errors.Join(problems...)
 }
 
-// firstPass bounds the random time before the first pass.
+// firstPass returns FirstPassSeconds as a duration.
 func (s Settings) firstPass() time.Duration { return time.Duration(s.FirstPassSeconds) * time.Second }
 
-// policy returns the settings in the terms of the protocol.
+// policy returns the settings as the policy of the retention protocol.
 func (s Settings) policy() retention.Policy {
 	return retention.Policy{Revisions: s.Revisions, Age: time.Duration(s.Hours) * time.Hour, Batch: batchSize}
 }
