--- a/entry/claims/drive.go
+++ b/entry/claims/drive.go
@@ -14,7 +14,8 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// drive makes the calls of a machine until it has a verdict, and logs it.
+// drive makes the calls that the machine requests until it has a verdict, and logs the
+// verdict.
 func (k *Keeper) drive(ctx context.Context, action string, machine *claim.Machine) (Held, error) {
 	name := machine.Next().Name
 	for {
@@ -37,16 +38,16 @@
 	return held, nil
 }
 
-// call makes one call of a machine and hands in the answer.
+// call makes one call that the machine requests and passes it the result.
 func (k *Keeper) call(ctx context.Context, machine *claim.Machine, step claim.Step) error {
 	k.metrics.called(step.Call)
 	switch step.Call {
 	case claim.CallCreate, claim.CallUpdate:
-		answer, version, err := k.write(ctx, step)
+		result, version, err := k.write(ctx, step)
 		if err != nil {
 			return err
 		}
-		return machine.Wrote(answer, version)
+		return machine.Wrote(result, version)
 	case claim.CallRead:
 		return k.read(ctx, machine, step)
 	case claim.CallWait:
@@ -59,8 +60,8 @@
 	}
 }
 
-// write makes one conditional write. The error is that of a record that can't
-// be encoded.
+// write makes one conditional write. It returns an error only if the record can't be
+// encoded; errors of the store are part of the returned result.
 func (k *Keeper) write(ctx context.Context, step claim.Step) (claim.WriteAnswer, uint64, error) {
 	value, err := step.Record.Encode()
 	if err != nil {
@@ -72,12 +73,12 @@
 	} else {
 		version, err = k.objects.Update(ctx, step.Name, value, step.Version)
 	}
-	return writeAnswer(err), version, nil
+	return classifyWrite(err), version, nil
 }
 
-// writeAnswer classifies a write's error. Whatever is not surely without effect
-// is ambiguous.
-func writeAnswer(err error) claim.WriteAnswer {
+// classifyWrite classifies the error of a write. An error that doesn't prove that the
+// write had no effect is ambiguous.
+func classifyWrite(err error) claim.WriteAnswer {
 	switch fault.CodeOf(err) {
 	case "":
 		return claim.WriteOK
@@ -90,7 +91,7 @@
 	}
 }
 
-// read reads the claim and hands in what was found.
+// read reads the claim and passes the result to the machine.
 func (k *Keeper) read(ctx context.Context, machine *claim.Machine, step claim.Step) error {
 	object, err := k.objects.Get(ctx, step.Name)
 	if fault.Is(err, fault.NotFound) {
@@ -106,10 +107,10 @@
 	return machine.Found(record, object.Version)
 }
 
-// resolve asks the record's side what became of the record's attempt.
+// resolve asks the sidecar that the record names for the state of the record's attempt.
 func (k *Keeper) resolve(ctx context.Context, record claim.Record) claim.SideAnswer {
-	named := Claim{Record: record}
-	req := &wirepb.ResolveRequest{Key: named.AttemptKey(), Claim: named.ClaimKey()}
+	attempt := Claim{Record: record}
+	req := &wirepb.ResolveRequest{Key: attempt.AttemptKey(), Claim: attempt.ClaimKey()}
 	reply, err := k.resolver.Resolve(ctx, record.Target.Addr, req)
 	if err != nil {
 		k.log.Warn(event.ClaimSideUnreachable, observe.Fields{
@@ -124,8 +125,8 @@
 	}
 }
 
-// sideStates translates a side's answer. An answer that is not listed is the zero
-// state, which the protocol treats as gone.
+// sideStates translates the state in a sidecar's response. A state that is not listed
+// becomes the zero state, which the protocol treats as gone.
 var sideStates = map[wirepb.ResolveState]claim.SideState{
 	wirepb.ResolveState_RESOLVE_DONE:    claim.SideDone,
 	wirepb.ResolveState_RESOLVE_RUNNING: claim.SideRunning,
@@ -134,9 +135,10 @@
 	wirepb.ResolveState_RESOLVE_FAILED:  claim.SideFailed,
 }
 
-// Finish records the result of an attempt that ran. It belongs behind the
-// answer, off the critical path. The context bounds it. An error means that the
-// claim stays open; the side still holds the result for a time.
+// Finish records the result of an attempt that ran in its claim. Callers should do so
+// after they have sent the response, off the critical path. The calls are bounded by
+// ctx. An error means that the claim stays open; the sidecar still keeps the result for
+// some time.
 func (k *Keeper) Finish(ctx context.Context, c Claim, chunks [][]byte) error {
 	finishing := claim.Finish(c.Record, c.Version, chunks, k.rules)
 	for {
@@ -155,13 +157,13 @@
 	return err
 }
 
-// finishCall makes one call of the recording and hands in the answer.
+// finishCall makes one call that recording a result requires and passes on its result.
 func (k *Keeper) finishCall(ctx context.Context, finishing *claim.Finishing, step claim.Step) error {
 	k.metrics.called(step.Call)
 	if step.Call == claim.CallUpdate {
-		answer, _, err := k.write(ctx, step)
+		result, _, err := k.write(ctx, step)
 		if err == nil {
-			finishing.Wrote(answer)
+			finishing.Wrote(result)
 		}
 		return err
 	}
@@ -192,7 +194,7 @@
 	}
 }
 
-// heldOf returns the keeper's form of a verdict.
+// heldOf converts a verdict of the protocol.
 func heldOf(v claim.Verdict) Held {
 	return Held{
 		Status:     v.Status,
@@ -205,16 +207,16 @@
 	}
 }
 
-// reason joins the events of the claim chart that led to a verdict.
+// reason joins the events of the claim's state chart that led to a verdict.
 func reason(trail []chart.Event) string {
-	words := make([]string, len(trail))
+	names := make([]string, len(trail))
 	for i, event := range trail {
-		words[i] = string(event)
+		names[i] = string(event)
 	}
-	return strings.Join(words, " ")
+	return strings.Join(names, " ")
 }
 
-// logVerdict writes the line of one claim decision.
+// logVerdict logs the verdict on a claim.
 func (k *Keeper) logVerdict(action, name string, held Held) {
 	record := held.Claim.Record
 	k.log.Event(event.ClaimDecided, observe.Fields{
--- a/entry/claims/fixture_test.go
+++ b/entry/claims/fixture_test.go
@@ -24,16 +24,17 @@
 // fleetKey is the shared key of the processes under test.
 const fleetKey = "key"
 
-// store is an object API in memory whose next writes can fail in a chosen way.
+// store is an object API in memory whose calls can be made to fail.
 type store struct {
 	*memory.Store
-	// lose makes so many writes take effect and lose their answers.
-	lose int
-	down bool
-	// calls counts reads and writes.
+	// loseResponses is the number of next writes that take effect but whose responses are
+	// lost.
+	loseResponses int
+	down          bool
+	// calls counts the reads and writes.
 	calls int
-	// read, if set, is called behind each read.
-	read func()
+	// afterRead, if set, is called after each read.
+	afterRead func()
 }
 
 // errDown is what every call returns while the store is down.
@@ -45,8 +46,8 @@
 	if s.down {
 		return objects.Object{}, errDown
 	}
-	if s.read != nil {
-		defer s.read()
+	if s.afterRead != nil {
+		defer s.afterRead()
 	}
 	return s.Store.Get(ctx, key)
 }
@@ -63,14 +64,14 @@
 		return 0, errDown
 	}
 	written, err := s.Store.Update(ctx, key, value, version)
-	if err == nil && s.lose > 0 {
-		s.lose--
-		return 0, fault.New(fault.Ambiguous, "test.store", key, "the answer was lost")
+	if err == nil && s.loseResponses > 0 {
+		s.loseResponses--
+		return 0, fault.New(fault.Ambiguous, "test.store", key, "the response was lost")
 	}
 	return written, err
 }
 
-// side is a real gate behind a real drpc listener.
+// side is a sidecar that consists of a real gate behind a real DRPC listener.
 type side struct {
 	wirepb.DRPCSideUnimplementedServer
 	addr        string
@@ -81,7 +82,7 @@
 	output      [][]byte
 }
 
-// newSide serves a side until the test ends.
+// newSide serves a sidecar until the test ends.
 func newSide(t *testing.T, incarnation core.Incarnation) *side {
 	t.Helper()
 	s := &side{now: time.Second}
@@ -101,7 +102,8 @@
 	return s
 }
 
-// restart replaces the gate by one that knows nothing.
+// restart replaces the gate by a new one without state, as a restart of the process
+// does.
 func (s *side) restart(incarnation core.Incarnation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +112,7 @@
 	s.gate.ObserveReport(s.now, gate.Report{})
 }
 
-// target returns the side as a router chooses it now.
+// target returns the sidecar as the target that a router would choose now.
 func (s *side) target() Target {
 	return Target{Upstream: "u", Addr: s.addr, Incarnation: s.incarnation, SideClockUS: uint64(s.now.Microseconds())}
 }
@@ -138,7 +140,7 @@
 	return reply, nil
 }
 
-// keyOf returns the attempt that a message names.
+// keyOf converts the attempt key of a message.
 func keyOf(key *wirepb.AttemptKey) core.AttemptKey {
 	return core.AttemptKey{
 		Request: core.RequestID(key.RequestId),
@@ -148,7 +150,7 @@
 	}
 }
 
-// dispatch hands an owned attempt to the gate and returns its verdict.
+// dispatch submits an owned attempt to the gate and returns the gate's verdict.
 func (s *side) dispatch(c Claim) gate.Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,7 +167,7 @@
 	return decision.Verdict
 }
 
-// finish ends the running attempt of a claim with an output.
+// finish completes the running attempt of a claim with an output.
 func (s *side) finish(c Claim, output ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,8 +179,8 @@
 	s.gate.Advance(s.now)
 }
 
-// bench is a keeper with a store and one side.
-type bench struct {
+// fixture is a keeper with a store and one sidecar.
+type fixture struct {
 	store  *store
 	side   *side
 	keeper *Keeper
@@ -186,34 +188,34 @@
 	next   int
 }
 
-// newBench returns a keeper with short waits.
-func newBench(t *testing.T) *bench {
+// newFixture returns a fixture whose keeper waits only briefly.
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	b := &bench{store: &store{Store: memory.New()}, side: newSide(t, 7), log: &bytes.Buffer{}}
-	logger, err := observe.NewLogger(b.log, "entry-1", "info")
+	f := &fixture{store: &store{Store: memory.New()}, side: newSide(t, 7), log: &bytes.Buffer{}}
+	logger, err := observe.NewLogger(f.log, "entry-1", "info")
 	assert.NilError(t, err)
 	dialer := link.NewDialer(fleetKey)
 	t.Cleanup(func() { _ = dialer.Close() })
 	rules := claim.DefaultRules()
 	rules.Patience = time.Millisecond
 	rules.MaxResultBytes = 10
-	b.keeper = New(Options{Objects: b.store, Resolver: SideResolver{Dialer: dialer}, Log: logger, Rules: rules})
-	return b
+	f.keeper = New(Options{Objects: f.store, Resolver: SideResolver{Dialer: dialer}, Log: logger, Rules: rules})
+	return f
 }
 
-// ask returns an ask of a new request for a key.
-func (b *bench) ask(key string) Ask {
-	b.next++
+// ask returns the Ask of a new request with a key.
+func (f *fixture) ask(key string) Ask {
+	f.next++
 	return Ask{
 		Workspace: "w", Pipeline: "p", Key: key, BodyDigest: claim.DigestBody([]byte("body")),
-		Request: core.RequestID("r" + string(rune('0'+b.next))), Stage: "s", Attempt: 1, Target: b.side.target(),
+		Request: core.RequestID("r" + string(rune('0'+f.next))), Stage: "s", Attempt: 1, Target: f.side.target(),
 	}
 }
 
-// open opens a claim for a new request, which must come to a status.
-func (b *bench) open(t *testing.T, key string, want Status) Held {
+// open opens a claim for a new request and checks the status of the verdict.
+func (f *fixture) open(t *testing.T, key string, want Status) Held {
 	t.Helper()
-	held, err := b.keeper.Open(context.Background(), b.ask(key))
+	held, err := f.keeper.Open(context.Background(), f.ask(key))
 	assert.NilError(t, err)
 	assert.Equal(t, held.Status.String(), want.String(), held.Reason)
 	return held
--- a/entry/claims/keeper.go
+++ b/entry/claims/keeper.go
@@ -18,7 +18,7 @@
 // Status is the verdict of a claim; see core/claim.
 type Status = claim.Status
 
-// The verdicts. See core/claim for what each proves.
+// The verdicts. Package core/claim documents what each of them proves.
 const (
 	Mine        = claim.Mine
 	Done        = claim.Done
@@ -30,36 +30,36 @@
 	Invalid     = claim.Invalid
 )
 
-// Target is the side process that an attempt is meant for.
+// Target is the sidecar that an attempt is to be dispatched to.
 type Target = claim.Target
 
 // Ask describes the attempt for which a claim is opened.
 type Ask struct {
 	Workspace string
 	Pipeline  string
-	// Key is the caller's idempotency key, or the request id if Minted.
+	// Key is the caller's idempotency key, or the request ID if Minted is set.
 	Key string
-	// Minted is set if the caller gave no key. It lets the keeper prove not_run
-	// while the store is down.
+	// Minted is set if the caller gave no key. No other request can then have the key,
+	// so the keeper can prove not_run while the store is down.
 	Minted bool
-	// BodyDigest is claim.DigestBody of the request's body. The same key with
+	// BodyDigest is claim.DigestBody of the request's body. A key that was used with
 	// another body is refused with code Invalid.
 	BodyDigest string
 	Request    core.RequestID
 	Stage      string
 	Attempt    uint32
 	Target     Target
-	// DispatchWithin is how long the stages before this one are expected to take.
+	// DispatchWithin is how long the preceding stages are expected to take.
 	DispatchWithin time.Duration
 }
 
-// Claim is an attempt that the object API holds.
+// Claim is a claim record and the version of its object in the object API.
 type Claim struct {
 	Record  claim.Record
 	Version uint64
 }
 
-// ClaimKey returns what a side is told of the claim with Run and Resolve.
+// ClaimKey returns the claim key that is sent to the sidecar with Run and Resolve.
 func (c Claim) ClaimKey() *wirepb.ClaimKey {
 	return &wirepb.ClaimKey{
 		Claim:       c.Record.Name(),
@@ -68,8 +68,8 @@
 	}
 }
 
-// AttemptKey returns the key under which the attempt runs at its side. An owner
-// must dispatch under this key, because others resolve this one.
+// AttemptKey returns the key under which the attempt runs at its sidecar. The owner of
+// the claim must dispatch under this key, because other requests resolve it.
 func (c Claim) AttemptKey() *wirepb.AttemptKey {
 	key := c.Record.AttemptKey()
 	return &wirepb.AttemptKey{
@@ -80,52 +80,55 @@
 	}
 }
 
-// Held is what became of an ask.
+// Held is the outcome of opening, reassigning, releasing or inspecting a claim.
 type Held struct {
 	Status Status
-	// Claim is the claim that decided: owned with Mine, another request's with
-	// Done, Running and Unknown. It is empty if none was seen.
+	// Claim is the claim that the status is based on: owned with Mine, another
+	// request's with Done, Running and Unknown. It is empty if none was seen.
 	Claim Claim
-	// Chunks are the result with Done.
+	// Chunks are the chunks of the result, with Done.
 	Chunks [][]byte
-	// Recorded tells, with Done, that the claim holds the result; if not, the
-	// caller should Finish.
+	// Recorded is set, with Done, if the claim object already holds the result;
+	// otherwise the caller should call Finish.
 	Recorded bool
-	// KeyNotRun tells that no request with this key had run the stage when this
-	// was decided. Without it, not_run is true of this request only: say unknown
-	// if the caller gave the key, because an earlier request may have run.
+	// KeyNotRun is set if no request with this key had run the stage when the verdict
+	// was reached. Otherwise not_run holds for this request only, and a caller that
+	// gave the key must be told unknown, because an earlier request may have run.
 	KeyNotRun bool
-	// RetryAfter tells when asking again is worth while; zero if it is not.
+	// RetryAfter is the delay after which a retry may have another outcome; zero if a
+	// retry is of no use.
 	RetryAfter time.Duration
-	// Reason is the events of the claim chart that led here.
+	// Reason lists the events of the claim's state chart that led to the status.
 	Reason string
 }
 
-// Addr returns the IP:port of the side to attach to with Running.
+// Addr returns the IP:port of the sidecar to attach to with Running.
 func (h Held) Addr() string { return h.Claim.Record.Target.Addr }
 
-// Resolver asks a side what became of an attempt.
+// Resolver asks a sidecar for the state of an attempt.
 type Resolver interface {
-	// Resolve asks the side at addr. Errors mean that there was no answer.
+	// Resolve asks the sidecar at addr. An error means that there was no response.
 	Resolve(ctx context.Context, addr string, req *wirepb.ResolveRequest) (*wirepb.ResolveReply, error)
 }
 
-// Options are the parts of a Keeper.
+// Options configure a Keeper.
 type Options struct {
 	Objects  objects.API
 	Resolver Resolver
 	Log      *observe.Logger
-	// Scope takes the metrics; nil drops them.
+	// Scope is where metrics are registered; nil drops them.
 	Scope tally.Scope
 	// Rules are the bounds of the protocol; zero means claim.DefaultRules.
 	Rules claim.Rules
-	// Rand draws nonces; nil means one seeded from the system's random source.
+	// Rand generates the nonces; nil means a randomly seeded source.
 	Rand *rand.Rand
-	// Now is the wall clock for the expiry of claims; nil means time.Now.
+	// Now is the wall clock that claims are stamped with for their expiry; nil means
+	// time.Now.
 	Now func() time.Time
 }
 
-// Keeper opens claims. It may be used by many goroutines.
+// Keeper opens, reassigns, releases, inspects and finishes claims. It is safe for
+// concurrent use.
 type Keeper struct {
 	objects  objects.API
 	resolver Resolver
@@ -161,39 +164,41 @@
 	return k
 }
 
-// Open claims the attempt, or tells what became of an earlier one with the key.
-// It writes once if nothing fails. The context bounds the waiting; when it ends
-// the verdict is still truthful. Errors have code Invalid if the key was used
-// with another body.
+// Open claims the stage for an attempt, or returns the state of an earlier attempt with
+// the same key. If nothing fails and no claim exists, it takes a single write. Waiting
+// is bounded by ctx; the verdict is correct also when ctx ends the wait. Errors have
+// code Invalid if the key was used with another body.
 func (k *Keeper) Open(ctx context.Context, ask Ask) (Held, error) {
-	machine := claim.Open(k.ask(ask), k.rules, k.fork())
+	machine := claim.Open(k.protocolAsk(ask), k.rules, k.newRand())
 	return k.drive(ctx, "open", machine)
 }
 
-// Reassign replaces an owned attempt after proof that it has not run: its side
-// answered every Run of it with Refused, or no Run was sent. The verdict is Mine
-// with a new claim, or what another request has made of it since.
+// Reassign replaces an owned attempt by one for another target. The caller must have
+// proof that the owned attempt has not run: its sidecar refused every Run, or no Run
+// was sent. The verdict is Mine with a new claim, or the state of the claim that another
+// request has replaced it by.
 func (k *Keeper) Reassign(ctx context.Context, owned Claim, target Target) (Held, error) {
-	machine := claim.Reassign(owned.Record, owned.Version, target, k.rules, k.fork())
+	machine := claim.Reassign(owned.Record, owned.Version, target, k.rules, k.newRand())
 	return k.drive(ctx, "reassign", machine)
 }
 
-// Release ends an owned attempt of which no Run was sent, or every Run was
-// refused, and none will be sent. The next asker of the key need not ask the side.
+// Release abandons an owned attempt. The caller must have sent no Run for it, or the
+// sidecar must have refused every Run, and the caller must send none later. The next
+// request with the key need not ask the sidecar.
 func (k *Keeper) Release(ctx context.Context, owned Claim) (Held, error) {
-	machine := claim.Release(owned.Record, owned.Version, k.rules, k.fork())
+	machine := claim.Release(owned.Record, owned.Version, k.rules, k.newRand())
 	return k.drive(ctx, "release", machine)
 }
 
-// Look finds out what became of the stage's claim, without a wish to run it. An
-// attempt that has not been dispatched by then is refused from now on.
+// Look returns the state of a stage's claim without claiming it. It has a side effect:
+// an attempt that has not been dispatched yet will be refused from now on.
 func (k *Keeper) Look(ctx context.Context, workspace, pipeline, key, stage string) (Held, error) {
 	id := claim.Identity{Workspace: workspace, Pipeline: pipeline, Key: key, Stage: stage}
-	return k.drive(ctx, "look", claim.Look(id, k.rules, k.fork()))
+	return k.drive(ctx, "look", claim.Look(id, k.rules, k.newRand()))
 }
 
-// ask returns the protocol's form of an ask.
-func (k *Keeper) ask(ask Ask) claim.Ask {
+// protocolAsk converts an Ask to that of the protocol.
+func (k *Keeper) protocolAsk(ask Ask) claim.Ask {
 	return claim.Ask{
 		Identity: claim.Identity{
 			Workspace:  ask.Workspace,
@@ -211,8 +216,9 @@
 	}
 }
 
-// fork returns a random source of its own for one machine.
-func (k *Keeper) fork() *rand.Rand {
+// newRand returns a separate random source for one machine, seeded from that of the
+// keeper.
+func (k *Keeper) newRand() *rand.Rand {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return rand.New(rand.NewPCG(k.rng.Uint64(), k.rng.Uint64()))
--- a/entry/claims/metrics.go
+++ b/entry/claims/metrics.go
@@ -6,7 +6,7 @@
 	"acaciawinch/core/claim"
 )
 
-// metrics counts what claims cost and come to.
+// metrics counts the calls that claims require and their verdicts.
 type metrics struct {
 	scope tally.Scope
 	// writes, reads and resolves count the calls made.
@@ -27,7 +27,7 @@
 	}
 }
 
-// called counts one call.
+// called counts a call to the store or to a sidecar.
 func (m *metrics) called(call claim.Call) {
 	switch call {
 	case claim.CallCreate, claim.CallUpdate:
@@ -39,7 +39,7 @@
 	}
 }
 
-// decided counts one verdict.
+// decided counts a verdict.
 func (m *metrics) decided(action string, status Status) {
 	tags := map[string]string{"action": action, "status": status.String()}
 	m.scope.Tagged(tags).Counter("verdicts").Inc(1)
--- a/entry/claims/resolver.go
+++ b/entry/claims/resolver.go
@@ -12,14 +12,14 @@
 // resolveTimeout bounds one Resolve call.
 const resolveTimeout = time.Second
 
-// SideResolver asks sides over drpc.
+// SideResolver calls sidecars over DRPC.
 type SideResolver struct {
 	Dialer *link.Dialer
 }
 
-// Resolve implements Resolver. Errors have code Unavailable: no answer came. The
-// side may have written a tombstone all the same, which can only refuse an
-// attempt, never run one.
+// Resolve implements Resolver. Errors have code Unavailable: there was no response. The
+// sidecar may nevertheless have written a tombstone. That is safe, because a tombstone
+// can only cause an attempt to be refused, never to run.
 func (r SideResolver) Resolve(ctx context.Context, addr string, req *wirepb.ResolveRequest) (*wirepb.ResolveReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, resolveTimeout)
 	defer cancel()
--- a/entry/claims/sweep.go
+++ b/entry/claims/sweep.go
@@ -15,50 +15,51 @@
 	"acaciawinch/platform/objects"
 )
 
-// Pace of the expiry of claims.
+// Rate and times of the deletion of expired claims.
 const (
-	// fleetSweepRate bounds the calls to the store a second of all entries
-	// together; each has an equal part of it.
+	// fleetSweepRate bounds the calls per second to the store from all entries
+	// together; each entry gets an equal share.
 	fleetSweepRate = 200
-	// sweepPage is how many claims one call lists. A claim holds up to 700 KB.
-	sweepPage = 20
-	// sweepInterval is the time between two passes. It is long, because a pass
-	// reads all claims to find the few that are old.
+	// sweepPageSize is how many claims one List call returns. A claim takes up to 700 KB.
+	sweepPageSize = 20
+	// sweepInterval is the time between two passes. It is long, because a pass reads
+	// all claims to find the few that have expired.
 	sweepInterval = 6 * time.Hour
-	// firstSweep bounds the random time before the first pass.
-	firstSweep = 10 * time.Minute
-	// shardDigits are the hex digits of a claim's name that name its shard.
+	// maxFirstSweepDelay bounds the random delay of the first pass.
+	maxFirstSweepDelay = 10 * time.Minute
+	// shardDigits are the hex digits. The first two digits of a claim's name are its shard.
 	shardDigits = "0123456789abcdef"
 )
 
-// SweeperOptions are the parts of a Sweeper.
+// SweeperOptions configure a Sweeper.
 type SweeperOptions struct {
 	// Self is the entry's name in the host list.
 	Self    string
 	Objects objects.API
 	Log     *observe.Logger
-	// Hosts returns the host list; empty while it is not known.
+	// Hosts returns the host list. It is empty until the list is known.
 	Hosts func() []fleet.Host
 	// Now is the wall clock; nil means time.Now.
 	Now func() time.Time
 }
 
-// Sweeper deletes claims that are older than the retention. The claims are split
-// by their names into 256 shards, and each entry sweeps those that a hash over
-// the host list gives it. Two entries that sweep the same shard, because their
-// lists differ, do no harm: deletions are conditional.
+// Sweeper deletes claims that are older than the retention. Claims are divided by name
+// into 256 shards, and each entry sweeps the shards that rendezvous hashing over the
+// host list assigns to it. Two entries whose host lists differ may sweep the same shard;
+// that is safe, because deletions are conditional on the version.
 type Sweeper struct {
 	options SweeperOptions
 	limiter *rate.Limiter
 	expiry  claim.Expiry
 }
 
-// pass counts what one pass over an entry's shards did.
-type pass struct {
+// passCounts counts the claims listed and deleted, and the failures, in one pass over an
+// entry's shards.
+type passCounts struct {
 	listed, deleted, failed int
 }
 
-// NewSweeper returns a Sweeper that does nothing until Run.
+// NewSweeper returns a Sweeper. It does nothing until Run is called.
 func NewSweeper(opts SweeperOptions) *Sweeper {
 	if opts.Now == nil {
 		opts.Now = time.Now
@@ -66,9 +67,9 @@
 	return &Sweeper{options: opts, limiter: rate.NewLimiter(fleetSweepRate, 1)}
 }
 
-// Run makes passes over this entry's shards until ctx ends. It returns nil.
+// Run makes passes over this entry's shards until ctx ends. It always returns nil.
 func (s *Sweeper) Run(ctx context.Context) error {
-	wait(ctx, rand.N(firstSweep))
+	wait(ctx, rand.N(maxFirstSweepDelay))
 	for ctx.Err() == nil {
 		s.pass(ctx)
 		wait(ctx, sweepInterval)
@@ -76,20 +77,20 @@
 	return nil
 }
 
-// pass goes over this entry's shards once, or until a call fails.
+// pass sweeps this entry's shards once. It stops at the first List call that fails.
 func (s *Sweeper) pass(ctx context.Context) {
-	var done pass
+	var counts passCounts
 	for _, shard := range shards() {
-		if s.owns(shard) && !s.shard(ctx, shard, &done) {
+		if s.owns(shard) && !s.shard(ctx, shard, &counts) {
 			break
 		}
 	}
 	s.options.Log.Event(event.ClaimsExpired, observe.Fields{
-		"listed": done.listed, "deleted": done.deleted, "failed": done.failed,
+		"listed": counts.listed, "deleted": counts.deleted, "failed": counts.failed,
 	})
 }
 
-// shards returns the prefixes of the shards' names.
+// shards returns the key prefix of each shard.
 func shards() []string {
 	all := make([]string, 0, len(shardDigits)*len(shardDigits))
 	for _, high := range shardDigits {
@@ -100,18 +101,19 @@
 	return all
 }
 
-// owns tells whether this entry sweeps a shard, and sets its part of the rate.
+// owns reports whether this entry sweeps a shard. It also sets the entry's share of the
+// rate.
 func (s *Sweeper) owns(shard string) bool {
 	entries := 0
 	var owner string
-	var most uint64
+	var maxWeight uint64
 	for _, host := range s.options.Hosts() {
 		if host.Role != fleet.RoleEntry || host.Leaving {
 			continue
 		}
 		entries++
-		if weight := xxhash.Sum64String(shard + "\x00" + host.Name); weight >= most {
-			most, owner = weight, host.Name
+		if weight := xxhash.Sum64String(shard + "\x00" + host.Name); weight >= maxWeight {
+			maxWeight, owner = weight, host.Name
 		}
 	}
 	if entries > 0 {
@@ -120,17 +122,17 @@
 	return owner == s.options.Self
 }
 
-// shard goes over the claims of one shard. It tells whether the pass can go on.
-func (s *Sweeper) shard(ctx context.Context, shard string, done *pass) bool {
+// shard sweeps the claims of one shard. It reports whether the pass can continue.
+func (s *Sweeper) shard(ctx context.Context, shard string, counts *passCounts) bool {
 	after := ""
 	for s.limiter.Wait(ctx) == nil {
-		page, err := s.options.Objects.List(ctx, shard, after, sweepPage)
+		page, err := s.options.Objects.List(ctx, shard, after, sweepPageSize)
 		if err != nil {
-			done.failed++
+			counts.failed++
 			return false
 		}
-		s.page(ctx, page, done)
-		if len(page) < sweepPage {
+		s.page(ctx, page, counts)
+		if len(page) < sweepPageSize {
 			return true
 		}
 		after = page[len(page)-1].Key
@@ -138,15 +140,15 @@
 	return false
 }
 
-// page deletes the expired claims of one page. What can't be read as a claim
-// stays.
-func (s *Sweeper) page(ctx context.Context, page []objects.Object, done *pass) {
+// page deletes the expired claims of one page. Objects that can't be decoded as claims
+// are kept.
+func (s *Sweeper) page(ctx context.Context, page []objects.Object, counts *passCounts) {
 	records := make([]claim.Record, len(page))
 	for i, object := range page {
-		done.listed++
+		counts.listed++
 		record, err := claim.Decode(object.Value)
 		if err != nil {
-			done.failed++
+			counts.failed++
 			continue
 		}
 		records[i] = record
@@ -161,9 +163,9 @@
 			return
 		}
 		if s.options.Objects.Delete(ctx, object.Key, object.Version) != nil {
-			done.failed++
+			counts.failed++
 			continue
 		}
-		done.deleted++
+		counts.deleted++
 	}
 }
