--- a/entry/limit/limiter.go
+++ b/entry/limit/limiter.go
@@ -1,5 +1,11 @@
-// Package limit is the runtime of core/share: it asks the homes of workspaces'
-// bounds for permits, and answers as a home.
+// Package limit enforces the limits on the requests in flight of each workspace over the
+// whole fleet. The protocol is package core/share; this package makes its calls.
+//
+// The limit of a workspace is called its bound. It is divided into parts, and each part
+// has a home: an entry, determined from the host list, that counts the requests in
+// flight in a ledger. If the home does not respond, its deputy counts them instead. An
+// entry needs a permit of a home to run a request. If no home responds, it runs requests
+// without a permit, unchecked, up to its own even share of the bound.
 package limit
 
 import (
@@ -17,19 +23,19 @@
 	"acaciawinch/wire/link"
 )
 
-// Times of a Limiter.
+// Intervals and timeouts of a Limiter.
 const (
-	// moveEvery is the time between two looks whether running requests are counted
-	// by the right homes.
-	moveEvery = time.Second
-	// releaseTimeout bounds a call that gives a permit back. A permit whose release
-	// is lost ends by itself.
+	// moveInterval is the time between two checks whether running requests are counted by
+	// the right homes.
+	moveInterval = time.Second
+	// releaseTimeout bounds a call that releases a permit. A permit whose release is
+	// lost expires.
 	releaseTimeout = time.Second
-	// retryAfter is what refused callers are told.
+	// retryAfter is the retry delay that refused callers are given.
 	retryAfter = time.Second
 )
 
-// Options are what a Limiter needs.
+// Options configure a Limiter.
 type Options struct {
 	// Self is the entry's name in the host list, Region its region.
 	Self        string
@@ -43,7 +49,7 @@
 	Scope tally.Scope
 }
 
-// Limiter holds workspaces to their bounds. It may be used by many goroutines.
+// Limiter enforces the bounds of workspaces. It is safe for concurrent use.
 type Limiter struct {
 	opts    Options
 	metrics *metrics
@@ -51,10 +57,11 @@
 	mu     sync.Mutex
 	asker  *share.Asker
 	ledger *share.Ledger
-	// homes are those of the host list at homesVersion.
+	// homes are the homes according to the host list at homesVersion.
 	homes        *share.Homes
 	homesVersion uint64
-	held         map[share.PermitID]*Permit
+	// running holds the permits of the running requests.
+	running map[share.PermitID]*Permit
 }
 
 // New returns a Limiter.
@@ -64,19 +71,19 @@
 		metrics: newMetrics(opts.Scope),
 		asker:   share.NewAsker(),
 		ledger:  share.NewLedger(),
-		held:    make(map[share.PermitID]*Permit),
+		running: make(map[share.PermitID]*Permit),
 	}
 }
 
-// Ask asks for a permit for a request of a workspace and returns at once. The
-// deadline is the time that the request is allowed.
+// Ask starts to acquire a permit for a request of a workspace and returns at once; see
+// Permit.Decided. The deadline is the time within which the request must complete.
 func (l *Limiter) Ask(request core.RequestID, workspace string, bound int, deadline time.Duration) *Permit {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &Permit{
 		limiter: l,
 		request: request,
 		bound:   bound,
-		began:   time.Now(),
+		start:   time.Now(),
 		decided: make(chan struct{}),
 		cancel:  cancel,
 		held: share.Held{
@@ -89,22 +96,23 @@
 	return p
 }
 
-// Run lets the right homes count the running requests until ctx ends. It returns
-// nil.
+// Run keeps the running requests counted by the right homes until ctx ends. It always
+// returns nil.
 func (l *Limiter) Run(ctx context.Context) error {
-	ticker := time.NewTicker(moveEvery)
+	ticker := time.NewTicker(moveInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			l.move(ctx)
+			l.moveAll(ctx)
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-// currentHomes returns the homes of the present host list. The caller holds mu.
+// currentHomes returns the homes according to the current host list. The caller holds
+// mu.
 func (l *Limiter) currentHomes() *share.Homes {
 	hosts, version := l.opts.Hosts()
 	if l.homes == nil || version != l.homesVersion {
--- a/entry/limit/limiter_test.go
+++ b/entry/limit/limiter_test.go
@@ -19,7 +19,7 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// node is an entry as far as permits go.
+// node is an entry as far as permits are concerned.
 type node struct {
 	wirepb.DRPCEntryUnimplementedServer
 	limiter *Limiter
@@ -35,7 +35,7 @@
 	return n.limiter.ReleasePermit(ctx, r)
 }
 
-// nodes are entries that know each other.
+// nodes are entries with a shared host list.
 type nodes struct {
 	t     testing.TB
 	hosts []fleet.Host
@@ -52,7 +52,7 @@
 	return ns
 }
 
-// start starts one entry, for the first time or again with an empty ledger.
+// start starts or restarts an entry, with an empty ledger.
 func (ns *nodes) start(i int) *node {
 	logger, err := observe.NewLogger(io.Discard, "test", "error")
 	assert.NilError(ns.t, err)
@@ -77,7 +77,7 @@
 	return n
 }
 
-// homesOf returns the numbers of the home and the deputy of a workspace's only part.
+// homesOf returns the indices of the home and the deputy of a workspace's only part.
 func (ns *nodes) homesOf(workspace string) (home, deputy int) {
 	of := share.NewHomes(ns.hosts, "").Of(workspace, 0)
 	for i, host := range ns.hosts {
@@ -91,15 +91,15 @@
 	return home, deputy
 }
 
-// ask asks at an entry and waits for the verdict.
+// ask requests a permit at an entry and waits for the decision.
 func (n *node) ask(workspace string, bound int) *Permit {
 	p := n.limiter.Ask("r", workspace, bound, 20*time.Second)
 	<-p.Decided()
 	return p
 }
 
-// awaitOut waits until a home counts so many permits.
-func (n *node) awaitOut(t testing.TB, want int) {
+// awaitPermits waits until a home counts the given number of permits.
+func (n *node) awaitPermits(t testing.TB, want int) {
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		n.limiter.mu.Lock()
 		defer n.limiter.mu.Unlock()
@@ -110,117 +110,118 @@
 	}, poll.WithDelay(time.Millisecond))
 }
 
-// TestOneEntryMayUseTheWholeBound takes all places through one entry, and gives
-// one back.
+// TestOneEntryMayUseTheWholeBound acquires all permits through one entry, and releases
+// one.
 func TestOneEntryMayUseTheWholeBound(t *testing.T) {
 	const bound = 6
 	ns := newNodes(t, 3)
 	home, _ := ns.homesOf("w")
-	asker := ns.list[(home+1)%3]
+	caller := ns.list[(home+1)%3]
 	var permits []*Permit
 	for range bound {
-		p := asker.ask("w", bound)
+		p := caller.ask("w", bound)
 		assert.Assert(t, p.Refusal() == nil)
 		permits = append(permits, p)
 	}
-	assert.Equal(t, asker.ask("w", bound).Refusal().Detail, reasonFull)
+	assert.Equal(t, caller.ask("w", bound).Refusal().Detail, reasonFull)
 	assert.Assert(t, ns.list[home].ask("w", bound).Refusal() != nil)
 	permits[0].Release()
-	ns.list[home].awaitOut(t, bound-1)
-	assert.Assert(t, asker.ask("w", bound).Refusal() == nil)
+	ns.list[home].awaitPermits(t, bound-1)
+	assert.Assert(t, caller.ask("w", bound).Refusal() == nil)
 }
 
-// TestAHomeThatComesBackCountsWhatRuns stops the home: the deputy holds the bound.
-// Then the home is started again and is told what runs.
-func TestAHomeThatComesBackCountsWhatRuns(t *testing.T) {
+// TestRestartedHomeCountsRunningRequests stops the home, so that the deputy enforces the
+// bound. Then it restarts the home, which must be told of the running requests.
+func TestRestartedHomeCountsRunningRequests(t *testing.T) {
 	const bound = 2
 	ns := newNodes(t, 3)
 	home, deputy := ns.homesOf("w")
-	asker := ns.list[3-home-deputy]
-	before := asker.ask("w", bound)
+	caller := ns.list[3-home-deputy]
+	before := caller.ask("w", bound)
 	ns.list[home].stop()
 	for range bound {
-		assert.Assert(t, asker.ask("w", bound).Refusal() == nil)
+		assert.Assert(t, caller.ask("w", bound).Refusal() == nil)
 	}
-	assert.Equal(t, asker.ask("w", bound).Refusal().Detail, reasonFull)
+	assert.Equal(t, caller.ask("w", bound).Refusal().Detail, reasonFull)
 	ns.list[home] = ns.start(home)
-	asker.limiter.asker = share.NewAsker() // the time of suspicion is over
-	asker.limiter.move(context.Background())
-	ns.list[home].awaitOut(t, bound)
+	caller.limiter.asker = share.NewAsker() // a new one does not suspect the home any longer
+	caller.limiter.moveAll(context.Background())
+	ns.list[home].awaitPermits(t, bound)
 	before.Release()
 	assert.Assert(t, ns.list[home].ask("w", bound).Refusal() != nil)
 }
 
-// TestALeavingCallerMakesNoHomeSuspect gives permits back while they are asked for at
-// a home that never answers.
-func TestALeavingCallerMakesNoHomeSuspect(t *testing.T) {
+// TestReleaseDuringSearchMakesNoHomeSuspect releases permits while they are requested from
+// a home that never responds.
+func TestReleaseDuringSearchMakesNoHomeSuspect(t *testing.T) {
 	ns := newNodes(t, 2)
 	home, _ := ns.homesOf("w")
 	ns.list[home].stop()
-	mute, err := net.Listen("tcp", ns.hosts[home].Addr)
+	silent, err := net.Listen("tcp", ns.hosts[home].Addr)
 	assert.NilError(t, err)
-	defer mute.Close()
-	asker := ns.list[1-home]
-	asked := make(chan struct{})
+	defer silent.Close()
+	caller := ns.list[1-home]
+	connected := make(chan struct{})
 	go func() {
 		for {
-			if _, err := mute.Accept(); err != nil {
+			if _, err := silent.Accept(); err != nil {
 				return
 			}
-			asked <- struct{}{}
+			connected <- struct{}{}
 		}
 	}()
 	for range 50 {
-		p := asker.limiter.Ask("r", "w", 1, time.Second)
+		p := caller.limiter.Ask("r", "w", 1, time.Second)
 		select {
-		case <-asked:
+		case <-connected:
 		case <-p.Decided():
-			t.Fatal("the home was not asked")
+			t.Fatal("the permit was not requested from the home")
 		}
 		p.Release()
 	}
-	asker.limiter.mu.Lock()
-	defer asker.limiter.mu.Unlock()
-	assert.Equal(t, asker.limiter.asker.Suspects(), 0)
+	caller.limiter.mu.Lock()
+	defer caller.limiter.mu.Unlock()
+	assert.Equal(t, caller.limiter.asker.Suspects(), 0)
 }
 
-// TestWithoutHomesAnEvenPartRuns stops all others.
-func TestWithoutHomesAnEvenPartRuns(t *testing.T) {
+// TestEntryRunsItsShareWithoutHomes stops the home and the deputy: the entry may run only
+// its even share of the bound, unchecked.
+func TestEntryRunsItsShareWithoutHomes(t *testing.T) {
 	const bound = 6
 	ns := newNodes(t, 4)
 	home, deputy := ns.homesOf("w")
-	asker := ns.list[0]
+	caller := ns.list[0]
 	for i := range ns.list {
 		if i != home && i != deputy {
-			asker = ns.list[i]
+			caller = ns.list[i]
 		}
 	}
 	ns.list[home].stop()
 	ns.list[deputy].stop()
-	first := asker.ask("w", bound)
-	assert.Assert(t, first.Refusal() == nil && first.alone)
-	assert.Assert(t, asker.ask("w", bound).Refusal() == nil)
-	assert.Equal(t, asker.ask("w", bound).Refusal().Detail, reasonAlone)
+	first := caller.ask("w", bound)
+	assert.Assert(t, first.Refusal() == nil && first.unchecked)
+	assert.Assert(t, caller.ask("w", bound).Refusal() == nil)
+	assert.Equal(t, caller.ask("w", bound).Refusal().Detail, reasonUnchecked)
 	first.Release()
-	assert.Assert(t, asker.ask("w", bound).Refusal() == nil)
+	assert.Assert(t, caller.ask("w", bound).Refusal() == nil)
 }
 
-// BenchmarkPermit measures a permit that is asked for and given back: bytes of each
-// of the two calls above TCP, both directions, and the time of both ends together.
+// BenchmarkPermit measures acquiring and releasing a permit over TCP: the bytes per call
+// above TCP in both directions, and the time of both ends together.
 func BenchmarkPermit(b *testing.B) {
 	ns := newNodes(b, 2)
 	home, _ := ns.homesOf("pensionistas")
-	asker := ns.list[1-home]
+	caller := ns.list[1-home]
 	to := share.Home{Name: ns.hosts[home].Name, Addr: ns.hosts[home].Addr}
 	permit := share.PermitID(0)
 	for b.Loop() {
 		permit++
-		_, _, err := asker.limiter.ask(context.Background(), to, share.Ask{
+		_, _, err := caller.limiter.acquireFrom(context.Background(), to, share.Ask{
 			Workspace: "pensionistas", Bound: 8, Permit: permit, Life: 4 * time.Second,
 		})
 		assert.NilError(b, err)
-		asker.limiter.release(to, "pensionistas", 0, permit)
+		caller.limiter.releaseAt(to, "pensionistas", 0, permit)
 	}
-	traffic := asker.dialer.Traffic()
+	traffic := caller.dialer.Traffic()
 	b.ReportMetric(float64(traffic.Read()+traffic.Written())/float64(2*b.N), "B/call")
 }
--- a/entry/limit/metrics.go
+++ b/entry/limit/metrics.go
@@ -8,20 +8,22 @@
 	"acaciawinch/core/share"
 )
 
-// metrics counts permits asked for and answered.
+// metrics counts the permits requested by this entry, and those granted and refused as a
+// home.
 type metrics struct {
-	// granted, alone and refused count the ends of searches; refusedAlone those
-	// refused while no home answered.
-	granted, alone, refused, refusedAlone tally.Counter
-	// wait is the time of a search.
+	// granted, unchecked and refused count the requests for permits by their outcome;
+	// refusedUnchecked counts those refused because homes did not respond and this entry's
+	// own share was in use.
+	granted, unchecked, refused, refusedUnchecked tally.Counter
+	// wait is the time until a request for a permit is decided.
 	wait tally.Timer
-	// silences counts homes that did not answer, moves requests that another home
-	// counts, lost releases that did not arrive.
-	silences, moves, lost tally.Counter
-	// given and denied count this entry's answers as a home; out are the permits of
-	// its ledger.
-	given, denied tally.Counter
-	out           tally.Gauge
+	// silences counts the calls that homes did not respond to, moves the requests whose
+	// home changed, and lostReleases the releases that failed.
+	silences, moves, lostReleases tally.Counter
+	// homeGranted and homeRefused count the permits that this entry granted and refused as
+	// a home; homePermits is the number of permits in its ledger.
+	homeGranted, homeRefused tally.Counter
+	homePermits              tally.Gauge
 }
 
 // newMetrics registers the metrics below scope; a nil scope drops them.
@@ -31,40 +33,40 @@
 	}
 	scope = scope.SubScope("limit")
 	return &metrics{
-		granted:      scope.Counter("granted"),
-		alone:        scope.Counter("unchecked"),
-		refused:      scope.Counter("refused"),
-		refusedAlone: scope.Counter("refused_unchecked"),
-		wait:         scope.Timer("wait"),
-		silences:     scope.Counter("home_silences"),
-		moves:        scope.Counter("home_changes"),
-		lost:         scope.Counter("releases_lost"),
-		given:        scope.Counter("home_granted"),
-		denied:       scope.Counter("home_refused"),
-		out:          scope.Gauge("home_permits"),
+		granted:          scope.Counter("granted"),
+		unchecked:        scope.Counter("unchecked"),
+		refused:          scope.Counter("refused"),
+		refusedUnchecked: scope.Counter("refused_unchecked"),
+		wait:             scope.Timer("wait"),
+		silences:         scope.Counter("home_silences"),
+		moves:            scope.Counter("home_changes"),
+		lostReleases:     scope.Counter("releases_lost"),
+		homeGranted:      scope.Counter("home_granted"),
+		homeRefused:      scope.Counter("home_refused"),
+		homePermits:      scope.Gauge("home_permits"),
 	}
 }
 
-// decided counts the end of a search.
+// decided counts the outcome of a request for a permit.
 func (m *metrics) decided(kind share.StepKind, wait time.Duration) {
 	m.wait.Record(wait)
 	switch kind {
 	case share.StepGranted:
 		m.granted.Inc(1)
 	case share.StepAlone:
-		m.alone.Inc(1)
+		m.unchecked.Inc(1)
 	case share.StepRefused:
 		m.refused.Inc(1)
 	case share.StepRefusedAlone:
-		m.refusedAlone.Inc(1)
+		m.refusedUnchecked.Inc(1)
 	}
 }
 
-// answered counts an answer as a home.
-func (m *metrics) answered(answer share.Answer) {
-	if answer.Granted {
-		m.given.Inc(1)
+// answeredAsHome counts a response that this entry gives as a home.
+func (m *metrics) answeredAsHome(response share.Answer) {
+	if response.Granted {
+		m.homeGranted.Inc(1)
 		return
 	}
-	m.denied.Inc(1)
+	m.homeRefused.Inc(1)
 }
--- a/entry/limit/move.go
+++ b/entry/limit/move.go
@@ -9,27 +9,27 @@
 	"acaciawinch/observe/event"
 )
 
-// move is one permit that another home should count.
+// move is a permit that another home should count, with the request to that home.
 type move struct {
 	permit *Permit
 	home   share.Home
 	ask    share.Ask
 }
 
-// move lets the right homes count the running requests.
-func (l *Limiter) move(ctx context.Context) {
+// moveAll makes the right homes count the running requests.
+func (l *Limiter) moveAll(ctx context.Context) {
 	for _, m := range l.moves() {
-		l.carryOut(ctx, m)
+		l.changeHome(ctx, m)
 	}
 }
 
-// moves returns the permits that other homes should count.
+// moves returns the permits that another home than the current one should count.
 func (l *Limiter) moves() []move {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	homes := l.currentHomes()
 	var moves []move
-	for _, p := range l.held {
+	for _, p := range l.running {
 		if home, ask, due := l.asker.Move(time.Now(), homes, p.held); due {
 			moves = append(moves, move{permit: p, home: home, ask: ask})
 		}
@@ -37,17 +37,18 @@
 	return moves
 }
 
-// carryOut lets a home count a running request, unless it does not answer.
-func (l *Limiter) carryOut(ctx context.Context, m move) {
+// changeHome makes a home count a running request. If the home does not respond, the
+// permit keeps its previous home.
+func (l *Limiter) changeHome(ctx context.Context, m move) {
 	ctx, cancel := context.WithTimeout(ctx, share.AskTimeout)
 	defer cancel()
-	_, incarnation, err := l.ask(ctx, m.home, m.ask)
+	_, incarnation, err := l.acquireFrom(ctx, m.home, m.ask)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := m.permit
-	p.count(share.Step{Home: m.home, Part: m.ask.Part})
+	p.noteCounted(share.Step{Home: m.home, Part: m.ask.Part})
 	if p.released {
-		p.giveBack()
+		p.releaseAtHomes()
 		return
 	}
 	if err != nil {
--- a/entry/limit/permit.go
+++ b/entry/limit/permit.go
@@ -13,33 +13,34 @@
 	"acaciawinch/observe/event"
 )
 
-// Why a request is refused.
+// Reasons for refusing a request.
 const (
-	reasonFull  = "the workspace holds as many requests as it may"
-	reasonAlone = "nobody tells how many requests the workspace holds, and this entry's part of its bound is in use"
+	reasonFull      = "the workspace is at its limit of requests in flight"
+	reasonUnchecked = "the number of the workspace's requests in flight is unavailable, and this entry's share of the workspace's limit is in use"
 )
 
-// Permit is the permit of one request, asked for or decided.
+// Permit is the permit of one request, requested or already decided.
 type Permit struct {
 	limiter *Limiter
 	request core.RequestID
 	bound   int
-	began   time.Time
+	start   time.Time
 	cancel  context.CancelFunc
 	decided chan struct{}
-	// refusal is set before decided is closed.
+	// refusal is set, if the permit is refused, before decided is closed.
 	refusal *pipeline.PermitRefusal
 
-	// The limiter's mu guards the following.
-	held  share.Held
-	alone bool
-	// counting are the homes that count the permit or may do so.
-	counting []counter
-	released bool
+	// The following fields are guarded by the limiter's mu.
+	held share.Held
+	// unchecked is set if the request runs without the permit of a home.
+	unchecked bool
+	// countedBy are the homes that count the permit or may do so.
+	countedBy []countingHome
+	released  bool
 }
 
-// counter is a home with the part of which it counts a permit.
-type counter struct {
+// countingHome is a home and the part of the bound in which it counts a permit.
+type countingHome struct {
 	home share.Home
 	part int
 }
@@ -50,65 +51,66 @@
 // Refusal implements pipeline.Permit.
 func (p *Permit) Refusal() *pipeline.PermitRefusal { return p.refusal }
 
-// Release gives the permit back, also while it is being asked for.
+// Release releases the permit. It may be called before the permit is decided.
 func (p *Permit) Release() {
 	l := p.limiter
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	// Set before the search is broken off, which is no silence of its home.
+	// Set before the search is canceled, so that search does not take the canceled call
+	// for a home that does not respond.
 	p.released = true
 	p.cancel()
-	if _, runs := l.held[p.held.Permit]; runs {
-		delete(l.held, p.held.Permit)
-		l.asker.Ended(p.held.Workspace, p.alone)
+	if _, runs := l.running[p.held.Permit]; runs {
+		delete(l.running, p.held.Permit)
+		l.asker.Ended(p.held.Workspace, p.unchecked)
 	}
-	p.giveBack()
+	p.releaseAtHomes()
 }
 
-// giveBack tells the homes that count the permit. The caller holds mu.
-func (p *Permit) giveBack() {
-	for _, c := range p.counting {
-		go p.limiter.release(c.home, p.held.Workspace, c.part, p.held.Permit)
+// releaseAtHomes releases the permit at all homes that may count it. The caller holds mu.
+func (p *Permit) releaseAtHomes() {
+	for _, c := range p.countedBy {
+		go p.limiter.releaseAt(c.home, p.held.Workspace, c.part, p.held.Permit)
 	}
-	p.counting = nil
+	p.countedBy = nil
 }
 
-// search asks one home after the other until the permit is granted or refused.
+// search requests the permit from one home after the other until it is granted or refused.
 func (p *Permit) search(ctx context.Context) {
 	l := p.limiter
 	l.mu.Lock()
 	search, step := l.asker.Begin(time.Now(), l.currentHomes(), p.held.Workspace, p.bound, rand.Uint64())
 	l.mu.Unlock()
 	for step.Kind == share.StepAsk {
-		answer, incarnation, err := p.ask(ctx, step)
+		response, incarnation, err := p.ask(ctx, step)
 		l.mu.Lock()
 		switch {
 		case p.released:
-			p.count(step)
-			p.giveBack()
+			p.noteCounted(step)
+			p.releaseAtHomes()
 			l.mu.Unlock()
 			return
 		case err != nil:
-			p.silent(step, err)
+			p.noteSilent(step, err)
 			step = search.Silent(time.Now())
 		default:
 			l.asker.Heard(step.Home.Name, incarnation)
-			if answer.Granted {
-				p.count(step)
+			if response.Granted {
+				p.noteCounted(step)
 				p.held.Home, p.held.Incarnation = step.Home.Name, incarnation
 			}
-			step = search.Answered(time.Now(), answer)
+			step = search.Answered(time.Now(), response)
 		}
 		l.mu.Unlock()
 	}
 	p.decide(step)
 }
 
-// ask asks the home of a step.
+// ask requests the permit from the home of a step.
 func (p *Permit) ask(ctx context.Context, step share.Step) (share.Answer, core.Incarnation, error) {
 	ctx, cancel := context.WithTimeout(ctx, share.AskTimeout)
 	defer cancel()
-	return p.limiter.ask(ctx, step.Home, share.Ask{
+	return p.limiter.acquireFrom(ctx, step.Home, share.Ask{
 		Workspace: p.held.Workspace,
 		Part:      step.Part,
 		Bound:     step.Bound,
@@ -117,17 +119,18 @@
 	})
 }
 
-// count notes that a home counts the permit, or may do so. The caller holds mu.
-func (p *Permit) count(step share.Step) {
-	c := counter{home: step.Home, part: step.Part}
-	if !slices.Contains(p.counting, c) {
-		p.counting = append(p.counting, c)
+// noteCounted notes that a home counts the permit, or may do so. The caller holds mu.
+func (p *Permit) noteCounted(step share.Step) {
+	c := countingHome{home: step.Home, part: step.Part}
+	if !slices.Contains(p.countedBy, c) {
+		p.countedBy = append(p.countedBy, c)
 	}
 }
 
-// silent notes that a home did not answer. The caller holds mu.
-func (p *Permit) silent(step share.Step, err error) {
-	p.count(step)
+// noteSilent notes that a home did not respond. The home may count the permit
+// nevertheless. The caller holds mu.
+func (p *Permit) noteSilent(step share.Step, err error) {
+	p.noteCounted(step)
 	p.limiter.metrics.silences.Inc(1)
 	p.limiter.opts.Log.Event(event.LimitHomeSilent, observe.Fields{
 		"request":   p.request,
@@ -139,31 +142,31 @@
 	})
 }
 
-// decide closes the search.
+// decide applies the final step of a search.
 func (p *Permit) decide(step share.Step) {
 	l := p.limiter
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	defer close(p.decided)
-	l.metrics.decided(step.Kind, time.Since(p.began))
+	l.metrics.decided(step.Kind, time.Since(p.start))
 	switch step.Kind {
 	case share.StepRefused:
 		p.refuse(reasonFull)
 		return
 	case share.StepRefusedAlone:
-		p.refuse(reasonAlone)
+		p.refuse(reasonUnchecked)
 		return
 	case share.StepAlone:
-		p.alone = true
+		p.unchecked = true
 		l.opts.Log.Event(event.LimitUnchecked, p.fields())
 	}
 	p.held.Part, p.held.Bound = step.Part, step.Bound
 	if p.released {
-		l.asker.Ended(p.held.Workspace, p.alone)
-		p.giveBack()
+		l.asker.Ended(p.held.Workspace, p.unchecked)
+		p.releaseAtHomes()
 		return
 	}
-	l.held[p.held.Permit] = p
+	l.running[p.held.Permit] = p
 }
 
 // refuse refuses the request. The caller holds mu.
@@ -172,15 +175,15 @@
 	fields := p.fields()
 	fields["reason"] = reason
 	p.limiter.opts.Log.Event(event.LimitRefused, fields)
-	p.giveBack()
+	p.releaseAtHomes()
 }
 
-// fields are those of each event of a permit.
+// fields returns the fields that the events of a permit share.
 func (p *Permit) fields() observe.Fields {
 	return observe.Fields{
 		"request":   p.request,
 		"workspace": p.held.Workspace,
 		"bound":     p.bound,
-		"waited_us": time.Since(p.began).Microseconds(),
+		"waited_us": time.Since(p.start).Microseconds(),
 	}
 }
