--- a/entry/place/doc.go
+++ b/entry/place/doc.go
@@ -1,4 +1,5 @@
-// Package place lets an entry propose the placement of models. Every entry runs
-// it; a lease object decides which one does the work, and the version of the plan
-// object decides what takes effect. The decisions are core/placement's.
+// Package place proposes the placement of models on engines. Every entry runs a Proposer;
+// the one that holds the lease object probes the engines and writes the plan. Plans are
+// written under the condition of the plan object's version, so that also with two
+// holders only one plan takes effect. The decisions are made by package core/placement.
 package place
--- a/entry/place/engines.go
+++ b/entry/place/engines.go
@@ -12,56 +12,59 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// Facts is what the feed knows of the fleet at one moment.
+// Facts is the state of the fleet at one moment, as received by the feed.
 type Facts struct {
 	Revision core.Revision
 	Models   []config.Model
 	Hosts    []fleet.Host
-	// Drained tells whether operators have taken an upstream out.
+	// Drained reports whether operators have drained an upstream.
 	Drained func(upstream string) bool
 }
 
-// engine is what the proposer remembers of one engine between rounds.
+// engine is the state of one engine that the proposer keeps between rounds.
 type engine struct {
 	host   fleet.Host
 	loaded []placement.ModelVersion
-	// askedAt is the last question; answered is set once a side has answered.
-	askedAt  time.Duration
-	answered bool
-	// silentSince is the first unanswered question after the last answer.
+	// probedAt is the time of the last probe; responded is set once the engine's sidecar has
+	// responded to a probe.
+	probedAt  time.Duration
+	responded bool
+	// silentSince is the time of the first failed probe after the last response.
 	silent      bool
 	silentSince time.Duration
-	// givenUpLogged is set once the log says that the silence was too long.
-	givenUpLogged bool
+	// silenceLogged is set once it was logged that the engine was silent for too long.
+	silenceLogged bool
 }
 
-// holds tells whether the engine held what an assignment names when it last
-// answered.
+// holds reports whether the engine had loaded the model of an assignment when it last
+// responded.
 func (e *engine) holds(a placement.Assignment) bool { return slices.Contains(e.loaded, a.Holds()) }
 
-// engines is the proposer's picture of all engines. It is for one goroutine; the
-// clock is the process's own.
+// engines is the state of all engines. It must be used by one goroutine only. Times are
+// those of the process's monotonic clock.
 type engines struct {
 	settings Settings
-	known    map[core.UpstreamID]*engine
-	// waiting is since when a load has been in force without being finished.
-	waiting map[placement.Assignment]time.Duration
-	// stuck is until when an assignment is not tried again.
-	stuck map[placement.Assignment]time.Duration
+	byID     map[core.UpstreamID]*engine
+	// unfinishedSince holds, for each assignment whose model is not loaded yet, since when it
+	// has been in force.
+	unfinishedSince map[placement.Assignment]time.Duration
+	// stuckUntil holds, for each assignment whose load got stuck, until when it is not tried
+	// again.
+	stuckUntil map[placement.Assignment]time.Duration
 }
 
-// newEngines returns an empty picture.
+// newEngines returns the state without any engine.
 func newEngines(settings Settings) *engines {
 	return &engines{
-		settings: settings,
-		known:    make(map[core.UpstreamID]*engine),
-		waiting:  make(map[placement.Assignment]time.Duration),
-		stuck:    make(map[placement.Assignment]time.Duration),
+		settings:        settings,
+		byID:            make(map[core.UpstreamID]*engine),
+		unfinishedSince: make(map[placement.Assignment]time.Duration),
+		stuckUntil:      make(map[placement.Assignment]time.Duration),
 	}
 }
 
-// update takes the engines over from the host list: upstreams of a service that
-// has models, unless they are leaving or drained.
+// update sets the engines from the host list: the upstreams of services that have models,
+// except those that are leaving or drained.
 func (e *engines) update(facts Facts) {
 	services := make(map[string]bool)
 	for _, model := range facts.Models {
@@ -69,38 +72,38 @@
 	}
 	present := make(map[core.UpstreamID]bool)
 	for _, host := range facts.Hosts {
-		takesPart := host.Role == fleet.RoleUpstream && services[host.Service]
-		if !takesPart || host.Leaving || facts.Drained(host.Name) {
+		isEngine := host.Role == fleet.RoleUpstream && services[host.Service]
+		if !isEngine || host.Leaving || facts.Drained(host.Name) {
 			continue
 		}
 		id := core.UpstreamID(host.Name)
 		present[id] = true
-		if e.known[id] == nil || e.known[id].host.Addr != host.Addr {
-			e.known[id] = &engine{}
+		if e.byID[id] == nil || e.byID[id].host.Addr != host.Addr {
+			e.byID[id] = &engine{}
 		}
-		e.known[id].host = host
+		e.byID[id].host = host
 	}
-	for id := range e.known {
+	for id := range e.byID {
 		if !present[id] {
-			delete(e.known, id)
+			delete(e.byID, id)
 		}
 	}
 }
 
-// toAsk returns the engines to ask in this round, at most the bound: first those
-// with loads in force that are not finished and those that are silent or were
-// never asked, then those asked longest ago. In a small fleet that is all.
-func (e *engines) toAsk(plan placement.Plan) []fleet.Host {
+// toProbe returns the engines to probe in this round, at most ProbesPerRound: first those
+// with unfinished loads and those that are silent or have never responded, then the
+// others in the order of their last probe. In a small fleet these are all engines.
+func (e *engines) toProbe(plan placement.Plan) []fleet.Host {
 	urgent := make(map[core.UpstreamID]bool)
 	for _, a := range plan.Assignments {
-		if known := e.known[a.Upstream]; known != nil && !known.holds(a) {
+		if known := e.byID[a.Upstream]; known != nil && !known.holds(a) {
 			urgent[a.Upstream] = true
 		}
 	}
-	ids := make([]core.UpstreamID, 0, len(e.known))
-	for id, known := range e.known {
+	ids := make([]core.UpstreamID, 0, len(e.byID))
+	for id, known := range e.byID {
 		ids = append(ids, id)
-		urgent[id] = urgent[id] || known.silent || !known.answered
+		urgent[id] = urgent[id] || known.silent || !known.responded
 	}
 	slices.SortFunc(ids, func(a, b core.UpstreamID) int {
 		if urgent[a] != urgent[b] {
@@ -109,20 +112,20 @@
 			}
 			return 1
 		}
-		return cmp.Or(cmp.Compare(e.known[a].askedAt, e.known[b].askedAt), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(e.byID[a].probedAt, e.byID[b].probedAt), cmp.Compare(a, b))
 	})
 	hosts := make([]fleet.Host, 0, len(ids))
 	for _, id := range ids[:min(len(ids), e.settings.ProbesPerRound)] {
-		hosts = append(hosts, e.known[id].host)
+		hosts = append(hosts, e.byID[id].host)
 	}
 	return hosts
 }
 
-// note takes one side's answer over; a nil reply means that there was none. A
-// side that was restarted may hold nothing: its answer replaces all.
-func (e *engines) note(now time.Duration, upstream core.UpstreamID, reply *wirepb.ProbeReply) {
-	known := e.known[upstream]
-	known.askedAt = now
+// noteReply records the response to a probe; nil means that there was none. The loaded
+// models are replaced as a whole, because a restarted sidecar may have none.
+func (e *engines) noteReply(now time.Duration, upstream core.UpstreamID, reply *wirepb.ProbeReply) {
+	known := e.byID[upstream]
+	known.probedAt = now
 	if reply == nil {
 		if !known.silent {
 			known.silent = true
@@ -131,44 +134,44 @@
 		return
 	}
 	known.silent = false
-	known.givenUpLogged = false
-	known.answered = true
+	known.silenceLogged = false
+	known.responded = true
 	known.loaded = nil
 	for _, model := range reply.GetLoad().GetModels() {
 		known.loaded = append(known.loaded, placement.ModelVersion{Model: model.GetModel(), Version: model.GetVersion()})
 	}
 }
 
-// stuckRounds is for how many load times an assignment that got stuck is not
-// tried again.
-const stuckRounds = 2
+// stuckLoadTimes is for how long an assignment that got stuck is not tried again, in
+// multiples of LoadMS.
+const stuckLoadTimes = 2
 
-// watchLoads notes how long loads have been in force, and returns those that
-// became stuck just now.
-func (e *engines) watchLoads(now time.Duration, plan placement.Plan) []placement.Assignment {
-	waiting := make(map[placement.Assignment]time.Duration)
-	limit := milliseconds(e.settings.LoadMS)
+// noteLoads records since when loads have been unfinished, and returns those that got
+// stuck just now.
+func (e *engines) noteLoads(now time.Duration, plan placement.Plan) []placement.Assignment {
+	unfinishedSince := make(map[placement.Assignment]time.Duration)
+	loadTimeout := milliseconds(e.settings.LoadMS)
 	var stuck []placement.Assignment
 	for _, a := range plan.Assignments {
-		known := e.known[a.Upstream]
+		known := e.byID[a.Upstream]
 		if known == nil || known.holds(a) {
 			continue
 		}
-		since, ok := e.waiting[a]
+		since, ok := e.unfinishedSince[a]
 		if !ok {
 			since = now
 		}
-		waiting[a] = since
-		if now-since > limit {
-			e.stuck[a] = now + stuckRounds*limit
+		unfinishedSince[a] = since
+		if now-since > loadTimeout {
+			e.stuckUntil[a] = now + stuckLoadTimes*loadTimeout
 			stuck = append(stuck, a)
 		}
 	}
-	e.waiting = waiting
+	e.unfinishedSince = unfinishedSince
 	return stuck
 }
 
-// input returns what a plan follows from.
+// input returns the input from which the plan is computed.
 func (e *engines) input(now time.Duration, facts Facts, proposer string) placement.Input {
 	in := placement.Input{
 		Revision: facts.Revision,
@@ -179,8 +182,8 @@
 			ModelsPerEngine: e.settings.ModelsPerEngine,
 		},
 	}
-	for id, known := range e.known {
-		if e.givenUp(now, known) {
+	for id, known := range e.byID {
+		if e.silentTooLong(now, known) {
 			continue
 		}
 		in.Engines = append(in.Engines, placement.Engine{
@@ -188,13 +191,13 @@
 			Service:  known.host.Service,
 			Zone:     known.host.Zone,
 			Loaded:   known.loaded,
-			Known:    known.answered && !known.silent,
+			Known:    known.responded && !known.silent,
 		})
 	}
 	slices.SortFunc(in.Engines, func(a, b placement.Engine) int { return cmp.Compare(a.Upstream, b.Upstream) })
-	for a, until := range e.stuck {
+	for a, until := range e.stuckUntil {
 		if now > until {
-			delete(e.stuck, a)
+			delete(e.stuckUntil, a)
 			continue
 		}
 		in.Stuck = append(in.Stuck, a)
@@ -202,7 +205,7 @@
 	return in
 }
 
-// givenUp tells whether an engine has been silent for the whole grace.
-func (e *engines) givenUp(now time.Duration, known *engine) bool {
+// silentTooLong reports whether an engine has been silent for longer than the grace period.
+func (e *engines) silentTooLong(now time.Duration, known *engine) bool {
 	return known.silent && now-known.silentSince > milliseconds(e.settings.GraceMS)
 }
--- a/entry/place/log.go
+++ b/entry/place/log.go
@@ -8,10 +8,10 @@
 	"acaciawinch/observe/event"
 )
 
-// maxAlternatives bounds the engines that one log line names.
+// maxAlternatives bounds the alternative engines that one log line lists.
 const maxAlternatives = 5
 
-// logWritten writes a line for the plan and one for each of its decisions.
+// logWritten logs a plan that took effect and each of its decisions.
 func (p *Proposer) logWritten(plan placement.Plan, version uint64, decisions []placement.Decision) {
 	p.metrics.plans.Inc(1)
 	loads := 0
@@ -37,7 +37,7 @@
 	}
 }
 
-// logDecision writes the line of one decision.
+// logDecision logs one decision.
 func (p *Proposer) logDecision(sequence uint64, d placement.Decision) {
 	if d.Action == placement.ActionShort {
 		p.logShort(d)
@@ -54,39 +54,39 @@
 	})
 }
 
-// logShort writes the line of a shortage that is new or has changed.
+// logShort logs a shortage that is new or whose reason has changed.
 func (p *Proposer) logShort(d placement.Decision) {
-	if p.short[d.Assignment] == d.Reason {
+	if p.loggedShortages[d.Assignment] == d.Reason {
 		return
 	}
-	p.short[d.Assignment] = d.Reason
+	p.loggedShortages[d.Assignment] = d.Reason
 	p.options.Log.Warn(event.PlacementShort, observe.Fields{
 		"model": d.Assignment.Model, "version": d.Assignment.Version, "reason": d.Reason,
 	})
 }
 
-// logNotWritten writes the line of a plan that did not take effect.
+// logNotWritten logs a plan that was not written.
 func (p *Proposer) logNotWritten(plan placement.Plan, err error) {
-	p.metrics.late.Inc(1)
+	p.metrics.notWritten.Inc(1)
 	p.options.Log.Warn(event.PlacementNotWritten, observe.Fields{"sequence": plan.Sequence, "error": err.Error()})
 }
 
-// logSilent writes a line for each engine that was given up in this round.
+// logSilent logs each engine that has now been silent for too long.
 func (p *Proposer) logSilent(hosts []fleet.Host) {
 	now := p.now()
 	for _, host := range hosts {
-		known := p.engines.known[core.UpstreamID(host.Name)]
-		if known.givenUpLogged || !p.engines.givenUp(now, known) {
+		known := p.engines.byID[core.UpstreamID(host.Name)]
+		if known.silenceLogged || !p.engines.silentTooLong(now, known) {
 			continue
 		}
-		known.givenUpLogged = true
+		known.silenceLogged = true
 		p.options.Log.Warn(event.PlacementEngineSilent, observe.Fields{
 			"upstream": host.Name, "addr": host.Addr, "silent_ms": (now - known.silentSince).Milliseconds(),
 		})
 	}
 }
 
-// logStuck writes a line for each load that was given up in this round.
+// logStuck logs each load that got stuck in this round.
 func (p *Proposer) logStuck(stuck []placement.Assignment) {
 	for _, a := range stuck {
 		p.options.Log.Warn(event.PlacementLoadStuck, observe.Fields{
--- a/entry/place/metrics.go
+++ b/entry/place/metrics.go
@@ -2,13 +2,14 @@
 
 import "github.com/uber-go/tally/v4"
 
-// metrics shows what the proposer does.
+// metrics counts the work of the proposer.
 type metrics struct {
 	// holding is 1 while this process holds the lease.
 	holding tally.Gauge
-	// assignments and unfinished are those of the last plan that it read.
-	assignments, unfinished tally.Gauge
-	plans, late, probes     tally.Counter
+	// assignments and unfinished are the numbers of assignments and unfinished loads of the
+	// plan last read.
+	assignments, unfinished   tally.Gauge
+	plans, notWritten, probes tally.Counter
 }
 
 // newMetrics registers the metrics below scope; a nil scope drops them.
@@ -22,13 +23,13 @@
 		assignments: scope.Gauge("assignments"),
 		unfinished:  scope.Gauge("unfinished_loads"),
 		plans:       scope.Counter("plans_written"),
-		late:        scope.Counter("plans_not_written"),
+		notWritten:  scope.Counter("plans_not_written"),
 		probes:      scope.Counter("probes"),
 	}
 }
 
-// hold shows whether this process holds the lease.
-func (m *metrics) hold(holds bool) {
+// setHolding sets whether this process holds the lease.
+func (m *metrics) setHolding(holds bool) {
 	value := 0.0
 	if holds {
 		value = 1
--- a/entry/place/place_test.go
+++ b/entry/place/place_test.go
@@ -24,22 +24,22 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// quick makes rounds short. No test asserts on them.
-var quick = Settings{MaxLoads: 1, ModelsPerEngine: 1, RoundMS: 10, LeaseMS: 100, GraceMS: 50, LoadMS: 60000}
+// quickSettings makes rounds short. No test depends on their exact length.
+var quickSettings = Settings{MaxLoads: 1, ModelsPerEngine: 1, RoundMS: 10, LeaseMS: 100, GraceMS: 50, LoadMS: 60000}
 
-// store is an object API in memory. Before is called ahead of each write and may
-// block it or make it fail.
+// store is an object API in memory. beforeWrite is called before each write and may block
+// it or make it fail.
 type store struct {
 	*memory.Store
-	mu     sync.Mutex
-	before func(key string) error
-	// refused gets the proposer in force when the condition of a plan did not hold,
-	// unless it holds one already.
-	refused chan string
+	mu          sync.Mutex
+	beforeWrite func(key string) error
+	// conflicts receives the proposer of the plan in force when a write of a plan failed
+	// because its version had changed, unless it already holds one.
+	conflicts chan string
 }
 
 // newStore returns an empty store.
-func newStore() *store { return &store{Store: memory.New(), refused: make(chan string, 1)} }
+func newStore() *store { return &store{Store: memory.New(), conflicts: make(chan string, 1)} }
 
 // Create implements objects.API.
 func (s *store) Create(ctx context.Context, key string, value []byte) (uint64, error) {
@@ -49,7 +49,7 @@
 // Update implements objects.API.
 func (s *store) Update(ctx context.Context, key string, value []byte, version uint64) (uint64, error) {
 	s.mu.Lock()
-	before := s.before
+	before := s.beforeWrite
 	s.mu.Unlock()
 	if before != nil {
 		if err := before(key); err != nil {
@@ -58,15 +58,15 @@
 	}
 	written, err := s.Store.Update(ctx, key, value, version)
 	if key == placement.PlanKey && fault.Is(err, fault.Conflict) {
-		s.noteRefused(s.plan().Proposer)
+		s.noteConflict(s.plan().Proposer)
 	}
 	return written, err
 }
 
-// noteRefused notes who is in force at a refusal.
-func (s *store) noteRefused(proposer string) {
+// noteConflict records the proposer of the plan in force at a conflict.
+func (s *store) noteConflict(proposer string) {
 	select {
-	case s.refused <- proposer:
+	case s.conflicts <- proposer:
 	default:
 	}
 }
@@ -80,30 +80,30 @@
 	return plan
 }
 
-// fleetUnderTest is a set of engines that load what the plan tells them, each
-// load taking one question, and a host list.
-type fleetUnderTest struct {
+// testFleet is a host list and a set of engines that load the models that the plan assigns
+// to them. A load takes until the next probe.
+type testFleet struct {
 	store    *store
 	settings Settings
 	mu       sync.Mutex
 	hosts    []fleet.Host
-	// silent are the engines whose sides do not answer.
+	// silent are the engines whose sidecars don't respond.
 	silent map[string]bool
 	loaded map[string][]placement.ModelVersion
-	// most is the most loads that were unfinished at once.
-	most int
+	// maxUnfinished is the highest number of loads that were unfinished at the same time.
+	maxUnfinished int
 	// changed is closed when the hosts change.
 	changed chan struct{}
 }
 
-// newFleetUnderTest returns engines of one service in two zones.
-func newFleetUnderTest(engines int) *fleetUnderTest {
-	f := &fleetUnderTest{
+// newTestFleet returns a fleet whose engines belong to one service in two zones.
+func newTestFleet(engines int) *testFleet {
+	f := &testFleet{
 		store:    newStore(),
 		silent:   make(map[string]bool),
 		loaded:   make(map[string][]placement.ModelVersion),
 		changed:  make(chan struct{}),
-		settings: quick,
+		settings: quickSettings,
 	}
 	for i := range engines {
 		name := fmt.Sprintf("llm-%d", i)
@@ -113,7 +113,7 @@
 }
 
 // Probe implements Prober.
-func (f *fleetUnderTest) Probe(_ context.Context, addr string, _ *wirepb.ProbeRequest) (*wirepb.ProbeReply, error) {
+func (f *testFleet) Probe(_ context.Context, addr string, _ *wirepb.ProbeRequest) (*wirepb.ProbeReply, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.silent[addr] {
@@ -127,8 +127,8 @@
 	return reply, nil
 }
 
-// load brings an engine in line with the plan and counts unfinished loads.
-func (f *fleetUnderTest) load(addr string) {
+// load makes an engine load the models of the plan and counts the unfinished loads.
+func (f *testFleet) load(addr string) {
 	unfinished := 0
 	var own []placement.ModelVersion
 	for _, a := range f.store.plan().Assignments {
@@ -139,28 +139,28 @@
 			own = append(own, a.Holds())
 		}
 	}
-	f.most = max(f.most, unfinished)
+	f.maxUnfinished = max(f.maxUnfinished, unfinished)
 	f.loaded[addr] = own
 }
 
-// next implements Options.Changed.
-func (f *fleetUnderTest) next() <-chan struct{} {
+// nextChange implements Options.Changed.
+func (f *testFleet) nextChange() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changed
 }
 
-// remove takes an engine off the host list.
-func (f *fleetUnderTest) remove(gone core.UpstreamID) {
+// remove removes an engine from the host list.
+func (f *testFleet) remove(removed core.UpstreamID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.hosts = slices.DeleteFunc(f.hosts, func(h fleet.Host) bool { return core.UpstreamID(h.Name) == gone })
+	f.hosts = slices.DeleteFunc(f.hosts, func(h fleet.Host) bool { return core.UpstreamID(h.Name) == removed })
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
 // facts implements Options.Facts.
-func (f *fleetUnderTest) facts() (Facts, bool) {
+func (f *testFleet) facts() (Facts, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return Facts{
@@ -171,13 +171,13 @@
 	}, true
 }
 
-// start runs a proposer and returns how to end it.
-func (f *fleetUnderTest) start(t *testing.T, name string) (stop func()) {
+// start runs a proposer and returns the function that stops it.
+func (f *testFleet) start(t *testing.T, name string) (stop func()) {
 	t.Helper()
 	logger, err := observe.NewLogger(io.Discard, name, "info")
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	proposer := New(Options{Self: name, Objects: f.store, Prober: f, Log: logger, Facts: f.facts, Changed: f.next, Settings: f.settings})
+	proposer := New(Options{Self: name, Objects: f.store, Prober: f, Log: logger, Facts: f.facts, Changed: f.nextChange, Settings: f.settings})
 	done := make(chan error, 1)
 	go func() { done <- proposer.Run(ctx) }()
 	stop = sync.OnceFunc(func() {
@@ -199,8 +199,8 @@
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(5*time.Millisecond))
 }
 
-// serving tells whether all three replicas are loaded on engines that answer.
-func (f *fleetUnderTest) serving() bool {
+// serving reports whether all three replicas are loaded on engines that respond.
+func (f *testFleet) serving() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	count := 0
@@ -212,40 +212,40 @@
 	return count == 3
 }
 
-func TestPlacesInWavesAndReplacesASilentEngine(t *testing.T) {
-	f := newFleetUnderTest(5)
+func TestLoadsOneAtATimeAndReplacesASilentEngine(t *testing.T) {
+	f := newTestFleet(5)
 	f.start(t, "entry-a")
 	f.start(t, "entry-b")
 	eventually(t, "three replicas serve", f.serving)
 	f.mu.Lock()
-	assert.Equal(t, f.most, 1, "loads at once")
+	assert.Equal(t, f.maxUnfinished, 1, "loads at once")
 	silent := f.store.plan().Assignments[0].Upstream
 	f.silent[string(silent)] = true
 	f.mu.Unlock()
 	eventually(t, "the silent engine is replaced", f.serving)
 }
 
-func TestAnotherEntryTakesOver(t *testing.T) {
-	f := newFleetUnderTest(4)
+func TestAnotherEntryTakesOverAReleasedLease(t *testing.T) {
+	f := newTestFleet(4)
 	stop := f.start(t, "entry-a")
 	eventually(t, "three replicas serve", f.serving)
 	f.start(t, "entry-b")
 	stop()
 	eventually(t, "entry-b plans", func() bool { return f.store.plan().Proposer == "entry-b" })
-	gone := f.store.plan().Assignments[0].Upstream
-	f.remove(gone)
-	eventually(t, "the gone engine is replaced", func() bool {
-		return f.serving() && f.store.plan().Assignments[0].Upstream != gone
+	removed := f.store.plan().Assignments[0].Upstream
+	f.remove(removed)
+	eventually(t, "the removed engine is replaced", func() bool {
+		return f.serving() && f.store.plan().Assignments[0].Upstream != removed
 	})
 }
 
-// TestPausedHolderWritesTooLate holds up a holder's first plan until another
-// process has taken the lease and planned.
+// TestPausedHolderWritesTooLate blocks the first plan of a holder until another process has
+// taken the lease and written a plan. The late plan must not take effect.
 func TestPausedHolderWritesTooLate(t *testing.T) {
-	f := newFleetUnderTest(4)
+	f := newTestFleet(4)
 	paused, resume := make(chan struct{}), make(chan struct{})
 	var first atomic.Bool
-	f.store.before = func(key string) error {
+	f.store.beforeWrite = func(key string) error {
 		if key == placement.PlanKey && first.CompareAndSwap(false, true) {
 			close(paused)
 			<-resume
@@ -257,40 +257,41 @@
 	f.start(t, "entry-b")
 	eventually(t, "entry-b plans", func() bool { return f.store.plan().Proposer == "entry-b" })
 	close(resume)
-	eventually(t, "the late plan is refused", func() bool { return len(f.store.refused) > 0 })
-	// What is in force later tells nothing: either may have taken the lease anew.
-	assert.Equal(t, <-f.store.refused, "entry-b")
+	eventually(t, "the late plan is not written", func() bool { return len(f.store.conflicts) > 0 })
+	// The plan in force later proves nothing: either process may have taken the lease
+	// again.
+	assert.Equal(t, <-f.store.conflicts, "entry-b")
 }
 
-// TestChangeDoesNotWaitForTheRound has rounds of a minute, so that only the
-// change can be what brings the next one in time.
+// TestChangeDoesNotWaitForTheRound uses rounds of a minute, so that only the change can
+// start the next round within the time of the test.
 func TestChangeDoesNotWaitForTheRound(t *testing.T) {
-	f := newFleetUnderTest(4)
+	f := newTestFleet(4)
 	f.settings.RoundMS, f.settings.LeaseMS, f.settings.MaxLoads = 60_000, 120_000, 3
 	f.start(t, "entry-a")
 	eventually(t, "a plan", func() bool { return len(f.store.plan().Assignments) == 3 })
-	gone := f.store.plan().Assignments[0].Upstream
-	f.remove(gone)
+	removed := f.store.plan().Assignments[0].Upstream
+	f.remove(removed)
 	eventually(t, "a plan without the engine", func() bool {
-		return !slices.ContainsFunc(f.store.plan().Assignments, func(a placement.Assignment) bool { return a.Upstream == gone })
+		return !slices.ContainsFunc(f.store.plan().Assignments, func(a placement.Assignment) bool { return a.Upstream == removed })
 	})
 }
 
 func TestStoreOutage(t *testing.T) {
-	f := newFleetUnderTest(4)
-	asked := make(chan struct{}, 1)
-	f.store.before = func(key string) error {
+	f := newTestFleet(4)
+	writes := make(chan struct{}, 1)
+	f.store.beforeWrite = func(key string) error {
 		select {
-		case asked <- struct{}{}:
+		case writes <- struct{}{}:
 		default:
 		}
 		return fault.New(fault.Unavailable, "test.update", key, "down")
 	}
 	f.start(t, "entry-a")
-	<-asked
-	<-asked
+	<-writes
+	<-writes
 	f.store.mu.Lock()
-	f.store.before = nil
+	f.store.beforeWrite = nil
 	f.store.mu.Unlock()
 	eventually(t, "three replicas serve", f.serving)
 }
@@ -301,23 +302,23 @@
 	assert.ErrorContains(t, Settings{MaxLoads: -1}.Validate(), "max_loads")
 }
 
-// TestManyEnginesAreAskedInTurn bounds the questions of one round and asks first
-// where something is unfinished.
-func TestManyEnginesAreAskedInTurn(t *testing.T) {
-	settings := quick
+// TestManyEnginesAreProbedInTurn checks that the probes of one round are bounded and that
+// engines with unfinished loads come first.
+func TestManyEnginesAreProbedInTurn(t *testing.T) {
+	settings := quickSettings
 	settings.ProbesPerRound = 2
 	e := newEngines(settings)
-	f := newFleetUnderTest(5)
+	f := newTestFleet(5)
 	facts, _ := f.facts()
 	e.update(facts)
-	asked := make(map[string]int)
+	probed := make(map[string]int)
 	for range 5 {
-		for _, host := range e.toAsk(placement.Plan{}) {
-			asked[host.Name]++
-			e.note(time.Duration(len(asked)), core.UpstreamID(host.Name), &wirepb.ProbeReply{})
+		for _, host := range e.toProbe(placement.Plan{}) {
+			probed[host.Name]++
+			e.noteReply(time.Duration(len(probed)), core.UpstreamID(host.Name), &wirepb.ProbeReply{})
 		}
 	}
-	assert.Equal(t, len(asked), 5)
+	assert.Equal(t, len(probed), 5)
 	unfinished := placement.Plan{Assignments: []placement.Assignment{{Upstream: "llm-4", Model: "m", Version: "1"}}}
-	assert.Equal(t, e.toAsk(unfinished)[0].Name, "llm-4")
+	assert.Equal(t, e.toProbe(unfinished)[0].Name, "llm-4")
 }
--- a/entry/place/proposer.go
+++ b/entry/place/proposer.go
@@ -20,41 +20,42 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// Bounds of a round's calls, and of the pauses between rounds.
+// Timeouts and bounds of a round's calls, and of the delay between rounds.
 const (
-	probeTimeout    = 500 * time.Millisecond
-	probesAtOnce    = 16
-	storeTimeout    = 2 * time.Second
-	releaseTimeout  = 500 * time.Millisecond
-	maxRankedRounds = 12
-	jitterPercent   = 20
-	// settleShare is the part of a round's time that a change waits for others.
-	settleShare = 50
+	probeTimeout        = 500 * time.Millisecond
+	maxConcurrentProbes = 16
+	storeTimeout        = 2 * time.Second
+	releaseTimeout      = 500 * time.Millisecond
+	maxRankedRounds     = 12
+	jitterPercent       = 20
+	// settleDivisor divides the time between rounds to give the delay after a change in
+	// which further changes may arrive.
+	settleDivisor = 50
 )
 
-// Prober asks a side for its load. Errors mean that there was no answer.
+// Prober probes a sidecar for its load. An error means that there was no response.
 type Prober interface {
 	Probe(ctx context.Context, addr string, request *wirepb.ProbeRequest) (*wirepb.ProbeReply, error)
 }
 
-// Options are the parts of a Proposer.
+// Options configure a Proposer.
 type Options struct {
 	// Self is the entry's name in the host list.
 	Self    string
 	Objects objects.API
 	Prober  Prober
 	Log     *observe.Logger
-	// Scope takes the metrics; nil drops them.
+	// Scope is where metrics are registered; nil drops them.
 	Scope tally.Scope
-	// Facts returns what the feed knows, or false while it knows nothing.
+	// Facts returns the state of the feed, and false while it has none.
 	Facts func() (Facts, bool)
-	// Changed returns a channel that is closed when the facts change next, so that
-	// the holder need not wait for its next round; nil if there is none.
+	// Changed returns a channel that is closed at the next change of the facts, so that
+	// the holder need not wait for its next round. It is optional.
 	Changed  func() <-chan struct{}
 	Settings Settings
 }
 
-// FactsOf returns the facts of a feed's state, and false for the nil state.
+// FactsOf returns the facts of a feed's state, and false if the state is nil.
 func FactsOf(state *feed.State) (Facts, bool) {
 	if state == nil {
 		return Facts{}, false
@@ -67,8 +68,8 @@
 	}, true
 }
 
-// Proposer takes part in placement. Run is its only goroutine; Holding may be
-// called by others.
+// Proposer competes for the lease and, while it holds the lease, plans the placement.
+// All its state belongs to the goroutine of Run; only Holding may be called by others.
 type Proposer struct {
 	options Options
 	start   time.Time
@@ -76,28 +77,28 @@
 	lease   *placement.Lease
 	engines *engines
 	metrics *metrics
-	// holding is what the last round found; other goroutines read it.
+	// holding is set if the lease was held after the last round. Other goroutines read it.
 	holding atomic.Bool
-	// short are the shortages that the log has reported, with their reasons.
-	short map[placement.Assignment]string
+	// loggedShortages are the shortages that were logged, with their reasons.
+	loggedShortages map[placement.Assignment]string
 }
 
-// New returns a Proposer that does nothing until Run.
+// New returns a Proposer. It does nothing until Run is called.
 func New(opts Options) *Proposer {
 	opts.Settings = opts.Settings.orDefault()
 	term := rand.Uint64()
 	return &Proposer{
-		options: opts,
-		start:   time.Now(),
-		term:    term,
-		lease:   placement.NewLease(opts.Self, term, milliseconds(opts.Settings.LeaseMS)),
-		engines: newEngines(opts.Settings),
-		metrics: newMetrics(opts.Scope),
-		short:   make(map[placement.Assignment]string),
+		options:         opts,
+		start:           time.Now(),
+		term:            term,
+		lease:           placement.NewLease(opts.Self, term, milliseconds(opts.Settings.LeaseMS)),
+		engines:         newEngines(opts.Settings),
+		metrics:         newMetrics(opts.Scope),
+		loggedShortages: make(map[placement.Assignment]string),
 	}
 }
 
-// Run takes part until ctx ends, then gives the lease up if it holds it. It
+// Run makes rounds until ctx ends, then releases the lease if it holds it. It always
 // returns nil.
 func (p *Proposer) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
@@ -112,10 +113,11 @@
 	return nil
 }
 
-// now returns the process's own monotonic clock.
+// now returns the time of the process's monotonic clock.
 func (p *Proposer) now() time.Duration { return time.Since(p.start) }
 
-// changed returns the channel of the next change, nil if there is none.
+// changed returns the channel that is closed at the next change, or nil if the option is
+// not set.
 func (p *Proposer) changed() <-chan struct{} {
 	if p.options.Changed == nil {
 		return nil
@@ -123,25 +125,25 @@
 	return p.options.Changed()
 }
 
-// wait waits until the next round. The holder also goes on when the facts have
-// changed, though not at once, since changes often come together. While nothing
-// is known every process waits for the first facts.
+// wait waits until the next round. For the holder, a change of the facts ends the wait,
+// after a short delay because changes often come together. Until the first facts are
+// known, their arrival ends the wait of every process.
 func (p *Proposer) wait(ctx context.Context, known bool, changed <-chan struct{}) {
 	if known && !p.Holding() {
 		changed = nil
 	}
-	timer := time.NewTimer(p.pause())
+	timer := time.NewTimer(p.roundDelay())
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 	case <-ctx.Done():
 	case <-changed:
-		settle(ctx, milliseconds(p.options.Settings.RoundMS)/settleShare)
+		sleep(ctx, milliseconds(p.options.Settings.RoundMS)/settleDivisor)
 	}
 }
 
-// settle waits for d, or until ctx ends.
-func settle(ctx context.Context, d time.Duration) {
+// sleep waits for d, or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -150,19 +152,18 @@
 	}
 }
 
-// pause returns the time until the next round if nothing changes. Who does not
-// hold the lease looks at it the less often the farther down it ranks, so that a
-// fleet of hundreds of entries spends a few reads a second on it.
-func (p *Proposer) pause() time.Duration {
-	pause := milliseconds(p.options.Settings.RoundMS)
+// roundDelay returns the time until the next round if nothing changes. A process that
+// does not hold the lease reads it less often the lower it ranks, so that a fleet of
+// hundreds of entries takes only a few reads per second.
+func (p *Proposer) roundDelay() time.Duration {
+	delay := milliseconds(p.options.Settings.RoundMS)
 	if !p.Holding() {
-		pause *= time.Duration(1 + min(p.rank(), maxRankedRounds))
+		delay *= time.Duration(1 + min(p.rank(), maxRankedRounds))
 	}
-	return pause + pause*time.Duration(rand.IntN(jitterPercent))/100
+	return delay + delay*time.Duration(rand.IntN(jitterPercent))/100
 }
 
-// rank returns how many other entries come before this one, by a hash of their
-// names.
+// rank returns how many other entries rank before this one, by a hash of their names.
 func (p *Proposer) rank() int {
 	facts, ok := p.options.Facts()
 	if !ok {
@@ -178,10 +179,11 @@
 	return before
 }
 
-// rankOf is the hash by which entries are ranked.
+// rankOf returns the hash by which entries are ranked.
 func rankOf(name string) uint64 { return xxhash.Sum64String(placement.LeaseKey + "\x00" + name) }
 
-// round drives one round and, if this process holds the lease, its duties.
+// round makes one round: it reads and renews or takes the lease and, if this process
+// holds it, plans.
 func (p *Proposer) round(ctx context.Context, facts Facts) {
 	round := placement.NewRound(p.lease)
 	for ctx.Err() == nil {
@@ -191,48 +193,50 @@
 		}
 		p.call(ctx, round, step, facts)
 	}
-	p.noteLease("not renewed in time")
+	p.updateHolding("not renewed in time")
 }
 
-// Holding tells whether this process held the lease after its last round. It may
-// be called from any goroutine.
+// Holding reports whether this process held the lease after its last round. It may be
+// called from any goroutine.
 func (p *Proposer) Holding() bool { return p.holding.Load() }
 
-// noteLease logs that the lease was taken, or lost and why.
-func (p *Proposer) noteLease(why string) {
+// updateHolding updates holding from the lease. It logs that the lease was taken, or lost
+// for the given reason.
+func (p *Proposer) updateHolding(reason string) {
 	holds := p.lease.Holds(p.now())
 	held := p.holding.Swap(holds)
-	p.metrics.hold(holds)
+	p.metrics.setHolding(holds)
 	switch {
 	case holds && !held:
 		p.options.Log.Event(event.PlacementLeaseTaken, observe.Fields{"term": p.term})
 	case !holds && held:
-		p.options.Log.Event(event.PlacementLeaseLost, observe.Fields{"term": p.term, "reason": why})
+		p.options.Log.Event(event.PlacementLeaseLost, observe.Fields{"term": p.term, "reason": reason})
 	}
 }
 
-// gather asks the engines' sides and hands in what the plan follows from.
+// gather probes the engines' sidecars and passes the input of the plan to the round.
 func (p *Proposer) gather(ctx context.Context, round *placement.Round, facts Facts) {
 	p.engines.update(facts)
-	hosts := p.engines.toAsk(round.Present())
+	hosts := p.engines.toProbe(round.Present())
 	replies := p.probe(ctx, hosts, facts.Revision)
 	for i, host := range hosts {
-		p.engines.note(p.now(), core.UpstreamID(host.Name), replies[i])
+		p.engines.noteReply(p.now(), core.UpstreamID(host.Name), replies[i])
 	}
 	p.logSilent(hosts)
-	p.logStuck(p.engines.watchLoads(p.now(), round.Present()))
+	p.logStuck(p.engines.noteLoads(p.now(), round.Present()))
 	p.metrics.assignments.Update(float64(len(round.Present().Assignments)))
-	p.metrics.unfinished.Update(float64(len(p.engines.waiting)))
+	p.metrics.unfinished.Update(float64(len(p.engines.unfinishedSince)))
 	now := p.now()
 	round.Gathered(now, p.engines.input(now, facts, p.options.Self))
 }
 
-// probe asks hosts, a few at a time; a missing answer is nil.
+// probe probes hosts, a bounded number at a time. The reply of a host that did not respond
+// is nil.
 func (p *Proposer) probe(ctx context.Context, hosts []fleet.Host, revision core.Revision) []*wirepb.ProbeReply {
 	p.metrics.probes.Inc(int64(len(hosts)))
 	replies := make([]*wirepb.ProbeReply, len(hosts))
 	var group errgroup.Group
-	group.SetLimit(probesAtOnce)
+	group.SetLimit(maxConcurrentProbes)
 	for i, host := range hosts {
 		group.Go(func() error {
 			probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
@@ -244,6 +248,6 @@
 			return nil
 		})
 	}
-	_ = group.Wait() // its functions return nil
+	_ = group.Wait() // the functions always return nil
 	return replies
 }
--- a/entry/place/settings.go
+++ b/entry/place/settings.go
@@ -7,26 +7,26 @@
 	"acaciawinch/settings"
 )
 
-// Settings is the [placement] table of an entry's settings. Zero fields take the
+// Settings is the [placement] table of an entry's settings. Fields that are zero get the
 // defaults.
 type Settings struct {
-	// MaxLoads bounds the loads from the weight store at once over the fleet.
+	// MaxLoads bounds the concurrent loads from the weight store over the whole fleet.
 	MaxLoads int `toml:"max_loads"`
-	// ModelsPerEngine bounds what one engine holds.
+	// ModelsPerEngine bounds the number of models that one engine holds.
 	ModelsPerEngine int `toml:"models_per_engine"`
-	// RoundMS is the time between two rounds of the holder, LeaseMS how long a
-	// lease may go without renewal, in milliseconds.
+	// RoundMS is the time between two rounds of the holder, LeaseMS the time after which
+	// a lease that was not renewed expires, in milliseconds.
 	RoundMS int `toml:"round_ms"`
 	LeaseMS int `toml:"lease_ms"`
-	// GraceMS is how long an engine's side may be silent before its models are
-	// placed elsewhere; LoadMS how long a load may take.
+	// GraceMS is how long an engine's sidecar may be silent before its models are placed
+	// elsewhere; LoadMS is how long a load may take.
 	GraceMS int `toml:"grace_ms"`
 	LoadMS  int `toml:"load_ms"`
-	// ProbesPerRound bounds the engines that are asked in one round.
+	// ProbesPerRound bounds the engines that are probed in one round.
 	ProbesPerRound int `toml:"probes_per_round"`
 }
 
-// DefaultSettings returns the settings of a file without a [placement] table.
+// DefaultSettings returns the settings that apply without a [placement] table.
 func DefaultSettings() Settings {
 	return Settings{
 		MaxLoads:        2,
@@ -39,7 +39,7 @@
 	}
 }
 
-// orDefault fills the fields that are zero.
+// orDefault returns the settings with the defaults in place of zero fields.
 func (s Settings) orDefault() Settings {
 	defaults := DefaultSettings()
 	fill := func(field *int, value int) {
@@ -69,9 +69,9 @@
 func (s Settings) Validate() error {
 	s = s.orDefault()
 	var problems []error
-	check := func(key string, value, least, most int) {
-		if value < least || value > most {
-			problems = append(problems, settings.Invalid(key, "%d is not within %d to %d", value, least, most))
+	check := func(key string, value, minimum, maximum int) {
+		if value < minimum || value > maximum {
+			problems = append(problems, settings.Invalid(key, "%d is not within %d to %d", value, minimum, maximum))
 		}
 	}
 	check("max_loads", s.MaxLoads, 1, maxCount)
--- a/entry/place/store.go
+++ b/entry/place/store.go
@@ -8,7 +8,7 @@
 	"acaciawinch/core/placement"
 )
 
-// call makes one call of a round and hands in the answer.
+// call makes one call that a round requests and passes it the result.
 func (p *Proposer) call(ctx context.Context, round *placement.Round, step placement.RoundStep, facts Facts) {
 	storeCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -48,7 +48,7 @@
 	switch fault.CodeOf(err) {
 	case "":
 		round.LeaseWritten(before, version)
-		p.noteLease("")
+		p.updateHolding("")
 	case fault.Conflict, fault.NotFound, fault.Unavailable:
 		round.NotWritten()
 	default:
@@ -56,7 +56,7 @@
 	}
 }
 
-// readPlan reads the plan in force.
+// readPlan reads the plan in force, if there is one.
 func (p *Proposer) readPlan(ctx context.Context, round *placement.Round) {
 	object, err := p.options.Objects.Get(ctx, placement.PlanKey)
 	if fault.Is(err, fault.NotFound) {
@@ -71,8 +71,8 @@
 	round.PlanRead(plan, object.Version)
 }
 
-// writePlan puts a plan in force. A lost answer needs no more than the next
-// round, which reads what is in force.
+// writePlan writes a plan, which puts it in force. If the response is lost, nothing needs
+// to be done: the next round reads which plan is in force.
 func (p *Proposer) writePlan(ctx context.Context, round *placement.Round, step placement.RoundStep) {
 	version, err := p.write(ctx, placement.PlanKey, step.Plan, step.Version)
 	if err != nil {
@@ -84,7 +84,7 @@
 	round.PlanWritten()
 }
 
-// write creates the object if version is zero, else updates that version.
+// write creates the object if version is zero, otherwise it updates that version.
 func (p *Proposer) write(ctx context.Context, key string, value any, version uint64) (uint64, error) {
 	encoded, err := json.Marshal(value)
 	if err != nil {
@@ -96,7 +96,7 @@
 	return p.options.Objects.Update(ctx, key, encoded, version)
 }
 
-// release gives the lease up, so that another entry need not wait for its end.
+// release releases the lease, so that another entry need not wait until it expires.
 func (p *Proposer) release(ctx context.Context) {
 	step := p.lease.Release()
 	if !step.Write {
@@ -104,7 +104,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	// A failure costs the next holder one lease time, no more.
+	// If this fails, the next holder only has to wait for LeaseMS.
 	_, _ = p.write(ctx, placement.LeaseKey, step.Record, step.Version)
-	p.noteLease("the process stops")
+	p.updateHolding("the process is shutting down")
 }
