--- a/entry/claims/sweep.go
+++ b/entry/claims/sweep.go
@@ -27,7 +27,8 @@
 	sweepInterval = 6 * time.Hour
 	// maxFirstSweepDelay bounds the random delay of the first pass.
 	maxFirstSweepDelay = 10 * time.Minute
-	// shardDigits are the hex digits. The first two digits of a claim's name are its shard.
+	// shardDigits are the hex digits. The first two digits of a claim's name, after
+	// claim.Prefix, are its shard.
 	shardDigits = "0123456789abcdef"
 )
 
