--- a/entry/claims/drive.go
+++ b/entry/claims/drive.go
@@ -135,10 +135,9 @@
 	wirepb.ResolveState_RESOLVE_FAILED:  claim.SideFailed,
 }
 
-// Finish records the result of an attempt that ran in its claim. Callers should do so
-// after they have sent the response, off the critical path. The calls are bounded by
-// ctx. An error means that the claim stays open; the sidecar still keeps the result for
-// some time.
+// Finish records in the claim the result of its attempt. Callers should do so after they
+// have sent the response, off the critical path. The calls are bounded by ctx. An error
+// means that the claim stays open; the sidecar still keeps the result for some time.
 func (k *Keeper) Finish(ctx context.Context, c Claim, chunks [][]byte) error {
 	finishing := claim.Finish(c.Record, c.Version, chunks, k.rules)
 	for {
