--- a/entry/route/convert.go
+++ b/entry/route/convert.go
@@ -10,7 +10,7 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// queryOf returns what core/routing asks for a need, remaining being left of it.
+// queryOf converts a need to a routing query with the time remaining.
 func queryOf(need Need, remaining time.Duration) routing.Query {
 	return routing.Query{
 		Service:   need.Service,
@@ -23,8 +23,8 @@
 	}
 }
 
-// answerOf returns the answer that a reply to a probe is.
-func answerOf(upstream routing.Upstream, reply *wirepb.ProbeReply, sent time.Time, rtt time.Duration) routing.Answer {
+// responseOf converts the reply to a probe.
+func responseOf(upstream routing.Upstream, reply *wirepb.ProbeReply, sent time.Time, rtt time.Duration) routing.Answer {
 	return routing.Answer{
 		Upstream:     upstream,
 		Answered:     true,
@@ -39,7 +39,7 @@
 	}
 }
 
-// loadOf converts a load; nil is an empty one.
+// loadOf converts a load report. Nil is treated as an empty report.
 func loadOf(load *wirepb.Load) routing.Load {
 	converted := routing.Load{
 		Estimate: estimateOf(load),
@@ -57,7 +57,7 @@
 	return converted
 }
 
-// estimateOf returns the reported times.
+// estimateOf returns the latencies of a load report.
 func estimateOf(load *wirepb.Load) latency.Estimate {
 	return latency.Estimate{
 		Wait:       microseconds(load.GetWaitUs()),
@@ -69,10 +69,10 @@
 	}
 }
 
-// reportOf returns what a load tells about the service's latencies.
+// reportOf returns the latency report that a load report contains.
 func reportOf(load *wirepb.Load, now time.Time) latency.Report {
 	return latency.Report{Estimate: estimateOf(load), Finished: load.GetFinished(), At: now}
 }
 
-// microseconds converts a reported duration.
+// microseconds converts a reported duration to a time.Duration.
 func microseconds(us uint64) time.Duration { return time.Duration(us) * time.Microsecond }
--- a/entry/route/fixture_test.go
+++ b/entry/route/fixture_test.go
@@ -22,10 +22,10 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// patience bounds the waits of these tests; none depends on its length.
-const patience = 20 * time.Second
+// testTimeout bounds the waits of these tests. No result depends on its length.
+const testTimeout = 20 * time.Second
 
-// fleetState is a state of the fleet.
+// fleetState implements route.Fleet.
 type fleetState struct {
 	hosts   []fleet.Host
 	drained string
@@ -35,32 +35,32 @@
 func (s *fleetState) Drained(upstream string) bool        { return upstream == s.drained }
 func (s *fleetState) Placement() (placement.Plan, uint64) { return placement.Plan{}, 0 }
 
-// sides answers probes in place of side processes.
-type sides struct {
+// fakeSides answers probes in place of sidecar processes.
+type fakeSides struct {
 	mu     sync.Mutex
 	loads  map[string]*wirepb.Load
 	silent map[string]bool
-	asked  map[string]int
-	// waits are what sides tell of workspaces that wait longer there than others.
-	waits map[waiting]uint64
-	// hold keeps all answers back until it is closed, whatever the probe's time.
+	probes map[string]int
+	// waits are the additional queueing times that sidecars report for some workspaces.
+	waits map[waitKey]uint64
+	// hold, if set, delays all replies until it is closed, regardless of the probe's context.
 	hold chan struct{}
-	// stuck, if set, keeps back those of silent sides in the same way.
+	// stuck, if set, delays the replies of silent sidecars in the same way.
 	stuck chan struct{}
 }
 
-// waiting is a request of a workspace before a side.
-type waiting struct {
+// waitKey identifies the requests of a workspace and priority at a sidecar.
+type waitKey struct {
 	addr, workspace string
 	priority        int32
 }
 
-// Probe implements route.Prober. A silent side answers when the probe's time is over.
-func (s *sides) Probe(ctx context.Context, addr string, request *wirepb.ProbeRequest) (*wirepb.ProbeReply, error) {
+// Probe implements route.Prober. For a silent sidecar it fails when the probe's context ends.
+func (s *fakeSides) Probe(ctx context.Context, addr string, request *wirepb.ProbeRequest) (*wirepb.ProbeReply, error) {
 	s.mu.Lock()
-	s.asked[addr]++
+	s.probes[addr]++
 	silent, load, hold := s.silent[addr], s.loads[addr], s.hold
-	wait := load.GetWaitUs() + s.waits[waiting{addr, request.GetWorkspace(), request.GetPriority()}]
+	wait := load.GetWaitUs() + s.waits[waitKey{addr, request.GetWorkspace(), request.GetPriority()}]
 	if silent && s.stuck != nil {
 		hold = s.stuck
 	}
@@ -75,46 +75,46 @@
 	return &wirepb.ProbeReply{Incarnation: 7, SideClockUs: 99, Load: load, WaitUs: wait}, nil
 }
 
-// set changes what a side does.
-func (s *sides) set(change func()) {
+// set changes the behaviour of sidecars under the lock.
+func (s *fakeSides) set(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
 }
 
-// count returns how often a side was asked.
-func (s *sides) count(addr string) int {
+// count returns how often a sidecar was probed.
+func (s *fakeSides) count(addr string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.asked[addr]
+	return s.probes[addr]
 }
 
-// fixture is a Router before controlled sides.
+// fixture is a Router with sidecars that the test controls.
 type fixture struct {
 	*route.Router
-	sides *sides
+	sides *fakeSides
 	state *fleetState
 	scope tally.TestScope
-	log   *lines
-	// stopped is when the router's clock was stopped; zero while it goes.
+	log   *logBuffer
+	// stopped is the time at which the router's clock was stopped, zero while it runs.
 	stopped time.Time
 }
 
-// lines keeps log lines.
-type lines struct {
+// logBuffer collects log lines.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-// logged is a log line of a routing event.
-type logged struct {
+// logLine is the decoded log line of a routing event.
+type logLine struct {
 	Fields struct {
 		Event        int                 `json:"event"`
 		Upstream     string              `json:"upstream"`
@@ -124,17 +124,17 @@
 	} `json:"fields"`
 }
 
-// of returns the lines of one event.
-func (l *lines) of(t *testing.T, e event.Event) []logged {
+// events returns the lines that were logged for one event.
+func (l *logBuffer) events(t *testing.T, e event.Event) []logLine {
 	t.Helper()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var found []logged
+	var found []logLine
 	for _, line := range strings.Split(l.text.String(), "\n") {
 		if line == "" {
 			continue
 		}
-		var parsed logged
+		var parsed logLine
 		assert.NilError(t, json.Unmarshal([]byte(line), &parsed))
 		if parsed.Fields.Event == e.Number {
 			found = append(found, parsed)
@@ -143,14 +143,14 @@
 	return found
 }
 
-// newFixture returns a Router with upstreams a-0… in its own zone.
+// newFixture returns a Router with the upstreams a-0, a-1, … in its own zone.
 func newFixture(t *testing.T, count int, settings route.Settings) *fixture {
 	t.Helper()
 	f := &fixture{
-		sides: &sides{loads: map[string]*wirepb.Load{}, silent: map[string]bool{}, asked: map[string]int{}},
+		sides: &fakeSides{loads: map[string]*wirepb.Load{}, silent: map[string]bool{}, probes: map[string]int{}},
 		state: &fleetState{},
 		scope: tally.NewTestScope("", nil),
-		log:   &lines{},
+		log:   &logBuffer{},
 	}
 	for i := range count {
 		name := fmt.Sprintf("a-%d", i)
@@ -169,7 +169,7 @@
 	return f
 }
 
-// time is the router's clock: the real one, or the moment at which it was stopped.
+// time is the router's clock: the real time, or the time at which the clock was stopped.
 func (f *fixture) time() time.Time {
 	if f.stopped.IsZero() {
 		return time.Now()
@@ -177,18 +177,18 @@
 	return f.stopped
 }
 
-// choose chooses for a plain stage, and fails if that takes longer than patience.
+// choose chooses for a plain stage and fails the test if that takes longer than testTimeout.
 func (f *fixture) choose(t *testing.T) route.Choice {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	choice, err := f.Choose(ctx, plain)
 	assert.NilError(t, err)
-	assert.NilError(t, ctx.Err(), "the decision waited for the end of its context")
+	assert.NilError(t, ctx.Err(), "Choose returned only after its context had ended")
 	return choice
 }
 
-// counter returns a counter's value.
+// counter returns the value of a counter, summed over its tags.
 func (f *fixture) counter(name string) int64 {
 	total := int64(0)
 	for _, counter := range f.scope.Snapshot().Counters() {
@@ -199,16 +199,16 @@
 	return total
 }
 
-// eventually waits until condition holds.
+// eventually waits until condition holds and fails the test after testTimeout.
 func eventually(t *testing.T, condition func() bool) {
 	t.Helper()
-	deadline := time.After(patience)
+	deadline := time.After(testTimeout)
 	tick := time.NewTicker(time.Millisecond)
 	defer tick.Stop()
 	for !condition() {
 		select {
 		case <-deadline:
-			t.Fatal("the condition never held")
+			t.Fatal("timed out waiting for the condition")
 		case <-tick.C:
 		}
 	}
--- a/entry/route/inquiry.go
+++ b/entry/route/inquiry.go
@@ -8,101 +8,102 @@
 	"acaciawinch/core/routing"
 )
 
-// After a first usable answer the others get as long as answers take at present,
-// within these bounds: an upstream that is gone must not cost each decision a
-// whole timeout, and on busy hosts the first to answer is not the best.
+// Bounds of the time for which a decision waits for further responses after the
+// first usable one. Within them it waits for the current response time of the
+// zone. An unreachable upstream must not cost each decision a whole timeout, and on
+// busy hosts the first upstream to respond is not always the best.
 const (
 	minLinger = 5 * time.Millisecond
 	maxLinger = 25 * time.Millisecond
 )
 
-// maxAsked bounds the open probes of one decision; no policy comes near it.
-const maxAsked = 64
+// maxOpenProbes bounds the open probes of one decision. No policy comes near it.
+const maxOpenProbes = 64
 
-// indexed is an answer and its place in the inquiry.
-type indexed struct {
-	place  int
-	answer routing.Answer
+// indexedResponse is a response and its index in probeSet.responses.
+type indexedResponse struct {
+	index    int
+	response routing.Answer
 }
 
-// inquiry is what one decision asks of the upstreams, over all its steps.
-type inquiry struct {
+// probeSet collects the responses of upstreams for one decision, over all of its
+// steps.
+type probeSet struct {
 	router *Router
 	need   Need
-	// answers are in the order of the questions; who has not answered yet counts
-	// as unanswered.
-	answers []routing.Answer
-	// replies has room for all open probes, so that none waits for a reader.
-	replies chan indexed
-	// open counts the probes that may still be answered.
+	// responses has one entry for each queried upstream, in the order of the
+	// queries. Until an upstream responds, its entry is marked as unanswered.
+	responses []routing.Answer
+	// replies has capacity for all open probes, so that no sender blocks.
+	replies chan indexedResponse
+	// open counts the probes without a reply so far.
 	open int
 }
 
-// newInquiry returns an inquiry that has asked nobody yet.
-func newInquiry(router *Router, need Need) *inquiry {
-	return &inquiry{router: router, need: need, replies: make(chan indexed, maxAsked)}
+func newProbeSet(router *Router, need Need) *probeSet {
+	return &probeSet{router: router, need: need, replies: make(chan indexedResponse, maxOpenProbes)}
 }
 
-// ask starts what a policy asks for, and waits as long as one step may take.
-// Answers that come later are taken in the next step.
-func (q *inquiry) ask(ctx context.Context, ask routing.Ask) {
+// ask starts the probes that a policy requests and waits for at most the duration
+// of one step. Later responses count in the next step.
+func (q *probeSet) ask(ctx context.Context, ask routing.Ask) {
 	for _, upstream := range ask.Background {
-		q.router.start(ctx, q.need, upstream, func(routing.Answer) {})
+		q.router.startProbe(ctx, q.need, upstream, func(routing.Answer) {})
 	}
 	known := false
-	var started []*watch
-	for _, answer := range q.router.remembered(ask) {
-		known = known || answer.Answered
-		if watch := q.add(ctx, answer); watch != nil {
-			started = append(started, watch)
+	var started []*probeTimer
+	for _, response := range q.router.cachedResponses(ask) {
+		known = known || response.Answered
+		if timer := q.add(ctx, response); timer != nil {
+			started = append(started, timer)
 		}
 	}
 	if known {
 		return
 	}
-	timer := time.NewTimer(q.router.longest(ask.Upstreams))
-	defer timer.Stop()
-	if q.await(ctx, timer.C) {
-		// Left to the probes' own timers, on a busy host the next decision might ask them again
-		// before these run.
-		for _, watch := range started {
-			watch.expire()
+	stepTimer := time.NewTimer(q.router.longestTimeout(ask.Upstreams))
+	defer stepTimer.Stop()
+	if q.await(ctx, stepTimer.C) {
+		// The probes' own timers may fire late on a busy host, and the next decision would
+		// then probe these upstreams again.
+		for _, timer := range started {
+			timer.expire()
 		}
 	}
 }
 
-// add takes a remembered answer, or probes for one; it returns the watch over that probe, nil if
-// there is none.
-func (q *inquiry) add(ctx context.Context, answer routing.Answer) *watch {
-	place := len(q.answers)
-	q.answers = append(q.answers, answer)
-	if answer.Answered || q.open == maxAsked {
+// add adds a cached response, or starts a probe if there is none. It returns the timer of that
+// probe, nil if no probe was started.
+func (q *probeSet) add(ctx context.Context, response routing.Answer) *probeTimer {
+	index := len(q.responses)
+	q.responses = append(q.responses, response)
+	if response.Answered || q.open == maxOpenProbes {
 		return nil
 	}
 	q.open++
-	return q.router.start(ctx, q.need, answer.Upstream, func(a routing.Answer) {
-		q.replies <- indexed{place: place, answer: a}
+	return q.router.startProbe(ctx, q.need, response.Upstream, func(received routing.Answer) {
+		q.replies <- indexedResponse{index: index, response: received}
 	})
 }
 
-// answered tells whether anybody has answered.
-func (q *inquiry) answered() bool {
-	return slices.ContainsFunc(q.answers, func(a routing.Answer) bool { return a.Answered })
+// answered reports whether any upstream has responded.
+func (q *probeSet) answered() bool {
+	return slices.ContainsFunc(q.responses, func(r routing.Answer) bool { return r.Answered })
 }
 
-// await takes answers until all have come, until a while after the first usable
-// one, until timeout (never if nil), or until ctx ends. It tells whether it was the
-// timeout.
-func (q *inquiry) await(ctx context.Context, timeout <-chan time.Time) bool {
+// await collects responses until all have arrived, the linger time after the first
+// usable one has passed, timeout fires (never if nil), or ctx ends. It reports
+// whether timeout fired.
+func (q *probeSet) await(ctx context.Context, timeout <-chan time.Time) bool {
 	query := queryOf(q.need, 0)
 	var linger <-chan time.Time
 	for q.open > 0 {
 		select {
 		case reply := <-q.replies:
 			q.open--
-			q.answers[reply.place] = reply.answer
-			if linger == nil && query.Obstacle(reply.answer) == "" {
-				timer := time.NewTimer(q.router.lingerFor(reply.answer.Upstream))
+			q.responses[reply.index] = reply.response
+			if linger == nil && query.Obstacle(reply.response) == "" {
+				timer := time.NewTimer(q.router.lingerTime(reply.response.Upstream))
 				defer timer.Stop()
 				linger = timer.C
 			}
@@ -117,7 +118,7 @@
 	return false
 }
 
-// lingerFor returns how long to wait on after an answer of upstream.
-func (r *Router) lingerFor(upstream routing.Upstream) time.Duration {
-	return min(maxLinger, max(minLinger, r.patience(upstream)))
+// lingerTime returns how long to wait for other responses after one of upstream.
+func (r *Router) lingerTime(upstream routing.Upstream) time.Duration {
+	return min(maxLinger, max(minLinger, r.slowResponseTime(upstream)))
 }
--- a/entry/route/inquiry_test.go
+++ b/entry/route/inquiry_test.go
@@ -14,19 +14,19 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// mute is a Prober whose sides answer nothing until it is closed.
-type mute chan struct{}
+// blockedProber is a Prober that returns no reply until the channel is closed.
+type blockedProber chan struct{}
 
 // Probe implements Prober.
-func (m mute) Probe(ctx context.Context, _ string, _ *wirepb.ProbeRequest) (*wirepb.ProbeReply, error) {
-	<-m
+func (p blockedProber) Probe(ctx context.Context, _ string, _ *wirepb.ProbeRequest) (*wirepb.ProbeReply, error) {
+	<-p
 	return nil, ctx.Err()
 }
 
-// TestASideThatADecisionLeavesIsSuspectedAtOnce: the next decision must not ask it again, however
-// late the probe's own timer runs on a busy host.
-func TestASideThatADecisionLeavesIsSuspectedAtOnce(t *testing.T) {
-	prober := make(mute)
+// TestTimedOutSideIsSuspectedBeforeTheNextDecision guards against a decision that probes a sidecar
+// again because the previous probe's own timer fires late on a busy host.
+func TestTimedOutSideIsSuspectedBeforeTheNextDecision(t *testing.T) {
+	prober := make(blockedProber)
 	defer close(prober)
 	logger, err := observe.NewLogger(io.Discard, "entry-1", "error")
 	assert.NilError(t, err)
@@ -36,7 +36,7 @@
 		for i := range 8 {
 			ask.Upstreams = append(ask.Upstreams, routing.Upstream{ID: core.UpstreamID(fmt.Sprint("u", i)), Zone: "a"})
 		}
-		newInquiry(r, Need{}).ask(t.Context(), ask)
+		newProbeSet(r, Need{}).ask(t.Context(), ask)
 		r.mu.Lock()
 		for _, u := range ask.Upstreams {
 			assert.Check(t, r.table.Suspected(u.ID), "%s in round %d", u.ID, round)
--- a/entry/route/metrics.go
+++ b/entry/route/metrics.go
@@ -6,11 +6,11 @@
 	"acaciawinch/core/routing"
 )
 
-// metrics counts what routing does.
+// metrics are the metrics of a Router.
 type metrics struct {
-	// late probes passed their timeout; some are answered all the same.
+	// late counts probes that exceeded their timeout. Some of them are answered later.
 	sent, answered, late, unanswered tally.Counter
-	// bytes counts the encoded messages of probes in both directions, without framing.
+	// bytes counts the encoded probe messages in both directions, without framing.
 	bytes    tally.Counter
 	choices  [3]tally.Counter
 	spills   tally.Counter
@@ -20,10 +20,10 @@
 	latency  tally.Timer
 }
 
-// tierNames are the values of the tag zone.
+// tierNames are the values of the metric tag "zone".
 var tierNames = [...]string{routing.OwnZone: "own", routing.OwnRegion: "region", routing.OtherRegion: "other"}
 
-// newMetrics registers the metrics of a policy.
+// newMetrics registers the metrics, tagged with the name of the policy.
 func newMetrics(scope tally.Scope, policy string) *metrics {
 	scope = scope.SubScope("routing")
 	m := &metrics{
--- a/entry/route/options.go
+++ b/entry/route/options.go
@@ -11,37 +11,37 @@
 	"acaciawinch/observe"
 )
 
-// Fleet is the state of the fleet that routing reads. *feed.State satisfies it.
-// A value never changes; another state is another value.
+// Fleet is the state of the fleet that routing reads. *feed.State implements it.
+// Values are immutable: a changed state is another value.
 type Fleet interface {
 	Hosts() []fleet.Host
 	Drained(upstream string) bool
 	Placement() (plan placement.Plan, version uint64)
 }
 
-// Options are what a Router needs. Fleet, Prober and Logger must be set.
+// Options configure a Router. Fleet, Prober and Logger must be set.
 type Options struct {
-	// Zone and Region are the entry's own.
+	// Zone and Region are those of the entry.
 	Zone, Region string
-	// Fleet returns the present state, nil before the first is known.
+	// Fleet returns the current state, nil until one is known.
 	Fleet func() Fleet
-	// Revision returns the configuration revision that probes carry; may be nil.
+	// Revision returns the configuration revision to send in probes; may be nil.
 	Revision func() core.Revision
-	// NoteRevision is told the revision and address of each side that answers a
-	// probe; may be nil.
+	// NoteRevision is called with the revision and address of each sidecar that
+	// responds to a probe; may be nil.
 	NoteRevision func(revision core.Revision, addr string)
 	Prober       Prober
 	Logger       *observe.Logger
-	// Scope gets the metrics; nil for none.
+	// Scope receives the metrics; nil disables them.
 	Scope    tally.Scope
 	Settings Settings
-	// Seed starts the random source. Entries must differ in it.
+	// Seed seeds the random source. It must differ between entries.
 	Seed uint64
 	// Now is the clock; nil for time.Now.
 	Now func() time.Time
 }
 
-// complete fills what was left out.
+// complete returns o with defaults for the options that are not set.
 func (o Options) complete() Options {
 	o.Settings = o.Settings.orDefault()
 	if o.Scope == nil {
--- a/entry/route/probe_cost_test.go
+++ b/entry/route/probe_cost_test.go
@@ -15,7 +15,7 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// busySide answers probes as the side of a busy engine with two models does.
+// busySide answers probes like the sidecar of a busy engine with two models.
 type busySide struct {
 	wirepb.DRPCSideUnimplementedServer
 }
@@ -32,15 +32,15 @@
 	}, nil
 }
 
-// processorTime returns what this process has used so far.
-func processorTime(b *testing.B) time.Duration {
+// cpuTime returns the CPU time that this process has used so far.
+func cpuTime(b *testing.B) time.Duration {
 	var usage syscall.Rusage
 	assert.NilError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &usage))
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// BenchmarkProbe is the cost of one probe over a kept connection: time of the
-// round trip, processor time of both ends together, and bytes above TCP.
+// BenchmarkProbe measures the cost of one probe over a pooled connection: round-trip
+// time, CPU time of both ends together, and bytes above TCP.
 func BenchmarkProbe(b *testing.B) {
 	const key = "0123456789abcdef0123456789abcdef"
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,12 +53,12 @@
 	dialer := link.NewDialer(key)
 	prober := route.NewProber(dialer)
 	request := &wirepb.ProbeRequest{Revision: 120_000, PrefixHash: 0x1234567890abcdef, Workspace: "pensionistas", Priority: 1}
-	before := processorTime(b)
+	before := cpuTime(b)
 	for b.Loop() {
 		_, err := prober.Probe(ctx, listener.Addr().String(), request)
 		assert.NilError(b, err)
 	}
-	b.ReportMetric(float64(processorTime(b)-before)/float64(b.N), "cpu-ns/op")
+	b.ReportMetric(float64(cpuTime(b)-before)/float64(b.N), "cpu-ns/op")
 	bytes := dialer.Traffic().Read() + dialer.Traffic().Written()
 	b.ReportMetric(float64(bytes)/float64(b.N), "bytes/op")
 	b.ReportMetric(float64(dialer.Traffic().Read())/float64(b.N), "bytes-in/op")
--- a/entry/route/prober.go
+++ b/entry/route/prober.go
@@ -8,13 +8,13 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// Prober asks a side for its load. Errors are *fault.Error with step
-// "route.probe" or that of the dialing.
+// Prober queries sidecars for their load. Errors are *fault.Error with the step
+// "route.probe" or the step of dialing.
 type Prober interface {
 	Probe(ctx context.Context, addr string, request *wirepb.ProbeRequest) (*wirepb.ProbeReply, error)
 }
 
-// linkProber probes over the fleet's connections.
+// linkProber sends probes over the fleet's connections.
 type linkProber struct {
 	dialer *link.Dialer
 }
--- a/entry/route/record.go
+++ b/entry/route/record.go
@@ -9,7 +9,7 @@
 	"acaciawinch/observe/event"
 )
 
-// alternatives returns what a Choice tells of those not taken.
+// alternatives converts the upstreams that were considered and not chosen.
 func alternatives(others []routing.Weighed) []Alternative {
 	list := make([]Alternative, len(others))
 	for i, other := range others {
@@ -23,8 +23,8 @@
 	return list
 }
 
-// chosen logs and counts a choice.
-func (r *Router) chosen(need Need, decision routing.Decision, choice Choice) {
+// logChosen logs and counts a choice.
+func (r *Router) logChosen(need Need, decision routing.Decision, choice Choice) {
 	r.metrics.choices[decision.Chosen.Answer.Upstream.Tier].Inc(1)
 	if decision.Spilled {
 		r.metrics.spills.Inc(1)
@@ -42,8 +42,8 @@
 	})
 }
 
-// refused logs and counts a refusal.
-func (r *Router) refused(need Need, decision routing.Decision) {
+// logRefused logs and counts a refusal.
+func (r *Router) logRefused(need Need, decision routing.Decision) {
 	r.metrics.refusals.Inc(1)
 	r.opts.Logger.Event(event.RouteRefused, observe.Fields{
 		"request":        need.Request,
@@ -55,8 +55,9 @@
 	})
 }
 
-// suspected logs that an upstream is avoided from now on.
-func (r *Router) suspected(upstream core.UpstreamID, suspicion routing.Suspicion, suspects int) {
+// logSuspected logs that an upstream is avoided for a time, and updates the gauge of
+// suspected upstreams.
+func (r *Router) logSuspected(upstream core.UpstreamID, suspicion routing.Suspicion, suspects int) {
 	r.metrics.suspects.Update(float64(suspects))
 	r.opts.Logger.Warn(event.UpstreamSuspected, observe.Fields{
 		"upstream":  upstream,
@@ -66,8 +67,8 @@
 	})
 }
 
-// recovered logs that a suspicion ended.
-func (r *Router) recovered(upstream core.UpstreamID, suspects int) {
+// logRecovered logs that a suspicion ended, and updates the same gauge.
+func (r *Router) logRecovered(upstream core.UpstreamID, suspects int) {
 	r.metrics.suspects.Update(float64(suspects))
 	r.opts.Logger.Event(event.UpstreamRecovered, observe.Fields{"upstream": upstream})
 }
--- a/entry/route/refuse.go
+++ b/entry/route/refuse.go
@@ -8,17 +8,17 @@
 	"acaciawinch/core/fault"
 )
 
-// refusal is the cause of an error that says when to come back.
+// refusal is the cause of an error that carries a retry delay.
 type refusal struct {
-	after time.Duration
-	// late is set if somebody could do the work, but not in time.
-	late bool
+	retryAfter time.Duration
+	// tooLate is set if an upstream is able to run the stage, but not in time.
+	tooLate bool
 }
 
 // Error implements error.
-func (r *refusal) Error() string { return fmt.Sprintf("retry after %s", r.after) }
+func (r *refusal) Error() string { return fmt.Sprintf("retry after %s", r.retryAfter) }
 
-// refuse returns an error with code Refused that carries a retry delay.
+// refuse returns an error with the code Refused and r as its cause.
 func refuse(service string, r refusal, detail string) error {
 	return &fault.Error{
 		Code:   fault.Refused,
@@ -29,17 +29,17 @@
 	}
 }
 
-// RetryAfter returns the delay that an error of Choose carries, or zero.
+// RetryAfter returns the retry delay of an error of Choose, zero if it has none.
 func RetryAfter(err error) time.Duration {
 	var r *refusal
 	if errors.As(err, &r) {
-		return r.after
+		return r.retryAfter
 	}
 	return 0
 }
 
-// Late tells whether err is a refusal of Choose for want of time only.
+// Late reports whether err is a refusal of Choose only because no upstream would finish in time.
 func Late(err error) bool {
 	var r *refusal
-	return errors.As(err, &r) && r.late
+	return errors.As(err, &r) && r.tooLate
 }
--- a/entry/route/router.go
+++ b/entry/route/router.go
@@ -16,12 +16,12 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// Router chooses upstreams. It may be used by many goroutines.
+// Router chooses upstreams. It is safe for concurrent use.
 type Router struct {
 	opts    Options
 	metrics *metrics
 
-	// mu guards all below. No I/O happens while it is held.
+	// mu guards the fields below. No I/O is done while it is held.
 	mu        sync.Mutex
 	policy    routing.Policy
 	random    *rand.Rand
@@ -36,7 +36,7 @@
 	opts = opts.complete()
 	policy, err := routing.NewPolicy(opts.Settings.Policy)
 	if err != nil {
-		policy, _ = routing.NewPolicy(routing.Probe2) // this one always exists
+		policy, _ = routing.NewPolicy(routing.Probe2) // cannot fail: Probe2 always exists
 	}
 	return &Router{
 		opts:      opts,
@@ -49,27 +49,27 @@
 	}
 }
 
-// Choose returns the upstream that the policy takes for a stage. Each returned
-// Choice must be followed by one ObserveResult. Errors: code Refused if nobody
-// can carry out the stage in time (see RetryAfter), Cancelled or
+// Choose returns the upstream that the policy chooses for a stage. Each returned
+// Choice must be followed by one call of ObserveResult. The code of an error is
+// Refused if no upstream can run the stage in time (see RetryAfter), Cancelled or
 // DeadlineExceeded if ctx ended.
 func (r *Router) Choose(ctx context.Context, need Need) (Choice, error) {
 	started := r.opts.Now()
-	inquiry := newInquiry(r, need)
+	probes := newProbeSet(r, need)
 	var decision routing.Decision
-	for number := 0; ctx.Err() == nil; number++ {
-		ask := r.plan(need, started, number, inquiry.answers)
-		if number > 0 && len(ask.Upstreams) == 0 {
+	for step := 0; ctx.Err() == nil; step++ {
+		ask := r.plan(need, started, step, probes.responses)
+		if step > 0 && len(ask.Upstreams) == 0 {
 			break
 		}
-		inquiry.ask(ctx, ask)
-		decision = r.decide(need, started, number, inquiry.answers)
+		probes.ask(ctx, ask)
+		decision = r.decide(need, started, step, probes.responses)
 		if !decision.Widen {
 			break
 		}
 		r.metrics.widened.Inc(1)
 	}
-	decision = r.settle(ctx, inquiry, started, decision)
+	decision = r.finalDecision(ctx, probes, started, decision)
 	r.metrics.latency.Record(r.opts.Now().Sub(started))
 	if err := ctxFault(ctx, need.Service); err != nil && !decision.OK {
 		return Choice{}, err
@@ -77,23 +77,23 @@
 	return r.conclude(need, decision)
 }
 
-// lastStep is the number of a step after which no policy asks for another.
+// lastStep is a step number at which every policy's decision is final.
 const lastStep = 1000
 
-// settle returns the decision that stands when nobody else can be asked. If
-// nobody has answered yet, it first gives the open probes the rest of their
-// time: on a busy host a late answer is better than a refusal.
-func (r *Router) settle(ctx context.Context, inquiry *inquiry, started time.Time, decision routing.Decision) routing.Decision {
+// finalDecision returns the decision once no other upstream can be probed. If no
+// upstream has responded yet, it first waits until the open probes end: on a busy
+// host, a late response is better than a refusal.
+func (r *Router) finalDecision(ctx context.Context, probes *probeSet, started time.Time, decision routing.Decision) routing.Decision {
 	if decision.OK && !decision.Widen {
 		return decision
 	}
-	if !inquiry.answered() {
-		inquiry.await(ctx, nil)
+	if !probes.answered() {
+		probes.await(ctx, nil)
 	}
-	return r.decide(inquiry.need, started, lastStep, inquiry.answers)
+	return r.decide(probes.need, started, lastStep, probes.responses)
 }
 
-// ctxFault returns why ctx ended, or nil.
+// ctxFault returns an error with the reason for which ctx ended, nil if it has not.
 func ctxFault(ctx context.Context, service string) error {
 	switch ctx.Err() {
 	case nil:
@@ -101,39 +101,39 @@
 	case context.DeadlineExceeded:
 		return fault.New(fault.DeadlineExceeded, "route.choose", service, "the deadline passed before an upstream was chosen")
 	default:
-		return fault.New(fault.Cancelled, "route.choose", service, "the caller gave up")
+		return fault.New(fault.Cancelled, "route.choose", service, "the caller cancelled the request")
 	}
 }
 
-// plan asks the policy whom to ask.
-func (r *Router) plan(need Need, started time.Time, number int, answers []routing.Answer) routing.Ask {
+// plan returns the upstreams that the policy wants to probe in this step.
+func (r *Router) plan(need Need, started time.Time, step int, responses []routing.Answer) routing.Ask {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.refresh()
-	return r.policy.Ask(r.round(need, started, number, answers))
+	r.refreshPicker()
+	return r.policy.Ask(r.round(need, started, step, responses))
 }
 
-// decide asks the policy whom to take. A choice that stands is counted before the
-// lock is released, so that the next decision sees it.
-func (r *Router) decide(need Need, started time.Time, number int, answers []routing.Answer) routing.Decision {
+// decide returns the policy's decision. A final choice is counted as in flight before
+// the lock is released, so that the next decision takes it into account.
+func (r *Router) decide(need Need, started time.Time, step int, responses []routing.Answer) routing.Decision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	decision := r.policy.Decide(r.round(need, started, number, answers))
+	decision := r.policy.Decide(r.round(need, started, step, responses))
 	if !decision.Widen {
-		r.count(decision)
+		r.countInFlight(decision)
 	}
 	return decision
 }
 
-// count records the chosen upstream as holding one more attempt. The lock is held.
-func (r *Router) count(decision routing.Decision) {
+// countInFlight adds an attempt in flight to the chosen upstream. The caller holds mu.
+func (r *Router) countInFlight(decision routing.Decision) {
 	if decision.OK {
 		r.table.Chosen(decision.Chosen.Answer.Upstream.ID, r.opts.Now())
 	}
 }
 
-// round returns what a policy reads. The lock is held.
-func (r *Router) round(need Need, started time.Time, number int, answers []routing.Answer) *routing.Round {
+// round returns the policy's input for one step. The caller holds mu.
+func (r *Router) round(need Need, started time.Time, step int, responses []routing.Answer) *routing.Round {
 	now := r.opts.Now()
 	remaining := need.Remaining
 	if remaining > 0 {
@@ -146,13 +146,13 @@
 		Random:  r.random,
 		Now:     now,
 		Usual:   r.latencies.Estimate(need.Service, now),
-		Number:  number,
-		Answers: answers,
+		Number:  step,
+		Answers: responses,
 	}
 }
 
-// refresh takes a new Picker if the state of the fleet changed. The lock is held.
-func (r *Router) refresh() {
+// refreshPicker builds a new Picker if the state of the fleet changed. The caller holds mu.
+func (r *Router) refreshPicker() {
 	state := r.opts.Fleet()
 	if state == nil || state == r.fleet {
 		return
@@ -172,10 +172,10 @@
 	})
 }
 
-// conclude turns the decision that stands into a Choice or an error.
+// conclude logs the final decision and converts it to a Choice or an error.
 func (r *Router) conclude(need Need, decision routing.Decision) (Choice, error) {
 	if !decision.OK {
-		r.refused(need, decision)
+		r.logRefused(need, decision)
 		return Choice{}, refuse(need.Service, refusalOf(decision), decision.Reason)
 	}
 	chosen := decision.Chosen.Answer
@@ -190,17 +190,17 @@
 		Reason:       decision.Reason,
 		Alternatives: alternatives(decision.Others),
 	}
-	r.chosen(need, decision, choice)
+	r.logChosen(need, decision, choice)
 	return choice, nil
 }
 
-// refusalOf tells why nobody was taken.
+// refusalOf returns the refusal for a decision without a chosen upstream.
 func refusalOf(d routing.Decision) refusal {
-	able := func(w routing.Weighed) bool { return w.Expected > 0 }
-	return refusal{after: d.RetryAfter, late: slices.ContainsFunc(d.Others, able)}
+	capable := func(w routing.Weighed) bool { return w.Expected > 0 }
+	return refusal{retryAfter: d.RetryAfter, tooLate: slices.ContainsFunc(d.Others, capable)}
 }
 
-// ObserveLoad keeps a load that came with an answer of a side.
+// ObserveLoad records a load report that was part of a sidecar's response.
 func (r *Router) ObserveLoad(upstream core.UpstreamID, load *wirepb.Load) {
 	if load == nil {
 		return
@@ -216,17 +216,17 @@
 	r.latencies.Observe(member.Service, upstream, reportOf(load, now))
 }
 
-// ObserveResult keeps how an attempt ended.
+// ObserveResult records the result of an attempt.
 func (r *Router) ObserveResult(result Result) {
 	r.mu.Lock()
 	r.table.Ended(result.Upstream, result.Kind == ResultOK)
 	r.mu.Unlock()
 	if result.Kind == ResultSilent {
-		r.silent(result.Upstream, routing.SilentWork)
+		r.recordSilence(result.Upstream, routing.SilentWork)
 	}
 }
 
-// Estimate returns what is expected of a service, from what its sides report.
+// Estimate returns the expected latencies of a service, based on the reports of its sidecars.
 func (r *Router) Estimate(service string) latency.Estimate {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/entry/route/router_test.go
+++ b/entry/route/router_test.go
@@ -16,13 +16,14 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// hourMS is a probe timeout that no test reaches.
+// hourMS is a probe timeout that is longer than any test.
 const hourMS = 3_600_000
 
 // plain is a stage without a model.
 var plain = route.Need{Request: "entry-1-1", Stage: "generate", Service: "llm"}
 
-// TestChoiceCarriesTicketAndReasons takes the idle one of two and says why.
+// TestChoiceCarriesTicketAndReasons expects the idle one of two upstreams, its ticket (incarnation
+// and clock) and the reasons in the choice and in the log.
 func TestChoiceCarriesTicketAndReasons(t *testing.T) {
 	f := newFixture(t, 2, route.Settings{})
 	f.sides.loads["a-0"].WaitUs = 500_000
@@ -35,7 +36,7 @@
 	assert.Equal(t, choice.Expected, time.Millisecond)
 	want := []route.Alternative{{Upstream: "a-0", Zone: "a", Expected: 501 * time.Millisecond, Reason: "expected later"}}
 	assert.DeepEqual(t, choice.Alternatives, want)
-	line := f.log.of(t, event.RouteChosen)[0].Fields
+	line := f.log.events(t, event.RouteChosen)[0].Fields
 	assert.Equal(t, line.Upstream, "a-1")
 	assert.Equal(t, line.Policy, "probe2")
 	assert.DeepEqual(t, line.Alternatives, want)
@@ -44,21 +45,21 @@
 	assert.Equal(t, f.Estimate("llm").ServiceP50, time.Millisecond)
 }
 
-// TestChoiceFollowsTheRequestsOwnWait takes the upstream that serves the request's
-// own workspace and priority first, though both look alike to others.
+// TestChoiceFollowsTheRequestsOwnWait expects the upstream with the shorter wait for the
+// request's workspace and priority, although both report the same general load.
 func TestChoiceFollowsTheRequestsOwnWait(t *testing.T) {
 	f := newFixture(t, 2, route.Settings{})
 	need := plain
 	need.Workspace, need.Priority = "large", 2
 	for _, busy := range []string{"a-0", "a-1"} {
-		f.sides.waits = map[waiting]uint64{{busy, "large", 2}: 500_000}
+		f.sides.waits = map[waitKey]uint64{{busy, "large", 2}: 500_000}
 		choice, err := f.Choose(t.Context(), need)
 		assert.NilError(t, err)
 		assert.Assert(t, choice.Upstream != core.UpstreamID(busy))
 	}
 }
 
-// TestRefusalCarriesRetryAfter names the shortest wait.
+// TestRefusalCarriesRetryAfter expects the shortest wait of the upstreams as the retry delay.
 func TestRefusalCarriesRetryAfter(t *testing.T) {
 	f := newFixture(t, 2, route.Settings{})
 	f.sides.loads["a-0"].WaitUs = 900_000
@@ -68,15 +69,16 @@
 	_, err := f.Choose(t.Context(), need)
 	assert.Assert(t, fault.Is(err, fault.Refused), "%v", err)
 	assert.Equal(t, route.RetryAfter(err), 700*time.Millisecond)
-	assert.Equal(t, len(f.log.of(t, event.RouteRefused)[0].Fields.Alternatives), 2)
+	assert.Equal(t, len(f.log.events(t, event.RouteRefused)[0].Fields.Alternatives), 2)
 	assert.Equal(t, f.counter("routing.refusals"), int64(1))
 	need.Service = "nobody"
 	_, err = f.Choose(t.Context(), need)
 	assert.Assert(t, fault.Is(err, fault.Refused), "%v", err)
 }
 
-// TestCallerWhoGivesUpSuspectsNobody ends the wait and leaves the probe alone.
-func TestCallerWhoGivesUpSuspectsNobody(t *testing.T) {
+// TestCancelledCallerSuspectsNoUpstream: cancellation ends Choose, but not the probe, and the
+// upstream must not count as unresponsive.
+func TestCancelledCallerSuspectsNoUpstream(t *testing.T) {
 	f := newFixture(t, 1, route.Settings{ProbeTimeoutMS: hourMS})
 	f.sides.silent["a-0"] = true
 	ctx, cancel := context.WithCancel(t.Context())
@@ -91,20 +93,21 @@
 	assert.Equal(t, f.counter("routing.probes_unanswered"), int64(0))
 }
 
-// TestSilentSideDoesNotHoldUpADecision answers from the other one, though the
-// silent one's timeout is longer than this test may take.
-func TestSilentSideDoesNotHoldUpADecision(t *testing.T) {
+// TestSilentSideDoesNotDelayADecision: the other upstream is chosen, although the timeout of the
+// silent one is longer than this test may take.
+func TestSilentSideDoesNotDelayADecision(t *testing.T) {
 	f := newFixture(t, 2, route.Settings{ProbeTimeoutMS: hourMS})
 	f.sides.silent["a-0"] = true
 	choice := f.choose(t)
 	assert.Equal(t, choice.Upstream, core.UpstreamID("a-1"))
 	assert.Equal(t, choice.Alternatives[0].Reason, "no answer")
-	assert.Equal(t, f.counter("routing.probes_late"), int64(0), "the decision waited for the timeout")
+	assert.Equal(t, f.counter("routing.probes_late"), int64(0), "the decision waited for the probe timeout")
 }
 
-// TestLateAnswerIsBetterThanARefusal goes on at the timeout, keeps listening, and
-// takes the suspicion back. Held answers come in order, so no time is raced.
-func TestLateAnswerIsBetterThanARefusal(t *testing.T) {
+// TestLateResponseIsBetterThanARefusal: after the timeout the decision still waits for the open
+// probe, and the late response ends the suspicion. The reply is held until the suspicion is
+// logged, so the result does not depend on timing.
+func TestLateResponseIsBetterThanARefusal(t *testing.T) {
 	f := newFixture(t, 1, route.Settings{ProbeTimeoutMS: 5})
 	f.sides.hold = make(chan struct{})
 	var group errgroup.Group
@@ -113,33 +116,33 @@
 		assert.Check(t, choice.Upstream == "a-0")
 		return err
 	})
-	eventually(t, func() bool { return len(f.log.of(t, event.UpstreamSuspected)) == 1 })
+	eventually(t, func() bool { return len(f.log.events(t, event.UpstreamSuspected)) == 1 })
 	close(f.sides.hold)
 	assert.NilError(t, group.Wait())
-	eventually(t, func() bool { return len(f.log.of(t, event.UpstreamRecovered)) == 1 })
+	eventually(t, func() bool { return len(f.log.events(t, event.UpstreamRecovered)) == 1 })
 	assert.Equal(t, f.counter("routing.probes_late"), int64(1))
 }
 
-// TestSilentZoneIsLeftAtTheTimeout asks elsewhere while its probes go on, for as
-// long as the test lasts.
+// TestSilentZoneIsLeftAtTheTimeout: after the timeout the decision probes another zone, while the
+// probes of the silent zone stay open until the end of the test.
 func TestSilentZoneIsLeftAtTheTimeout(t *testing.T) {
 	f := newFixture(t, 3, route.Settings{ProbeTimeoutMS: 250})
 	f.sides.stuck = make(chan struct{})
 	defer close(f.sides.stuck)
-	f.stopped = time.Now() // so that no suspicion ends between the two choices
+	f.stopped = time.Now() // keeps the suspicions from expiring between the two choices
 	f.state.hosts[2].Zone = "b"
 	f.sides.silent["a-0"], f.sides.silent["a-1"] = true, true
 	choice := f.choose(t)
 	assert.Equal(t, choice.Zone, "b")
-	assert.Equal(t, f.counter("routing.probes_unanswered"), int64(0), "the decision waited for the last of the probes")
+	assert.Equal(t, f.counter("routing.probes_unanswered"), int64(0), "the decision waited until a probe of the silent zone ended")
 	assert.Equal(t, f.counter("routing.spills"), int64(1))
 	choice = f.choose(t)
 	assert.Equal(t, choice.Zone, "b")
-	assert.Equal(t, f.sides.count("a-0")+f.sides.count("a-1"), 2, "suspected sides were asked again")
+	assert.Equal(t, f.sides.count("a-0")+f.sides.count("a-1"), 2, "suspected sidecars were probed again")
 }
 
-// TestSuspectedSideComesBackInTheBackground without a request paying for it.
-func TestSuspectedSideComesBackInTheBackground(t *testing.T) {
+// TestSuspectedSideRecoversInTheBackground: background probes end a suspicion without a request.
+func TestSuspectedSideRecoversInTheBackground(t *testing.T) {
 	f := newFixture(t, 2, route.Settings{ProbeTimeoutMS: 1})
 	ctx, cancel := context.WithCancel(t.Context())
 	var group errgroup.Group
@@ -147,17 +150,18 @@
 	f.sides.set(func() { f.sides.silent["a-0"] = true })
 	_, err := f.Choose(ctx, plain)
 	assert.NilError(t, err)
-	eventually(t, func() bool { return len(f.log.of(t, event.UpstreamSuspected)) > 0 })
+	eventually(t, func() bool { return len(f.log.events(t, event.UpstreamSuspected)) > 0 })
 	asked := f.sides.count("a-0")
 	eventually(t, func() bool { return f.sides.count("a-0") > asked })
 	f.sides.set(func() { f.sides.silent["a-0"] = false })
-	eventually(t, func() bool { return len(f.log.of(t, event.UpstreamRecovered)) == 1 })
+	eventually(t, func() bool { return len(f.log.events(t, event.UpstreamRecovered)) == 1 })
 	cancel()
 	assert.NilError(t, group.Wait())
 }
 
-// TestSilentAttemptIsAvoided sends the next attempts elsewhere.
-func TestSilentAttemptIsAvoided(t *testing.T) {
+// TestUpstreamOfASilentAttemptIsAvoided: after a silent attempt the next attempts use another
+// upstream.
+func TestUpstreamOfASilentAttemptIsAvoided(t *testing.T) {
 	f := newFixture(t, 2, route.Settings{})
 	f.sides.loads["a-1"].WaitUs = 3_000
 	choice, err := f.Choose(t.Context(), plain)
@@ -167,11 +171,12 @@
 	choice, err = f.Choose(t.Context(), plain)
 	assert.NilError(t, err)
 	assert.Equal(t, choice.Upstream, core.UpstreamID("a-1"))
-	assert.Equal(t, f.log.of(t, event.UpstreamSuspected)[0].Fields.Upstream, "a-0")
+	assert.Equal(t, f.log.events(t, event.UpstreamSuspected)[0].Fields.Upstream, "a-0")
 }
 
-// TestLeavingAndDrainedGetNothingAtOnce follows the state of the fleet.
-func TestLeavingAndDrainedGetNothingAtOnce(t *testing.T) {
+// TestLeavingAndDrainedUpstreamsAreExcludedAtOnce: a new state of the fleet applies to the next
+// decision.
+func TestLeavingAndDrainedUpstreamsAreExcludedAtOnce(t *testing.T) {
 	f := newFixture(t, 3, route.Settings{})
 	hosts := append([]fleet.Host(nil), f.state.hosts...)
 	hosts[0].Leaving = true
@@ -185,11 +190,12 @@
 	_, err := f.Choose(t.Context(), plain)
 	assert.Assert(t, fault.Is(err, fault.Refused))
 	assert.Equal(t, f.sides.count("a-0")+f.sides.count("a-1"), 0)
-	assert.Equal(t, len(f.log.of(t, event.PickerBuilt)), 2)
+	assert.Equal(t, len(f.log.events(t, event.PickerBuilt)), 2)
 }
 
-// TestPiggybackedLoadSpeaksOfTheService feeds the estimate and the drains.
-func TestPiggybackedLoadSpeaksOfTheService(t *testing.T) {
+// TestPiggybackedLoadUpdatesEstimateAndDraining: a load report in another response updates the
+// latency estimate of the service and excludes a draining upstream.
+func TestPiggybackedLoadUpdatesEstimateAndDraining(t *testing.T) {
 	f := newFixture(t, 2, route.Settings{})
 	_, err := f.Choose(t.Context(), plain)
 	assert.NilError(t, err)
@@ -202,7 +208,7 @@
 	f.ObserveLoad("unknown", &wirepb.Load{ServiceP50Us: 1})
 }
 
-// TestLeastLocalCountsAttemptsInFlight releases them with their results.
+// TestLeastLocalCountsAttemptsInFlight: the count goes down with each result.
 func TestLeastLocalCountsAttemptsInFlight(t *testing.T) {
 	f := newFixture(t, 2, route.Settings{Policy: "least_local"})
 	first, err := f.Choose(t.Context(), plain)
@@ -217,10 +223,10 @@
 		assert.Equal(t, third.Upstream, first.Upstream)
 		f.ObserveResult(route.Result{Upstream: first.Upstream, Kind: route.ResultCancelled})
 	}
-	assert.Equal(t, f.counter("routing.probes_sent"), int64(2), "the tickets are remembered")
+	assert.Equal(t, f.counter("routing.probes_sent"), int64(2), "cached responses were not reused")
 }
 
-// TestEveryPolicyRunsThroughTheRouter and none chooses the drained one.
+// TestEveryPolicyRunsThroughTheRouter: no policy chooses the draining upstream.
 func TestEveryPolicyRunsThroughTheRouter(t *testing.T) {
 	for _, policy := range []string{"probe2", "probe_pool", "random", "round_robin", "least_local"} {
 		f := newFixture(t, 4, route.Settings{Policy: policy})
@@ -231,13 +237,13 @@
 			assert.Assert(t, choice.Upstream != "a-1", policy)
 			f.ObserveResult(route.Result{Upstream: choice.Upstream, Kind: route.ResultOK})
 		}
-		lines := f.log.of(t, event.RouteChosen)
+		lines := f.log.events(t, event.RouteChosen)
 		assert.Equal(t, len(lines), 30, policy)
 		assert.Equal(t, lines[0].Fields.Policy, policy)
 	}
 }
 
-// TestPoolProbesInTheBackground fills the pool beside its decisions.
+// TestPoolProbesInTheBackground: probe_pool fills its pool without delaying a decision.
 func TestPoolProbesInTheBackground(t *testing.T) {
 	f := newFixture(t, 8, route.Settings{Policy: "probe_pool"})
 	_, err := f.Choose(t.Context(), plain)
@@ -245,11 +251,10 @@
 	f.sides.set(func() { f.sides.hold = make(chan struct{}) })
 	defer close(f.sides.hold)
 	_, err = f.Choose(t.Context(), plain)
-	assert.NilError(t, err, "a pooled answer needs no probe")
+	assert.NilError(t, err, "Choose did not use a pooled response")
 	eventually(t, func() bool { return f.counter("routing.probes_sent") == 4 })
 }
 
-// TestSettingsAreChecked names what is wrong.
 func TestSettingsAreChecked(t *testing.T) {
 	assert.NilError(t, route.DefaultSettings().Validate())
 	assert.ErrorContains(t, route.Settings{Policy: "best"}.Validate(), `policy: "best" is none of`)
--- a/entry/route/settings.go
+++ b/entry/route/settings.go
@@ -15,17 +15,17 @@
 	maxProbeTimeoutMS   = 1000
 )
 
-// Settings is the [routing] table of an entry's settings.
+// Settings is the [routing] table of the entry's settings.
 type Settings struct {
-	// Policy names how an upstream is chosen: probe2 unless something is to be
-	// measured against it.
+	// Policy is the name of the routing policy. The default is probe2; the others
+	// serve as baselines in measurements.
 	Policy string `toml:"policy"`
-	// ProbeTimeoutMS bounds a probe within the own zone, in milliseconds. Farther
-	// zones get their distance on top.
+	// ProbeTimeoutMS is the timeout of a probe within the entry's zone, in
+	// milliseconds. For other zones it grows with the round-trip time.
 	ProbeTimeoutMS int `toml:"probe_timeout_ms"`
 }
 
-// DefaultSettings returns the settings of a file without a [routing] table.
+// DefaultSettings returns the settings that apply without a [routing] table.
 func DefaultSettings() Settings {
 	return Settings{
 		Policy:         routing.Probe2,
@@ -33,7 +33,7 @@
 	}
 }
 
-// orDefault fills the fields that are zero.
+// orDefault returns s with defaults in place of zero fields.
 func (s Settings) orDefault() Settings {
 	defaults := DefaultSettings()
 	if s.Policy == "" {
--- a/entry/route/watch.go
+++ b/entry/route/watch.go
@@ -7,41 +7,41 @@
 	"acaciawinch/core/routing"
 )
 
-// watch is the watch over one probe's timeout. It may be used by many goroutines.
-type watch struct {
-	// late is called once if the probe is not answered in time.
-	late  func()
-	timer *time.Timer
+// probeTimer watches over the timeout of one probe. It is safe for concurrent use.
+type probeTimer struct {
+	// onTimeout is called once if the probe is not answered in time, with mu held.
+	onTimeout func()
+	timer     *time.Timer
 
 	mu sync.Mutex
-	// over is set once the probe has ended or its timeout has passed.
-	over bool
+	// done is set when the probe has ended or its timeout has passed.
+	done bool
 }
 
-// watch returns a watch over the timeout of a probe that begins now.
-func (r *Router) watch(upstream routing.Upstream) *watch {
-	w := &watch{late: func() { r.late(upstream.ID) }}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.timer = time.AfterFunc(r.timeout(upstream), w.expire)
-	return w
+// newTimer starts the timer of a probe that begins now.
+func (r *Router) newTimer(upstream routing.Upstream) *probeTimer {
+	t := &probeTimer{onTimeout: func() { r.recordTimeout(upstream.ID) }}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.timer = time.AfterFunc(r.timeout(upstream), t.expire)
+	return t
 }
 
-// expire keeps that the timeout has passed, unless the probe has ended. When it returns the
-// upstream is suspected.
-func (w *watch) expire() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if !w.over {
-		w.over = true
-		w.late()
+// expire records that the timeout has passed, unless the probe has ended. If the timeout came
+// first, the upstream is suspected when expire returns.
+func (t *probeTimer) expire() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if !t.done {
+		t.done = true
+		t.onTimeout()
 	}
 }
 
-// end keeps that the probe has ended.
-func (w *watch) end() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.over = true
-	w.timer.Stop()
+// finish records that the probe has ended and stops the timer.
+func (t *probeTimer) finish() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.done = true
+	t.timer.Stop()
 }
