--- a/entry/callers/callers_test.go
+++ b/entry/callers/callers_test.go
@@ -21,7 +21,7 @@
 	"acaciawinch/entry/trace"
 )
 
-// fakeState knows one workspace with one of two pipelines.
+// fakeState has two pipelines, p and q, and one workspace, w, which may use p only.
 type fakeState struct{}
 
 func (fakeState) Template(name string) (config.Template, bool) {
@@ -32,7 +32,7 @@
 	return config.Workspace{Name: name, Pipelines: []string{"p"}, MaxInFlight: 1}, name == "w"
 }
 
-// fakeRunner emits chunks, then returns a result.
+// fakeRunner records the request, emits chunks and returns a result.
 type fakeRunner struct {
 	got    pipeline.Request
 	calls  int
@@ -53,33 +53,33 @@
 	return r.result
 }
 
-// noFinder finds what the ring holds.
-type noFinder struct{ traces *trace.Ring }
+// ringFinder finds the traces of a ring.
+type ringFinder struct{ traces *trace.Ring }
 
-func (f noFinder) Find(_ context.Context, _, _ string, id core.RequestID, _ string) (trace.Trace, bool) {
+func (f ringFinder) Find(_ context.Context, _, _ string, id core.RequestID, _ string) (trace.Trace, bool) {
 	return f.traces.Get(id)
 }
 
-// silent records nothing.
-type silent struct{}
+// discardJournal is a Journal that records nothing.
+type discardJournal struct{}
 
-func (silent) Admitted(pipeline.Request, bool)                    {}
-func (silent) Refused(string, string, Problem)                    {}
-func (silent) Ended(pipeline.Request, pipeline.Result, trace.End) {}
+func (discardJournal) Admitted(pipeline.Request, bool)                    {}
+func (discardJournal) Refused(string, string, Problem)                    {}
+func (discardJournal) Ended(pipeline.Request, pipeline.Result, trace.End) {}
 
-// freeLimiter grants every permit and counts those that are out.
-type freeLimiter struct{ out int }
+// grantingLimiter grants every permit and counts the permits not yet released.
+type grantingLimiter struct{ outstanding int }
 
-func (l *freeLimiter) Ask(pipeline.Request) Permit { l.out++; return freePermit{l} }
+func (l *grantingLimiter) Ask(pipeline.Request) Permit { l.outstanding++; return grantedPermit{l} }
 
-// freePermit is granted.
-type freePermit struct{ limiter *freeLimiter }
+// grantedPermit is a permit that is granted at once.
+type grantedPermit struct{ limiter *grantingLimiter }
 
-func (freePermit) Decided() <-chan struct{}         { return nil }
-func (freePermit) Refusal() *pipeline.PermitRefusal { return nil }
-func (p freePermit) Release()                       { p.limiter.out-- }
+func (grantedPermit) Decided() <-chan struct{}         { return nil }
+func (grantedPermit) Refusal() *pipeline.PermitRefusal { return nil }
+func (p grantedPermit) Release()                       { p.limiter.outstanding-- }
 
-// newServer returns a server whose requests are carried out by runner.
+// newServer returns a server that runs its requests with runner.
 func newServer(runner *fakeRunner) (*Server, *admit.Gate) {
 	gate := admit.NewGate(admit.Limits{InFlight: 2, Streams: 1})
 	traces := trace.NewRing(10)
@@ -87,21 +87,21 @@
 		Name:        "e",
 		State:       func() (State, core.Revision, bool) { return fakeState{}, 5, true },
 		Runner:      runner,
-		Finder:      noFinder{traces},
+		Finder:      ringFinder{traces},
 		Traces:      traces,
 		Gate:        gate,
-		Limiter:     &freeLimiter{},
+		Limiter:     &grantingLimiter{},
 		BodyBytes:   64,
 		HeaderBytes: 512,
 		NewID:       func() uint64 { return 255 },
 		Now:         time.Now,
-		Journal:     silent{},
+		Journal:     discardJournal{},
 	}), gate
 }
 
 const path = "/v1/workspaces/w/pipelines/p/requests"
 
-// send sends a request and returns the answer.
+// send passes a request to the server and returns the response.
 func send(s *Server, method, path, body string, headers ...string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	for i := 0; i < len(headers); i += 2 {
@@ -112,7 +112,7 @@
 	return w
 }
 
-// problemFrom reads a problem document.
+// problemFrom decodes a problem document and checks its media type and status.
 func problemFrom(t *testing.T, w *httptest.ResponseRecorder) Problem {
 	t.Helper()
 	assert.Equal(t, w.Header().Get("Content-Type"), problemType)
@@ -169,15 +169,15 @@
 	assert.Assert(t, runner.got.Minted)
 }
 
-// digestOf returns the digest of a whole output as callers see it.
+// digestOf returns the digest of a complete output in the form that callers receive.
 func digestOf(output string) string { return fmt.Sprintf("%016x", xxhash.Sum64String(output)) }
 
-func TestAnswersAsJSON(t *testing.T) {
+func TestRespondsInJSON(t *testing.T) {
 	s, _ := newServer(&fakeRunner{chunks: []string{"a ", "b"}, result: pipeline.Result{Outcome: core.OutcomeAnswered}})
 	w := send(s, "POST", path, "{}")
-	var got Answer
+	var got Response
 	assert.NilError(t, json.Unmarshal(w.Body.Bytes(), &got))
-	assert.DeepEqual(t, got, Answer{
+	assert.DeepEqual(t, got, Response{
 		RequestID: "e-00000000000000ff", Outcome: core.OutcomeAnswered, Output: "a b", Chunks: 2, Digest: digestOf("a b"),
 	})
 	status := send(s, "GET", path+"/e-00000000000000ff", "")
@@ -186,7 +186,7 @@
 	assert.Equal(t, send(s, "GET", path+"/e-1", "").Code, http.StatusNotFound)
 }
 
-func TestStreamsNumberedChunksAndACount(t *testing.T) {
+func TestStreamsNumberedChunksAndTotals(t *testing.T) {
 	s, _ := newServer(&fakeRunner{chunks: []string{"a\n", "b"}, result: pipeline.Result{Outcome: core.OutcomeAnswered}})
 	w := send(s, "POST", path, "{}", "Accept", "text/event-stream")
 	want := "event: chunk\nid: 0\ndata: {\"index\":0,\"text\":\"a\\n\"}\n\n" +
@@ -195,14 +195,14 @@
 	assert.Equal(t, w.Body.String(), want)
 }
 
-func TestCutStreamEndsWithAProblem(t *testing.T) {
+func TestInterruptedStreamEndsWithAProblem(t *testing.T) {
 	s, _ := newServer(&fakeRunner{chunks: []string{"a"}, result: pipeline.Result{Outcome: core.OutcomeFailed, Cause: request.GiveUpFailed}})
 	w := send(s, "POST", path, "{}", "Accept", "text/event-stream")
 	assert.Assert(t, strings.Contains(w.Body.String(), "event: problem\ndata: {"))
 	assert.Assert(t, !strings.Contains(w.Body.String(), "event: done"))
 }
 
-func TestProblemsOfRequestsGivenUp(t *testing.T) {
+func TestProblemsOfAbandonedRequests(t *testing.T) {
 	cases := []struct {
 		outcome core.Outcome
 		cause   request.GiveUpCause
@@ -229,15 +229,15 @@
 	}
 }
 
-// TestOverloadPacesTheOthers: a refusal for want of time behind the admission
-// bounds what comes next, unless the caller allowed less time than usual.
-func TestOverloadPacesTheOthers(t *testing.T) {
+// TestOverloadReducesAdmission: a request that fails after admission because no upstream has
+// time for it counts as overload, unless the caller set a shorter deadline than the default.
+func TestOverloadReducesAdmission(t *testing.T) {
 	overload := pipeline.Result{Outcome: core.OutcomeNotRun, Cause: request.GiveUpOverload}
 	usual := pipeline.Request{Template: config.Template{DeadlineMS: 100}, Deadline: 100 * time.Millisecond}
-	hasty := usual
-	hasty.Deadline--
+	shortDeadline := usual
+	shortDeadline.Deadline--
 	assert.Equal(t, endOf(usual, overload), admit.EndOverloaded)
-	assert.Equal(t, endOf(hasty, overload), admit.EndOther)
+	assert.Equal(t, endOf(shortDeadline, overload), admit.EndOther)
 	assert.Equal(t, endOf(usual, pipeline.Result{Outcome: core.OutcomeFailed, Cause: request.GiveUpDeadline}), admit.EndOther)
 	assert.Equal(t, endOf(usual, pipeline.Result{Outcome: core.OutcomeAnswered}), admit.EndAnswered)
 }
--- a/entry/callers/fuzz_test.go
+++ b/entry/callers/fuzz_test.go
@@ -15,8 +15,8 @@
 	"acaciawinch/entry/pipeline"
 )
 
-// FuzzSubmit sends requests of any content. What is refused is a problem document
-// that says not run; what reaches the runner keeps every bound.
+// FuzzSubmit sends requests with arbitrary content. A refusal must be a problem document
+// with the outcome not_run; a request that reaches the runner must respect every bound.
 func FuzzSubmit(f *testing.F) {
 	f.Add("POST", "w", "p", "{}", "key", "100", "text/event-stream")
 	f.Add("PUT", "x", "q", "{", "", "-1", "")
@@ -41,8 +41,8 @@
 	})
 }
 
-// verifyRefusal checks the answer to a request that reached no runner. The mux of
-// the standard library sends a path that is not clean elsewhere by itself.
+// verifyRefusal checks the response to a request that did not reach the runner. The mux of
+// the standard library redirects paths that are not clean by itself.
 func verifyRefusal(t *testing.T, w *httptest.ResponseRecorder) {
 	if w.Code/100 == 3 {
 		return
@@ -52,7 +52,7 @@
 	assert.Equal(t, p.Outcome, core.OutcomeNotRun)
 }
 
-// verifyAdmitted checks what the entry relies on behind the admission.
+// verifyAdmitted checks the properties that the entry relies on after admission.
 func verifyAdmitted(t *testing.T, got pipeline.Request) {
 	assert.Equal(t, got.Workspace.Name+"/"+got.Template.Name, "w/p")
 	assert.Assert(t, json.Valid(got.Body) && len(got.Body) <= 64, "%q", got.Body)
--- a/entry/callers/problem.go
+++ b/entry/callers/problem.go
@@ -13,23 +13,23 @@
 // problemType is the media type of RFC 9457 problem documents.
 const problemType = "application/problem+json"
 
-// Problem is a problem document.
+// Problem is an RFC 9457 problem document.
 type Problem struct {
 	Type   string `json:"type"`
 	Title  string `json:"title"`
 	Status int    `json:"status"`
 	Detail string `json:"detail,omitempty"`
-	// Outcome tells what became of the request; see core.Outcome.
+	// Outcome is the outcome of the request; see core.Outcome.
 	Outcome   core.Outcome   `json:"outcome"`
 	RequestID core.RequestID `json:"request_id,omitempty"`
-	// Step is where the request was refused or given up.
+	// Step is the step at which the request was refused or abandoned.
 	Step string `json:"step,omitempty"`
-	// RetryAfterMS says when to ask again; the Retry-After header says the same
-	// in whole seconds.
+	// RetryAfterMS is the delay before a retry. The Retry-After header carries it in
+	// whole seconds, rounded up.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
 }
 
-// Kinds of problems: the last part of a problem's type.
+// Kinds of problems. The type of a problem is typePrefix followed by its kind.
 const (
 	kindInvalid     = "invalid-request"
 	kindNotFound    = "not-found"
@@ -44,7 +44,7 @@
 	kindUnknown     = "outcome-unknown"
 )
 
-// typePrefix begins the type of every problem.
+// typePrefix is the prefix of every problem type.
 const typePrefix = "urn:acaciawinch:problem:"
 
 // refuse returns the problem of a request that reached no upstream.
@@ -59,20 +59,20 @@
 	}
 }
 
-// retryAfter sets when to ask again.
+// retryAfter returns p with a retry delay of at least 1 ms.
 func (p Problem) retryAfter(d time.Duration) Problem {
 	p.RetryAfterMS = max(d.Milliseconds(), 1)
 	return p
 }
 
-// write sends the problem as the whole answer.
+// write sends the problem as the complete response.
 func (p Problem) write(w http.ResponseWriter) {
 	p.headers(w.Header())
 	w.WriteHeader(p.Status)
-	_ = json.NewEncoder(w).Encode(p) // the caller may be gone
+	_ = json.NewEncoder(w).Encode(p) // the caller may have disconnected
 }
 
-// headers sets the headers that go with the problem.
+// headers sets the response headers for the problem.
 func (p Problem) headers(h http.Header) {
 	h.Set("Content-Type", problemType)
 	if p.RequestID != "" {
--- a/entry/callers/server.go
+++ b/entry/callers/server.go
@@ -1,5 +1,6 @@
-// Package callers serves HTTP to callers: it validates and admits requests,
-// delivers answers as JSON or server-sent events, and tells outcomes.
+// Package callers implements the HTTP API for callers. It validates and admits
+// requests, sends responses as JSON or server-sent events, and reports the outcomes of
+// earlier requests.
 package callers
 
 import (
@@ -14,74 +15,76 @@
 	"acaciawinch/entry/trace"
 )
 
-// Names of request and answer headers.
+// Names of request and response headers.
 const (
 	headerKey       = "Idempotency-Key"
 	headerDeadline  = "Request-Deadline-Ms"
 	headerRequestID = "Request-Id"
 )
 
-// State is the configuration and host list at one moment. It never changes.
+// State is an immutable snapshot of the configuration.
 type State interface {
 	Template(name string) (config.Template, bool)
 	Workspace(name string) (config.Workspace, bool)
 }
 
-// Limiter hands out permits to the requests of workspaces with a bound.
+// Limiter issues permits for the requests of workspaces that have a limit.
 type Limiter interface {
-	// Ask asks for a permit and returns at once.
+	// Ask requests a permit. It does not block.
 	Ask(request pipeline.Request) Permit
 }
 
-// Permit is the permit of one request. Release must be called once, at its end.
+// Permit is the permit of one request. Release must be called once, when the request
+// ends.
 type Permit interface {
 	pipeline.Permit
 	Release()
 }
 
-// Runner carries out admitted requests.
+// Runner runs admitted requests.
 type Runner interface {
-	// Run returns when the outcome is known. Emit is called from one goroutine.
+	// Run runs a request and returns when its outcome is known. It calls emit from one
+	// goroutine only.
 	Run(ctx context.Context, request pipeline.Request, emit pipeline.Emit) pipeline.Result
 }
 
-// Finder tells what became of requests.
+// Finder looks up earlier requests.
 type Finder interface {
-	// Find returns the trace of a request, from this entry or the one that its
-	// id names. Key is the caller's idempotency key, empty if unknown.
+	// Find returns the trace of a request, from this entry or from the entry that the
+	// request id names. Key is the caller's idempotency key, empty if unknown.
 	Find(ctx context.Context, workspace, pipeline string, id core.RequestID, key string) (trace.Trace, bool)
 }
 
-// Options are what a Server needs.
+// Options configure a Server.
 type Options struct {
-	// Name is the entry's name; request ids begin with it.
+	// Name is the name of the entry. It is the prefix of the request ids.
 	Name string
-	// State returns the present state and its revision; false before the first.
+	// State returns the current state and its revision, false until one is known.
 	State  func() (State, core.Revision, bool)
 	Runner Runner
 	Finder Finder
 	Traces *trace.Ring
 	Gate   *admit.Gate
-	// Limiter holds workspaces to their bounds over the whole fleet.
+	// Limiter enforces the limits of workspaces over the whole fleet.
 	Limiter Limiter
-	// BodyBytes and HeaderBytes bound a request.
+	// BodyBytes and HeaderBytes bound the size of a request.
 	BodyBytes   int
 	HeaderBytes int
 	// NewID returns the random part of a request id.
 	NewID func() uint64
 	Now   func() time.Time
-	// Journal is told of each request's admission, refusal and end.
+	// Journal is notified of each request's admission, refusal and end.
 	Journal Journal
 }
 
-// Journal records what becomes of requests, in logs and metrics.
+// Journal records the progress of requests in logs and metrics.
 type Journal interface {
 	Admitted(request pipeline.Request, stream bool)
 	Refused(workspace, pipeline string, problem Problem)
 	Ended(request pipeline.Request, result pipeline.Result, end trace.End)
 }
 
-// Server answers callers. It implements http.Handler.
+// Server handles the requests of callers. It implements http.Handler.
 type Server struct {
 	opts Options
 	mux  *http.ServeMux
@@ -95,7 +98,7 @@
 	s.mux.HandleFunc("GET "+requests+"/{id}", s.lookup)
 	s.mux.HandleFunc(requests, s.wrongMethod(http.MethodPost))
 	s.mux.HandleFunc(requests+"/{id}", s.wrongMethod(http.MethodGet))
-	s.mux.HandleFunc("/", s.noSuchPath)
+	s.mux.HandleFunc("/", s.unknownPath)
 	return s
 }
 
@@ -108,7 +111,7 @@
 	s.mux.ServeHTTP(w, r)
 }
 
-// headerSize returns the bytes of all names and values.
+// headerSize returns the total length of all names and values in bytes.
 func headerSize(header http.Header) int {
 	size := 0
 	for name, values := range header {
@@ -119,7 +122,7 @@
 	return size
 }
 
-// wrongMethod refuses a known path with another method.
+// wrongMethod refuses requests for a known path with a method other than allowed.
 func (s *Server) wrongMethod(allowed string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Allow", allowed)
@@ -127,12 +130,12 @@
 	}
 }
 
-// noSuchPath refuses an unknown path.
-func (s *Server) noSuchPath(w http.ResponseWriter, r *http.Request) {
+// unknownPath refuses requests for an unknown path.
+func (s *Server) unknownPath(w http.ResponseWriter, r *http.Request) {
 	s.refuse(w, r, refuse(http.StatusNotFound, kindNotFound, "admission.path", "no such path"))
 }
 
-// refuse answers a request that was not admitted.
+// refuse records and sends the refusal of a request that was not admitted.
 func (s *Server) refuse(w http.ResponseWriter, r *http.Request, p Problem) {
 	s.opts.Journal.Refused(r.PathValue("workspace"), r.PathValue("pipeline"), p)
 	p.write(w)
--- a/entry/callers/submit.go
+++ b/entry/callers/submit.go
@@ -13,7 +13,7 @@
 	"acaciawinch/entry/trace"
 )
 
-// When to ask again after a refusal at admission.
+// Retry delays after a refusal at admission.
 const (
 	retryWhenFull     = time.Second
 	retryWhenDraining = time.Second
@@ -21,11 +21,11 @@
 	retryWhenStarting = 2 * time.Second
 )
 
-// writeGrace is how long after its deadline a request's answer may still be
-// written.
+// writeGrace is the time after a request's deadline within which its response may
+// still be written.
 const writeGrace = 2 * time.Second
 
-// submit admits and runs one request.
+// submit handles POST …/requests: it validates, admits and runs one request.
 func (s *Server) submit(w http.ResponseWriter, r *http.Request) {
 	started := s.opts.Now()
 	admitted, problem := s.validate(w, r)
@@ -40,7 +40,7 @@
 		return
 	}
 	result := pipeline.Result{}
-	// Deferred, so that a panic of the handler does not keep the place.
+	// Deferred, so that a panic of the handler releases the ticket too.
 	defer func() { ticket.Leave(s.opts.Now(), endOf(admitted, result), result.RetryAfter) }()
 	if admitted.Workspace.MaxInFlight > 0 {
 		permit := s.opts.Limiter.Ask(admitted)
@@ -50,20 +50,21 @@
 	result = s.run(w, r, admitted, stream, started)
 }
 
-// endOf returns what a result tells about the load of the upstreams. That a
-// caller allows less time than usual tells nothing.
+// endOf returns how an admitted request ended, for the pacing of admission. Overload
+// counts only if the caller allowed at least the default deadline of the template: a
+// shorter one is no sign of overloaded upstreams.
 func endOf(admitted pipeline.Request, result pipeline.Result) admit.End {
-	usual := time.Duration(admitted.Template.DeadlineMS) * time.Millisecond
+	defaultDeadline := time.Duration(admitted.Template.DeadlineMS) * time.Millisecond
 	switch {
 	case result.Outcome == core.OutcomeAnswered:
 		return admit.EndAnswered
-	case result.Cause == request.GiveUpOverload && admitted.Deadline >= usual:
+	case result.Cause == request.GiveUpOverload && admitted.Deadline >= defaultDeadline:
 		return admit.EndOverloaded
 	}
 	return admit.EndOther
 }
 
-// enter takes a place at the gate.
+// enter requests admission at the gate.
 func (s *Server) enter(request pipeline.Request, stream bool) (*admit.Ticket, *Problem) {
 	ticket, refusal, retryAfter := s.opts.Gate.Enter(s.opts.Now(), admit.Ask{
 		Workspace: request.Workspace.Name,
@@ -88,7 +89,7 @@
 	return nil, &p
 }
 
-// run carries out an admitted request and closes its answer.
+// run runs an admitted request and ends its response.
 func (s *Server) run(w http.ResponseWriter, r *http.Request, request pipeline.Request, stream bool, started time.Time) pipeline.Result {
 	s.opts.Traces.Begin(trace.Trace{
 		RequestID:  request.ID,
@@ -100,19 +101,20 @@
 	s.opts.Journal.Admitted(request, stream)
 	w.Header().Set(headerRequestID, string(request.ID))
 	control := http.NewResponseController(w)
-	// A caller that stops reading must not hold the request beyond its time. Not
-	// every ResponseWriter supports deadlines; the server's own does.
+	// A caller that stops reading must not keep the request open beyond its deadline.
+	// Errors are ignored: not every ResponseWriter supports deadlines, but the HTTP
+	// server's does.
 	_ = control.SetWriteDeadline(started.Add(request.Deadline + writeGrace))
 	defer func() { _ = control.SetWriteDeadline(time.Time{}) }() // as above
-	out := s.writer(w, request.ID, stream)
+	out := s.newWriter(w, request.ID, stream)
 	result := s.opts.Runner.Run(r.Context(), request, out.chunk)
-	delivered := out.delivered()
+	sent := out.totals()
 	end := trace.End{
 		Outcome:  result.Outcome,
 		Step:     result.Step,
 		Detail:   result.Detail,
-		Chunks:   delivered.chunks,
-		Digest:   delivered.hex(),
+		Chunks:   sent.chunks,
+		Digest:   sent.hex(),
 		Duration: s.opts.Now().Sub(started),
 	}
 	s.opts.Traces.End(request.ID, end)
@@ -125,15 +127,15 @@
 	return result
 }
 
-// writer returns the writer that the caller asked for.
-func (s *Server) writer(w http.ResponseWriter, id core.RequestID, stream bool) writer {
+// newWriter returns the writer for the response format that the caller requested.
+func (s *Server) newWriter(w http.ResponseWriter, id core.RequestID, stream bool) responseWriter {
 	if stream {
 		return newStreamWriter(w, id)
 	}
 	return newJSONWriter(w)
 }
 
-// problemOf returns the problem document of a request that was given up.
+// problemOf returns the problem document for a request that did not complete.
 func problemOf(id core.RequestID, result pipeline.Result) Problem {
 	status, kind := http.StatusBadGateway, kindFailed
 	switch result.Cause {
--- a/entry/callers/validate.go
+++ b/entry/callers/validate.go
@@ -14,18 +14,19 @@
 	"acaciawinch/entry/pipeline"
 )
 
-// maxKeyBytes bounds an idempotency key.
+// maxKeyBytes is the maximum length of an idempotency key.
 const maxKeyBytes = 255
 
-// fallbackDeadline is used for a template that declares none.
+// fallbackDeadline applies if neither the caller, the workspace nor the template sets a
+// deadline.
 const fallbackDeadline = 3 * time.Second
 
-// validate reads a request and checks all that can be checked without an
-// upstream. It returns a problem with outcome not_run otherwise.
+// validate reads a request and makes all checks that need no upstream. It returns a
+// problem with the outcome not_run if one of them fails.
 func (s *Server) validate(w http.ResponseWriter, r *http.Request) (pipeline.Request, *Problem) {
 	state, revision, ok := s.opts.State()
 	if !ok {
-		p := refuse(http.StatusServiceUnavailable, kindUnavailable, "admission.configuration", "no configuration is known yet").retryAfter(retryWhenStarting)
+		p := refuse(http.StatusServiceUnavailable, kindUnavailable, "admission.configuration", "no configuration has been loaded yet").retryAfter(retryWhenStarting)
 		return pipeline.Request{}, &p
 	}
 	workspace, template, problem := find(state, r.PathValue("workspace"), r.PathValue("pipeline"))
@@ -41,15 +42,15 @@
 		return pipeline.Request{}, invalid("admission.key", "the idempotency key is longer than 255 bytes")
 	}
 	if !utf8.ValidString(key) {
-		return pipeline.Request{}, invalid("admission.key", "the idempotency key is no UTF-8")
+		return pipeline.Request{}, invalid("admission.key", "the idempotency key is not valid UTF-8")
 	}
 	body, problem := s.readBody(w, r)
 	if problem != nil {
 		return pipeline.Request{}, problem
 	}
 	id := s.newID()
-	minted := key == ""
-	if minted {
+	generated := key == ""
+	if generated {
 		key = string(id)
 	}
 	return pipeline.Request{
@@ -58,13 +59,13 @@
 		Template:  template,
 		Revision:  revision,
 		Key:       key,
-		Minted:    minted,
+		Minted:    generated,
 		Deadline:  deadline,
 		Body:      body,
 	}, nil
 }
 
-// find returns the workspace and the template that a path names.
+// find returns the workspace and the pipeline template that the request path names.
 func find(state State, workspaceName, pipelineName string) (config.Workspace, config.Template, *Problem) {
 	workspace, ok := state.Workspace(workspaceName)
 	if !ok {
@@ -77,8 +78,9 @@
 	return workspace, template, nil
 }
 
-// deadlineOf returns the time allowed: what the caller names, the workspace's or
-// the template's default, capped by the template.
+// deadlineOf returns the deadline of a request relative to its start: the caller's
+// value, else the default of the workspace, else that of the template. The template's
+// maximum caps it.
 func deadlineOf(header string, workspace config.Workspace, template config.Template) (time.Duration, *Problem) {
 	deadline := time.Duration(template.DeadlineMS) * time.Millisecond
 	if workspace.DeadlineMS > 0 {
@@ -100,7 +102,7 @@
 	return deadline, nil
 }
 
-// readBody reads a JSON body within the limit.
+// readBody reads a JSON body of at most BodyBytes bytes.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *Problem) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, int64(s.opts.BodyBytes)))
 	var tooLarge *http.MaxBytesError
@@ -109,9 +111,9 @@
 		p := refuse(http.StatusRequestEntityTooLarge, kindTooLarge, "admission.body", "the body is larger than "+strconv.Itoa(s.opts.BodyBytes)+" bytes")
 		return nil, &p
 	case err != nil:
-		return nil, invalid("admission.body", "the body can't be read")
+		return nil, invalid("admission.body", "the body cannot be read")
 	case !json.Valid(body):
-		return nil, invalid("admission.body", "the body is no JSON")
+		return nil, invalid("admission.body", "the body is not valid JSON")
 	}
 	return body, nil
 }
