--- a/entry/admin.go
+++ b/entry/admin.go
@@ -12,7 +12,7 @@
 	"acaciawinch/feed"
 )
 
-// Status is what /v1/status tells operators.
+// Status is the response of /v1/status.
 type Status struct {
 	Name        string           `json:"name"`
 	Zone        string           `json:"zone"`
@@ -23,11 +23,12 @@
 	Hosts       int              `json:"hosts"`
 	// PlacementVersion is the version of the placement object.
 	PlacementVersion uint64 `json:"placement_version"`
-	// PlacementLease is set while this process does the work of placement.
+	// PlacementLease is set while this process holds the placement lease.
 	PlacementLease bool         `json:"placement_lease"`
 	Feed           feed.Stats   `json:"feed"`
 	Requests       admit.Counts `json:"requests"`
-	// FleetReadBytes and FleetWrittenBytes count the traffic with other processes.
+	// FleetReadBytes and FleetWrittenBytes count the traffic with the other processes
+	// of the fleet.
 	FleetReadBytes    uint64  `json:"fleet_read_bytes"`
 	FleetWrittenBytes uint64  `json:"fleet_written_bytes"`
 	UptimeSeconds     float64 `json:"uptime_seconds"`
@@ -39,7 +40,7 @@
 	adminStopTimeout   = time.Second
 )
 
-// adminOptions are what the admin handler serves.
+// adminOptions are the functions and handlers behind the admin endpoints.
 type adminOptions struct {
 	ready   func() bool
 	status  func() Status
@@ -63,7 +64,7 @@
 	mux.HandleFunc("GET /v1/explain/{id}", func(w http.ResponseWriter, r *http.Request) {
 		found, ok := opts.explain(r.Context(), core.RequestID(r.PathValue("id")))
 		if !ok {
-			http.Error(w, "no trace of this request is left", http.StatusNotFound)
+			http.Error(w, "no trace of this request exists", http.StatusNotFound)
 			return
 		}
 		writeJSON(w, found)
@@ -71,8 +72,8 @@
 	return mux
 }
 
-// writeJSON answers with one JSON document.
+// writeJSON sends a value as one JSON document.
 func writeJSON[T any](w http.ResponseWriter, value T) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(value) // the operator may be gone
+	_ = json.NewEncoder(w).Encode(value) // the client may have disconnected
 }
--- a/entry/doc.go
+++ b/entry/doc.go
@@ -1,4 +1,4 @@
-// Package entry is the runtime of the entry role: it admits callers' requests
-// over HTTP, walks each through the stages of its pipeline by drpc calls to the
-// sides of the upstreams, and serves the other processes of the fleet.
+// Package entry implements the entry role. An entry admits callers' requests over HTTP,
+// runs the stages of each request's pipeline by drpc calls to the sidecars of the
+// upstreams, and serves drpc to the other processes of the fleet.
 package entry
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -26,8 +26,8 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// platform is an object API that holds nothing and a host list of one entry.
-func platform(t *testing.T) string {
+// newPlatform serves an empty object store and a host list with one entry.
+func newPlatform(t *testing.T) string {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.URL.Path == "/v1/hosts":
@@ -47,13 +47,13 @@
 	return server.URL
 }
 
-// anyPort lets the kernel choose a loopback port.
+// anyPort is a loopback address with a port that the kernel chooses.
 const anyPort = "127.0.0.1:0"
 
-// testSettings are those of an entry on loopback.
+// testSettings returns the settings of an entry on loopback.
 func testSettings(t *testing.T) Settings {
 	s := Defaults()
-	url := platform(t)
+	url := newPlatform(t)
 	s.Process = ProcessSettings{Name: "e", Zone: "z", LogLevel: "error"}
 	s.Listen = ListenSettings{Callers: anyPort, Fleet: anyPort, Admin: anyPort}
 	s.Platform = PlatformSettings{Objects: url, Hosts: url}
@@ -61,7 +61,7 @@
 	return s
 }
 
-// status returns the status code of a GET, or 0 if there was no answer.
+// status returns the status code of a GET, 0 if there was no response.
 func status(url string) int {
 	response, err := http.Get(url)
 	if err != nil {
@@ -71,26 +71,26 @@
 	return response.StatusCode
 }
 
-// eventually waits until the GET answers with a status.
+// eventually waits until a GET of url returns the status want.
 func eventually(t *testing.T, url string, want int) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if got := status(url); got != want {
-			return poll.Continue("%s answers %d", url, got)
+			return poll.Continue("%s returns %d", url, got)
 		}
 		return poll.Success()
 	}, poll.WithDelay(5*time.Millisecond), poll.WithTimeout(20*time.Second))
 }
 
-// TestServesDrainsAndStops keeps a request in flight over the stop, so that the
-// drain lasts until the test has seen it.
+// TestServesDrainsAndStops keeps a request in flight during the stop, so that the drain
+// does not end before the test has observed it.
 func TestServesDrainsAndStops(t *testing.T) {
 	p, err := newProcess(testSettings(t))
 	assert.NilError(t, err)
 	defer p.close()
 	open, err := listen(p.settings)
 	assert.NilError(t, err)
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- p.run(ctx, open) }()
 	admin := "http://" + open.admin.Addr().String()
@@ -101,12 +101,12 @@
 	assert.Equal(t, status(admin+"/v1/explain/e-1"), http.StatusNotFound)
 	ticket, refusal, _ := p.gate.Enter(time.Now(), admit.Ask{Workspace: "w"})
 	assert.Equal(t, refusal, admit.Admitted)
-	stop()
+	cancel()
 	eventually(t, admin+"/readyz", http.StatusServiceUnavailable)
 	assert.Equal(t, status(admin+"/livez"), http.StatusOK)
 	select {
 	case err := <-ended:
-		t.Fatal("it did not wait for the request in flight", err)
+		t.Fatal("run returned while a request was in flight", err)
 	default:
 	}
 	ticket.Leave(time.Now(), admit.EndAnswered, 0)
@@ -155,17 +155,17 @@
 	}
 }
 
-// fakeLooker knows the claims of some stages.
-type fakeLooker map[string]claims.Held
+// fakeClaimReader maps "key/stage" to the state of a claim.
+type fakeClaimReader map[string]claims.Held
 
-func (l fakeLooker) Look(_ context.Context, _, _, key, stage string) (claims.Held, error) {
-	if held, ok := l[key+"/"+stage]; ok {
-		return held, nil
+func (l fakeClaimReader) Look(_ context.Context, _, _, key, stage string) (claims.Held, error) {
+	if claim, ok := l[key+"/"+stage]; ok {
+		return claim, nil
 	}
 	return claims.Held{Status: claims.Absent}, nil
 }
 
-// fakeView is a fleet of one other entry and a template with the stage "pay".
+// fakeView is a fleet with one other entry, b, in which every template has the stage "pay".
 type fakeView struct{ other string }
 
 func (v fakeView) Hosts() []fleet.Host {
@@ -183,16 +183,16 @@
 	assert.NilError(t, wirepb.DRPCRegisterEntry(server.Mux(), &fleetServer{traces: other}))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(ctx, listener) }()
-	defer func() { stop(); <-served }()
+	defer func() { cancel(); <-served }()
 	view := fakeView{other: listener.Addr().String()}
 	dialer := link.NewDialer("k")
 	defer dialer.Close()
 	f := &finder{
 		name: "a", state: func() fleetView { return view }, traces: trace.NewRing(1), dialer: dialer,
-		looker: fakeLooker{
+		claims: fakeClaimReader{
 			"a-2/pay": {Status: claims.Done},
 			"k/pay":   {Status: claims.NotRun},
 		},
--- a/entry/find.go
+++ b/entry/find.go
@@ -15,33 +15,33 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// Bounds of a look-up.
+// Timeouts of a lookup.
 const (
-	lookupTimeout = 500 * time.Millisecond
-	lookTimeout   = 3 * time.Second
+	traceTimeout = 500 * time.Millisecond
+	claimTimeout = 3 * time.Second
 )
 
-// looker finds out what became of a claim; *claims.Keeper is one.
-type looker interface {
+// claimReader returns the state of claims. *claims.Keeper implements it.
+type claimReader interface {
 	Look(ctx context.Context, workspace, pipeline, key, stage string) (claims.Held, error)
 }
 
-// fleetView is the state of the fleet that a look-up reads; *feed.State is one.
+// fleetView is the state of the fleet that a lookup reads. *feed.State implements it.
 type fleetView interface {
 	Hosts() []fleet.Host
 	Template(name string) (config.Template, bool)
 }
 
-// finder finds traces here or at the entry that a request id names.
+// finder finds traces in this entry or in the entry that a request id names.
 type finder struct {
 	name   string
 	state  func() fleetView
 	traces *trace.Ring
 	dialer *link.Dialer
-	looker looker
+	claims claimReader
 }
 
-// Trace returns the trace of id from here or from the entry that the id names.
+// Trace returns the trace of a request from this entry or from the entry that the id names.
 func (f *finder) Trace(ctx context.Context, id core.RequestID) (trace.Trace, bool) {
 	if found, ok := f.traces.Get(id); ok {
 		return found, true
@@ -50,17 +50,18 @@
 	if !ok {
 		return trace.Trace{}, false
 	}
-	return f.ask(ctx, addr, id)
+	return f.fetchTrace(ctx, addr, id)
 }
 
-// addressOf returns the address of the other entry that id names.
+// addressOf returns the address of the entry that id names. It returns false if that
+// entry is unknown or is this one.
 func (f *finder) addressOf(id core.RequestID) (string, bool) {
-	cut := strings.LastIndexByte(string(id), '-')
+	separator := strings.LastIndexByte(string(id), '-')
 	state := f.state()
-	if cut < 0 || state == nil {
+	if separator < 0 || state == nil {
 		return "", false
 	}
-	name := string(id)[:cut]
+	name := string(id)[:separator]
 	for _, host := range state.Hosts() {
 		if host.Role == fleet.RoleEntry && host.Name == name && name != f.name {
 			return host.Addr, true
@@ -69,9 +70,9 @@
 	return "", false
 }
 
-// ask asks another entry for a trace.
-func (f *finder) ask(ctx context.Context, addr string, id core.RequestID) (trace.Trace, bool) {
-	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
+// fetchTrace requests a trace from another entry.
+func (f *finder) fetchTrace(ctx context.Context, addr string, id core.RequestID) (trace.Trace, bool) {
+	ctx, cancel := context.WithTimeout(ctx, traceTimeout)
 	defer cancel()
 	conn := f.dialer.Conn(ctx, addr)
 	defer func() { _ = conn.Close() }() // the call is over; a connection that fails to close is not used again
@@ -86,8 +87,9 @@
 	return found, true
 }
 
-// Find implements callers.Finder. If the trace is gone, or tells no outcome, the
-// claim of the key is asked; a request without a key has its id as the key.
+// Find implements callers.Finder. If there is no trace, or its outcome is unknown, it
+// derives the outcome from the claims of the idempotency key. For a request without a
+// key, the key is the request id.
 func (f *finder) Find(ctx context.Context, workspace, pipeline string, id core.RequestID, key string) (trace.Trace, bool) {
 	found, ok := f.Trace(ctx, id)
 	if ok && found.Outcome != core.OutcomeUnknown {
@@ -96,7 +98,7 @@
 	if key == "" {
 		key = string(id)
 	}
-	claimed, known := f.look(ctx, workspace, pipeline, key)
+	claimed, known := f.findClaim(ctx, workspace, pipeline, key)
 	if !known {
 		return found, ok
 	}
@@ -104,9 +106,9 @@
 	return claimed, true
 }
 
-// look asks the claims of a pipeline's non-idempotent stages what became of the
-// key. It returns false if they tell nothing.
-func (f *finder) look(ctx context.Context, workspace, pipeline, key string) (trace.Trace, bool) {
+// findClaim derives the outcome of a key from the claims of the pipeline's
+// non-idempotent stages. It returns false if they do not determine one.
+func (f *finder) findClaim(ctx context.Context, workspace, pipeline, key string) (trace.Trace, bool) {
 	state := f.state()
 	if state == nil {
 		return trace.Trace{}, false
@@ -115,39 +117,40 @@
 	if !ok {
 		return trace.Trace{}, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, lookTimeout)
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	found, known := trace.Trace{Workspace: workspace, Pipeline: pipeline}, false
 	for _, stage := range template.Stages {
 		if !stage.NonIdempotent {
 			continue
 		}
-		held, err := f.looker.Look(ctx, workspace, pipeline, key, stage.Name)
+		claim, err := f.claims.Look(ctx, workspace, pipeline, key, stage.Name)
 		if err != nil {
 			return trace.Trace{}, false
 		}
-		outcome, detail := outcomeOf(held, stage.Name)
+		outcome, detail := outcomeOf(claim, stage.Name)
 		if outcome == "" {
 			break
 		}
 		found.Outcome, found.Detail, found.Step = outcome, detail, "claim."+stage.Name
 		known = true
-		if held.Status != claims.Done {
+		if claim.Status != claims.Done {
 			break
 		}
 	}
 	return found, known
 }
 
-// outcomeOf returns what the claim of a stage tells of its request, or nothing.
-func outcomeOf(held claims.Held, stage string) (core.Outcome, string) {
-	switch held.Status {
+// outcomeOf returns the outcome that the claim of a stage implies for the request, or
+// empty strings if it implies none.
+func outcomeOf(claim claims.Held, stage string) (core.Outcome, string) {
+	switch claim.Status {
 	case claims.Done:
-		return core.OutcomeUnknown, "stage " + stage + " has run; ask again with the same key for the whole answer"
+		return core.OutcomeUnknown, "stage " + stage + " has run; retry with the same idempotency key to get the complete response"
 	case claims.Running:
 		return core.OutcomeRunning, "stage " + stage + " is running"
 	case claims.NotRun:
-		return core.OutcomeNotRun, "stage " + stage + " has not run and will not"
+		return core.OutcomeNotRun, "stage " + stage + " has not run and will not run"
 	case claims.Unknown:
 		return core.OutcomeUnknown, "stage " + stage + " may have run"
 	}
--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -15,7 +15,7 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// fleetServer serves the drpc Entry service to the other processes.
+// fleetServer implements the drpc service Entry for the other processes of the fleet.
 type fleetServer struct {
 	*limit.Limiter
 	feed   *feed.Feed
--- a/entry/journal.go
+++ b/entry/journal.go
@@ -11,7 +11,7 @@
 	"acaciawinch/observe/event"
 )
 
-// journal writes the log lines and counts the metrics of requests.
+// journal writes the log lines and updates the metrics of requests.
 type journal struct {
 	logger *observe.Logger
 	scope  tally.Scope
--- a/entry/process.go
+++ b/entry/process.go
@@ -27,15 +27,15 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// metricsPrefix begins the names of the entry's metrics.
+// metricsPrefix is the prefix of the entry's metric names.
 const metricsPrefix = "acaciawinch_entry"
 
-// process holds the parts of one entry process.
+// process holds the components of one entry process.
 type process struct {
 	settings    Settings
 	incarnation core.Incarnation
 	started     time.Time
-	life        *lifecycle.Lifecycle
+	lifecycle   *lifecycle.Lifecycle
 	logger      *observe.Logger
 	metrics     *observe.Metrics
 	dialer      *link.Dialer
@@ -53,7 +53,7 @@
 	finder      *finder
 }
 
-// newProcess wires the parts together. It starts nothing.
+// newProcess creates the components and connects them. It starts none of them.
 func newProcess(settings Settings) (*process, error) {
 	logger, err := observe.NewLogger(os.Stderr, settings.Process.Name, settings.Process.LogLevel)
 	if err != nil {
@@ -63,7 +63,7 @@
 		settings:    settings,
 		incarnation: core.Incarnation(rand.Uint64()),
 		started:     time.Now(),
-		life:        lifecycle.New(settings.Process.Name),
+		lifecycle:   lifecycle.New(settings.Process.Name),
 		logger:      logger,
 		metrics:     observe.NewMetrics(metricsPrefix),
 		dialer:      link.NewDialer(settings.Fleet.Key),
@@ -84,7 +84,7 @@
 		state:  p.fleetView,
 		traces: p.traces,
 		dialer: p.dialer,
-		looker: p.keeper,
+		claims: p.keeper,
 	}
 	p.rpc.OnRefused(p.logRefused)
 	if err := wirepb.DRPCRegisterEntry(p.rpc.Mux(), &fleetServer{Limiter: p.limiter, feed: p.feed, traces: p.traces}); err != nil {
@@ -93,7 +93,7 @@
 	return p, nil
 }
 
-// addFeed adds the copy of the fleet's state.
+// addFeed adds the feed, which keeps a copy of the fleet's state.
 func (p *process) addFeed(store objects.API) {
 	p.feed = feed.New(feed.Options{
 		Name:          p.settings.Process.Name,
@@ -110,7 +110,7 @@
 	})
 }
 
-// addRouter adds the choice of upstreams.
+// addRouter adds the router, which chooses upstreams.
 func (p *process) addRouter() {
 	p.router = route.New(route.Options{
 		Zone:         p.settings.Process.Zone,
@@ -126,7 +126,7 @@
 	})
 }
 
-// addClaims adds the keeping and the expiry of claims.
+// addClaims adds the keeper of claims and the sweeper, which deletes expired ones.
 func (p *process) addClaims(store objects.API) {
 	p.keeper = claims.New(claims.Options{
 		Objects:  store,
@@ -142,7 +142,7 @@
 	})
 }
 
-// addCleaner adds the removal of old configuration objects.
+// addCleaner adds the cleaner, which deletes old configuration objects.
 func (p *process) addCleaner(store objects.API) {
 	p.cleaner = clean.New(clean.Options{
 		Self:     p.settings.Process.Name,
@@ -154,7 +154,7 @@
 	})
 }
 
-// addPlacement adds the part in the placement of models.
+// addPlacement adds the proposer, which takes part in the placement of models.
 func (p *process) addPlacement(store objects.API) {
 	p.proposer = place.New(place.Options{
 		Self:     p.settings.Process.Name,
@@ -168,7 +168,8 @@
 	})
 }
 
-// addLimiter adds the bounds of workspaces over the whole fleet.
+// addLimiter adds the limiter, which enforces the limits of workspaces over the whole
+// fleet.
 func (p *process) addLimiter() {
 	p.limiter = limit.New(limit.Options{
 		Self:        p.settings.Process.Name,
@@ -181,7 +182,7 @@
 	})
 }
 
-// addRunner adds the walk of requests through their stages.
+// addRunner adds the runner, which runs the stages of requests.
 func (p *process) addRunner() {
 	p.runner = pipeline.NewRunner(pipeline.Options{
 		Router:       p.router,
@@ -190,12 +191,12 @@
 		Record:       pipeline.Recorder{Logger: p.logger, Traces: p.traces, Scope: p.metrics.Scope()},
 		Revision:     p.revision,
 		NoteRevision: p.feed.NoteRevision,
-		Retry:        limitsOf(budget.DefaultRetry, p.settings.Routing.RetryPercent),
-		Hedge:        limitsOf(budget.DefaultHedge, p.settings.Routing.HedgePercent),
+		Retry:        budgetLimits(budget.DefaultRetry, p.settings.Routing.RetryPercent),
+		Hedge:        budgetLimits(budget.DefaultHedge, p.settings.Routing.HedgePercent),
 	})
 }
 
-// hosts returns the host list, nil before the first state.
+// hosts returns the host list, nil until a state is known.
 func (p *process) hosts() []fleet.Host {
 	state := p.feed.State()
 	if state == nil {
@@ -204,8 +205,8 @@
 	return state.Hosts()
 }
 
-// hostsAndVersion returns the host list with its version, nil before the first
-// state.
+// hostsAndVersion returns the host list and its version, nil and 0 until a state is
+// known.
 func (p *process) hostsAndVersion() ([]fleet.Host, uint64) {
 	state := p.feed.State()
 	if state == nil {
@@ -214,9 +215,9 @@
 	return state.Hosts(), state.HostsVersion()
 }
 
-// limitsOf returns limits with another ratio, in percent. Zero percent allows no
-// extra call at all.
-func limitsOf(limits budget.Limits, percent float64) budget.Limits {
+// budgetLimits returns limits with the ratio set to percent. Zero percent allows no
+// extra calls at all.
+func budgetLimits(limits budget.Limits, percent float64) budget.Limits {
 	if percent == 0 {
 		return budget.Limits{}
 	}
@@ -224,7 +225,7 @@
 	return limits
 }
 
-// fleetState returns the state for the router, nil before the first.
+// fleetState returns the state for the router, nil until one is known.
 func (p *process) fleetState() route.Fleet {
 	state := p.feed.State()
 	if state == nil {
@@ -233,7 +234,7 @@
 	return state
 }
 
-// fleetView returns the state for look-ups, nil before the first.
+// fleetView returns the state for lookups, nil until one is known.
 func (p *process) fleetView() fleetView {
 	state := p.feed.State()
 	if state == nil {
@@ -242,7 +243,8 @@
 	return state
 }
 
-// revision returns the configuration revision in force here.
+// revision returns the configuration revision in force in this process, 0 until one is
+// known.
 func (p *process) revision() core.Revision {
 	state := p.feed.State()
 	if state == nil {
@@ -251,7 +253,8 @@
 	return state.Revision
 }
 
-// callersState returns the state for the admission of requests.
+// callersState returns the state and revision for the admission of requests, false
+// until a state is known.
 func (p *process) callersState() (callers.State, core.Revision, bool) {
 	state := p.feed.State()
 	if state == nil {
@@ -260,14 +263,14 @@
 	return state, state.Revision, true
 }
 
-// status tells operators what the process holds.
+// status returns the process's status for operators.
 func (p *process) status() Status {
 	status := Status{
 		Name:              p.settings.Process.Name,
 		Zone:              p.settings.Process.Zone,
 		Region:            p.settings.Process.Region,
 		Incarnation:       p.incarnation,
-		Ready:             p.life.Ready(),
+		Ready:             p.lifecycle.Ready(),
 		Revision:          p.revision(),
 		Requests:          p.gate.Counts(),
 		Feed:              p.feed.Stats(),
@@ -283,8 +286,8 @@
 	return status
 }
 
-// close frees what the process holds.
+// close releases the process's resources.
 func (p *process) close() {
-	_ = p.dialer.Close()  // the process ends
+	_ = p.dialer.Close()  // ignored: the process ends
 	_ = p.metrics.Close() // as above
 }
--- a/entry/refused_test.go
+++ b/entry/refused_test.go
@@ -15,6 +15,7 @@
 	"acaciawinch/wire/wirepb"
 )
 
+// TestARefusedConnectionIsLogged connects with another fleet key.
 func TestARefusedConnectionIsLogged(t *testing.T) {
 	p, err := newProcess(testSettings(t))
 	assert.NilError(t, err)
--- a/entry/run.go
+++ b/entry/run.go
@@ -11,9 +11,9 @@
 	"acaciawinch/observe/lifecycle"
 )
 
-// Run is the entry process: it serves until ctx ends, then refuses new work,
-// finishes what is in flight and returns nil. An error means that it could not
-// start or go on.
+// Run runs an entry process. It serves until ctx ends, then refuses new requests,
+// finishes those in flight and returns nil. An error means that the process failed to
+// start or to continue.
 func Run(ctx context.Context, settings Settings) error {
 	p, err := newProcess(settings)
 	if err != nil {
@@ -27,35 +27,35 @@
 	return p.run(ctx, listeners)
 }
 
-// run serves on open ports and logs the start and the end.
+// run serves on the open listeners and logs the start and the end of the process.
 func (p *process) run(ctx context.Context, open listeners) error {
-	if err := p.life.Fire(lifecycle.Opened); err != nil {
+	if err := p.lifecycle.Fire(lifecycle.Opened); err != nil {
 		return err
 	}
-	who := lifecycle.Identity{
+	identity := lifecycle.Identity{
 		Role:        fleet.RoleEntry,
 		Name:        p.settings.Process.Name,
 		Zone:        p.settings.Process.Zone,
 		Incarnation: p.incarnation,
 	}
-	return p.life.Log(p.logger, who, func() error { return p.serve(ctx, open) })
+	return p.lifecycle.Log(p.logger, identity, func() error { return p.serve(ctx, open) })
 }
 
-// listeners are the three open ports.
+// listeners are the three open listeners of a process.
 type listeners struct {
 	callers net.Listener
 	fleet   net.Listener
 	admin   net.Listener
 }
 
-// listen opens the ports, or none of them.
+// listen opens all listeners. If one fails, it closes the others.
 func listen(settings Settings) (listeners, error) {
 	var opened []net.Listener
 	for _, addr := range []string{settings.Listen.Callers, settings.Listen.Fleet, settings.Listen.Admin} {
 		listener, err := net.Listen("tcp", addr)
 		if err != nil {
 			for _, other := range opened {
-				_ = other.Close() // the error that is returned tells more
+				_ = other.Close() // the error of net.Listen is returned instead
 			}
 			return listeners{}, fault.Wrap(fault.Unavailable, "entry.listen", addr, err)
 		}
@@ -64,17 +64,18 @@
 	return listeners{callers: opened[0], fleet: opened[1], admin: opened[2]}, nil
 }
 
-// serve serves until ctx ends and the drain is over. The parts' own life outlasts
-// ctx by the drain: requests in flight need all of them.
+// serve serves until ctx has ended and the drain is complete. The components run on a
+// context of their own until the end of the drain, because requests in flight need all
+// of them.
 func (p *process) serve(ctx context.Context, open listeners) error {
 	servers := newServers(p, open)
-	life, stop := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	group, life := errgroup.WithContext(life)
-	for _, part := range []func(context.Context) error{p.feed.Run, p.router.Run, p.proposer.Run, p.sweeper.Run, p.cleaner.Run, p.limiter.Run, p.awaitState} {
-		group.Go(func() error { return part(life) })
+	group, runCtx := errgroup.WithContext(runCtx)
+	for _, component := range []func(context.Context) error{p.feed.Run, p.router.Run, p.proposer.Run, p.sweeper.Run, p.cleaner.Run, p.limiter.Run, p.awaitState} {
+		group.Go(func() error { return component(runCtx) })
 	}
-	group.Go(func() error { return p.rpc.Serve(life, open.fleet) })
+	group.Go(func() error { return p.rpc.Serve(runCtx, open.fleet) })
 	group.Go(servers.serveAdmin)
 	group.Go(servers.serveCallers)
 	group.Go(func() error {
@@ -84,7 +85,7 @@
 			err := p.drain()
 			servers.shutdown()
 			return err
-		case <-life.Done():
+		case <-runCtx.Done():
 			servers.shutdown()
 			return nil
 		}
@@ -92,12 +93,12 @@
 	return ignoreCancelled(group.Wait())
 }
 
-// awaitState makes the process ready once the state of the fleet is known.
+// awaitState waits for the first state of the fleet and marks the process ready.
 func (p *process) awaitState(ctx context.Context) error {
 	for {
 		changed := p.feed.Changed()
 		if p.feed.State() != nil {
-			return p.life.FireIfAllowed(lifecycle.Synced)
+			return p.lifecycle.FireIfAllowed(lifecycle.Synced)
 		}
 		select {
 		case <-changed:
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -17,14 +17,14 @@
 	"acaciawinch/observe/lifecycle"
 )
 
-// Timeouts of the callers' listener.
+// Timeouts of the callers' listener and of the drain.
 const (
 	callersHeaderTimeout = 5 * time.Second
 	callersReadTimeout   = 15 * time.Second
 	callersIdleTimeout   = 60 * time.Second
-	// refuseFor is how long a draining process goes on refusing new requests
-	// after its last one ended, so that the balancer sees that it isn't ready.
-	refuseFor = 500 * time.Millisecond
+	// minDrainPeriod is the minimum time for which a draining process keeps refusing
+	// new requests, so that the load balancer sees that it is not ready.
+	minDrainPeriod = 500 * time.Millisecond
 )
 
 // servers are the two HTTP servers.
@@ -34,15 +34,15 @@
 	open    listeners
 }
 
-// permits is a Limiter as callers need it.
-type permits struct{ limiter *limit.Limiter }
+// permitLimiter adapts a limit.Limiter to callers.Limiter.
+type permitLimiter struct{ limiter *limit.Limiter }
 
 // Ask implements callers.Limiter.
-func (p permits) Ask(r pipeline.Request) callers.Permit {
+func (p permitLimiter) Ask(r pipeline.Request) callers.Permit {
 	return p.limiter.Ask(r.ID, r.Workspace.Name, r.Workspace.MaxInFlight, r.Deadline)
 }
 
-// newServers builds the HTTP servers.
+// newServers returns the HTTP servers for callers and for operators.
 func newServers(p *process, open listeners) *servers {
 	limits := p.settings.Limits
 	handler := callers.New(callers.Options{
@@ -52,7 +52,7 @@
 		Finder:      p.finder,
 		Traces:      p.traces,
 		Gate:        p.gate,
-		Limiter:     permits{p.limiter},
+		Limiter:     permitLimiter{p.limiter},
 		BodyBytes:   limits.BodyBytes,
 		HeaderBytes: limits.HeaderBytes,
 		NewID:       rand.Uint64,
@@ -67,13 +67,14 @@
 			ReadHeaderTimeout: callersHeaderTimeout,
 			ReadTimeout:       callersReadTimeout,
 			IdleTimeout:       callersIdleTimeout,
-			// The handler refuses large headers itself, with a problem document.
+			// The handler itself refuses headers larger than HeaderBytes, with a problem
+			// document. The server's own limit must therefore be higher.
 			MaxHeaderBytes: 2*limits.HeaderBytes + 4096,
 		},
 		admin: &http.Server{
 			ReadHeaderTimeout: adminHeaderTimeout,
 			Handler: newAdmin(adminOptions{
-				ready:   p.life.Ready,
+				ready:   p.lifecycle.Ready,
 				status:  p.status,
 				explain: p.finder.Trace,
 				metrics: p.metrics.Handler(),
@@ -88,7 +89,7 @@
 // serveCallers serves callers until shutdown.
 func (s *servers) serveCallers() error { return serveHTTP(s.callers, s.open.callers) }
 
-// serveHTTP serves until the server is shut down.
+// serveHTTP serves until the server is shut down, and returns nil in that case.
 func serveHTTP(server *http.Server, listener net.Listener) error {
 	err := server.Serve(listener)
 	if errors.Is(err, http.ErrServerClosed) {
@@ -97,28 +98,29 @@
 	return err
 }
 
-// shutdown closes both servers. Answers that are being written are finished.
+// shutdown closes both servers. Responses that are being written have until
+// adminStopTimeout to finish.
 func (s *servers) shutdown() {
 	ctx, cancel := context.WithTimeout(context.Background(), adminStopTimeout)
 	defer cancel()
-	_ = s.callers.Shutdown(ctx) // what is open at the end of the time is cut
+	_ = s.callers.Shutdown(ctx) // connections still open at the timeout are dropped
 	_ = s.admin.Shutdown(ctx)   // as above
 }
 
-// drain ends the admission of requests and waits until none is in flight and
-// nothing is left to be recorded of any, or the bound passes. New requests are
-// refused truthfully all the while.
+// drain ends the admission of requests and waits until none is in flight and all
+// results are recorded, or until drain_seconds have passed. Meanwhile new requests are
+// refused with the outcome not_run.
 func (p *process) drain() error {
-	if err := p.life.Fire(lifecycle.Stop); err != nil {
+	if err := p.lifecycle.Fire(lifecycle.Stop); err != nil {
 		return err
 	}
 	idle := p.gate.Drain()
 	p.logger.Event(event.ProcessDraining, observe.Fields{"in_flight": p.gate.Counts().InFlight})
-	bound := time.Duration(p.settings.Limits.DrainSeconds) * time.Second
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	timeout := time.Duration(p.settings.Limits.DrainSeconds) * time.Second
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	linger := time.NewTimer(refuseFor)
-	defer linger.Stop()
+	minimum := time.NewTimer(minDrainPeriod)
+	defer minimum.Stop()
 	select {
 	case <-idle:
 	case <-ctx.Done():
@@ -128,11 +130,11 @@
 	if ctx.Err() != nil {
 		end = lifecycle.Expired
 	}
-	<-linger.C
-	return p.life.Fire(end)
+	<-minimum.C
+	return p.lifecycle.Fire(end)
 }
 
-// ignoreCancelled returns err unless it only says that a context ended.
+// ignoreCancelled returns err, nil if it is a context.Canceled.
 func ignoreCancelled(err error) error {
 	if errors.Is(err, context.Canceled) {
 		return nil
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -11,8 +11,8 @@
 	"acaciawinch/settings"
 )
 
-// Settings are the entry's TOML settings. Every field has a default but those
-// marked required.
+// Settings are the entry's TOML settings. Every field that is not marked required has a
+// default.
 type Settings struct {
 	Process   ProcessSettings  `toml:"process"`
 	Listen    ListenSettings   `toml:"listen"`
@@ -25,7 +25,7 @@
 	Retention clean.Settings   `toml:"retention"`
 }
 
-// ProcessSettings say who and where this process is.
+// ProcessSettings are the identity and the location of this process.
 type ProcessSettings struct {
 	// Name is the entry's name in the host list.
 	Name   string `toml:"name" required:"true"`
@@ -37,11 +37,11 @@
 
 // ListenSettings are the IP:port addresses of the three listeners.
 type ListenSettings struct {
-	// Callers serves HTTP to callers.
+	// Callers is the address of the HTTP API for callers.
 	Callers string `toml:"callers" required:"true"`
-	// Fleet serves drpc to other processes of the fleet.
+	// Fleet is the address of drpc for the other processes of the fleet.
 	Fleet string `toml:"fleet"`
-	// Admin serves health, metrics and explanations to operators.
+	// Admin is the address of health checks, metrics and request traces for operators.
 	Admin string `toml:"admin" required:"true"`
 }
 
@@ -51,30 +51,31 @@
 	Hosts   string `toml:"hosts" required:"true"`
 }
 
-// FleetSettings are shared by all processes of one fleet.
+// FleetSettings are the same for all processes of one fleet.
 type FleetSettings struct {
-	// Key is sent with every call between processes.
+	// Key is the shared secret with which processes authenticate their connections.
 	Key string `toml:"key" required:"true"`
 }
 
-// LimitSettings bound what the entry holds at once.
+// LimitSettings bound the requests and connections of the entry.
 type LimitSettings struct {
-	// BodyBytes bounds a request's body; HeaderBytes the sum of its headers.
+	// BodyBytes bounds the body of a request, HeaderBytes the total size of its headers.
 	BodyBytes   int `toml:"body_bytes"`
 	HeaderBytes int `toml:"header_bytes"`
 	// Connections bounds the open connections of callers.
 	Connections int `toml:"connections"`
-	// InFlight bounds the requests in progress; Streams those of them that are
-	// answered by server-sent events.
+	// InFlight bounds the requests in flight, Streams those among them whose responses
+	// are server-sent events.
 	InFlight int `toml:"in_flight"`
 	Streams  int `toml:"streams"`
-	// Traces is how many requests' traces are kept for explanations.
+	// Traces is the number of requests whose traces are kept for /v1/explain.
 	Traces int `toml:"traces"`
-	// DrainSeconds bounds how long a planned stop waits for requests in flight.
+	// DrainSeconds is the maximum time for which a planned stop waits for requests in
+	// flight.
 	DrainSeconds int `toml:"drain_seconds"`
 }
 
-// RoutingSettings tune the choice of upstreams, retries and hedges.
+// RoutingSettings configure the choice of upstreams, retries and hedges.
 type RoutingSettings struct {
 	// Policy and ProbeTimeoutMS are those of route.Settings.
 	Policy         string `toml:"policy"`
@@ -85,7 +86,7 @@
 	RetryPercent float64 `toml:"retry_percent"`
 }
 
-// route returns the part that the router reads.
+// route returns the settings of the router.
 func (s RoutingSettings) route() route.Settings {
 	return route.Settings{Policy: s.Policy, ProbeTimeoutMS: s.ProbeTimeoutMS}
 }
@@ -93,13 +94,13 @@
 // Validate implements settings.Validator.
 func (s RoutingSettings) Validate() error { return s.route().Validate() }
 
-// FeedSettings tune the spreading of the fleet's state.
+// FeedSettings configure the distribution of the fleet's state.
 type FeedSettings struct {
-	// RelaysPerZone is how many entries of a zone watch the platform.
+	// RelaysPerZone is the number of entries in each zone that watch the platform.
 	RelaysPerZone int `toml:"relays_per_zone"`
 }
 
-// Default values and upper bounds of the settings.
+// Defaults and upper bounds of the settings.
 const (
 	defaultBodyBytes    = 1 << 20
 	defaultHeaderBytes  = 16 << 10
@@ -115,7 +116,7 @@
 	maxCount            = 1 << 20
 )
 
-// Defaults returns settings with every optional value filled in.
+// Defaults returns settings in which every optional field has its default.
 func Defaults() Settings {
 	return Settings{
 		Process: ProcessSettings{LogLevel: "info"},
@@ -138,7 +139,7 @@
 	}
 }
 
-// bound is the range of one setting.
+// bound is the allowed range of one setting.
 type bound struct {
 	key      string
 	value    int
