--- a/entry/route/probe.go
+++ b/entry/route/probe.go
@@ -35,7 +35,7 @@
 }
 
 // cachedResponses returns one response for each upstream of ask: the last response
-// if it is as recent as ask requires, otherwise one that is marked as unanswered.
+// if ask permits its reuse, otherwise one that is marked as unanswered.
 func (r *Router) cachedResponses(ask routing.Ask) []routing.Answer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
