--- a/feed/alone.go
+++ b/feed/alone.go
@@ -7,21 +7,21 @@
 	"acaciawinch/core/fleet"
 )
 
-// Limits of direct reads, in longest waits between tries.
+// Limits of direct reads, in multiples of Timing.MaxBackoff.
 const (
-	// maxAloneWait is the longest wait of a side between direct reads. An entry
-	// doesn't wait so long, as sides that find no relay can follow it then.
-	maxAloneWait = 4
-	// freshRead is how long an entry that reads the platform itself counts as an
-	// origin after a read that succeeded.
-	freshRead = 4
+	// maxDirectFactor bounds the wait of a side between direct reads. An entry does
+	// not wait that long, since sides that find no relay can then follow it.
+	maxDirectFactor = 4
+	// freshReadFactor bounds how long an entry that reads the platform itself counts
+	// as an origin after a successful read.
+	freshReadFactor = 4
 )
 
-// readAlone reads the platform directly while this process follows nobody, until
-// ctx ends.
-func (f *Feed) readAlone(ctx context.Context) error {
+// pollDirectly reads the platform directly while this process follows no entry,
+// until ctx ends.
+func (f *Feed) pollDirectly(ctx context.Context) error {
 	for reads := 0; ctx.Err() == nil; {
-		began := f.aloneBegan.wait()
+		began := f.directBegan.wait()
 		if !f.direct.Load() {
 			reads = 0
 			select {
@@ -31,33 +31,34 @@
 			continue
 		}
 		if f.readPlatform(ctx) == nil {
-			f.lastRead.Store(time.Now().UnixNano())
+			f.lastDirectRead.Store(time.Now().UnixNano())
 		}
 		reads++
-		pause(ctx, f.jitter(f.aloneWait(reads)))
+		sleep(ctx, f.jitter(f.directWait(reads)))
 	}
 	return nil
 }
 
-// aloneWait is the wait after so many direct reads in a row.
-func (f *Feed) aloneWait(reads int) time.Duration {
+// directWait returns the wait after the given number of consecutive direct reads.
+func (f *Feed) directWait(reads int) time.Duration {
 	if f.opts.Role == fleet.RoleEntry {
-		return f.timing.LongestWait
+		return f.timing.MaxBackoff
 	}
-	return doubled(f.timing.LongestWait, reads-1, maxAloneWait*f.timing.LongestWait)
+	return doubled(f.timing.MaxBackoff, reads-1, maxDirectFactor*f.timing.MaxBackoff)
 }
 
-// readsAlone tells whether this process reads the platform itself with success.
-func (f *Feed) readsAlone() bool {
-	return f.direct.Load() && time.Since(time.Unix(0, f.lastRead.Load())) < freshRead*f.timing.LongestWait
+// readsDirectly reports whether this process reads the platform itself and its last
+// successful read is recent.
+func (f *Feed) readsDirectly() bool {
+	return f.direct.Load() && time.Since(time.Unix(0, f.lastDirectRead.Load())) < freshReadFactor*f.timing.MaxBackoff
 }
 
-// beat sends heartbeats to this process's subscribers while it is an origin,
-// until ctx ends.
-func (f *Feed) beat(ctx context.Context) error {
-	for pause(ctx, f.timing.Heartbeat) {
+// sendHeartbeats sends heartbeats to this process's subscribers while it is an
+// origin, until ctx ends.
+func (f *Feed) sendHeartbeats(ctx context.Context) error {
+	for sleep(ctx, f.timing.HeartbeatInterval) {
 		if f.isOrigin() {
-			f.pulse.send()
+			f.heartbeat.send()
 		}
 	}
 	return nil
--- a/feed/bench_test.go
+++ b/feed/bench_test.go
@@ -10,10 +10,10 @@
 	"acaciawinch/core/fleet"
 )
 
-// BenchmarkChange times a change of one workspace among 18,000, from the store to
-// every subscriber. One in four is an entry, the others are sides. It also reports
-// the bytes that relays write for each subscriber, and the processor time of all
-// processes together, this test's polling among it, for each of them.
+// BenchmarkChange measures a change of one workspace among 18,000, from the store to
+// every subscriber. One subscriber in four is an entry, the others are sides. It also
+// reports, for each subscriber, the bytes that the entries write and the processor time
+// of all processes together, which includes the polling of this test.
 func BenchmarkChange(b *testing.B) {
 	for _, subscribers := range []int{8, 32, 128} {
 		b.Run(fmt.Sprint("subscribers=", subscribers), func(b *testing.B) { benchmarkChange(b, subscribers) })
@@ -32,7 +32,7 @@
 		if i%4 == 0 {
 			role = fleet.RoleEntry
 		}
-		// They live in a zone of their own, in which one of the entries is a relay.
+		// They are in a zone of their own, in which one of the entries is a relay.
 		nodes = append(nodes, f.start(fmt.Sprint("s", i), "z1", role))
 	}
 	f.awaitRevision(1, nodes...)
@@ -49,7 +49,7 @@
 	b.ReportMetric(float64(processorTime()-used)/each, "cpu-ns/subscriber")
 }
 
-// written returns the bytes that all entries wrote to their subscribers.
+// written returns the bytes that all processes wrote to their subscribers.
 func (f *testFleet) written() uint64 {
 	total := uint64(0)
 	for _, n := range f.nodes {
@@ -58,7 +58,7 @@
 	return total
 }
 
-// processorTime returns what this program has used.
+// processorTime returns the processor time that this program has used.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
--- a/feed/catchup.go
+++ b/feed/catchup.go
@@ -10,47 +10,48 @@
 	"acaciawinch/observe/event"
 )
 
-// entriesPulled is how many entries are asked for a newer revision before the
-// platform is.
-const entriesPulled = 2
+// maxOtherPeers is how many entries other than the sender are asked for a newer
+// revision before the platform is read.
+const maxOtherPeers = 2
 
-// sighting is a revision that a message carried, and the sender's address.
-type sighting struct {
+// seenRevision is a revision that a message carried, and the address of its sender.
+type seenRevision struct {
 	revision core.Revision
 	addr     string
 }
 
-// NoteRevision tells that a message of the peer at addr carried a revision; addr
-// may be empty. If the revision is above the process's own and the feed doesn't
-// bring it in a moment, it is pulled. It never blocks.
+// NoteRevision reports that a message of the peer at addr carried a revision; addr
+// may be empty. If the revision is newer than the process's own and the feed does not
+// deliver it within Timing.CatchUpTimeout, it is pulled. NoteRevision never blocks.
 func (f *Feed) NoteRevision(revision core.Revision, addr string) {
 	if uint64(revision) <= f.meters.revision.Load() {
 		return
 	}
 	select {
-	case f.wanted <- sighting{revision, addr}:
-	default: // One is waiting already; what it brings may be enough, or the next message tells.
+	case f.wanted <- seenRevision{revision, addr}:
+	default: // A revision is pending already; pulling it may suffice, or the next message reports this one again.
 	}
 }
 
-// catchUp pulls revisions that messages carried, until ctx ends.
+// catchUp pulls newer revisions that were seen in messages, until ctx ends.
 func (f *Feed) catchUp(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case seen := <-f.wanted:
-			if !f.arrives(ctx, seen.revision) {
-				f.fetch(ctx, seen)
+			if !f.waitForRevision(ctx, seen.revision) {
+				f.pullRevision(ctx, seen)
 			}
 		}
 	}
 }
 
-// arrives gives the feed a moment and tells whether it brought the revision. The
-// moment is by chance, so that a change doesn't make everybody pull at once.
-func (f *Feed) arrives(ctx context.Context, revision core.Revision) bool {
-	timer := time.NewTimer(f.jitter(f.timing.CatchUp))
+// waitForRevision waits for the feed to deliver the revision and reports whether it
+// did. The wait is random, so that a change does not make all processes pull at once.
+// It returns true as well when ctx ends.
+func (f *Feed) waitForRevision(ctx context.Context, revision core.Revision) bool {
+	timer := time.NewTimer(f.jitter(f.timing.CatchUpTimeout))
 	defer timer.Stop()
 	for {
 		changed := f.changed.wait()
@@ -67,13 +68,13 @@
 	}
 }
 
-// fetch pulls a revision from its sender if that is an entry, from other entries,
-// or from the platform. If none has it, nothing more is tried for a while: the
-// revision may be a mistake.
-func (f *Feed) fetch(ctx context.Context, seen sighting) {
+// pullRevision pulls a revision from its sender if that is an entry, then from other
+// entries, then from the platform. If none has it, it waits before the next attempt,
+// as the revision may be wrong.
+func (f *Feed) pullRevision(ctx context.Context, seen seenRevision) {
 	f.meters.catchUps.add()
 	f.warn(event.FeedCatchUp, observe.Fields{"wanted": seen.revision, "held": f.revision(), "peer": seen.addr})
-	for _, host := range f.sources(seen.addr) {
+	for _, host := range f.pullCandidates(seen.addr) {
 		if f.pull(ctx, host) == nil && f.revision() >= seen.revision {
 			return
 		}
@@ -81,21 +82,21 @@
 	if f.readConfig(ctx) == nil && f.revision() >= seen.revision {
 		return
 	}
-	pause(ctx, f.timing.LongestWait)
+	sleep(ctx, f.timing.MaxBackoff)
 }
 
-// sources returns the entry at addr, if there is one, and some of the order that
-// are not followed anyway.
-func (f *Feed) sources(addr string) []fleet.Host {
+// pullCandidates returns the entry at addr, if there is one, and up to maxOtherPeers
+// of the other entries, without the provider, whose feed is received anyway.
+func (f *Feed) pullCandidates(addr string) []fleet.Host {
 	f.mu.Lock()
 	provider := f.provider
 	f.mu.Unlock()
 	var sender, others []fleet.Host
-	for _, host := range f.order() {
+	for _, host := range f.orderedProviders() {
 		switch {
 		case host.Addr == addr:
 			sender = append(sender, host)
-		case host.Name != provider && len(others) < entriesPulled:
+		case host.Name != provider && len(others) < maxOtherPeers:
 			others = append(others, host)
 		}
 	}
--- a/feed/doc.go
+++ b/feed/doc.go
@@ -1,11 +1,17 @@
 // Package feed keeps every process's copy of the fleet's state: configuration,
-// host list and placement. Relay entries watch the platform and push changes to
-// all other processes. docs/design/configuration.md has the ways weighed.
+// host list and placement. docs/design/configuration.md compares the alternatives.
 //
-// To read it: feed.go wires the parts and state.go is what callers get; hold.go is
-// the only file that changes what a process holds. start.go brings a fresh process
-// to its first state. A subscriber's side is follow.go (whom to follow), receive.go
-// (one feed), catchup.go (a revision seen in a message) and alone.go (nobody to
-// follow). A relay's side is relay.go and watch.go, and serve.go sends the feed.
-// platform.go makes the calls of the platform, wire.go the messages.
+// An entry is a process that serves clients, a side the sidecar of one upstream. The
+// entries that are relays by the host list watch the platform. A process subscribes to
+// the feed of one entry at a time, its provider; entries pass on what they receive. An
+// origin sends heartbeats of its own: it is a relay, or reads the platform directly with
+// success. Other entries forward the heartbeats of the origin behind their provider.
+//
+// feed.go connects the parts, and state.go is what callers get; hold.go is the only
+// file that changes the state of a process. start.go loads the first state of a new
+// process. The subscribing part is follow.go (choice of the provider), receive.go (one
+// subscription), catchup.go (a revision seen in a message) and alone.go (direct reads
+// when no entry can be followed). The serving part is relay.go and watch.go for relays,
+// and serve.go, which sends the feed. platform.go calls the platform, wire.go encodes
+// the messages.
 package feed
--- a/feed/fake_test.go
+++ b/feed/fake_test.go
@@ -10,7 +10,7 @@
 	"acaciawinch/platform/objects"
 )
 
-// fakeStore is an object API in memory that can be down.
+// fakeStore is an in-memory object API that can be made unavailable.
 type fakeStore struct {
 	mu      sync.Mutex
 	objects map[string]objects.Object
@@ -27,7 +27,7 @@
 	return &fakeStore{objects: map[string]objects.Object{}, changed: newSignal()}
 }
 
-// setDown makes every call fail, or not.
+// setDown makes all calls fail if down is true, and succeed if not.
 func (s *fakeStore) setDown(down bool) {
 	s.mu.Lock()
 	s.down = down
@@ -35,7 +35,7 @@
 	s.changed.send()
 }
 
-// errDown is what every call returns during an outage.
+// errDown is the error of every call during an outage.
 var errDown = fault.New(fault.Unavailable, "fake.store", "", "down")
 
 // Get implements objects.API.
@@ -52,7 +52,7 @@
 	return object, nil
 }
 
-// put writes an object whatever its version.
+// put writes an object without a version check.
 func (s *fakeStore) put(key string, value []byte) {
 	s.mu.Lock()
 	object := objects.Object{Key: key, Value: value, Version: uint64(len(s.log) + 1)}
@@ -78,10 +78,10 @@
 	panic("a list")
 }
 
-// Watch implements objects.API. Cursors are one above the length of the log.
+// Watch implements objects.API. A cursor is one more than the length of the log.
 func (s *fakeStore) Watch(ctx context.Context, prefix string, cursor uint64) (objects.WatchResult, error) {
-	s.wait(1)
-	defer s.wait(-1)
+	s.addWaiting(1)
+	defer s.addWaiting(-1)
 	for {
 		changed := s.changed.wait()
 		result, done, err := s.since(prefix, cursor)
@@ -96,21 +96,21 @@
 	}
 }
 
-// wait counts the waiting watches.
-func (s *fakeStore) wait(change int) {
+// addWaiting adds change to the number of waiting watches.
+func (s *fakeStore) addWaiting(change int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.waiting += change
 }
 
-// watches returns how many watches are waiting.
+// watches returns the number of waiting watches.
 func (s *fakeStore) watches() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.waiting
 }
 
-// since returns the changes behind a cursor, and whether the watch is over.
+// since returns the changes from a cursor on, and whether the watch call returns now.
 func (s *fakeStore) since(prefix string, cursor uint64) (objects.WatchResult, bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,7 +129,7 @@
 	return result, len(result.Changes) > 0, nil
 }
 
-// fakeHosts is a host list that can be down.
+// fakeHosts is a host list that can be made unavailable.
 type fakeHosts struct {
 	mu   sync.Mutex
 	list fleet.List
@@ -146,7 +146,7 @@
 	return h.list, nil
 }
 
-// set replaces the hosts.
+// set replaces the hosts of the list and increments its version.
 func (h *fakeHosts) set(hosts []fleet.Host) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -18,7 +18,7 @@
 )
 
 // historyLength is how many configurations, and how many host lists, a process
-// keeps to make deltas from.
+// keeps to compute deltas from.
 const historyLength = 64
 
 // Feed keeps one process's State up to date. It may be used by many goroutines.
@@ -29,34 +29,38 @@
 	reader  store.Reader
 	meters  *meters
 
-	// state is what the process may act on: nil until the first whole state.
+	// state is the published state, which the process may act on: nil until the first
+	// complete state.
 	state   atomic.Pointer[State]
 	changed *signal
-	// pulse is sent when a heartbeat is due to this process's subscribers.
-	pulse *signal
-	// wanted holds the newest revision seen in a message and not yet pulled.
-	wanted chan sighting
-	// direct is set while a process that is no relay reads the platform itself.
+	// heartbeat is sent when a heartbeat is due to this process's subscribers.
+	heartbeat *signal
+	// wanted holds a revision that was seen in a message and is not yet pulled, at
+	// most one.
+	wanted chan seenRevision
+	// direct is set while a process that is not a relay reads the platform itself.
 	direct atomic.Bool
-	// aloneBegan is sent when direct is set; lastRead is when a direct read
-	// succeeded last, in Unix nanoseconds.
-	aloneBegan *signal
-	lastRead   atomic.Int64
-	// listed is the version of the host list that the platform gave last.
-	listed atomic.Uint64
-	// lastBeat is when a heartbeat of an origin came, in Unix nanoseconds.
-	lastBeat atomic.Int64
-
-	// relaying is set while this process is a relay by the host list that it holds.
+	// directBegan is sent when direct is set; lastDirectRead is the time of the last
+	// successful direct read, in Unix nanoseconds.
+	directBegan    *signal
+	lastDirectRead atomic.Int64
+	// platformHostsVersion is the version of the host list that was last read from the
+	// platform.
+	platformHostsVersion atomic.Uint64
+	// lastHeartbeat is when the last heartbeat of an origin arrived, in Unix nanoseconds.
+	lastHeartbeat atomic.Int64
+
+	// relaying is set while this process is a relay by its copy of the host list.
 	relaying atomic.Bool
 
-	// mu guards what follows up to providers.
+	// mu guards the fields up to providers.
 	mu sync.Mutex
-	// held is all that is known, also before the process may act on it.
-	held        State
+	// latest is the newest state received. It is not published before the first
+	// complete state.
+	latest      State
 	history     []*config.Snapshot
 	hostHistory []fleet.List
-	started     bool
+	startDone   bool
 	// provider is the name of the entry whose feed is followed.
 	provider string
 	// providers are the entries that this process may follow, the best first.
@@ -69,31 +73,31 @@
 	hostHealth health
 }
 
-// New returns a Feed that holds nothing until Run.
+// New returns a Feed that has no state before Run.
 func New(opts Options) *Feed {
 	if opts.RelaysPerZone == 0 {
 		opts.RelaysPerZone = DefaultRelaysPerZone
 	}
 	f := &Feed{
-		opts:       opts,
-		timing:     opts.Timing.withDefaults(),
-		meters:     newMeters(opts.Metrics),
-		changed:    newSignal(),
-		pulse:      newSignal(),
-		wanted:     make(chan sighting, 1),
-		aloneBegan: newSignal(),
-		random:     newRandom(opts.Seed),
+		opts:        opts,
+		timing:      opts.Timing.withDefaults(),
+		meters:      newMeters(opts.Metrics),
+		changed:     newSignal(),
+		heartbeat:   newSignal(),
+		wanted:      make(chan seenRevision, 1),
+		directBegan: newSignal(),
+		random:      newRandom(opts.Seed),
 	}
 	f.objects = &countedStore{API: opts.Objects, feed: f}
 	f.reader = store.NewReader(f.objects)
 	return f
 }
 
-// State returns the present state, or nil before the first one.
+// State returns the current state, or nil before the first one.
 func (f *Feed) State() *State { return f.state.Load() }
 
 // Changed returns a channel that is closed at the next change of the state. To
-// miss none, a caller takes the channel first and the state then.
+// miss no change, a caller gets the channel first and the state then.
 func (f *Feed) Changed() <-chan struct{} { return f.changed.wait() }
 
 // Run keeps the state up to date until ctx ends.
@@ -103,49 +107,50 @@
 	}
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return f.follow(ctx) })
-	group.Go(func() error { return f.readAlone(ctx) })
+	group.Go(func() error { return f.pollDirectly(ctx) })
 	group.Go(func() error { return f.catchUp(ctx) })
 	if f.opts.Role == fleet.RoleEntry {
-		group.Go(func() error { return f.duty(ctx) })
-		group.Go(func() error { return f.beat(ctx) })
+		group.Go(func() error { return f.relayWhenListed(ctx) })
+		group.Go(func() error { return f.sendHeartbeats(ctx) })
 	}
 	return group.Wait()
 }
 
-// revision returns that of the configuration held, also before the start.
+// revision returns the revision of the newest configuration received, which may not
+// be published yet.
 func (f *Feed) revision() core.Revision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.held.Revision
+	return f.latest.Revision
 }
 
-// place works out this process's place among the hosts that it holds. The caller
-// holds mu. Each heartbeat to each subscriber asks for it, so it is worked out once
-// for each host list.
-func (f *Feed) place() {
-	hosts := f.held.hosts.Hosts
+// updateTopology computes from the host list whether this process is a relay, and
+// which entries it may follow. The caller holds mu. The result is stored once for each
+// host list, since each heartbeat to each subscriber needs it.
+func (f *Feed) updateTopology() {
+	hosts := f.latest.hosts.Hosts
 	f.relaying.Store(f.opts.Role == fleet.RoleEntry && relay.IsRelay(f.opts.Name, hosts, f.opts.RelaysPerZone))
 	self := relay.Subscriber{Name: f.opts.Name, Zone: f.opts.Zone, Region: f.opts.Region}
 	f.providers = self.Order(hosts, f.opts.RelaysPerZone)
 }
 
-// isRelay tells whether this process is a relay by the host list that it holds.
+// isRelay reports whether this process is a relay by its copy of the host list.
 func (f *Feed) isRelay() bool { return f.relaying.Load() }
 
-// isOrigin tells whether this process sends heartbeats of its own. Any other
-// entry passes on those of the origin that it follows, so entries that follow
-// each other in a circle fall silent and move on.
-func (f *Feed) isOrigin() bool { return f.isRelay() || f.readsAlone() }
+// isOrigin reports whether this process sends heartbeats of its own. Any other
+// entry only forwards those of the origin that it follows, so that entries that follow
+// each other in a circle fall silent and choose other providers.
+func (f *Feed) isOrigin() bool { return f.isRelay() || f.readsDirectly() }
 
-// isFed tells whether following this process makes sense: it is an origin, or
-// heard of one lately.
-func (f *Feed) isFed() bool {
-	return f.isOrigin() || time.Since(time.Unix(0, f.lastBeat.Load())) < f.timing.Silence
+// isLive reports whether this process's feed is worth following: it is an origin,
+// or received an origin's heartbeat within Timing.SilenceTimeout.
+func (f *Feed) isLive() bool {
+	return f.isOrigin() || time.Since(time.Unix(0, f.lastHeartbeat.Load())) < f.timing.SilenceTimeout
 }
 
-// order returns whose feeds this process may follow, the best first. It must not
-// be changed.
-func (f *Feed) order() []fleet.Host {
+// orderedProviders returns the entries that this process may follow, the best first.
+// The slice must not be changed.
+func (f *Feed) orderedProviders() []fleet.Host {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.providers
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -17,11 +17,11 @@
 )
 
 func TestAChangeReachesAllWhileOnlyRelaysWatch(t *testing.T) {
-	f, nodes := started(t, calmTiming)
+	f, nodes := startFleet(t, calmTiming)
 	relays, others := f.relays(nodes)
 	assert.Equal(t, len(relays), 2)
-	f.await("every relay waits in two watches", func() bool { return f.store.watches() == 4 })
-	f.await("everybody follows an entry", func() bool {
+	f.await("each relay has two waiting watches", func() bool { return f.store.watches() == 4 })
+	f.await("all processes follow an entry", func() bool {
 		for _, n := range nodes {
 			if n.feed.Stats().Provider == "" {
 				return false
@@ -45,14 +45,14 @@
 		assert.Equal(t, w.Weight == 7, found)
 		reads -= n.feed.Stats().StoreReads
 	}
-	assert.Equal(t, reads, uint64(0), "the watch brings head and parts, so a change costs no read")
+	assert.Equal(t, reads, uint64(0), "a change must cost no read, as the watch delivers head and parts")
 	for _, n := range others {
 		assert.Equal(t, n.feed.Stats().StoreWatches, uint64(0), n.host.Name)
 	}
 }
 
 func TestPlacementReachesAllWithTheObjectsVersion(t *testing.T) {
-	f, nodes := started(t, calmTiming)
+	f, nodes := startFleet(t, calmTiming)
 	f.place(9)
 	for _, n := range nodes {
 		f.await("placement", func() bool {
@@ -63,15 +63,15 @@
 }
 
 func TestALeavingHostReachesAll(t *testing.T) {
-	f, nodes := started(t, calmTiming)
-	f.listed(fleet.Host{Name: "u9", Role: fleet.RoleUpstream, Leaving: true})
+	f, nodes := startFleet(t, calmTiming)
+	f.addHost(fleet.Host{Name: "u9", Role: fleet.RoleUpstream, Leaving: true})
 	for _, n := range nodes {
 		f.await("host list", func() bool { return len(n.feed.State().Hosts()) == 11 })
 	}
 }
 
 func TestAChangeReachesAllThoughRelaysAreKilled(t *testing.T) {
-	f, nodes := started(t, fastTiming)
+	f, nodes := startFleet(t, fastTiming)
 	relays, others := f.relays(nodes)
 	for _, n := range relays {
 		n.kill()
@@ -79,14 +79,14 @@
 	revision := f.change(workspaces(1, 2))
 	f.awaitRevision(revision, others...)
 	for _, n := range relays {
-		f.unlist(n.host.Name)
+		f.removeHost(n.host.Name)
 	}
-	f.await("other entries became relays", func() bool { return f.store.watches() == 4 })
+	f.await("other entries become relays", func() bool { return f.store.watches() == 4 })
 	f.awaitRevision(f.change(workspaces(1, 3)), others...)
 }
 
 func TestAChangeReachesAllThoughRelaysAreFrozen(t *testing.T) {
-	f, nodes := started(t, fastTiming)
+	f, nodes := startFleet(t, fastTiming)
 	relays, others := f.relays(nodes)
 	for _, n := range relays {
 		n.frozen.close()
@@ -94,28 +94,28 @@
 	f.awaitRevision(f.change(workspaces(1, 2)), others...)
 }
 
-func TestTheEndOfAnOutageIsSeenWithoutAChange(t *testing.T) {
-	f, nodes := started(t, calmTiming)
+func TestTheEndOfAStoreOutageIsDetectedWithoutAChange(t *testing.T) {
+	f, nodes := startFleet(t, calmTiming)
 	relays, _ := f.relays(nodes)
 	f.store.setDown(true)
 	for _, n := range relays {
-		f.await("the outage", func() bool { return n.feed.storeLost() })
+		f.await("the outage", func() bool { return n.feed.storeDown() })
 	}
 	f.store.setDown(false)
 	for _, n := range relays {
-		f.await("the end of the outage", func() bool { return !n.feed.storeLost() })
+		f.await("the end of the outage", func() bool { return !n.feed.storeDown() })
 	}
 }
 
-// storeLost tells whether the feed takes the store for down.
-func (f *Feed) storeLost() bool {
+// storeDown reports whether the feed considers the store down.
+func (f *Feed) storeDown() bool {
 	health := &f.objects.(*countedStore).health
 	health.mu.Lock()
 	defer health.mu.Unlock()
 	return !health.lostSince.IsZero()
 }
 
-func TestAZoneWhoseEntriesFallSilentIsLeftForAnother(t *testing.T) {
+func TestAnotherZoneIsTriedAfterTwoSilentEntries(t *testing.T) {
 	var list fleet.List
 	for _, name := range []string{"near1", "near2", "near3", "far"} {
 		host := fleet.Host{Name: name, Role: fleet.RoleEntry, Zone: "z0"}
@@ -125,28 +125,28 @@
 		list.Hosts = append(list.Hosts, host)
 	}
 	feed := New(Options{Name: "s", Zone: "z0", Role: fleet.RoleUpstream, RelaysPerZone: 3})
-	feed.takeHosts(list, "test")
+	feed.applyHosts(list, "test")
 	w := newFollower(feed)
 	silent := fault.New(fault.DeadlineExceeded, "test", "", "silent")
-	var asked []string
+	var zones []string
 	for range 3 {
 		host, _ := w.best()
-		asked = append(asked, host.Zone)
+		zones = append(zones, host.Zone)
 		w.avoid(host, silent)
 	}
-	assert.DeepEqual(t, asked, []string{"z0", "z0", "z1"})
+	assert.DeepEqual(t, zones, []string{"z0", "z0", "z1"})
 	last, found := w.best()
-	assert.Assert(t, found && last.Zone == "z0", "a suspect zone is better than nothing")
+	assert.Assert(t, found && last.Zone == "z0", "an entry of a suspect zone is chosen if there is no other")
 }
 
 func TestEntriesThatFollowEachOtherDoNotKeepEachOtherAlive(t *testing.T) {
-	f, nodes := started(t, fastTiming)
+	f, nodes := startFleet(t, fastTiming)
 	relays, others := f.relays(nodes)
 	f.store.setDown(true)
 	for _, n := range relays {
 		n.kill()
 	}
-	f.await("everybody is alone", func() bool {
+	f.await("all remaining entries read the platform directly", func() bool {
 		for _, n := range others {
 			if n.host.Role == fleet.RoleEntry && !n.feed.Stats().Direct {
 				return false
@@ -159,8 +159,8 @@
 	f.awaitRevision(revision, others...)
 }
 
-func TestAFreshProcessStartsFromEntriesWhileTheStoreIsDown(t *testing.T) {
-	f, nodes := started(t, calmTiming)
+func TestANewProcessStartsFromEntriesWhileTheStoreIsDown(t *testing.T) {
+	f, nodes := startFleet(t, calmTiming)
 	f.awaitRevision(f.change(workspaces(1, 5)), nodes...)
 	f.store.setDown(true)
 	fresh := f.start("e9", "z0", fleet.RoleEntry)
@@ -172,21 +172,21 @@
 	assert.Equal(t, fresh.feed.Stats().Fulls, uint64(1))
 }
 
-// staleFeed returns a feed that holds a snapshot, and never learns more.
-func staleFeed(name string, snapshot *config.Snapshot) *Feed {
+// newStaleFeed returns a started feed with a snapshot that receives no updates.
+func newStaleFeed(name string, snapshot *config.Snapshot) *Feed {
 	feed := New(Options{Name: name, Role: fleet.RoleEntry, Timing: fastTiming})
-	feed.takeConfig(snapshot, "test")
-	feed.takeHosts(fleet.List{Version: 1}, "test")
-	feed.begin("test")
+	feed.applyConfig(snapshot, "test")
+	feed.applyHosts(fleet.List{Version: 1}, "test")
+	feed.finishStart("test")
 	return feed
 }
 
-func TestAFreshProcessDoesNotStartWithLessThanTheStoreSays(t *testing.T) {
+func TestANewProcessDoesNotStartWithAnOlderRevisionThanTheStores(t *testing.T) {
 	f := newTestFleet(t, calmTiming)
 	f.change(workspaces(3, 1))
-	stale := staleFeed("e0", f.snapshot)
+	stale := newStaleFeed("e0", f.snapshot)
 	peer := &node{handler: stale.Subscribe}
-	f.serve(peer, f.prepareHost("e0", "z0"))
+	f.serve(peer, f.prepareEntry("e0", "z0"))
 	f.change(workspaces(3, 2))
 	fresh := New(Options{Name: "e1", Zone: "z0", Role: fleet.RoleEntry, Objects: f.store, Hosts: f.hosts,
 		Dialer: link.NewDialer(testKey), Timing: fastTiming})
@@ -208,7 +208,7 @@
 func TestARevisionSeenInAMessageIsPulled(t *testing.T) {
 	f := newTestFleet(t, calmTiming)
 	f.change(workspaces(1, 1))
-	feed := staleFeed("e0", f.snapshot)
+	feed := newStaleFeed("e0", f.snapshot)
 	feed.objects.(*countedStore).API = f.store
 	revision := f.change(workspaces(1, 2))
 	ctx, stop := context.WithCancel(context.Background())
@@ -224,14 +224,14 @@
 func TestAMismatchedDigestLeadsToTheFullState(t *testing.T) {
 	f := newTestFleet(t, calmTiming)
 	f.change(workspaces(5, 1))
-	run := f.prepare("e0", "z0", fleet.RoleEntry)
-	follower := f.prepare("e1", "z9", fleet.RoleUpstream)
-	liar := run()
-	f.awaitRevision(1, liar)
-	asked := make(chan uint64, 100)
-	liar.handler = func(req *wirepb.SubscribeRequest, stream wirepb.DRPCEntry_SubscribeStream) error {
-		asked <- req.GetRevision()
-		return liar.feed.Subscribe(req, &lyingStream{stream})
+	run := f.prepareProcess("e0", "z0", fleet.RoleEntry)
+	follower := f.prepareProcess("e1", "z9", fleet.RoleUpstream)
+	corrupting := run()
+	f.awaitRevision(1, corrupting)
+	requested := make(chan uint64, 100)
+	corrupting.handler = func(req *wirepb.SubscribeRequest, stream wirepb.DRPCEntry_SubscribeStream) error {
+		requested <- req.GetRevision()
+		return corrupting.feed.Subscribe(req, &corruptingStream{stream})
 	}
 	side := follower()
 	f.awaitRevision(1, side)
@@ -239,19 +239,19 @@
 	f.awaitRevision(revision, side)
 	assert.Assert(t, side.feed.State().Drained("u"))
 	last := uint64(1)
-	for range len(asked) {
-		last = <-asked
+	for range len(requested) {
+		last = <-requested
 	}
-	assert.Equal(t, last, uint64(0), "the full state was not asked for")
+	assert.Equal(t, last, uint64(0), "the full state was not requested")
 }
 
-// lyingStream spoils every delta, but not a full state.
-type lyingStream struct {
+// corruptingStream empties every delta, but not a full state.
+type corruptingStream struct {
 	wirepb.DRPCEntry_SubscribeStream
 }
 
 // Send implements wirepb.DRPCEntry_SubscribeStream.
-func (s *lyingStream) Send(update *wirepb.FleetUpdate) error {
+func (s *corruptingStream) Send(update *wirepb.FleetUpdate) error {
 	if c := update.GetConfig(); c != nil && !c.GetFull() {
 		update = &wirepb.FleetUpdate{Config: &wirepb.ConfigUpdate{Revision: c.GetRevision(), ChangeId: c.GetChangeId(), Digest: c.GetDigest()}}
 	}
@@ -278,31 +278,31 @@
 	assert.Equal(t, fresh.feed.State().config.Digest(), f.snapshot.Digest())
 }
 
-func TestAHostListChangeThatBeginsElsewhereIsAskedAnew(t *testing.T) {
+func TestAHostListDeltaWithAnotherBaseIsRequestedAgain(t *testing.T) {
 	feed := New(Options{Role: fleet.RoleEntry, Timing: fastTiming})
-	feed.takeHosts(fleet.List{Version: 3, Hosts: []fleet.Host{{Name: "a"}, {Name: "b"}}}, "test")
+	feed.applyHosts(fleet.List{Version: 3, Hosts: []fleet.Host{{Name: "a"}, {Name: "b"}}}, "test")
 	r := &receiver{feed: feed}
-	assert.Equal(t, r.takeHosts(&wirepb.HostsUpdate{Version: 5, Base: 4, Removed: []string{"a"}}), errAgain)
-	assert.NilError(t, r.takeHosts(&wirepb.HostsUpdate{Version: 3, Base: 2, Removed: []string{"a"}}))
-	assert.Equal(t, len(feed.heldHosts().Hosts), 2)
-	assert.NilError(t, r.takeHosts(&wirepb.HostsUpdate{Version: 4, Base: 3, Removed: []string{"a"}}))
-	assert.DeepEqual(t, feed.heldHosts().Hosts, []fleet.Host{{Name: "b"}})
+	assert.Equal(t, r.handleHosts(&wirepb.HostsUpdate{Version: 5, Base: 4, Removed: []string{"a"}}), errStaleBase)
+	assert.NilError(t, r.handleHosts(&wirepb.HostsUpdate{Version: 3, Base: 2, Removed: []string{"a"}}))
+	assert.Equal(t, len(feed.latestHosts().Hosts), 2)
+	assert.NilError(t, r.handleHosts(&wirepb.HostsUpdate{Version: 4, Base: 3, Removed: []string{"a"}}))
+	assert.DeepEqual(t, feed.latestHosts().Hosts, []fleet.Host{{Name: "b"}})
 }
 
-func TestNoSourceSetsAProcessBack(t *testing.T) {
+func TestOlderVersionsOfAnySourceAreIgnored(t *testing.T) {
 	feed := New(Options{Role: fleet.RoleEntry, Timing: fastTiming})
 	at := func(revision, weight int) *config.Snapshot {
 		return config.Empty().Change(workspaces(1, weight), core.Revision(revision), "")
 	}
-	feed.takeConfig(at(5, 5), "a")
-	feed.takeHosts(fleet.List{Version: 5}, "a")
-	feed.takePlacement(placement.Plan{Sequence: 5}, 5, "a")
-	feed.begin("test")
+	feed.applyConfig(at(5, 5), "a")
+	feed.applyHosts(fleet.List{Version: 5}, "a")
+	feed.applyPlacement(placement.Plan{Sequence: 5}, 5, "a")
+	feed.finishStart("test")
 	changed := feed.Changed()
 	for _, older := range []int{1, 4, 5} {
-		feed.takeConfig(at(older, older+10), "b")
-		feed.takeHosts(fleet.List{Version: uint64(older), Hosts: []fleet.Host{{}}}, "b")
-		feed.takePlacement(placement.Plan{Sequence: 1}, uint64(older), "b")
+		feed.applyConfig(at(older, older+10), "b")
+		feed.applyHosts(fleet.List{Version: uint64(older), Hosts: []fleet.Host{{}}}, "b")
+		feed.applyPlacement(placement.Plan{Sequence: 1}, uint64(older), "b")
 	}
 	state := feed.State()
 	w, _ := state.Workspace("w0")
--- a/feed/fleet_test.go
+++ b/feed/fleet_test.go
@@ -21,23 +21,23 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// Short intervals, so that a test is over soon. No test asserts a time.
+// fastTiming has short intervals to keep the tests fast. No test asserts a time.
 var fastTiming = Timing{
-	Heartbeat: 20 * time.Millisecond, Silence: 200 * time.Millisecond, HostsPoll: 10 * time.Millisecond,
-	FirstWait: 5 * time.Millisecond, LongestWait: 50 * time.Millisecond,
-	Avoid: 50 * time.Millisecond, LongestAvoid: 200 * time.Millisecond, CatchUp: 10 * time.Millisecond,
+	HeartbeatInterval: 20 * time.Millisecond, SilenceTimeout: 200 * time.Millisecond, HostsPollInterval: 10 * time.Millisecond,
+	MinBackoff: 5 * time.Millisecond, MaxBackoff: 50 * time.Millisecond,
+	MinAvoidance: 50 * time.Millisecond, MaxAvoidance: 200 * time.Millisecond, CatchUpTimeout: 10 * time.Millisecond,
 }
 
-// calmTiming is fastTiming for tests in which nobody falls silent: a process that
-// is merely slow, on a busy machine, must not be taken for a silent one.
+// calmTiming is fastTiming for tests in which no provider falls silent: its silence
+// timeout is so long that a process slowed by a busy machine is not taken for a silent one.
 var calmTiming = func() Timing {
 	calm := fastTiming
-	calm.Silence = patience
+	calm.SilenceTimeout = waitTimeout
 	return calm
 }()
 
-// patience is how long a test waits for what must happen.
-const patience = time.Minute
+// waitTimeout is how long a test waits for a condition.
+const waitTimeout = time.Minute
 
 // testKey is the shared key of the test fleet.
 const testKey = "test-key"
@@ -48,13 +48,13 @@
 	store *fakeStore
 	hosts *fakeHosts
 	nodes map[string]*node
-	// timing is that of the processes that are started.
+	// timing is that of the processes that the fleet starts.
 	timing Timing
 	// snapshot is the configuration in force.
 	snapshot *config.Snapshot
 }
 
-// node is one process: its feed and, for an entry, its server.
+// node is one process with its feed and its server.
 type node struct {
 	wirepb.DRPCEntryUnimplementedServer
 	host   fleet.Host
@@ -63,11 +63,11 @@
 	stop   context.CancelFunc
 	done   chan struct{}
 	frozen *gate
-	// handler, if set, serves Subscribe in place of the feed.
+	// handler, if set, serves Subscribe instead of the feed.
 	handler func(*wirepb.SubscribeRequest, wirepb.DRPCEntry_SubscribeStream) error
 }
 
-// newTestFleet returns a fleet without processes and an empty configuration.
+// newTestFleet returns a fleet with an empty configuration and no processes.
 func newTestFleet(t testing.TB, timing Timing) *testFleet {
 	f := &testFleet{t: t, store: newFakeStore(), hosts: &fakeHosts{}, nodes: map[string]*node{}, timing: timing, snapshot: config.Empty()}
 	t.Cleanup(func() {
@@ -78,7 +78,7 @@
 	return f
 }
 
-// change makes a change the configuration in force.
+// change applies c to the configuration in force and stores the result.
 func (f *testFleet) change(c config.Change) core.Revision {
 	next := f.snapshot.Change(c, f.snapshot.Revision()+1, fmt.Sprint("change-", f.snapshot.Revision()+1))
 	for _, part := range next.PartsSince(f.snapshot) {
@@ -100,21 +100,21 @@
 	return c
 }
 
-// place makes a plan the desired placement.
+// place stores a plan with the sequence as the desired placement.
 func (f *testFleet) place(sequence uint64) {
 	data, err := json.Marshal(placement.Plan{Sequence: sequence})
 	assert.NilError(f.t, err)
 	f.store.put(planKey, data)
 }
 
-// listed adds a host to the host list.
-func (f *testFleet) listed(host fleet.Host) {
+// addHost adds a host to the host list.
+func (f *testFleet) addHost(host fleet.Host) {
 	list, _ := f.hosts.List(context.Background())
 	f.hosts.set(append(slices.Clone(list.Hosts), host))
 }
 
-// unlist takes a host off the host list.
-func (f *testFleet) unlist(name string) {
+// removeHost removes a host from the host list.
+func (f *testFleet) removeHost(name string) {
 	list, _ := f.hosts.List(context.Background())
 	f.hosts.set(slices.DeleteFunc(slices.Clone(list.Hosts), func(h fleet.Host) bool { return h.Name == name }))
 }
@@ -126,22 +126,23 @@
 	return listener
 }
 
-// prepare lists a process and opens its port, but doesn't start it.
-func (f *testFleet) prepare(name, zone string, role fleet.Role) func() *node {
+// prepareProcess adds a process to the host list and opens its port. The returned
+// function starts the process.
+func (f *testFleet) prepareProcess(name, zone string, role fleet.Role) func() *node {
 	listener := f.listen()
 	host := fleet.Host{Name: name, Role: role, Zone: zone, Region: "r", Addr: listener.Addr().String()}
-	f.listed(host)
+	f.addHost(host)
 	return func() *node { return f.run(host, listener) }
 }
 
-// prepareHost lists an entry and opens its port.
-func (f *testFleet) prepareHost(name, zone string) net.Listener {
+// prepareEntry adds an entry to the host list and opens its port.
+func (f *testFleet) prepareEntry(name, zone string) net.Listener {
 	listener := f.listen()
-	f.listed(fleet.Host{Name: name, Role: fleet.RoleEntry, Zone: zone, Region: "r", Addr: listener.Addr().String()})
+	f.addHost(fleet.Host{Name: name, Role: fleet.RoleEntry, Zone: zone, Region: "r", Addr: listener.Addr().String()})
 	return listener
 }
 
-// serve serves a node that has no feed running.
+// serve serves a node without running a feed.
 func (f *testFleet) serve(n *node, listener net.Listener) {
 	ctx, cancel := context.WithCancel(context.Background())
 	server := link.NewServer(testKey)
@@ -151,9 +152,9 @@
 	f.t.Cleanup(func() { cancel(); <-done })
 }
 
-// start starts a process at once.
+// start adds a process to the host list and starts it.
 func (f *testFleet) start(name, zone string, role fleet.Role) *node {
-	return f.prepare(name, zone, role)()
+	return f.prepareProcess(name, zone, role)()
 }
 
 // run runs a process on its port.
@@ -198,7 +199,7 @@
 	return &wirepb.LookupReply{}, nil
 }
 
-// gate lets messages through while it is open.
+// gate blocks messages while it is closed.
 type gate struct{ closed chan chan struct{} }
 
 // newGate returns an open gate.
@@ -210,13 +211,13 @@
 	return g
 }
 
-// close holds messages back.
+// close blocks messages from now on.
 func (g *gate) close() {
 	<-g.closed
 	g.closed <- make(chan struct{})
 }
 
-// open lets held messages through.
+// open lets blocked messages pass.
 func (g *gate) open() {
 	state := <-g.closed
 	select {
@@ -234,7 +235,7 @@
 	<-state
 }
 
-// gatedStream is a stream of a process that can be frozen.
+// gatedStream is the stream of a process that can be frozen.
 type gatedStream struct {
 	wirepb.DRPCEntry_SubscribeStream
 	frozen *gate
@@ -246,7 +247,7 @@
 	return s.DRPCEntry_SubscribeStream.Send(update)
 }
 
-// await waits until a condition holds.
+// await waits until the condition holds.
 func (f *testFleet) await(what string, condition func() bool) {
 	f.t.Helper()
 	poll.WaitOn(f.t, func(poll.LogT) poll.Result {
@@ -254,10 +255,10 @@
 			return poll.Success()
 		}
 		return poll.Continue("%s: %s", what, f.describe())
-	}, poll.WithTimeout(patience), poll.WithDelay(2*time.Millisecond))
+	}, poll.WithTimeout(waitTimeout), poll.WithDelay(2*time.Millisecond))
 }
 
-// describe tells what each process holds.
+// describe returns the stats of each process.
 func (f *testFleet) describe() string {
 	text := ""
 	for name, n := range f.nodes {
@@ -266,31 +267,31 @@
 	return text
 }
 
-// holds tells whether the process may act on a revision.
-func (n *node) holds(revision core.Revision) bool {
+// hasRevision reports whether the process has published a state of at least the revision.
+func (n *node) hasRevision(revision core.Revision) bool {
 	state := n.feed.State()
 	return state != nil && state.Revision >= revision
 }
 
-// awaitRevision waits until all of the processes act on a revision.
+// awaitRevision waits until all of the processes have published the revision.
 func (f *testFleet) awaitRevision(revision core.Revision, nodes ...*node) {
 	f.t.Helper()
 	f.await(fmt.Sprint("revision ", revision), func() bool {
-		return !slices.ContainsFunc(nodes, func(n *node) bool { return !n.holds(revision) })
+		return !slices.ContainsFunc(nodes, func(n *node) bool { return !n.hasRevision(revision) })
 	})
 }
 
-// started returns a fleet of six entries in two zones and four sides, all on
+// startFleet returns a fleet of six entries in two zones and four sides, all on
 // revision 1.
-func started(t *testing.T, timing Timing) (*testFleet, []*node) {
+func startFleet(t *testing.T, timing Timing) (*testFleet, []*node) {
 	f := newTestFleet(t, timing)
 	f.change(workspaces(50, 1))
 	var runs []func() *node
 	for i := range 6 {
-		runs = append(runs, f.prepare(fmt.Sprint("e", i), fmt.Sprint("z", i%2), fleet.RoleEntry))
+		runs = append(runs, f.prepareProcess(fmt.Sprint("e", i), fmt.Sprint("z", i%2), fleet.RoleEntry))
 	}
 	for i := range 4 {
-		runs = append(runs, f.prepare(fmt.Sprint("s", i), fmt.Sprint("z", i%2), fleet.RoleUpstream))
+		runs = append(runs, f.prepareProcess(fmt.Sprint("s", i), fmt.Sprint("z", i%2), fleet.RoleUpstream))
 	}
 	var nodes []*node
 	for _, run := range runs {
@@ -300,7 +301,7 @@
 	return f, nodes
 }
 
-// relays returns the processes that are relays, and the others.
+// relays divides the processes into relays and others.
 func (f *testFleet) relays(nodes []*node) (relays, others []*node) {
 	list, _ := f.hosts.List(context.Background())
 	for _, n := range nodes {
--- a/feed/hold.go
+++ b/feed/hold.go
@@ -11,49 +11,49 @@
 	"acaciawinch/observe/event"
 )
 
-// This file is the only one that changes what a process holds. Configuration,
-// host list and placement each take a newer version only, whoever brings it, so
-// that no source can set the process back.
+// This file is the only one that changes the state of a process. Configuration, host
+// list and placement are each replaced by a newer version only, whatever its source,
+// so that no source can revert the process to an older version.
 
-// takeConfig makes a configuration the one in force if it is newer.
-func (f *Feed) takeConfig(snapshot *config.Snapshot, source string) {
+// applyConfig makes snapshot the latest configuration if it is newer than the current one.
+func (f *Feed) applyConfig(snapshot *config.Snapshot, source string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.held.config != nil && snapshot.Revision() <= f.held.Revision {
+	if f.latest.config != nil && snapshot.Revision() <= f.latest.Revision {
 		return
 	}
-	f.held.config, f.held.Revision = snapshot, snapshot.Revision()
-	f.history = remember(f.history, snapshot)
+	f.latest.config, f.latest.Revision = snapshot, snapshot.Revision()
+	f.history = appendBounded(f.history, snapshot)
 	f.meters.configApplied(snapshot.Revision(), time.Now())
 	f.log(event.ConfigInForce, observe.Fields{"revision": snapshot.Revision(), "change_id": snapshot.ChangeID(), "source": source})
 	f.publish()
 }
 
-// takeHosts makes a host list the one in force if it is newer.
-func (f *Feed) takeHosts(list fleet.List, source string) {
+// applyHosts makes list the latest host list if it is newer than the current one.
+func (f *Feed) applyHosts(list fleet.List, source string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.held.hostsKnown && list.Version <= f.held.hosts.Version {
+	if f.latest.hostsKnown && list.Version <= f.latest.hosts.Version {
 		return
 	}
 	list = list.Sorted()
-	f.held.hosts, f.held.hostsKnown = list, true
-	f.hostHistory = remember(f.hostHistory, list)
-	f.place()
-	f.log(event.HostsChanged, observe.Fields{"version": list.Version, "hosts": len(list.Hosts), "leaving": leaving(list), "source": source})
+	f.latest.hosts, f.latest.hostsKnown = list, true
+	f.hostHistory = appendBounded(f.hostHistory, list)
+	f.updateTopology()
+	f.log(event.HostsChanged, observe.Fields{"version": list.Version, "hosts": len(list.Hosts), "leaving": countLeaving(list), "source": source})
 	f.publish()
 }
 
-// remember appends to a history, from which the oldest is dropped if it is full.
-func remember[T any](history []T, value T) []T {
+// appendBounded appends value to history and drops the oldest entry if it is full.
+func appendBounded[T any](history []T, value T) []T {
 	if len(history) == historyLength {
 		history = slices.Clone(history[1:])
 	}
 	return append(history, value)
 }
 
-// leaving counts the hosts that are about to go.
-func leaving(list fleet.List) int {
+// countLeaving returns the number of hosts that are marked as leaving.
+func countLeaving(list fleet.List) int {
 	count := 0
 	for _, host := range list.Hosts {
 		if host.Leaving {
@@ -63,49 +63,50 @@
 	return count
 }
 
-// takePlacement makes a placement the one in force if it is newer.
-func (f *Feed) takePlacement(plan placement.Plan, version uint64, source string) {
+// applyPlacement makes plan the latest placement if its version is newer than the current one.
+func (f *Feed) applyPlacement(plan placement.Plan, version uint64, source string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if version <= f.held.placementVersion {
+	if version <= f.latest.placementVersion {
 		return
 	}
-	f.held.plan, f.held.placementVersion = plan, version
+	f.latest.plan, f.latest.placementVersion = plan, version
 	f.log(event.PlacementChanged, observe.Fields{"version": version, "source": source})
 	f.publish()
 }
 
-// publish lets the process act on what is held, once it has started. The caller
-// holds mu.
+// publish makes the latest state the published one, once the start has finished. The
+// caller holds mu.
 func (f *Feed) publish() {
-	if !f.started {
+	if !f.startDone {
 		return
 	}
-	next := f.held
+	next := f.latest
 	f.state.Store(&next)
 	f.changed.send()
 }
 
-// begin lets the process act on what it holds from now on.
-func (f *Feed) begin(authority string) {
+// finishStart publishes the latest state and lets each later change be published.
+// Authority names in the log who confirmed that the state is current enough.
+func (f *Feed) finishStart(authority string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.started = true
-	f.log(event.FeedStarted, observe.Fields{"revision": f.held.Revision, "hosts_version": f.held.hosts.Version,
-		"placement_version": f.held.placementVersion, "authority": authority})
+	f.startDone = true
+	f.log(event.FeedStarted, observe.Fields{"revision": f.latest.Revision, "hosts_version": f.latest.hosts.Version,
+		"placement_version": f.latest.placementVersion, "authority": authority})
 	f.publish()
 }
 
-// known returns the configuration held, or nil.
-func (f *Feed) known() *config.Snapshot {
+// latestConfig returns the newest configuration received, or nil.
+func (f *Feed) latestConfig() *config.Snapshot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.held.config
+	return f.latest.config
 }
 
-// earlier returns the configuration that was in force at a revision, or nil if
-// it is not kept any more.
-func (f *Feed) earlier(revision uint64) *config.Snapshot {
+// configAt returns the configuration of a revision, or nil if it is no longer in the
+// history.
+func (f *Feed) configAt(revision uint64) *config.Snapshot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, snapshot := range f.history {
@@ -116,16 +117,16 @@
 	return nil
 }
 
-// heldHosts returns the host list held, also before the start.
-func (f *Feed) heldHosts() fleet.List {
+// latestHosts returns the newest host list received, which may not be published yet.
+func (f *Feed) latestHosts() fleet.List {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.held.hosts
+	return f.latest.hosts
 }
 
-// earlierHosts returns the host list of a version, or an empty one if it is not
-// kept any more.
-func (f *Feed) earlierHosts(version uint64) fleet.List {
+// hostsAt returns the host list of a version, or an empty one if it is no longer in
+// the history.
+func (f *Feed) hostsAt(version uint64) fleet.List {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, list := range f.hostHistory {
@@ -143,7 +144,7 @@
 	}
 }
 
-// warn writes an event that an operator should look at.
+// warn writes a warning event if the feed has a logger.
 func (f *Feed) warn(e event.Event, fields observe.Fields) {
 	if f.opts.Logger != nil {
 		f.opts.Logger.Warn(e, fields)
--- a/feed/meters.go
+++ b/feed/meters.go
@@ -9,43 +9,42 @@
 	"acaciawinch/core"
 )
 
-// Stats tells operators and measurements what a feed does.
+// Stats describes the activity of a feed to operators and measurements.
 type Stats struct {
-	// Revision is in force since Applied, by this process's clock.
+	// Revision is in force since Applied, by the clock of this process.
 	Revision core.Revision `json:"revision"`
 	Applied  time.Time     `json:"applied"`
 	// Provider is the entry whose feed is followed; empty if none.
 	Provider string `json:"provider"`
 	Relay    bool   `json:"relay"`
 	Direct   bool   `json:"direct"`
-	// Subscribers follow this process's feed.
+	// Subscribers is the number of processes that follow the feed of this process.
 	Subscribers int64 `json:"subscribers"`
 	// StoreReads and StoreWatches count calls of the object API, HostReads calls
 	// of the host list.
 	StoreReads   uint64 `json:"store_reads"`
 	StoreWatches uint64 `json:"store_watches"`
 	HostReads    uint64 `json:"host_reads"`
-	// Fulls and Deltas count the configurations received, Switches the changes of
-	// provider, CatchUps the revisions that had to be pulled.
+	// Fulls and Deltas count the configurations received, Switches how often a provider
+	// was chosen, CatchUps the revisions that had to be pulled.
 	Fulls    uint64 `json:"fulls"`
 	Deltas   uint64 `json:"deltas"`
 	Switches uint64 `json:"switches"`
 	CatchUps uint64 `json:"catch_ups"`
 }
 
-// meter is a count that is also a metric.
+// meter is a counter that is also reported as a metric.
 type meter struct {
 	count   atomic.Uint64
 	counter tally.Counter
 }
 
-// add counts one.
 func (m *meter) add() {
 	m.count.Add(1)
 	m.counter.Inc(1)
 }
 
-// meters are the feed's counts.
+// meters are the feed's counters and gauges.
 type meters struct {
 	storeReads, storeWatches, hostReads meter
 	fulls, deltas, switches, catchUps   meter
@@ -78,7 +77,7 @@
 	return m
 }
 
-// configApplied notes which revision is in force, and since when.
+// configApplied records which revision is in force, and since when.
 func (m *meters) configApplied(revision core.Revision, at time.Time) {
 	m.revision.Store(uint64(revision))
 	m.applied.Store(at.UnixNano())
@@ -86,12 +85,12 @@
 	m.appliedGauge.Update(float64(at.UnixNano()) / float64(time.Second))
 }
 
-// subscribed counts a subscriber that came, or with -1 one that went.
+// subscribed adds change to the number of subscribers: 1 for a new one, -1 for one that left.
 func (m *meters) subscribed(change int64) {
 	m.subscribersGauge.Update(float64(m.subscribers.Add(change)))
 }
 
-// Stats returns what the feed does at the moment.
+// Stats returns the current counts of the feed.
 func (f *Feed) Stats() Stats {
 	m := f.meters
 	stats := Stats{
--- a/feed/options.go
+++ b/feed/options.go
@@ -11,20 +11,21 @@
 )
 
 // DefaultRelaysPerZone is how many entries of a zone watch the platform. At 11
-// zones this makes 44 relays with 88 waiting calls, and some 32 subscribers each.
+// zones this makes 44 relays with 88 waiting watch calls, and some 32 subscribers for
+// each relay.
 const DefaultRelaysPerZone = 4
 
-// Options are what a Feed works with.
+// Options are the settings and dependencies of a Feed.
 type Options struct {
-	// Name, Zone and Region are the process's own; an entry is found in the host
+	// Name, Zone and Region are those of this process; an entry is found in the host
 	// list by its name.
 	Name   string
 	Zone   string
 	Region string
-	// Role is fleet.RoleEntry for entries, which hold everything and may be
-	// relays, or fleet.RoleUpstream for sides, which hold no workspaces.
+	// Role is fleet.RoleEntry for entries, which receive the whole configuration and may
+	// be relays, or fleet.RoleUpstream for sides, which receive no workspaces.
 	Role fleet.Role
-	// RelaysPerZone is the same in all processes of the fleet; zero means
+	// RelaysPerZone must be the same in all processes of the fleet; zero means
 	// DefaultRelaysPerZone.
 	RelaysPerZone int
 	Objects       objects.API
@@ -32,8 +33,8 @@
 	Dialer        *link.Dialer
 	Logger        *observe.Logger
 	Metrics       tally.Scope
-	// Timing may be zero.
+	// Timing overrides the default intervals; it may be zero.
 	Timing Timing
-	// Seed starts the random source of the waits between tries.
+	// Seed seeds the random source that jitters the waits.
 	Seed uint64
 }
--- a/feed/pack.go
+++ b/feed/pack.go
@@ -12,21 +12,21 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// packFrom is the size from which an update is compressed: a change of one workspace
-// or host is smaller, and gains little.
-const packFrom = 2 << 10
+// minPackBytes is the size from which an update is compressed. A change of one
+// workspace or host is smaller and gains little.
+const minPackBytes = 2 << 10
 
-// maxUnpackedBytes bounds what a packed update may grow to. An update that is not
-// packed is bounded by drpc to as much.
+// maxUnpackedBytes bounds the size of a packed update after decompression. It is
+// drpc's bound for an update that is not packed.
 const maxUnpackedBytes = 4 << 20
 
-// compressors are kept for the next update, as a new one takes 800 KB.
+// compressors are pooled, since a new one allocates 800 KB.
 var compressors = sync.Pool{New: func() any { return gzip.NewWriter(nil) }}
 
-// pack returns the update as it is sent: compressed, if it is large and gets
-// smaller by it.
+// pack returns the update as it is sent: compressed if it is large and compression
+// makes it smaller.
 func pack(update *wirepb.FleetUpdate) (*wirepb.FleetUpdate, error) {
-	if proto.Size(update) < packFrom {
+	if proto.Size(update) < minPackBytes {
 		return update, nil
 	}
 	data, err := proto.Marshal(update)
@@ -39,20 +39,20 @@
 	return update, nil
 }
 
-// compress returns the data compressed.
+// compress returns data compressed with gzip.
 func compress(data []byte) []byte {
 	var out bytes.Buffer
 	w := compressors.Get().(*gzip.Writer)
 	defer compressors.Put(w)
 	w.Reset(&out)
-	// A buffer takes every write.
+	// Writes to a bytes.Buffer do not fail.
 	_, _ = w.Write(data)
 	_ = w.Close()
 	return out.Bytes()
 }
 
-// unpack returns the update that peer sent. An update that is not a whole packed
-// one within the bound is refused as Invalid.
+// unpack returns the update that peer sent, decompressed if it is packed. A packed
+// update that is incomplete, damaged, too large or packed twice is refused as Invalid.
 func unpack(update *wirepb.FleetUpdate, peer string) (*wirepb.FleetUpdate, error) {
 	if len(update.GetPacked()) == 0 {
 		return update, nil
@@ -62,7 +62,7 @@
 		return nil, fault.Wrap(fault.Invalid, "feed.unpack", peer, err)
 	}
 	if len(data) > maxUnpackedBytes {
-		return nil, fault.New(fault.Invalid, "feed.unpack", peer, "the update grows beyond %d bytes", maxUnpackedBytes)
+		return nil, fault.New(fault.Invalid, "feed.unpack", peer, "the update exceeds %d bytes when decompressed", maxUnpackedBytes)
 	}
 	var inner wirepb.FleetUpdate
 	if err := proto.Unmarshal(data, &inner); err != nil {
@@ -74,7 +74,8 @@
 	return &inner, nil
 }
 
-// expand returns the compressed data, at most one byte more than the bound.
+// expand decompresses packed. It reads at most one byte more than maxUnpackedBytes, so
+// that the caller can detect a larger update.
 func expand(packed []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
--- a/feed/pack_test.go
+++ b/feed/pack_test.go
@@ -27,15 +27,15 @@
 		packed, err := pack(update)
 		assert.NilError(t, err)
 		assert.Assert(t, proto.Size(packed) <= proto.Size(update))
-		assert.Assert(t, proto.Size(update) >= packFrom || packed == update)
+		assert.Assert(t, proto.Size(update) >= minPackBytes || packed == update)
 		unpacked, err := unpack(packed, "e0")
 		assert.NilError(t, err)
 		assert.Assert(t, proto.Equal(unpacked, update))
 	})
 }
 
-func TestWhatDoesNotGetSmallerIsSentAsItIs(t *testing.T) {
-	noise := make([]byte, 2*packFrom)
+func TestAnIncompressibleUpdateIsSentUnpacked(t *testing.T) {
+	noise := make([]byte, 2*minPackBytes)
 	random := rand.NewChaCha8([32]byte{1})
 	_, _ = random.Read(noise)
 	update := &wirepb.FleetUpdate{Hosts: &wirepb.HostsUpdate{Hosts: [][]byte{noise}}}
@@ -52,15 +52,15 @@
 	return data
 }
 
-// wrongSum returns the data compressed, with another check sum.
-func wrongSum(data []byte) []byte {
+// corruptChecksum returns data compressed with gzip, with a wrong checksum.
+func corruptChecksum(data []byte) []byte {
 	packed := compress(data)
 	packed[len(packed)-5] ^= 1
 	return packed
 }
 
-// bomb returns a small value that grows to a byte more than the bound.
-func bomb() []byte {
+// gzipBomb returns a small value that decompresses to one byte more than maxUnpackedBytes.
+func gzipBomb() []byte {
 	var out bytes.Buffer
 	w, _ := gzip.NewWriterLevel(&out, gzip.BestCompression)
 	_, _ = w.Write(make([]byte, maxUnpackedBytes+1))
@@ -68,7 +68,7 @@
 	return out.Bytes()
 }
 
-func TestABadPackedUpdateIsRefusedAndLosesNothing(t *testing.T) {
+func TestABadPackedUpdateIsRefusedAndKeepsTheState(t *testing.T) {
 	newer := config.Empty().Change(workspaces(50, 2), 2, "")
 	parts, err := encodeDelta(config.Between(nil, newer))
 	assert.NilError(t, err)
@@ -80,39 +80,39 @@
 	}{
 		"no gzip":       {good, "invalid header"},
 		"cut":           {packed[:len(packed)-1], "unexpected EOF"},
-		"another sum":   {wrongSum(good), "invalid checksum"},
-		"beyond bounds": {bomb(), "grows beyond 4194304 bytes"},
+		"another sum":   {corruptChecksum(good), "invalid checksum"},
+		"beyond bounds": {gzipBomb(), "exceeds 4194304 bytes"},
 		"no update":     {compress([]byte("not a message")), "proto"},
 		"packed twice":  {compress(marshal(t, &wirepb.FleetUpdate{Packed: packed})), "packed twice"},
 	} {
-		feed := staleFeed("e1", config.Empty().Change(workspaces(1, 1), 1, ""))
+		feed := newStaleFeed("e1", config.Empty().Change(workspaces(1, 1), 1, ""))
 		r := &receiver{feed: feed, host: fleet.Host{Name: "e0"}}
 
-		err := r.take(&wirepb.FleetUpdate{Packed: c.packed})
+		err := r.handle(&wirepb.FleetUpdate{Packed: c.packed})
 
 		assert.Equal(t, fault.CodeOf(err), fault.Invalid, name)
 		assert.ErrorContains(t, err, "feed.unpack with e0", name)
 		assert.ErrorContains(t, err, c.want, name)
 		assert.Equal(t, uint64(feed.State().Revision), uint64(1), name)
 	}
-	feed := staleFeed("e1", config.Empty().Change(workspaces(1, 1), 1, ""))
+	feed := newStaleFeed("e1", config.Empty().Change(workspaces(1, 1), 1, ""))
 	r := &receiver{feed: feed, host: fleet.Host{Name: "e0"}}
-	assert.NilError(t, r.take(&wirepb.FleetUpdate{Packed: packed}))
+	assert.NilError(t, r.handle(&wirepb.FleetUpdate{Packed: packed}))
 	assert.Equal(t, uint64(feed.State().Revision), uint64(2))
 }
 
-func TestASubscriberLeavesAnEntryThatSendsRubbish(t *testing.T) {
+func TestASubscriberLeavesAnEntryThatSendsInvalidUpdates(t *testing.T) {
 	f := newTestFleet(t, calmTiming)
 	f.change(workspaces(5, 1))
-	asked := make(chan struct{}, 100)
-	liar := &node{handler: func(_ *wirepb.SubscribeRequest, stream wirepb.DRPCEntry_SubscribeStream) error {
-		asked <- struct{}{}
-		return stream.Send(&wirepb.FleetUpdate{Packed: []byte("rubbish")})
+	requested := make(chan struct{}, 100)
+	invalid := &node{handler: func(_ *wirepb.SubscribeRequest, stream wirepb.DRPCEntry_SubscribeStream) error {
+		requested <- struct{}{}
+		return stream.Send(&wirepb.FleetUpdate{Packed: []byte("no gzip")})
 	}}
-	f.serve(liar, f.prepareHost("e0", "z0"))
+	f.serve(invalid, f.prepareEntry("e0", "z0"))
 	f.awaitRevision(1, f.start("e1", "z1", fleet.RoleEntry))
 	side := f.start("s0", "z0", fleet.RoleUpstream)
-	<-asked
+	<-requested
 	f.awaitRevision(1, side)
 	revision := f.change(config.Change{Drain: []string{"u"}})
 	f.awaitRevision(revision, side)
@@ -124,20 +124,20 @@
 		list.Hosts = append(list.Hosts, fleet.Host{Name: w.Name, Zone: "z0", Addr: "127.0.0.1:9"})
 	}
 	list.Version = 2
-	feed := staleFeed("e0", config.Empty().Change(largeWorkspaces(), 1, ""))
-	feed.takeHosts(list, "test")
+	feed := newStaleFeed("e0", config.Empty().Change(largeWorkspaces(), 1, ""))
+	feed.applyHosts(list, "test")
 	s := &session{feed: feed}
 
-	updates, err := s.lacking(feed.State())
+	updates, err := s.missingUpdates(feed.State())
 
 	assert.NilError(t, err)
-	sent, held := 0, 0
+	sent, unpackedSize := 0, 0
 	for _, update := range updates {
 		assert.Assert(t, len(update.GetPacked()) > 0)
 		unpacked, err := unpack(update, "e0")
 		assert.NilError(t, err)
-		sent, held = sent+proto.Size(update), held+proto.Size(unpacked)
+		sent, unpackedSize = sent+proto.Size(update), unpackedSize+proto.Size(unpacked)
 	}
 	assert.Assert(t, len(updates) > 2)
-	assert.Assert(t, sent < held/10, "%d of %d bytes", sent, held)
+	assert.Assert(t, sent < unpackedSize/10, "%d of %d bytes", sent, unpackedSize)
 }
--- a/feed/platform.go
+++ b/feed/platform.go
@@ -23,21 +23,21 @@
 	planKey         = placementPrefix + "plan"
 )
 
-// sourcePlatform names the platform as a source in log lines.
+// sourcePlatform names the platform as the source of a version in log events.
 const sourcePlatform = "platform"
 
-// readTimeout bounds one direct read of everything.
+// readTimeout bounds one direct read of the whole state.
 const readTimeout = 10 * time.Second
 
-// health tells when a service of the platform stops and begins to answer.
+// health tracks whether a service of the platform responds.
 type health struct {
 	mu        sync.Mutex
 	lostSince time.Time
 }
 
-// note takes the outcome of a call and tells whether this changed the health,
-// and for how long the service was lost if it is back.
-func (h *health) note(ok bool, now time.Time) (changed bool, lost time.Duration) {
+// record takes the outcome of a call. It reports whether the health changed and, if
+// the service responds again, how long the outage lasted.
+func (h *health) record(ok bool, now time.Time) (changed bool, lost time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	wasLost := !h.lostSince.IsZero()
@@ -53,8 +53,8 @@
 	return true, 0
 }
 
-// countedStore counts the feed's calls of the object API and logs when it stops
-// and begins to answer. The feed never writes.
+// countedStore counts the feed's calls of the object API and logs when the store stops
+// responding and when it responds again. The feed never writes.
 type countedStore struct {
 	objects.API
 	feed   *Feed
@@ -65,7 +65,7 @@
 func (s *countedStore) Get(ctx context.Context, key string) (objects.Object, error) {
 	s.feed.meters.storeReads.add()
 	object, err := s.API.Get(ctx, key)
-	s.note(ctx, "objects.get", err)
+	s.recordHealth(ctx, "objects.get", err)
 	return object, err
 }
 
@@ -73,27 +73,27 @@
 func (s *countedStore) Watch(ctx context.Context, prefix string, cursor uint64) (objects.WatchResult, error) {
 	s.feed.meters.storeWatches.add()
 	result, err := s.API.Watch(ctx, prefix, cursor)
-	s.note(ctx, "objects.watch", err)
+	s.recordHealth(ctx, "objects.watch", err)
 	return result, err
 }
 
-// note logs a change of the store's health.
-func (s *countedStore) note(ctx context.Context, step string, err error) {
+// recordHealth logs a change of the store's health.
+func (s *countedStore) recordHealth(ctx context.Context, step string, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	answered := err == nil || fault.Is(err, fault.NotFound)
-	changed, lost := s.health.note(answered, time.Now())
+	responded := err == nil || fault.Is(err, fault.NotFound)
+	changed, lost := s.health.record(responded, time.Now())
 	switch {
-	case changed && answered:
+	case changed && responded:
 		s.feed.log(event.StoreBack, observe.Fields{"step": step, "lost_ms": lost.Milliseconds()})
 	case changed:
 		s.feed.warn(event.StoreLost, observe.Fields{"step": step, "error": err.Error()})
 	}
 }
 
-// readPlatform reads everything directly, in parallel. What can be read is
-// taken, also if the rest fails.
+// readPlatform reads configuration, host list and placement directly, in parallel.
+// Each is applied on its own, even if another read fails.
 func (f *Feed) readPlatform(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -104,30 +104,30 @@
 	return group.Wait()
 }
 
-// readConfig reads the configuration in force and takes it if it is newer.
+// readConfig reads the configuration in force and applies it if it is newer.
 func (f *Feed) readConfig(ctx context.Context) error {
 	head, _, err := f.reader.Head(ctx)
 	if err != nil {
 		return err
 	}
-	return f.load(ctx, head)
+	return f.loadConfig(ctx, head)
 }
 
-// load takes the configuration that head names, if it is newer. Parts that the
-// process holds are not read again.
-func (f *Feed) load(ctx context.Context, head config.Head) error {
-	known := f.known()
-	if known != nil && head.Revision <= known.Revision() {
+// loadConfig loads and applies the configuration that head names, if it is newer.
+// Parts that the process already has are not read again.
+func (f *Feed) loadConfig(ctx context.Context, head config.Head) error {
+	latest := f.latestConfig()
+	if latest != nil && head.Revision <= latest.Revision() {
 		return nil
 	}
-	if known == nil {
-		known = config.Empty()
+	if latest == nil {
+		latest = config.Empty()
 	}
-	return f.fill(ctx, config.Outline(head, known))
+	return f.loadParts(ctx, config.Outline(head, latest))
 }
 
-// fill reads the parts that a snapshot misses and takes it.
-func (f *Feed) fill(ctx context.Context, snapshot *config.Snapshot) error {
+// loadParts reads the missing parts of a snapshot and applies it.
+func (f *Feed) loadParts(ctx context.Context, snapshot *config.Snapshot) error {
 	if f.opts.Role != fleet.RoleEntry {
 		snapshot = snapshot.WithoutWorkspaces()
 	}
@@ -135,28 +135,28 @@
 	if err != nil {
 		return err
 	}
-	f.takeConfig(snapshot, sourcePlatform)
+	f.applyConfig(snapshot, sourcePlatform)
 	return nil
 }
 
-// readHosts reads the host list and takes it if it is newer.
+// readHosts reads the host list and applies it if it is newer.
 func (f *Feed) readHosts(ctx context.Context) error {
 	f.meters.hostReads.add()
 	list, err := f.opts.Hosts.List(ctx)
 	if ctx.Err() == nil {
-		f.noteHostList(err)
+		f.recordHostListHealth(err)
 	}
 	if err != nil {
 		return err
 	}
-	f.listed.Store(list.Version)
-	f.takeHosts(list, sourcePlatform)
+	f.platformHostsVersion.Store(list.Version)
+	f.applyHosts(list, sourcePlatform)
 	return nil
 }
 
-// noteHostList logs a change of the host list's health.
-func (f *Feed) noteHostList(err error) {
-	changed, lost := f.hostHealth.note(err == nil, time.Now())
+// recordHostListHealth logs when the host list becomes unreadable or readable again.
+func (f *Feed) recordHostListHealth(err error) {
+	changed, lost := f.hostHealth.record(err == nil, time.Now())
 	switch {
 	case changed && err == nil:
 		f.log(event.HostListBack, observe.Fields{"lost_ms": lost.Milliseconds()})
@@ -165,7 +165,7 @@
 	}
 }
 
-// readPlacement reads the desired placement and takes it if it is newer.
+// readPlacement reads the desired placement and applies it if it is newer.
 func (f *Feed) readPlacement(ctx context.Context) error {
 	object, err := f.objects.Get(ctx, planKey)
 	if fault.Is(err, fault.NotFound) {
@@ -174,15 +174,15 @@
 	if err != nil {
 		return err
 	}
-	return f.decodePlacement(object, sourcePlatform)
+	return f.applyPlacementObject(object, sourcePlatform)
 }
 
-// decodePlacement takes a placement object if it is newer.
-func (f *Feed) decodePlacement(object objects.Object, source string) error {
+// applyPlacementObject decodes a placement object and applies it if it is newer.
+func (f *Feed) applyPlacementObject(object objects.Object, source string) error {
 	var plan placement.Plan
 	if err := json.Unmarshal(object.Value, &plan); err != nil {
 		return fault.Wrap(fault.Invalid, "feed.placement", source, err)
 	}
-	f.takePlacement(plan, object.Version, source)
+	f.applyPlacement(plan, object.Version, source)
 	return nil
 }
--- a/feed/receive.go
+++ b/feed/receive.go
@@ -14,38 +14,39 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// errEnough ends a receive whose caller has what it wants.
-var errEnough = errors.New("enough")
+// errComplete ends a receive that was to read the current state of an entry once.
+var errComplete = errors.New("enough")
 
-// errAgain ends a receive that must begin anew with what the process holds now.
-var errAgain = errors.New("this process has moved on by another source")
+// errStaleBase ends a receive whose delta does not apply to this process's host list.
+// The process subscribes again with the versions that it has now.
+var errStaleBase = errors.New("another source has updated the host list since the subscription")
 
-// receiver follows the feed of one entry.
+// receiver receives the feed of one entry.
 type receiver struct {
 	feed *Feed
 	host fleet.Host
-	// full asks for the whole configuration, whatever the process holds.
+	// full requests the whole configuration, whatever revision the process has.
 	full      bool
 	assembler assembler
-	// beats counts the heartbeats. The first one only tells that the entry has
-	// sent all that it holds.
-	beats int
-	// beaten is called at each heartbeat; an error ends the receive.
-	beaten func(beats int) error
+	// heartbeats counts the heartbeats received. The first one only says that the entry
+	// has sent its whole current state.
+	heartbeats int
+	// onHeartbeat is called at each heartbeat; an error ends the receive.
+	onHeartbeat func(heartbeats int) error
 }
 
-// run follows the entry until ctx ends, the stream breaks, nothing came for the
-// silence limit, or beaten returns an error. It always returns an error.
+// run receives the feed until ctx ends, the stream breaks, no message arrives within
+// the silence timeout, or a message cannot be handled. It always returns an error.
 func (r *receiver) run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	silence := r.feed.timing.Silence
-	silent := time.AfterFunc(silence, func() {
-		cancel(fault.New(fault.DeadlineExceeded, "feed.receive", r.host.Name, "silent for %v", silence))
+	timeout := r.feed.timing.SilenceTimeout
+	silenceTimer := time.AfterFunc(timeout, func() {
+		cancel(fault.New(fault.DeadlineExceeded, "feed.receive", r.host.Name, "silent for %v", timeout))
 	})
-	defer silent.Stop()
+	defer silenceTimer.Stop()
 	conn := r.feed.opts.Dialer.Conn(ctx, r.host.Addr)
-	defer func() { _ = conn.Close() }() // the call is over; a connection that fails to close is not used again
+	defer func() { _ = conn.Close() }() // the call has ended; a connection that fails to close is not used again
 	stream, err := wirepb.NewDRPCEntryClient(conn).Subscribe(ctx, r.request())
 	if err != nil {
 		return r.cause(ctx, err)
@@ -56,8 +57,8 @@
 		if err != nil {
 			return r.cause(ctx, err)
 		}
-		silent.Reset(silence)
-		if err := r.take(update); err != nil {
+		silenceTimer.Reset(timeout)
+		if err := r.handle(update); err != nil {
 			return err
 		}
 	}
@@ -71,15 +72,15 @@
 	return fault.Wrap(fault.Unavailable, "feed.receive", r.host.Name, err)
 }
 
-// request tells the entry what this process holds.
+// request returns the subscription request, with the versions that this process has.
 func (r *receiver) request() *wirepb.SubscribeRequest {
 	f := r.feed
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	request := &wirepb.SubscribeRequest{Process: f.opts.Name, Zone: f.opts.Zone, Scope: wirepb.FeedScope_FEED_FULL,
-		HostsVersion: f.held.hosts.Version, PlacementVersion: f.held.placementVersion}
+		HostsVersion: f.latest.hosts.Version, PlacementVersion: f.latest.placementVersion}
 	if !r.full {
-		request.Revision = uint64(f.held.Revision)
+		request.Revision = uint64(f.latest.Revision)
 	}
 	if f.opts.Role != fleet.RoleEntry {
 		request.Scope = wirepb.FeedScope_FEED_SIDE
@@ -87,59 +88,59 @@
 	return request
 }
 
-// take handles one message.
-func (r *receiver) take(update *wirepb.FleetUpdate) error {
+// handle decodes and applies one message.
+func (r *receiver) handle(update *wirepb.FleetUpdate) error {
 	update, err := unpack(update, r.host.Name)
 	if err != nil {
 		return err
 	}
 	if part := update.GetConfig(); part != nil {
-		if err := r.takeConfig(part); err != nil {
+		if err := r.handleConfig(part); err != nil {
 			return err
 		}
 	}
 	if hosts := update.GetHosts(); hosts != nil {
-		if err := r.takeHosts(hosts); err != nil {
+		if err := r.handleHosts(hosts); err != nil {
 			return err
 		}
 	}
 	if plan := update.GetPlacement(); plan != nil {
-		if err := r.takePlacement(plan); err != nil {
+		if err := r.handlePlacement(plan); err != nil {
 			return err
 		}
 	}
 	if update.GetHeartbeat() {
-		r.beats++
-		return r.beaten(r.beats)
+		r.heartbeats++
+		return r.onHeartbeat(r.heartbeats)
 	}
 	return nil
 }
 
-// takeConfig adds one message of a delta, and applies the delta when it is whole.
-func (r *receiver) takeConfig(update *wirepb.ConfigUpdate) error {
+// handleConfig adds one message of a delta, and applies the delta once it is complete.
+func (r *receiver) handleConfig(update *wirepb.ConfigUpdate) error {
 	delta, whole, err := r.assembler.add(update)
 	if err != nil || !whole {
 		return err
 	}
-	known := r.feed.known()
-	if known != nil && !delta.Full && delta.Revision <= known.Revision() {
-		return nil // Another source was first.
+	latest := r.feed.latestConfig()
+	if latest != nil && !delta.Full && delta.Revision <= latest.Revision() {
+		return nil // Another source has delivered it already.
 	}
-	// If this process has moved on by another source since it subscribed, the delta
-	// may begin at an earlier configuration than the present. Then it is refused as
-	// a Conflict, and the follower asks for everything.
-	snapshot, err := known.Apply(delta)
+	// A delta may begin at an earlier revision than the current one, if another
+	// source has updated this process since it subscribed. Apply then returns a
+	// Conflict, and the follower subscribes for the full configuration.
+	snapshot, err := latest.Apply(delta)
 	if err != nil {
 		r.feed.warn(event.FeedMismatch, observe.Fields{"provider": r.host.Name, "error": err.Error()})
 		return err
 	}
-	r.count(delta.Full)
-	r.feed.takeConfig(snapshot, r.host.Name)
+	r.countUpdate(delta.Full)
+	r.feed.applyConfig(snapshot, r.host.Name)
 	return nil
 }
 
-// count notes what kind of configuration came.
-func (r *receiver) count(full bool) {
+// countUpdate counts a configuration received, either a full one or a delta.
+func (r *receiver) countUpdate(full bool) {
 	if full {
 		r.feed.meters.fulls.add()
 		return
@@ -147,30 +148,31 @@
 	r.feed.meters.deltas.add()
 }
 
-// takeHosts takes a change of the host list. If it begins at another list than
-// the present, because another source was faster, the feed is asked anew.
-func (r *receiver) takeHosts(update *wirepb.HostsUpdate) error {
+// handleHosts applies a change of the host list. If the change begins at another
+// version than the current one, because another source has updated the list, it returns
+// errStaleBase.
+func (r *receiver) handleHosts(update *wirepb.HostsUpdate) error {
 	delta, err := decodeHosts(update)
 	if err != nil {
 		return err
 	}
-	held := r.feed.heldHosts()
-	if delta.Base != 0 && delta.Base != held.Version {
-		if delta.Version <= held.Version {
+	latest := r.feed.latestHosts()
+	if delta.Base != 0 && delta.Base != latest.Version {
+		if delta.Version <= latest.Version {
 			return nil
 		}
-		return errAgain
+		return errStaleBase
 	}
-	r.feed.takeHosts(held.Apply(delta), r.host.Name)
+	r.feed.applyHosts(latest.Apply(delta), r.host.Name)
 	return nil
 }
 
-// takePlacement takes a placement.
-func (r *receiver) takePlacement(update *wirepb.PlacementUpdate) error {
+// handlePlacement decodes and applies a placement.
+func (r *receiver) handlePlacement(update *wirepb.PlacementUpdate) error {
 	var plan placement.Plan
 	if err := json.Unmarshal(update.GetPlan(), &plan); err != nil {
 		return fault.Wrap(fault.Invalid, "feed.decode", r.host.Name, err)
 	}
-	r.feed.takePlacement(plan, update.GetVersion(), r.host.Name)
+	r.feed.applyPlacement(plan, update.GetVersion(), r.host.Name)
 	return nil
 }
--- a/feed/relay.go
+++ b/feed/relay.go
@@ -10,13 +10,14 @@
 	"acaciawinch/observe/event"
 )
 
-// duty makes this entry a relay for as long as the host list says so.
-func (f *Feed) duty(ctx context.Context) error {
+// relayWhenListed runs the relay's tasks whenever the host list makes this entry a
+// relay, until ctx ends.
+func (f *Feed) relayWhenListed(ctx context.Context) error {
 	for ctx.Err() == nil {
 		changed := f.changed.wait()
 		if f.isRelay() {
 			f.log(event.RelayBegan, observe.Fields{"reason": "among the best of its zone by the host list"})
-			f.relay(ctx)
+			f.runRelay(ctx)
 			f.log(event.RelayEnded, observe.Fields{"reason": "the host list changed, or the process stops"})
 			continue
 		}
@@ -28,8 +29,8 @@
 	return nil
 }
 
-// relay watches the platform until this entry is no relay any more, or ctx ends.
-func (f *Feed) relay(ctx context.Context) {
+// runRelay watches the platform until this entry is no longer a relay, or ctx ends.
+func (f *Feed) runRelay(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var group errgroup.Group
@@ -47,34 +48,33 @@
 		case <-ctx.Done():
 		}
 	}
-	_ = group.Wait() // its parts end with ctx and have no other error
+	_ = group.Wait() // the goroutines end with ctx and return no error
 }
 
-// changingPolls is the longest wait before the next read of a host list that has
-// just changed, in longest waits between reads. A leaving host must be known
-// everywhere within 2 s, so that it can't be much longer.
-const changingPolls = 2
+// changedPollFactor scales the poll interval after a read that found a changed host
+// list. It can't be much larger, as a leaving host must be known everywhere within 2 s.
+const changedPollFactor = 2
 
-// pollHosts reads the host list again and again.
+// pollHosts reads the host list periodically until ctx ends.
 func (f *Feed) pollHosts(ctx context.Context) error {
 	for failures := 0; ctx.Err() == nil; {
-		last := f.listed.Load()
+		lastVersion := f.platformHostsVersion.Load()
 		if err := f.readHosts(ctx); err != nil {
 			failures++
-			pause(ctx, f.backoff(failures))
+			sleep(ctx, f.backoff(failures))
 			continue
 		}
 		failures = 0
-		pause(ctx, f.jitter(f.hostsWait(last)))
+		sleep(ctx, f.jitter(f.hostsPollWait(lastVersion)))
 	}
 	return nil
 }
 
-// hostsWait is the longest wait behind a read of the host list, before which its
-// version was last.
-func (f *Feed) hostsWait(last uint64) time.Duration {
-	if f.listed.Load() != last {
-		return changingPolls * f.timing.HostsPoll
+// hostsPollWait returns the longest wait after a read of the host list; lastVersion is the
+// version of the list before that read.
+func (f *Feed) hostsPollWait(lastVersion uint64) time.Duration {
+	if f.platformHostsVersion.Load() != lastVersion {
+		return changedPollFactor * f.timing.HostsPollInterval
 	}
-	return f.timing.HostsPoll
+	return f.timing.HostsPollInterval
 }
--- a/feed/serve_test.go
+++ b/feed/serve_test.go
@@ -13,7 +13,7 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// recordingStream keeps what is sent, and calls sending before that.
+// recordingStream records what is sent, and then calls sending.
 type recordingStream struct {
 	wirepb.DRPCEntry_SubscribeStream
 	ctx     context.Context
@@ -33,31 +33,31 @@
 	return nil
 }
 
-func TestAnEntryThatIsNotFedSaysSo(t *testing.T) {
+func TestAnEntryWithoutALiveFeedEndsTheStream(t *testing.T) {
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	stream := &recordingStream{ctx: ended}
-	err := staleFeed("e0", config.Empty()).Subscribe(&wirepb.SubscribeRequest{}, stream)
+	err := newStaleFeed("e0", config.Empty()).Subscribe(&wirepb.SubscribeRequest{}, stream)
 	assert.Equal(t, fault.CodeOf(err), fault.Unavailable)
-	assert.Assert(t, stream.sent[0].GetConfig().GetFull(), "its state is sent all the same")
+	assert.Assert(t, stream.sent[0].GetConfig().GetFull(), "its state must be sent before the error")
 	assert.Assert(t, stream.sent[len(stream.sent)-1].GetHeartbeat())
 }
 
-// TestAHeartbeatTogetherWithAChangeIsSent lets both fall into one message's
-// sending, often, as a lost one shows by chance only.
+// TestAHeartbeatTogetherWithAChangeIsSent triggers a heartbeat and a change while one
+// message is being sent. It repeats this, since a heartbeat would be lost by chance only.
 func TestAHeartbeatTogetherWithAChangeIsSent(t *testing.T) {
 	for range 50 {
 		ctx, cancel := context.WithCancel(context.Background())
-		feed := staleFeed("e0", config.Empty())
-		feed.lastBeat.Store(time.Now().Add(time.Hour).UnixNano())
+		feed := newStaleFeed("e0", config.Empty())
+		feed.lastHeartbeat.Store(time.Now().Add(time.Hour).UnixNano())
 		stream := &recordingStream{ctx: ctx}
 		stream.sending = func(update *wirepb.FleetUpdate) {
 			switch {
 			case update.GetHosts().GetVersion() == 2:
 				cancel()
 			case update.GetHeartbeat() && ctx.Err() == nil:
-				feed.pulse.send()
-				feed.takeHosts(fleet.List{Version: 2}, "test")
+				feed.heartbeat.send()
+				feed.applyHosts(fleet.List{Version: 2}, "test")
 			}
 		}
 		assert.NilError(t, feed.Subscribe(&wirepb.SubscribeRequest{}, stream))
--- a/feed/signal.go
+++ b/feed/signal.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// signal wakes everybody who waits for it, each time that it is sent.
+// signal wakes all its waiters each time it is sent, and counts how often it was.
 type signal struct {
 	mu   sync.Mutex
 	next chan struct{}
@@ -19,7 +19,7 @@
 	return s.next
 }
 
-// send wakes all who wait.
+// send wakes all waiters.
 func (s *signal) send() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/feed/start.go
+++ b/feed/start.go
@@ -13,98 +13,99 @@
 
 // Limits of the start of a process.
 const (
-	// peersAsked is how many entries a fresh process asks while the store is down:
-	// one alone may have missed the last change.
-	peersAsked = 3
-	// peersTried is how many entries are tried in one round to find as many.
-	peersTried = 6
-	// headTimeout bounds the question to the store for the head.
+	// maxPeerResponses is from how many entries a new process collects the state while
+	// the store is down: a single one may have missed the last change.
+	maxPeerResponses = 3
+	// maxPeersTried is how many entries are tried in one round to get these responses.
+	maxPeersTried = 6
+	// headTimeout bounds the read of the head from the store.
 	headTimeout = time.Second
 )
 
-// start brings a fresh process to its first state. It returns false if ctx ended.
+// start loads the first state of a new process. It returns false if ctx ended.
 //
-// The store tells by one small read which revision is in force, and the content
-// comes from entries, so that a restart of many processes doesn't read all parts
-// as many times. If the store doesn't answer, the newest of some entries is
-// taken: it can be older than the one in force only if all of them are. If no
-// entry answers, the store is read for everything.
+// One small read of the store returns the revision in force, and the content comes from
+// entries, so that a restart of many processes does not read all parts as many times.
+// If the store does not respond, the newest state of several entries is used: it can be
+// older than the one in force only if all of them are behind. If no entry responds,
+// everything is read from the store.
 func (f *Feed) start(ctx context.Context) bool {
 	for failures := 0; ctx.Err() == nil; failures++ {
 		if failures > 0 {
-			pause(ctx, f.backoff(failures))
+			sleep(ctx, f.backoff(failures))
 		}
-		_ = f.readHosts(ctx) // it logs itself, and is read again
-		floor, known := f.inForce(ctx)
-		if authority, ok := f.gather(ctx, floor, known, failures); ok {
-			f.begin(authority)
+		_ = f.readHosts(ctx) // failures are logged there; the list is read again later
+		minRevision, headKnown := f.headRevision(ctx)
+		if authority, ok := f.gatherState(ctx, minRevision, headKnown, failures); ok {
+			f.finishStart(authority)
 			return true
 		}
 	}
 	return false
 }
 
-// inForce asks the store for the revision in force. Known is false if the store
-// gave no answer.
-func (f *Feed) inForce(ctx context.Context) (floor core.Revision, known bool) {
+// headRevision reads the revision in force from the store. Known is false if the read
+// failed.
+func (f *Feed) headRevision(ctx context.Context) (revision core.Revision, known bool) {
 	ctx, cancel := context.WithTimeout(ctx, headTimeout)
 	defer cancel()
 	head, _, err := f.reader.Head(ctx)
 	return head.Revision, err == nil
 }
 
-// gather makes one round of questions. It returns who vouches for the state, and
-// whether it is enough to begin with.
-func (f *Feed) gather(ctx context.Context, floor core.Revision, known bool, failures int) (string, bool) {
-	answers := f.askPeers(ctx, floor, known)
-	if known && !f.holds(floor) && (failures > 0 || answers == 0 && f.readsFirst()) {
+// gatherState makes one round of requests. It returns who confirmed the state, for the
+// log, and whether the state suffices to start.
+func (f *Feed) gatherState(ctx context.Context, minRevision core.Revision, headKnown bool, failures int) (string, bool) {
+	responses := f.pullFromPeers(ctx, minRevision, headKnown)
+	if headKnown && !f.hasState(minRevision) && (failures > 0 || responses == 0 && f.readsStoreFirst()) {
 		if err := f.readPlatform(ctx); err != nil && ctx.Err() == nil {
-			f.warn(event.FeedReadFailed, observe.Fields{"wanted": floor, "error": err.Error()})
+			f.warn(event.FeedReadFailed, observe.Fields{"wanted": minRevision, "error": err.Error()})
 		}
 	}
 	switch {
-	case known && f.holds(floor):
+	case headKnown && f.hasState(minRevision):
 		return "store", true
-	case !known && answers > 0 && f.holds(0):
+	case !headKnown && responses > 0 && f.hasState(0):
 		return "entries", true
 	}
 	return "", false
 }
 
-// readsFirst tells whether this process reads everything from the store in its
-// first round already. Relays do; the others give them a moment to load.
-func (f *Feed) readsFirst() bool { return f.isRelay() || len(f.order()) == 0 }
+// readsStoreFirst reports whether this process reads everything from the store in the
+// first round. Relays do, and processes that know no entry; others wait for the relays
+// to load.
+func (f *Feed) readsStoreFirst() bool { return f.isRelay() || len(f.orderedProviders()) == 0 }
 
-// holds tells whether the process has a whole state of at least a revision. A
+// hasState reports whether the process has a complete state of at least minRevision. A
 // side can serve without a host list, an entry can't.
-func (f *Feed) holds(floor core.Revision) bool {
+func (f *Feed) hasState(minRevision core.Revision) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	hostsEnough := f.held.hostsKnown || f.opts.Role != fleet.RoleEntry
-	return f.held.config != nil && f.held.Revision >= floor && hostsEnough
+	hostsEnough := f.latest.hostsKnown || f.opts.Role != fleet.RoleEntry
+	return f.latest.config != nil && f.latest.Revision >= minRevision && hostsEnough
 }
 
-// askPeers asks entries for their states and returns how many answered. If the
-// revision in force is known, it stops at the first that brings it.
-func (f *Feed) askPeers(ctx context.Context, floor core.Revision, known bool) int {
-	answers := 0
-	for i, host := range f.order() {
-		if i == peersTried || answers == peersAsked || known && f.holds(floor) {
+// pullFromPeers pulls the state from several entries and returns how many responded.
+// If the revision in force is known, it stops as soon as the process has it.
+func (f *Feed) pullFromPeers(ctx context.Context, minRevision core.Revision, headKnown bool) int {
+	responses := 0
+	for i, host := range f.orderedProviders() {
+		if i == maxPeersTried || responses == maxPeerResponses || headKnown && f.hasState(minRevision) {
 			break
 		}
 		if f.pull(ctx, host) == nil {
-			answers++
+			responses++
 		}
 	}
-	return answers
+	return responses
 }
 
-// pull takes once what an entry holds. The entry's first heartbeat tells that
-// this was all.
+// pull receives the current state of an entry once. The entry's first heartbeat marks
+// the end of that state.
 func (f *Feed) pull(ctx context.Context, host fleet.Host) error {
-	r := &receiver{feed: f, host: host, beaten: func(int) error { return errEnough }}
+	r := &receiver{feed: f, host: host, onHeartbeat: func(int) error { return errComplete }}
 	err := r.run(ctx)
-	if errors.Is(err, errEnough) {
+	if errors.Is(err, errComplete) {
 		return nil
 	}
 	return err
--- a/feed/state.go
+++ b/feed/state.go
@@ -9,8 +9,8 @@
 	"acaciawinch/core/placement"
 )
 
-// State is what a process knows of the fleet at one moment. It is never changed
-// and may be read by many goroutines.
+// State is one immutable version of the fleet's state. It may be read by many
+// goroutines.
 type State struct {
 	// Revision is that of the configuration in force; zero before the first one
 	// was accepted.
@@ -18,16 +18,16 @@
 
 	config *config.Snapshot
 	hosts  fleet.List
-	// hostsKnown is set once any host list was read.
+	// hostsKnown is set once any host list was received.
 	hostsKnown       bool
 	plan             placement.Plan
 	placementVersion uint64
 }
 
-// Template finds a pipeline template by name.
+// Template returns a pipeline template by name.
 func (s *State) Template(name string) (config.Template, bool) { return s.config.Template(name) }
 
-// Workspace finds a workspace by name. Side processes hold none.
+// Workspace returns a workspace by name. Sides have none.
 func (s *State) Workspace(name string) (config.Workspace, bool) { return s.config.Workspace(name) }
 
 // Models returns the model versions that the fleet should keep loaded.
@@ -43,10 +43,10 @@
 // HostsVersion returns the version of the host list.
 func (s *State) HostsVersion() uint64 { return s.hosts.Version }
 
-// Placement returns the desired placement and the version of its object, which
-// is the fencing number of the orders that follow from it. The version is zero
-// while there is no placement.
+// Placement returns the desired placement and the version of its object, which is the
+// fencing token of the orders that follow from it. The version is zero while there is
+// no placement.
 func (s *State) Placement() (placement.Plan, uint64) { return s.plan, s.placementVersion }
 
-// Drained tells whether operators have taken the upstream out.
+// Drained reports whether operators have drained the upstream.
 func (s *State) Drained(upstream string) bool { return s.config.Drained(upstream) }
--- a/feed/store/store.go
+++ b/feed/store/store.go
@@ -19,8 +19,8 @@
 // NewReader returns a Reader of api.
 func NewReader(api objects.API) Reader { return Reader{api: api} }
 
-// Head returns the head in force and its object's version. Before the first
-// change it is the empty configuration's, with version 0. One call.
+// Head returns the head in force and the version of its object. Before the first change
+// it returns the head of the empty configuration and version 0. It makes one call.
 func (r Reader) Head(ctx context.Context) (config.Head, uint64, error) {
 	object, err := r.api.Get(ctx, config.HeadKey)
 	if fault.Is(err, fault.NotFound) {
@@ -33,15 +33,15 @@
 	return head, object.Version, err
 }
 
-// loadsAtOnce bounds the calls of one Load that wait at the same time.
-const loadsAtOnce = 16
+// maxConcurrentLoads bounds the concurrent calls of one Load.
+const maxConcurrentLoads = 16
 
-// Load returns the snapshot with all its parts. One call for each missing part.
+// Load returns the snapshot with all its parts. It makes one call for each missing part.
 func (r Reader) Load(ctx context.Context, snapshot *config.Snapshot) (*config.Snapshot, error) {
 	hashes := snapshot.Missing()
 	parts := make([][]byte, len(hashes))
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(loadsAtOnce)
+	group.SetLimit(maxConcurrentLoads)
 	for i, hash := range hashes {
 		group.Go(func() error {
 			object, err := r.api.Get(ctx, config.PartKey(hash))
@@ -61,7 +61,7 @@
 	return snapshot, nil
 }
 
-// Copy returns the immutable copy of a head under its key. One call.
+// Copy returns the immutable copy of a head stored under key. It makes one call.
 func (r Reader) Copy(ctx context.Context, key string) (config.Head, error) {
 	object, err := r.api.Get(ctx, key)
 	if err != nil {
@@ -70,9 +70,9 @@
 	return config.DecodeHead(object.Value)
 }
 
-// Walk calls visit with the head in force and each head before it, the latest
-// first, until visit returns false or the oldest one kept was visited. One call
-// for each step.
+// Walk calls visit with the head in force and each earlier head, the latest first,
+// until visit returns false or the oldest stored head was visited. It makes one call
+// for each earlier head.
 func (r Reader) Walk(ctx context.Context, head config.Head, visit func(config.Head) bool) error {
 	oldest := head.Oldest
 	for head.Revision > 0 && visit(head) && head.Parent != "" && head.Revision > oldest {
--- a/feed/watch.go
+++ b/feed/watch.go
@@ -8,18 +8,18 @@
 	"acaciawinch/platform/objects"
 )
 
-// configPrefix covers the head and all parts: a relay sees the parts of a change
-// before the head that names them, so that it holds everything at the moment of
-// the accept, even if the store goes down right after it.
+// configPrefix covers the head and all parts. A relay receives the parts of a change
+// before the head that names them, so it has everything when the change is accepted,
+// even if the store fails right after.
 const configPrefix = "config/"
 
-// maxSeenBytes bounds the parts that are kept for a head to come.
-const maxSeenBytes = 32 << 20
+// maxPendingBytes bounds the parts that are kept for a head that has not arrived yet.
+const maxPendingBytes = 32 << 20
 
 // watchConfig follows the configuration at the platform until ctx ends.
 func (f *Feed) watchConfig(ctx context.Context) error {
-	w := &configWatch{feed: f, seen: map[string][]byte{}}
-	return f.watch(ctx, configPrefix, f.readConfig, w.take)
+	w := &configWatch{feed: f, pendingParts: map[string][]byte{}}
+	return f.watch(ctx, configPrefix, f.readConfig, w.handleChanges)
 }
 
 // watchPlacement follows the desired placement at the platform until ctx ends.
@@ -29,7 +29,7 @@
 			if change.Key != planKey || change.Deleted {
 				continue
 			}
-			if err := f.decodePlacement(change.Object, sourcePlatform); err != nil {
+			if err := f.applyPlacementObject(change.Object, sourcePlatform); err != nil {
 				return err
 			}
 		}
@@ -37,12 +37,12 @@
 	})
 }
 
-// watch reads what is below prefix once, and takes each change from then on. The
-// cursor is fetched before the read, so that no change falls between the two.
-// After a failure of take everything is read again. Behind a failed watch a read
-// comes first: a watch that waits for a change doesn't tell that the platform is
-// back.
-func (f *Feed) watch(ctx context.Context, prefix string, read func(context.Context) error, take func(context.Context, []objects.Change) error) error {
+// watch reads everything below prefix once, and passes each later change to handle. The
+// cursor is fetched before the read, so that no change is missed in between. After an
+// error of handle everything is read again. A failed watch is followed by a read before
+// the next watch, since a watch that waits for a change does not show that the platform
+// responds again.
+func (f *Feed) watch(ctx context.Context, prefix string, read func(context.Context) error, handle func(context.Context, []objects.Change) error) error {
 	cursor, failures := uint64(0), 0
 	for ctx.Err() == nil {
 		var err error
@@ -51,11 +51,11 @@
 		}
 		next := cursor
 		if err == nil {
-			next, err = f.watchOnce(ctx, prefix, cursor, read, take)
+			next, err = f.watchOnce(ctx, prefix, cursor, read, handle)
 		}
 		if err != nil {
 			failures++
-			pause(ctx, f.backoff(failures))
+			sleep(ctx, f.backoff(failures))
 			continue
 		}
 		cursor, failures = next, 0
@@ -63,9 +63,9 @@
 	return nil
 }
 
-// watchOnce makes one watch call and handles what it brings. It returns the next
-// cursor, 0 to begin anew.
-func (f *Feed) watchOnce(ctx context.Context, prefix string, cursor uint64, read func(context.Context) error, take func(context.Context, []objects.Change) error) (uint64, error) {
+// watchOnce makes one watch call and handles its result. It returns the next cursor, or
+// 0 to start over.
+func (f *Feed) watchOnce(ctx context.Context, prefix string, cursor uint64, read func(context.Context) error, handle func(context.Context, []objects.Change) error) (uint64, error) {
 	result, err := f.objects.Watch(ctx, prefix, cursor)
 	if err != nil {
 		return 0, err
@@ -76,31 +76,31 @@
 	if cursor == 0 {
 		return result.Next, read(ctx)
 	}
-	if err := take(ctx, result.Changes); err != nil {
+	if err := handle(ctx, result.Changes); err != nil {
 		return 0, read(ctx)
 	}
 	return result.Next, nil
 }
 
-// configWatch turns changes below configPrefix into configurations.
+// configWatch assembles configurations from changes below configPrefix.
 type configWatch struct {
 	feed *Feed
-	// seen holds parts by hash that no head has named yet.
-	seen      map[string][]byte
-	seenBytes int
+	// pendingParts holds by hash the parts that no head has named yet.
+	pendingParts map[string][]byte
+	pendingBytes int
 }
 
-// take handles changes in the order in which they took effect.
-func (w *configWatch) take(ctx context.Context, changes []objects.Change) error {
+// handleChanges handles changes in the order in which they took effect.
+func (w *configWatch) handleChanges(ctx context.Context, changes []objects.Change) error {
 	for _, change := range changes {
 		if change.Deleted {
 			continue
 		}
 		if hash, isPart := strings.CutPrefix(change.Key, config.PartPrefix); isPart {
-			w.keep(hash, change.Value)
+			w.keepPart(hash, change.Value)
 		}
 		if change.Key == config.HeadKey {
-			if err := w.head(ctx, change.Value); err != nil {
+			if err := w.handleHead(ctx, change.Value); err != nil {
 				return err
 			}
 		}
@@ -108,40 +108,40 @@
 	return nil
 }
 
-// keep remembers a part. Beyond the bound everything is forgotten: what a head
-// then misses is read.
-func (w *configWatch) keep(hash string, data []byte) {
-	if w.seen[hash] != nil {
+// keepPart keeps a part for a later head. If maxPendingBytes would be exceeded, all kept
+// parts are dropped first; handleHead reads missing parts from the store.
+func (w *configWatch) keepPart(hash string, data []byte) {
+	if w.pendingParts[hash] != nil {
 		return
 	}
-	if w.seenBytes+len(data) > maxSeenBytes {
-		w.forget()
+	if w.pendingBytes+len(data) > maxPendingBytes {
+		w.dropParts()
 	}
-	w.seen[hash] = data
-	w.seenBytes += len(data)
+	w.pendingParts[hash] = data
+	w.pendingBytes += len(data)
 }
 
-// forget drops all remembered parts.
-func (w *configWatch) forget() {
-	w.seen, w.seenBytes = map[string][]byte{}, 0
+func (w *configWatch) dropParts() {
+	w.pendingParts, w.pendingBytes = map[string][]byte{}, 0
 }
 
-// head takes a new head with the parts that were seen, and reads the others.
-func (w *configWatch) head(ctx context.Context, value []byte) error {
+// handleHead applies the configuration of a new head from the kept parts, and reads the
+// others.
+func (w *configWatch) handleHead(ctx context.Context, value []byte) error {
 	head, err := config.DecodeHead(value)
 	if err != nil {
 		return err
 	}
-	known := w.feed.known()
-	if known == nil {
-		known = config.Empty()
+	latest := w.feed.latestConfig()
+	if latest == nil {
+		latest = config.Empty()
 	}
-	if head.Revision <= known.Revision() {
+	if head.Revision <= latest.Revision() {
 		return nil
 	}
-	snapshot := config.Outline(head, known)
+	snapshot := config.Outline(head, latest)
 	for _, hash := range snapshot.Missing() {
-		data, found := w.seen[hash]
+		data, found := w.pendingParts[hash]
 		if !found {
 			continue
 		}
@@ -149,9 +149,9 @@
 			return err
 		}
 	}
-	if err := w.feed.fill(ctx, snapshot); err != nil {
+	if err := w.feed.loadParts(ctx, snapshot); err != nil {
 		return err
 	}
-	w.forget()
+	w.dropParts()
 	return nil
 }
--- a/feed/wire.go
+++ b/feed/wire.go
@@ -12,11 +12,11 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// chunkBytes bounds the workspaces in one message. A delta that is larger comes
-// as several ConfigUpdates; all but the last have digest 0.
-const chunkBytes = 256 << 10
+// maxChunkBytes bounds the workspaces in one message. A larger delta is sent as
+// several ConfigUpdates; all but the last have digest 0.
+const maxChunkBytes = 256 << 10
 
-// encodeDelta returns the messages of a delta.
+// encodeDelta encodes a delta as one or more messages.
 func encodeDelta(d config.Delta) ([]*wirepb.ConfigUpdate, error) {
 	first := &wirepb.ConfigUpdate{Revision: uint64(d.Revision), ChangeId: d.ChangeID, Full: d.Full, RemovedWorkspaces: d.Removed}
 	if d.Templates != nil {
@@ -32,7 +32,7 @@
 		if err != nil {
 			return nil, fault.Wrap(fault.Internal, "feed.encode", "", err)
 		}
-		if size+len(data) > chunkBytes {
+		if size+len(data) > maxChunkBytes {
 			updates = append(updates, &wirepb.ConfigUpdate{Revision: uint64(d.Revision), ChangeId: d.ChangeID})
 			size = 0
 		}
@@ -59,21 +59,21 @@
 	return updates, nil
 }
 
-// assembler puts the messages of one delta together.
+// assembler joins the messages of one delta.
 type assembler struct {
-	delta config.Delta
-	begun bool
+	delta   config.Delta
+	started bool
 }
 
-// add takes one message. It returns the delta once it is whole.
+// add adds one message. It returns the delta and true once it is complete.
 func (a *assembler) add(update *wirepb.ConfigUpdate) (config.Delta, bool, error) {
-	if !a.begun {
+	if !a.started {
 		a.delta = config.Delta{Revision: core.Revision(update.GetRevision()), ChangeID: update.GetChangeId(),
 			Full: update.GetFull(), Removed: update.GetRemovedWorkspaces()}
-		a.begun = true
+		a.started = true
 	}
 	if uint64(a.delta.Revision) != update.GetRevision() {
-		return config.Delta{}, false, fault.New(fault.Invalid, "feed.decode", "", "revision %d began within revision %d", update.GetRevision(), a.delta.Revision)
+		return config.Delta{}, false, fault.New(fault.Invalid, "feed.decode", "", "message of revision %d received before revision %d was complete", update.GetRevision(), a.delta.Revision)
 	}
 	if err := a.parse(update); err != nil {
 		return config.Delta{}, false, fault.Wrap(fault.Invalid, "feed.decode", "", err)
@@ -81,12 +81,12 @@
 	if update.GetDigest() == 0 {
 		return config.Delta{}, false, nil
 	}
-	a.begun = false
+	a.started = false
 	a.delta.Digest = update.GetDigest()
 	return a.delta, true, nil
 }
 
-// parse adds the JSON parts of one message.
+// parse decodes the JSON parts of one message.
 func (a *assembler) parse(update *wirepb.ConfigUpdate) error {
 	if data := update.GetTemplates(); data != nil {
 		a.delta.Templates = &config.Templates{}
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// encodeHosts returns the message of a change of the host list.
+// encodeHosts encodes a change of the host list.
 func encodeHosts(d fleet.Delta) (*wirepb.HostsUpdate, error) {
 	update := &wirepb.HostsUpdate{Version: d.Version, Base: d.Base, Removed: d.Removed}
 	for _, host := range d.Changed {
@@ -117,7 +117,7 @@
 	return update, nil
 }
 
-// decodeHosts reads the message of a change of the host list.
+// decodeHosts decodes a change of the host list.
 func decodeHosts(update *wirepb.HostsUpdate) (fleet.Delta, error) {
 	d := fleet.Delta{Version: update.GetVersion(), Base: update.GetBase(), Removed: update.GetRemoved(),
 		Changed: make([]fleet.Host, len(update.GetHosts()))}
@@ -129,7 +129,7 @@
 	return d, nil
 }
 
-// encodePlacement returns the message of a placement.
+// encodePlacement encodes a placement.
 func encodePlacement(plan placement.Plan, version uint64) (*wirepb.PlacementUpdate, error) {
 	data, err := json.Marshal(plan)
 	if err != nil {
@@ -138,22 +138,23 @@
 	return &wirepb.PlacementUpdate{Version: version, Plan: data}, nil
 }
 
-// encodings keeps the messages that lead to the newest configuration, as most
-// subscribers come from the same one before it.
+// encodings caches the messages that lead to the newest configuration, since most
+// subscribers update from the same previous one.
 type encodings struct {
-	mu    sync.Mutex
-	to    core.Revision
-	cache map[encodingKey][]*wirepb.FleetUpdate
+	mu     sync.Mutex
+	target core.Revision
+	cache  map[encodingKey][]*wirepb.FleetUpdate
 }
 
-// encodingKey tells where a delta begins and for whom it is. The revision 0 of
-// a subscriber that holds nothing stands for the full state.
+// encodingKey identifies a delta by its base revision and scope. Revision 0, that of a
+// subscriber without a configuration, stands for the full state.
 type encodingKey struct {
 	from  core.Revision
 	scope wirepb.FeedScope
 }
 
-// between returns the messages that lead from one snapshot, or nil, to another.
+// between returns the messages that lead from one snapshot to another; from may be
+// nil.
 func (e *encodings) between(from, to *config.Snapshot, scope wirepb.FeedScope) ([]*wirepb.FleetUpdate, error) {
 	key := encodingKey{scope: scope}
 	if from != nil && from.Revision() == 0 {
@@ -179,25 +180,26 @@
 	return updates, nil
 }
 
-// lookup returns kept messages, or nil.
+// lookup returns the cached messages, or nil.
 func (e *encodings) lookup(key encodingKey, to core.Revision) []*wirepb.FleetUpdate {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.to != to {
+	if e.target != to {
 		return nil
 	}
 	return e.cache[key]
 }
 
-// store keeps messages. Those that lead to an older configuration are dropped.
+// store caches messages. Those that lead to an older configuration than the cached ones
+// are not stored.
 func (e *encodings) store(key encodingKey, to core.Revision, updates []*wirepb.FleetUpdate) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.to > to {
+	if e.target > to {
 		return
 	}
-	if e.to < to || e.cache == nil {
-		e.to, e.cache = to, map[encodingKey][]*wirepb.FleetUpdate{}
+	if e.target < to || e.cache == nil {
+		e.target, e.cache = to, map[encodingKey][]*wirepb.FleetUpdate{}
 	}
 	e.cache[key] = updates
 }
