--- a/wire/link/call.go
+++ b/wire/link/call.go
@@ -11,23 +11,23 @@
 	"acaciawinch/core/fault"
 )
 
-// callConn is one connection that sends calls under their short names, and a call
-// with one request and one reply in one write.
+// callConn is a connection that sends calls under their short names, and the request of
+// a unary call together with the end of the stream in one write.
 type callConn struct {
 	*drpcconn.Conn
 }
 
-// Invoke implements drpc.Conn. Unlike drpc's own it waits for the end of the
-// stream, which follows the reply in the same write: else it would most often send
-// a message to end the stream itself, which costs two segments.
+// Invoke implements drpc.Conn. Unlike drpc's own Invoke it waits for the end of the
+// stream, which follows the reply in the same write. Otherwise it would mostly send a
+// message to end the stream itself, which costs two segments.
 func (c callConn) Invoke(ctx context.Context, rpc string, enc drpc.Encoding, in, out drpc.Message) error {
 	stream, err := c.NewStream(ctx, rpc, enc)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = stream.Close() }() // the reply is there or the error is returned
-	if held, ok := stream.(flusher); ok {
-		held.SetManualFlush(true)
+	defer func() { _ = stream.Close() }() // the reply has been received, or the error is returned
+	if buffered, ok := stream.(flusher); ok {
+		buffered.SetManualFlush(true)
 	}
 	if err := stream.MsgSend(in, enc); err != nil {
 		return err
@@ -36,20 +36,21 @@
 		return err
 	}
 	if err := stream.MsgRecv(out, enc); err != nil {
-		return missing(err, rpc)
+		return noReplyError(err, rpc)
 	}
-	_, _ = stream.(receiver).RawRecv() // only the end of the stream can come
+	_, _ = stream.(receiver).RawRecv() // only the end of the stream can follow
 	return nil
 }
 
-// receiver is a stream whose messages can be received without decoding; drpc's is
-// one.
+// receiver is a stream that can receive messages without decoding them, as drpc's
+// stream can.
 type receiver interface {
 	RawRecv() ([]byte, error)
 }
 
-// missing returns err; the end of a stream without a reply is a fault of the peer.
-func missing(err error, rpc string) error {
+// noReplyError returns an Internal error if err is the end of a stream without a reply,
+// which is a fault of the peer, and err otherwise.
+func noReplyError(err error, rpc string) error {
 	if errors.Is(err, io.EOF) {
 		return fault.New(fault.Internal, "link.call", "", "%s ended without a reply", rpc)
 	}
--- a/wire/link/call_test.go
+++ b/wire/link/call_test.go
@@ -13,49 +13,49 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// writes counts the writes of the connections that it accepts.
-type writes struct {
+// countingListener counts the writes of the connections that it accepts.
+type countingListener struct {
 	net.Listener
 	count atomic.Int64
 }
 
 // Accept implements net.Listener.
-func (w *writes) Accept() (net.Conn, error) {
+func (w *countingListener) Accept() (net.Conn, error) {
 	conn, err := w.Listener.Accept()
-	return writing{conn, w}, err
+	return writeCountingConn{conn, w}, err
 }
 
-// writing is a connection whose writes are counted.
-type writing struct {
+// writeCountingConn is a connection whose writes are counted.
+type writeCountingConn struct {
 	net.Conn
-	all *writes
+	listener *countingListener
 }
 
 // Write implements net.Conn.
-func (w writing) Write(p []byte) (int, error) {
-	w.all.count.Add(1)
+func (w writeCountingConn) Write(p []byte) (int, error) {
+	w.listener.count.Add(1)
 	return w.Conn.Write(p)
 }
 
-// streaming answers probes, and runs with three events.
-type streaming struct {
+// sideServer replies to probes, refuses drains, and streams three events for a run.
+type sideServer struct {
 	wirepb.DRPCSideUnimplementedServer
-	// next lets the next event of a run go.
+	// next releases the next event of a run.
 	next chan struct{}
 }
 
 // Probe implements wirepb.DRPCSideServer.
-func (*streaming) Probe(context.Context, *wirepb.ProbeRequest) (*wirepb.ProbeReply, error) {
+func (*sideServer) Probe(context.Context, *wirepb.ProbeRequest) (*wirepb.ProbeReply, error) {
 	return &wirepb.ProbeReply{Revision: 7}, nil
 }
 
 // Drain implements wirepb.DRPCSideServer.
-func (*streaming) Drain(context.Context, *wirepb.DrainRequest) (*wirepb.DrainReply, error) {
+func (*sideServer) Drain(context.Context, *wirepb.DrainRequest) (*wirepb.DrainReply, error) {
 	return nil, fault.New(fault.Refused, "side.drain", "u1", "not now")
 }
 
 // Run implements wirepb.DRPCSideServer.
-func (s *streaming) Run(_ *wirepb.RunRequest, stream wirepb.DRPCSide_RunStream) error {
+func (s *sideServer) Run(_ *wirepb.RunRequest, stream wirepb.DRPCSide_RunStream) error {
 	for index := range 3 {
 		<-s.next
 		chunk := &wirepb.Chunk{Index: uint64(index)}
@@ -66,12 +66,12 @@
 	return nil
 }
 
-// stream serves s on loopback until the test ends.
-func stream(t testing.TB, s *streaming) *writes {
+// startSide serves s on loopback until the test ends.
+func startSide(t testing.TB, s *sideServer) *countingListener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	counted := &writes{Listener: listener}
+	counted := &countingListener{Listener: listener}
 	server := NewServer(fleetKey)
 	assert.NilError(t, wirepb.DRPCRegisterSide(server.Mux(), s))
 	ctx, cancel := context.WithCancel(context.Background())
@@ -81,23 +81,23 @@
 	return counted
 }
 
-// benchmarked serves probes and returns the address.
-func benchmarked(b *testing.B) string { return stream(b, &streaming{}).Addr().String() }
+// startProbeServer serves probes and returns the address.
+func startProbeServer(b *testing.B) string { return startSide(b, &sideServer{}).Addr().String() }
 
-func TestAProbeIsTwoWritesWithoutKeyAndPackageName(t *testing.T) {
+func TestAProbeIsTwoWritesAndOmitsThePackageName(t *testing.T) {
 	const (
 		handshakeWrites = 2
 		frame           = 4
 		request         = frame + len("Side/Probe") + frame + frame // name, empty message, end
 		reply           = frame + 2 + frame                         // revision, end
 	)
-	listener := stream(t, &streaming{})
+	listener := startSide(t, &sideServer{})
 	bare, err := net.Dial("tcp", listener.Addr().String())
 	assert.NilError(t, err)
-	assert.NilError(t, answer(bare, fleetKey))
-	var own writes
+	assert.NilError(t, respond(bare, fleetKey))
+	var own countingListener
 	var traffic Traffic
-	conn := callConn{drpcconn.New(countedConn{writing{bare, &own}, &traffic})}
+	conn := callConn{drpcconn.New(countedConn{writeCountingConn{bare, &own}, &traffic})}
 	defer conn.Close()
 	for calls := range int64(3) {
 		_, err := wirepb.NewDRPCSideClient(conn).Probe(t.Context(), &wirepb.ProbeRequest{})
@@ -110,24 +110,24 @@
 	}
 }
 
-func TestEachEventOfAStreamLeavesAtOnce(t *testing.T) {
-	side := &streaming{next: make(chan struct{})}
-	listener := stream(t, side)
+func TestEachEventOfAStreamIsSentAtOnce(t *testing.T) {
+	side := &sideServer{next: make(chan struct{})}
+	listener := startSide(t, side)
 	dialer := NewDialer(fleetKey)
 	defer dialer.Close()
 	run, err := wirepb.NewDRPCSideClient(dialer.Conn(t.Context(), listener.Addr().String())).Run(t.Context(), &wirepb.RunRequest{})
 	assert.NilError(t, err)
 	defer run.Close()
 	for index := range uint64(3) {
-		side.next <- struct{}{} // The next one is not let go before this one has come.
+		side.next <- struct{}{} // The next event is released only after this one has arrived.
 		event, err := run.Recv()
 		assert.NilError(t, err)
 		assert.Equal(t, event.GetChunk().GetIndex(), index)
 	}
 }
 
-func TestTheErrorOfACallArrives(t *testing.T) {
-	listener := stream(t, &streaming{})
+func TestTheErrorOfACallIsReturnedToTheCaller(t *testing.T) {
+	listener := startSide(t, &sideServer{})
 	dialer := NewDialer(fleetKey)
 	defer dialer.Close()
 
--- a/wire/link/counter.go
+++ b/wire/link/counter.go
@@ -17,7 +17,7 @@
 // Written returns the bytes sent so far.
 func (t *Traffic) Written() uint64 { return t.written.Load() }
 
-// countedConn is a connection whose bytes are added to a Traffic.
+// countedConn is a connection that adds its bytes to a Traffic.
 type countedConn struct {
 	net.Conn
 	traffic *Traffic
--- a/wire/link/dialer.go
+++ b/wire/link/dialer.go
@@ -27,17 +27,17 @@
 // Dialer opens calls to other processes over a pool of connections. It may be
 // used by many goroutines.
 type Dialer struct {
-	key      string
-	patience time.Duration
-	pool     *drpcpool.Pool[string, drpcpool.Conn]
-	traffic  Traffic
+	key              string
+	handshakeTimeout time.Duration
+	pool             *drpcpool.Pool[string, drpcpool.Conn]
+	traffic          Traffic
 }
 
-// NewDialer returns a Dialer whose connections prove that they hold key.
+// NewDialer returns a Dialer that authenticates its connections with key.
 func NewDialer(key string) *Dialer {
 	return &Dialer{
-		key:      key,
-		patience: handshakeTimeout,
+		key:              key,
+		handshakeTimeout: handshakeTimeout,
 		pool: drpcpool.New[string, drpcpool.Conn](drpcpool.Options{
 			Expiration:  idleExpiration,
 			Capacity:    idleTotal,
@@ -46,12 +46,12 @@
 	}
 }
 
-// Traffic returns the bytes of all connections that the Dialer opened.
+// Traffic returns the byte counts of all connections that the Dialer opened.
 func (d *Dialer) Traffic() *Traffic { return &d.traffic }
 
 // Conn returns a connection to addr (IP:port) for use with a generated client.
 // Each call takes an idle connection or opens a new one; Conn itself does no I/O.
-// A call's context bounds the opening as well.
+// A call's context also bounds the opening.
 func (d *Dialer) Conn(ctx context.Context, addr string) drpc.Conn {
 	return d.pool.Get(ctx, addr, d.dial)
 }
@@ -60,7 +60,7 @@
 func (d *Dialer) Close() error { return d.pool.Close() }
 
 // dial opens one connection and makes the handshake. Errors have code Unavailable
-// and step "link.dial"; the cause of one of the handshake has its own step.
+// and step "link.dial"; an error of the handshake is wrapped and keeps its own step.
 func (d *Dialer) dial(ctx context.Context, addr string) (drpcpool.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	opened, err := dialer.DialContext(ctx, "tcp", addr)
@@ -70,13 +70,13 @@
 	return d.Over(ctx, opened, addr)
 }
 
-// Over makes the handshake on an open connection to addr and returns it for calls,
-// outside of the pool. If that fails it closes the connection; its errors are those
-// of a call that could not be sent.
+// Over makes the handshake on an open connection to addr and returns the connection for
+// calls, outside of the pool. If the handshake fails, Over closes the connection and
+// returns the same error as a call that could not be sent.
 func (d *Dialer) Over(ctx context.Context, opened net.Conn, addr string) (drpcpool.Conn, error) {
 	conn := countedConn{Conn: opened, traffic: &d.traffic}
-	if err := bounded(ctx, conn, d.patience, func() error { return answer(conn, d.key) }); err != nil {
-		_ = conn.Close() // the error that is returned tells more
+	if err := withTimeout(ctx, conn, d.handshakeTimeout, func() error { return respond(conn, d.key) }); err != nil {
+		_ = conn.Close() // the returned error says more
 		return nil, &fault.Error{Code: fault.Unavailable, Step: stepDial, Peer: addr, Err: err}
 	}
 	return callConn{drpcconn.New(conn)}, nil
--- a/wire/link/handler.go
+++ b/wire/link/handler.go
@@ -8,14 +8,14 @@
 	"storj.io/drpc"
 )
 
-// servicePrefix begins the name of every call of the fleet's services. It is left
-// out on the wire.
+// servicePrefix begins the name of every call of the fleet's services. It is omitted on
+// the wire.
 const servicePrefix = "/acaciawinch.wire."
 
 // shortName returns the name of a call as it is sent.
 func shortName(rpc string) string { return strings.TrimPrefix(rpc, servicePrefix) }
 
-// fullName returns the name of a call that was sent as name.
+// fullName returns the full name of a call that was sent as name.
 func fullName(name string) string {
 	if strings.HasPrefix(name, "/") {
 		return name
@@ -23,7 +23,7 @@
 	return servicePrefix + name
 }
 
-// unary tells whether a call has one request and one reply.
+// unary reports whether a call has exactly one request and one reply.
 func unary(rpc string) bool {
 	name := strings.ReplaceAll(strings.TrimPrefix(rpc, "/"), "/", ".")
 	found, err := protoregistry.GlobalFiles.FindDescriptorByName(protoreflect.FullName(name))
@@ -34,14 +34,15 @@
 	return ok && !method.IsStreamingClient() && !method.IsStreamingServer()
 }
 
-// flusher is a stream that can hold back what it sends until it ends; drpc's is one.
+// flusher is a stream that can buffer what it sends until its end, as drpc's stream
+// can.
 type flusher interface {
 	SetManualFlush(manual bool)
 }
 
-// handler serves calls under their full names. It holds back the reply of a call
-// that has only one until the end of the stream follows, so that both leave in one
-// write and most often in one segment.
+// handler serves calls under their full names. It buffers the reply of a unary call until
+// the end of the stream follows, so that both are sent in one write and mostly in one
+// segment.
 type handler struct {
 	next drpc.Handler
 }
@@ -49,8 +50,8 @@
 // HandleRPC implements drpc.Handler.
 func (h handler) HandleRPC(stream drpc.Stream, name string) error {
 	rpc := fullName(name)
-	if held, ok := stream.(flusher); ok && unary(rpc) {
-		held.SetManualFlush(true)
+	if buffered, ok := stream.(flusher); ok && unary(rpc) {
+		buffered.SetManualFlush(true)
 	}
 	return h.next.HandleRPC(stream, rpc)
 }
--- a/wire/link/handshake_test.go
+++ b/wire/link/handshake_test.go
@@ -21,8 +21,8 @@
 // fleetKey is the key of the servers under test.
 const fleetKey = "the fleet's key"
 
-// guarded is a server under test that counts the calls that it serves.
-type guarded struct {
+// testServer is a server under test that counts the calls that it serves.
+type testServer struct {
 	wirepb.DRPCSideUnimplementedServer
 	*Server
 	addr    string
@@ -31,24 +31,24 @@
 }
 
 // Probe implements wirepb.DRPCSideServer.
-func (g *guarded) Probe(context.Context, *wirepb.ProbeRequest) (*wirepb.ProbeReply, error) {
+func (g *testServer) Probe(context.Context, *wirepb.ProbeRequest) (*wirepb.ProbeReply, error) {
 	g.served.Add(1)
 	return &wirepb.ProbeReply{Revision: 7}, nil
 }
 
-// guard serves with key at addr, after edit of the server, until the returned
-// function is called or the test ends.
-func guard(t *testing.T, key, addr string, edit func(*Server)) (*guarded, func()) {
+// startServer serves with key at addr, after edit has changed the server, until the
+// returned function is called or the test ends.
+func startServer(t *testing.T, key, addr string, edit func(*Server)) (*testServer, func()) {
 	t.Helper()
 	listener, err := net.Listen("tcp", addr)
 	assert.NilError(t, err)
-	return guardAt(t, key, listener, edit)
+	return startServerAt(t, key, listener, edit)
 }
 
-// guardAt is guard with a listener that is there.
-func guardAt(t *testing.T, key string, listener net.Listener, edit func(*Server)) (*guarded, func()) {
+// startServerAt is startServer with an open listener.
+func startServerAt(t *testing.T, key string, listener net.Listener, edit func(*Server)) (*testServer, func()) {
 	t.Helper()
-	g := &guarded{Server: NewServer(key), addr: listener.Addr().String(), refused: make(chan Refusal, 16)}
+	g := &testServer{Server: NewServer(key), addr: listener.Addr().String(), refused: make(chan Refusal, 16)}
 	assert.NilError(t, wirepb.DRPCRegisterSide(g.Mux(), g))
 	g.OnRefused(func(r Refusal) { g.refused <- r })
 	edit(g.Server)
@@ -64,18 +64,20 @@
 	return g, stop
 }
 
-// unhurried lets no handshake end by the time, however slow the machine is.
-func unhurried(s *Server) { s.patience = time.Minute }
+// withLongTimeout sets a handshake timeout that no test reaches, however slow the
+// machine is.
+func withLongTimeout(s *Server) { s.handshakeTimeout = time.Minute }
 
-// newDialer returns a dialer with the same patience.
+// newDialer returns a dialer with the same handshake timeout.
 func newDialer(key string) *Dialer {
 	dialer := NewDialer(key)
-	dialer.patience = time.Minute
+	dialer.handshakeTimeout = time.Minute
 	return dialer
 }
 
-// connect opens a bare connection to g and reads the challenge.
-func (g *guarded) connect(t *testing.T) (net.Conn, [challengeBytes]byte) {
+// connect opens a connection to g, reads the challenge and does not continue the
+// handshake.
+func (g *testServer) connect(t *testing.T) (net.Conn, [challengeBytes]byte) {
 	t.Helper()
 	conn, err := net.Dial("tcp", g.addr)
 	assert.NilError(t, err)
@@ -86,9 +88,9 @@
 	return conn, hello
 }
 
-// assertRefused checks that the client and the server's log were told, with step
-// and peer, and that nothing was served.
-func (g *guarded) assertRefused(t *testing.T, conn net.Conn) {
+// assertRefused checks that the client received the refusal, that the server reported it
+// with step and peer, and that nothing was served.
+func (g *testServer) assertRefused(t *testing.T, conn net.Conn) {
 	t.Helper()
 	var verdict [verdictBytes]byte
 	_, err := io.ReadFull(conn, verdict[:])
@@ -99,8 +101,8 @@
 	g.assertReported(t, conn.LocalAddr().String(), "does not hold this fleet's key")
 }
 
-// assertReported checks what was told of a refused connection from peer.
-func (g *guarded) assertReported(t *testing.T, peer, detail string) {
+// assertReported checks the report of a refused connection from peer.
+func (g *testServer) assertReported(t *testing.T, peer, detail string) {
 	t.Helper()
 	refusal := <-g.refused
 	var err *fault.Error
@@ -121,7 +123,7 @@
 
 func TestAnotherKeyIsRefusedAtBothEnds(t *testing.T) {
 	for _, keys := range [][2]string{{fleetKey, "another"}, {fleetKey, ""}, {"", ""}, {"", fleetKey}} {
-		g, _ := guard(t, keys[0], "127.0.0.1:0", unhurried)
+		g, _ := startServer(t, keys[0], "127.0.0.1:0", withLongTimeout)
 		dialer := newDialer(keys[1])
 
 		err := probe(t.Context(), dialer, g.addr)
@@ -138,10 +140,10 @@
 	}
 }
 
-func TestTheKeyNeverCrosses(t *testing.T) {
-	g, _ := guard(t, fleetKey, "127.0.0.1:0", unhurried)
+func TestTheKeyIsNeverSent(t *testing.T) {
+	g, _ := startServer(t, fleetKey, "127.0.0.1:0", withLongTimeout)
 	conn, hello := g.connect(t)
-	sent := proofFor(nonce(hello[1:]), newNonce())
+	sent := clientResponse(nonce(hello[1:]), newNonce())
 
 	_, err := conn.Write(sent)
 	assert.NilError(t, err)
@@ -149,18 +151,18 @@
 	_, err = io.ReadFull(conn, verdict[:])
 	assert.NilError(t, err)
 
-	assert.Equal(t, status(verdict[0]), statusGood)
+	assert.Equal(t, status(verdict[0]), statusOK)
 	for _, message := range [][]byte{hello[:], sent, verdict[:]} {
 		assert.Assert(t, !contains(message, fleetKey))
 	}
 }
 
-// proofFor returns the answer of a client that holds the key.
-func proofFor(server, client nonce) []byte {
-	return append(client[:], prove(fleetKey, roleClient, server, client)...)
+// clientResponse returns the response of a client that has the key.
+func clientResponse(server, client nonce) []byte {
+	return append(client[:], proof(fleetKey, roleClient, server, client)...)
 }
 
-// contains tells whether text is part of message.
+// contains reports whether text is part of message.
 func contains(message []byte, text string) bool {
 	for i := range message {
 		if len(message)-i >= len(text) && string(message[i:i+len(text)]) == text {
@@ -170,43 +172,43 @@
 	return false
 }
 
-func TestAReplayedAnswerIsRefused(t *testing.T) {
-	g, _ := guard(t, fleetKey, "127.0.0.1:0", unhurried)
+func TestAReplayedResponseIsRefused(t *testing.T) {
+	g, _ := startServer(t, fleetKey, "127.0.0.1:0", withLongTimeout)
 	first, hello := g.connect(t)
-	recorded := proofFor(nonce(hello[1:]), newNonce())
+	recorded := clientResponse(nonce(hello[1:]), newNonce())
 	_, err := first.Write(recorded)
 	assert.NilError(t, err)
 	var verdict [verdictBytes]byte
 	_, err = io.ReadFull(first, verdict[:])
 	assert.NilError(t, err)
-	assert.Equal(t, status(verdict[0]), statusGood)
+	assert.Equal(t, status(verdict[0]), statusOK)
 
-	second, again := g.connect(t)
-	assert.Assert(t, again != hello)
+	second, secondHello := g.connect(t)
+	assert.Assert(t, secondHello != hello)
 	_, err = second.Write(recorded)
 	assert.NilError(t, err)
 
 	g.assertRefused(t, second)
 }
 
-func TestTheServersProofIsNoAnswer(t *testing.T) {
-	g, _ := guard(t, fleetKey, "127.0.0.1:0", unhurried)
+func TestTheServersProofIsRefusedFromAClient(t *testing.T) {
+	g, _ := startServer(t, fleetKey, "127.0.0.1:0", withLongTimeout)
 	conn, hello := g.connect(t)
 	server, client := nonce(hello[1:]), newNonce()
 
-	_, err := conn.Write(append(client[:], prove(fleetKey, roleServer, server, client)...))
+	_, err := conn.Write(append(client[:], proof(fleetKey, roleServer, server, client)...))
 	assert.NilError(t, err)
 
 	g.assertRefused(t, conn)
 }
 
 func TestNothingIsServedBeforeTheHandshake(t *testing.T) {
-	g, _ := guard(t, fleetKey, "127.0.0.1:0", unhurried)
+	g, _ := startServer(t, fleetKey, "127.0.0.1:0", withLongTimeout)
 	bare, err := net.Dial("tcp", g.addr)
 	assert.NilError(t, err)
 	conn := drpcconn.New(bare)
 
-	// The call may go out whole, or the server's challenge may end it before that.
+	// The whole call may be sent, or the server's challenge may end it before that.
 	_, err = wirepb.NewDRPCSideClient(conn).Probe(t.Context(), &wirepb.ProbeRequest{PrefixHash: 1})
 
 	assert.Assert(t, err != nil)
@@ -215,22 +217,22 @@
 }
 
 func TestAConnectionThatStallsIsClosed(t *testing.T) {
-	for _, sent := range []int{0, 1, answerBytes - 1} {
-		g, _ := guard(t, fleetKey, "127.0.0.1:0", func(s *Server) { s.patience = 20 * time.Millisecond })
+	for _, sent := range []int{0, 1, responseBytes - 1} {
+		g, _ := startServer(t, fleetKey, "127.0.0.1:0", func(s *Server) { s.handshakeTimeout = 20 * time.Millisecond })
 		conn, hello := g.connect(t)
-		_, _ = conn.Write(proofFor(nonce(hello[1:]), newNonce())[:sent])
+		_, _ = conn.Write(clientResponse(nonce(hello[1:]), newNonce())[:sent])
 
 		_, err := io.Copy(io.Discard, conn)
 
-		// The server has closed it, maybe before all was written.
+		// The server has closed the connection, maybe before everything was written.
 		assert.Assert(t, err == nil || errors.Is(err, syscall.ECONNRESET), "%v", err)
 		g.assertReported(t, conn.LocalAddr().String(), "deadline exceeded")
 	}
 }
 
-func TestTooManyHandshakesAreRefusedAndEnd(t *testing.T) {
-	g, _ := guard(t, fleetKey, "127.0.0.1:0", func(s *Server) {
-		unhurried(s)
+func TestTooManyHandshakesAreRefusedUntilOneEnds(t *testing.T) {
+	g, _ := startServer(t, fleetKey, "127.0.0.1:0", func(s *Server) {
+		withLongTimeout(s)
 		s.handshakes = make(chan struct{}, 1)
 	})
 	stalled, _ := g.connect(t)
@@ -261,11 +263,11 @@
 		if err != nil {
 			return
 		}
-		_, _ = conn.Write(refusal(statusGood, challengeBytes))
-		_, _ = io.CopyN(io.Discard, conn, answerBytes)
-		_, _ = conn.Write(refusal(statusGood, verdictBytes))
-		rest, _ := io.ReadAll(conn)
-		got <- rest
+		_, _ = conn.Write(statusMessage(statusOK, challengeBytes))
+		_, _ = io.CopyN(io.Discard, conn, responseBytes)
+		_, _ = conn.Write(statusMessage(statusOK, verdictBytes))
+		remaining, _ := io.ReadAll(conn)
+		got <- remaining
 	}()
 
 	err = probe(t.Context(), newDialer(fleetKey), listener.Addr().String())
@@ -274,7 +276,7 @@
 	assert.Equal(t, len(<-got), 0)
 }
 
-func TestASilentServerIsLeftWhenTheCallerGivesUp(t *testing.T) {
+func TestACancelledCallEndsItsHandshakeWithASilentServer(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer listener.Close()
@@ -294,22 +296,22 @@
 	assert.ErrorIs(t, err, context.Canceled)
 }
 
-func TestEachConnectionIsCheckedAlsoBehindAPooledOne(t *testing.T) {
+func TestANewConnectionIsCheckedAfterAPooledOne(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	held, err := listener.(*net.TCPListener).File() // so that nobody else gets the port in between
+	socket, err := listener.(*net.TCPListener).File() // keeps the port reserved between the two servers
 	assert.NilError(t, err)
-	defer held.Close()
-	first, stop := guardAt(t, fleetKey, listener, unhurried)
+	defer socket.Close()
+	first, stop := startServerAt(t, fleetKey, listener, withLongTimeout)
 	dialer := newDialer(fleetKey)
 	defer dialer.Close()
 	assert.NilError(t, probe(t.Context(), dialer, first.addr))
 	assert.NilError(t, probe(t.Context(), dialer, first.addr))
 	stop()
 
-	again, err := net.FileListener(held)
+	reopened, err := net.FileListener(socket)
 	assert.NilError(t, err)
-	second, _ := guardAt(t, "a new key", again, unhurried)
+	second, _ := startServerAt(t, "a new key", reopened, withLongTimeout)
 	for err == nil || !errors.As(err, new(*fault.Error)) {
 		err = probe(t.Context(), dialer, first.addr)
 	}
--- a/wire/link/link_test.go
+++ b/wire/link/link_test.go
@@ -13,7 +13,7 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// probeServer answers probes with a fixed revision.
+// probeServer replies to probes with a fixed revision.
 type probeServer struct {
 	wirepb.DRPCSideUnimplementedServer
 }
@@ -55,8 +55,8 @@
 	awaitEqual(t, server.Traffic().Read, dialer.Traffic().Written)
 }
 
-// awaitEqual waits until both counts are equal: what was written last may still be
-// on its way when a call returns.
+// awaitEqual waits until both counts are equal: the last bytes written may still be in
+// transit when a call returns.
 func awaitEqual(t *testing.T, a, b func() uint64) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
--- a/wire/link/server.go
+++ b/wire/link/server.go
@@ -18,66 +18,65 @@
 // Limits of a server.
 const (
 	// maxHandshakes bounds the connections that are in the handshake at once: more
-	// than all processes of the fleet that come back together.
+	// than all processes of the fleet that reconnect together.
 	maxHandshakes = 2048
-	// acceptPause is the wait after an accept that failed for lack of resources.
-	acceptPause = 500 * time.Millisecond
-	// reportEvery is the time that passes at least between two reports of refused
-	// connections.
-	reportEvery = time.Second
+	// acceptBackoff is the wait after an accept that failed with a transient error.
+	acceptBackoff = 500 * time.Millisecond
+	// reportInterval is the minimum time between two reports of refused connections.
+	reportInterval = time.Second
 )
 
-// Refusal tells of a connection that was refused.
+// Refusal describes a connection that was refused.
 type Refusal struct {
 	// Peer is the address of the other end.
 	Peer string
 	// Err is a *fault.Error with the step and the peer.
 	Err error
-	// Total is how many connections the server has refused so far; not each is
-	// reported.
+	// Total is how many connections the server has refused so far; not every refusal
+	// is reported.
 	Total uint64
 }
 
-// Server serves drpc calls on connections whose other end holds the fleet's key.
+// Server serves drpc calls on connections whose other end has the fleet's key.
 type Server struct {
 	key     string
 	mux     *drpcmux.Mux
 	traffic Traffic
 
-	patience   time.Duration
-	handshakes chan struct{}
+	handshakeTimeout time.Duration
+	handshakes       chan struct{}
 
-	refused  func(Refusal)
-	refusals atomic.Uint64
-	reported atomic.Int64
+	onRefused    func(Refusal)
+	refusedTotal atomic.Uint64
+	lastReport   atomic.Int64
 }
 
-// NewServer returns a Server without services. An empty key serves nobody.
+// NewServer returns a Server without services. With an empty key it refuses every connection.
 func NewServer(key string) *Server {
 	return &Server{
-		key:        key,
-		mux:        drpcmux.New(),
-		patience:   handshakeTimeout,
-		handshakes: make(chan struct{}, maxHandshakes),
-		refused:    func(Refusal) {},
+		key:              key,
+		mux:              drpcmux.New(),
+		handshakeTimeout: handshakeTimeout,
+		handshakes:       make(chan struct{}, maxHandshakes),
+		onRefused:        func(Refusal) {},
 	}
 }
 
-// Mux returns where services are registered, by the generated DRPCRegister
+// Mux returns the mux on which services are registered with the generated DRPCRegister
 // functions, before Serve is called.
 func (s *Server) Mux() *drpcmux.Mux { return s.mux }
 
-// Traffic returns the bytes of all accepted connections.
+// Traffic returns the byte counts of all accepted connections.
 func (s *Server) Traffic() *Traffic { return &s.traffic }
 
-// OnRefused sets what is told of refused connections, of one in a second at most.
-// It is called before Serve; report is called by several goroutines.
-func (s *Server) OnRefused(report func(Refusal)) { s.refused = report }
+// OnRefused sets the function that receives refused connections, at most one in a second.
+// It must be called before Serve; report may be called by several goroutines.
+func (s *Server) OnRefused(report func(Refusal)) { s.onRefused = report }
 
-// Serve accepts connections until ctx ends. It closes listener.
+// Serve accepts and serves connections until ctx ends. It closes listener.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
-	stop := context.AfterFunc(ctx, func() { _ = listener.Close() }) // the server ends
+	stop := context.AfterFunc(ctx, func() { _ = listener.Close() }) // the server is stopping
 	var connections sync.WaitGroup
 	defer func() {
 		cancel()
@@ -92,16 +91,17 @@
 			connections.Go(func() { s.serveConn(ctx, calls, conn) })
 		case ctx.Err() != nil:
 			return nil
-		case lacksResources(err):
-			pause(ctx, acceptPause)
+		case isTransient(err):
+			sleep(ctx, acceptBackoff)
 		default:
 			return fault.Wrap(fault.Unavailable, "link.accept", listener.Addr().String(), err)
 		}
 	}
 }
 
-// lacksResources tells whether an accept failed for a cause that passes.
-func lacksResources(err error) bool {
+// isTransient reports whether an accept failed with an error that may pass, such as a
+// lack of resources.
+func isTransient(err error) bool {
 	for _, cause := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED} {
 		if errors.Is(err, cause) {
 			return true
@@ -110,24 +110,23 @@
 	return false
 }
 
-// pause waits for a time, or until ctx ends.
-func pause(ctx context.Context, wait time.Duration) {
+// sleep waits for the duration or until ctx ends.
+func sleep(ctx context.Context, wait time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	<-ctx.Done()
 }
 
-// ServeConn serves one connection, which the caller has accepted itself, until it
+// ServeConn serves one connection, which the caller has accepted, until the connection
 // or ctx ends.
 func (s *Server) ServeConn(ctx context.Context, conn net.Conn) {
 	s.serveConn(ctx, drpcserver.New(handler{next: s.mux}), conn)
 }
 
-// serveConn serves the calls of one connection after its handshake. How the
-// connection ends is no error of the server.
+// serveConn makes the handshake and serves the calls of one connection.
 func (s *Server) serveConn(ctx context.Context, calls *drpcserver.Server, conn net.Conn) {
 	conn = countedConn{Conn: conn, traffic: &s.traffic}
-	defer func() { _ = conn.Close() }() // its calls are over
+	defer func() { _ = conn.Close() }() // its calls have ended
 	if err := s.admit(ctx, conn); err != nil {
 		s.report(ctx, conn.RemoteAddr().String(), err)
 		return
@@ -135,29 +134,29 @@
 	_ = calls.ServeOne(ctx, conn) // how the connection ends is no error of the server
 }
 
-// admit makes the handshake, unless too many others are in it.
+// admit makes the handshake, unless maxHandshakes others are in progress.
 func (s *Server) admit(ctx context.Context, conn net.Conn) error {
 	select {
 	case s.handshakes <- struct{}{}:
 		defer func() { <-s.handshakes }()
 	default:
-		_, _ = conn.Write(refusal(statusBusy, challengeBytes)) // the refusal is returned; the peer may have gone
+		_, _ = conn.Write(statusMessage(statusBusy, challengeBytes)) // the error is returned; the peer may have disconnected
 		return fault.New(fault.Refused, stepHandshake, conn.RemoteAddr().String(),
 			"%d connections are in the handshake already", cap(s.handshakes))
 	}
-	return bounded(ctx, conn, s.patience, func() error { return challenge(conn, s.key) })
+	return withTimeout(ctx, conn, s.handshakeTimeout, func() error { return challenge(conn, s.key) })
 }
 
-// report tells of a refused connection, unless one was told of just now or the
-// server ends.
+// report counts a refused connection and passes it to onRefused, unless another one was
+// reported less than reportInterval ago. It does nothing once ctx has ended.
 func (s *Server) report(ctx context.Context, peer string, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	total := s.refusals.Add(1)
-	now, last := time.Now().UnixNano(), s.reported.Load()
-	if now-last < int64(reportEvery) || !s.reported.CompareAndSwap(last, now) {
+	total := s.refusedTotal.Add(1)
+	now, last := time.Now().UnixNano(), s.lastReport.Load()
+	if now-last < int64(reportInterval) || !s.lastReport.CompareAndSwap(last, now) {
 		return
 	}
-	s.refused(Refusal{Peer: peer, Err: err, Total: total})
+	s.onRefused(Refusal{Peer: peer, Err: err, Total: total})
 }
