--- a/entry/pipeline/act.go
+++ b/entry/pipeline/act.go
@@ -10,15 +10,15 @@
 	"acaciawinch/entry/route"
 )
 
-// do carries out the machine's actions.
-func (f *flow) do(actions []request.Action) {
+// executeAll carries out the machine's actions in order.
+func (f *flow) executeAll(actions []request.Action) {
 	for _, action := range actions {
-		f.act(action)
+		f.execute(action)
 	}
 }
 
-// act carries out one action.
-func (f *flow) act(action request.Action) {
+// execute carries out one action.
+func (f *flow) execute(action request.Action) {
 	switch a := action.(type) {
 	case request.Choose:
 		f.choose(a)
@@ -49,7 +49,7 @@
 	case request.Note:
 		f.record.note(f.attempts[a.Attempt], a)
 	case request.Answer:
-		f.answer(a)
+		f.setResult(a)
 	}
 }
 
@@ -71,41 +71,41 @@
 		Exclude:    a.Exclude,
 		Hedge:      a.Hedge,
 	}
-	f.attempt(a.Attempt, a.Stage)
+	f.ensureAttempt(a.Attempt, a.Stage)
 	go func() {
-		if !f.pause(a.After) {
+		if !f.sleep(a.After) {
 			return
 		}
 		ctx, cancel := context.WithDeadline(f.ctx, f.record.deadline)
 		defer cancel()
 		choice, err := f.runner.opts.Router.Choose(ctx, need)
 		if err != nil {
-			f.notChosen(a, err)
+			f.postNotChosen(a, err)
 			return
 		}
-		if !f.permitted(a) {
-			f.giveBack(a, choice)
+		if !f.waitUntilPermitted(a) {
+			f.discardChoice(a, choice)
 			return
 		}
-		f.chosen(a, choice)
+		f.postChosen(a, choice)
 	}()
 }
 
-// chosen posts a choice, or gives it back if the flow is over.
-func (f *flow) chosen(a request.Choose, choice route.Choice) {
+// postChosen posts the router's choice, or discards it if the flow has ended.
+func (f *flow) postChosen(a request.Choose, choice route.Choice) {
 	event := request.Chosen{Attempt: a.Attempt, Upstream: choice.Upstream, Expected: choice.Expected}
 	apply := func() {
-		known := f.attempt(a.Attempt, a.Stage)
-		known.choice = choice
-		known.target = targetOf(choice)
+		state := f.ensureAttempt(a.Attempt, a.Stage)
+		state.choice = choice
+		state.target = targetFromChoice(choice)
 	}
 	if !f.post(post{event: event, apply: apply}) {
-		f.giveBack(a, choice)
+		f.discardChoice(a, choice)
 	}
 }
 
-// giveBack tells the router that a choice is not used.
-func (f *flow) giveBack(a request.Choose, choice route.Choice) {
+// discardChoice reports to the router that a choice will not be used.
+func (f *flow) discardChoice(a request.Choose, choice route.Choice) {
 	f.runner.opts.Router.ObserveResult(route.Result{
 		Upstream: choice.Upstream,
 		Stage:    f.stages[a.Stage].Name,
@@ -113,8 +113,8 @@
 	})
 }
 
-// notChosen posts that no upstream was chosen.
-func (f *flow) notChosen(a request.Choose, err error) {
+// postNotChosen posts that the router chose no upstream.
+func (f *flow) postNotChosen(a request.Choose, err error) {
 	f.post(post{
 		event: request.NotChosen{
 			Attempt:    a.Attempt,
@@ -126,8 +126,8 @@
 	})
 }
 
-// pause waits, or returns false if the flow ended.
-func (f *flow) pause(d time.Duration) bool {
+// sleep waits for d. It returns false if the flow ends first.
+func (f *flow) sleep(d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
@@ -141,7 +141,7 @@
 	}
 }
 
-// report tells the router and the metrics how an attempt ended.
+// report passes the end of an attempt to the router, the log and the metrics.
 func (f *flow) report(r request.Report) {
 	a := f.attempts[r.Attempt]
 	f.runner.opts.Router.ObserveResult(route.Result{
@@ -150,23 +150,23 @@
 		Kind:     route.ResultKind(r.End),
 		Duration: r.Duration,
 	})
-	f.record.ended(a, r)
+	f.record.attemptEnded(a, r)
 }
 
-// deliver hands a chunk to the caller. If that fails the caller is gone, which
-// the machine is told once it has finished with the present event.
+// deliver sends a chunk to the caller. An error means that the caller has
+// disconnected; the machine learns of it after it has handled the current event.
 func (f *flow) deliver(e request.Emit) {
-	if f.gone {
+	if f.callerGone {
 		return
 	}
 	if err := f.emit(e.Index, e.Data); err != nil {
-		f.gone = true
+		f.callerGone = true
 	}
 	f.record.emitted(e.Index)
 }
 
-// answer keeps the result for the caller.
-func (f *flow) answer(a request.Answer) {
+// setResult stores the result that Run returns to the caller.
+func (f *flow) setResult(a request.Answer) {
 	f.result = Result{
 		Outcome:    a.Outcome,
 		Cause:      a.Cause,
@@ -174,10 +174,10 @@
 		Detail:     a.Detail,
 		RetryAfter: a.RetryAfter,
 	}
-	f.record.answered(a)
+	f.record.requestEnded(a)
 }
 
-// notSent tells whether err proves that a call never left this process.
+// notSent reports whether err proves that a call never left this process.
 func notSent(err error) bool {
 	var dial *fault.Error
 	return errors.As(err, &dial) && dial.Step == "link.dial" && dial.Code == fault.Unavailable
--- a/entry/pipeline/budgets.go
+++ b/entry/pipeline/budgets.go
@@ -9,16 +9,18 @@
 	"acaciawinch/core/request"
 )
 
-// knowledge is what all requests of the entry share. Budgets are kept by
-// service, so that cheap calls don't pay for extra passes of a costly stage.
-type knowledge struct {
+// sharedState is the state that all requests of this gateway share. Each service
+// has its own budgets, so that calls to a cheap service don't fund retries and
+// hedges of a costly one.
+type sharedState struct {
 	router       Router
 	retry, hedge budgets
 }
 
-// newKnowledge returns knowledge with full budgets.
-func newKnowledge(router Router, retry, hedge budget.Limits) *knowledge {
-	return &knowledge{
+// newSharedState returns a sharedState without any budgets; each starts full on
+// first use.
+func newSharedState(router Router, retry, hedge budget.Limits) *sharedState {
+	return &sharedState{
 		router: router,
 		retry:  budgets{limits: retry, byService: make(map[string]*sharedBudget)},
 		hedge:  budgets{limits: hedge, byService: make(map[string]*sharedBudget)},
@@ -26,15 +28,15 @@
 }
 
 // Estimate implements request.Knowledge.
-func (k *knowledge) Estimate(service string) latency.Estimate { return k.router.Estimate(service) }
+func (s *sharedState) Estimate(service string) latency.Estimate { return s.router.Estimate(service) }
 
 // RetryBudget implements request.Knowledge.
-func (k *knowledge) RetryBudget(service string) request.Budget { return k.retry.of(service) }
+func (s *sharedState) RetryBudget(service string) request.Budget { return s.retry.forService(service) }
 
 // HedgeBudget implements request.Knowledge.
-func (k *knowledge) HedgeBudget(service string) request.Budget { return k.hedge.of(service) }
+func (s *sharedState) HedgeBudget(service string) request.Budget { return s.hedge.forService(service) }
 
-// budgets holds one budget for each service.
+// budgets holds one budget per service.
 type budgets struct {
 	limits budget.Limits
 
@@ -42,8 +44,8 @@
 	byService map[string]*sharedBudget
 }
 
-// of returns the budget of a service.
-func (b *budgets) of(service string) *sharedBudget {
+// forService returns the budget of a service and creates it on first use.
+func (b *budgets) forService(service string) *sharedBudget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	shared, ok := b.byService[service]
@@ -54,7 +56,7 @@
 	return shared
 }
 
-// sharedBudget is a budget that many requests use at once.
+// sharedBudget is a budget that is safe for concurrent use.
 type sharedBudget struct {
 	mu     sync.Mutex
 	budget *budget.Budget
--- a/entry/pipeline/calls.go
+++ b/entry/pipeline/calls.go
@@ -13,45 +13,45 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// Bounds of the calls to sides.
+// Timeouts of the calls to sidecars.
 const (
 	pingTimeout    = 200 * time.Millisecond
 	resolveTimeout = time.Second
 	cancelTimeout  = time.Second
 	// closeDelay is how long the stream of a cancelled attempt is still read, so
-	// that its connection ends in order and can be used again.
+	// that the stream ends in order and its connection can be reused.
 	closeDelay = 100 * time.Millisecond
 )
 
-// target is the side that an attempt was sent to, and the attempt's key there.
+// target is the sidecar that an attempt is sent to, and the attempt's key there.
 type target struct {
 	addr        string
 	incarnation core.Incarnation
-	// claimed is the claim's key of a non-idempotent attempt, else nil.
-	claimed *wirepb.ClaimKey
-	// key is the attempt's key if its claim sets it, else nil.
-	key *wirepb.AttemptKey
+	// claimKey is the key of a non-idempotent attempt's claim, otherwise nil.
+	claimKey *wirepb.ClaimKey
+	// attemptKey is the attempt's key if its claim sets one, otherwise nil.
+	attemptKey *wirepb.AttemptKey
 }
 
-// targetOf returns the target of a choice.
-func targetOf(choice route.Choice) target {
+// targetFromChoice returns the target that the router chose.
+func targetFromChoice(choice route.Choice) target {
 	return target{addr: choice.Addr, incarnation: choice.Incarnation}
 }
 
-// claimTarget returns the target that a claim names.
-func claimTarget(c claims.Claim) target {
+// targetFromClaim returns the target that a claim names.
+func targetFromClaim(c claims.Claim) target {
 	return target{
 		addr:        c.Record.Target.Addr,
 		incarnation: c.Record.Target.Incarnation,
-		claimed:     c.ClaimKey(),
-		key:         c.AttemptKey(),
+		claimKey:    c.ClaimKey(),
+		attemptKey:  c.AttemptKey(),
 	}
 }
 
 // keyOf returns the attempt's key on the wire.
 func (f *flow) keyOf(a *attempt) *wirepb.AttemptKey {
-	if a.target.key != nil {
-		return a.target.key
+	if a.target.attemptKey != nil {
+		return a.target.attemptKey
 	}
 	return &wirepb.AttemptKey{
 		RequestId:       string(f.req.ID),
@@ -61,24 +61,24 @@
 	}
 }
 
-// call makes one call to a side on a connection of its own.
-func (f *flow) call(ctx context.Context, addr string, do func(context.Context, wirepb.DRPCSideClient) error) error {
+// call makes one call to a sidecar on its own connection.
+func (f *flow) call(ctx context.Context, addr string, send func(context.Context, wirepb.DRPCSideClient) error) error {
 	conn := f.runner.opts.Dialer.Conn(ctx, addr)
-	defer func() { _ = conn.Close() }() // the call is over; a connection that fails to close is not used again
-	return do(ctx, wirepb.NewDRPCSideClient(conn))
+	defer func() { _ = conn.Close() }() // the call has ended; a connection that fails to close is not reused
+	return send(ctx, wirepb.NewDRPCSideClient(conn))
 }
 
-// run dispatches an attempt.
+// run dispatches an attempt and follows its events.
 func (f *flow) run(r request.Run) {
 	a := f.attempts[r.Attempt]
 	stage := f.stages[r.Stage]
 	a.number = r.Number
-	a.sent = time.Now()
+	a.sentAt = time.Now()
 	message := &wirepb.RunRequest{
 		Key:         f.keyOf(a),
 		Workspace:   f.req.Workspace.Name,
 		Pipeline:    f.req.Template.Name,
-		Claim:       a.target.claimed,
+		Claim:       a.target.claimKey,
 		RemainingMs: uint64(max(r.Remaining.Milliseconds(), 1)),
 		Priority:    int32(f.req.Workspace.Priority),
 		Weight:      uint32(max(f.req.Workspace.Weight, 1)),
@@ -98,7 +98,7 @@
 	})
 }
 
-// attach follows an attempt on a new stream.
+// attach follows a dispatched attempt on a new stream.
 func (f *flow) attach(r request.Attach) {
 	a := f.attempts[r.Attempt]
 	message := &wirepb.AttachRequest{Key: f.keyOf(a), FromChunk: r.From}
@@ -108,8 +108,8 @@
 	})
 }
 
-// ping asks whether the attempt's side lives. A side of another incarnation has
-// lost the attempt, which is as good as dead.
+// ping checks whether the attempt's sidecar is alive. A sidecar that responds with
+// another incarnation has lost the attempt and counts as dead.
 func (f *flow) ping(r request.Ping) {
 	a := f.attempts[r.Attempt]
 	addr, incarnation, upstream := a.target.addr, a.target.incarnation, a.choice.Upstream
@@ -131,13 +131,13 @@
 	}()
 }
 
-// resolve asks a side what became of a claimed attempt.
+// resolve queries a sidecar for the state of a claimed attempt.
 func (f *flow) resolve(r request.Resolve) {
 	a := f.attempts[r.Attempt]
 	addr, incarnation := a.target.addr, a.target.incarnation
-	message := &wirepb.ResolveRequest{Key: f.keyOf(a), Claim: a.target.claimed}
+	message := &wirepb.ResolveRequest{Key: f.keyOf(a), Claim: a.target.claimKey}
 	go func() {
-		if !f.pause(r.After) {
+		if !f.sleep(r.After) {
 			return
 		}
 		ctx, cancel := context.WithTimeout(f.ctx, resolveTimeout)
@@ -159,7 +159,7 @@
 	}()
 }
 
-// resolutions translates a side's answers.
+// resolutions maps the states of a sidecar's Resolve response to resolutions.
 var resolutions = map[wirepb.ResolveState]request.Resolution{
 	wirepb.ResolveState_RESOLVE_DONE:    request.ResolvedDone,
 	wirepb.ResolveState_RESOLVE_RUNNING: request.ResolvedRunning,
@@ -168,8 +168,9 @@
 	wirepb.ResolveState_RESOLVE_FAILED:  request.ResolvedGone,
 }
 
-// resolutionOf returns what an answer to Resolve proves. A side of another
-// incarnation knows nothing, and a result that does not match its digest is none.
+// resolutionOf returns what a response to Resolve proves. A sidecar of another
+// incarnation knows nothing of the attempt, and a result that does not match its
+// digest is discarded: both count as gone.
 func resolutionOf(reply *wirepb.ResolveReply, incarnation core.Incarnation) request.Resolution {
 	if reply.GetIncarnation() != uint64(incarnation) {
 		return request.ResolvedGone
@@ -190,7 +191,7 @@
 	return request.ResolvedDone
 }
 
-// cancelReasons are the reasons of cancellations as messages name them.
+// cancelReasons maps the reasons of cancellations to their values on the wire.
 var cancelReasons = map[request.CancelReason]wirepb.CancelReason{
 	request.CancelHedgeLost:  wirepb.CancelReason_CANCEL_HEDGE_LOST,
 	request.CancelDeadline:   wirepb.CancelReason_CANCEL_DEADLINE,
@@ -198,13 +199,13 @@
 	request.CancelSuperseded: wirepb.CancelReason_CANCEL_SUPERSEDED,
 }
 
-// cancelAttempt tells the side to end an attempt. The call outlives the flow: the
-// answer to the caller does not wait for it.
+// cancelAttempt tells the sidecar to end an attempt. The call outlives the flow, so
+// that the caller's response does not wait for it.
 func (f *flow) cancelAttempt(r request.Cancel) {
 	a := f.attempts[r.Attempt]
-	addr, stop := a.target.addr, a.stop
-	// The stream is read on after the flow's end, so the flow won't close it.
-	a.stop = nil
+	addr, stop := a.target.addr, a.cancelStream
+	// The stream may be read after the flow has ended, so the flow must not close it.
+	a.cancelStream = nil
 	message := &wirepb.CancelRequest{Key: f.keyOf(a), Reason: cancelReasons[r.Reason]}
 	f.record.cancelled(a, r)
 	go func() {
@@ -224,8 +225,8 @@
 	}()
 }
 
-// acknowledge lets the side forget the attempt's result. If it is lost, the side
-// forgets by itself.
+// acknowledge lets the sidecar delete the attempt's result. If the acknowledgement
+// is lost, the sidecar deletes the result on its own.
 func (f *flow) acknowledge(r request.Acknowledge) {
 	a := f.attempts[r.Attempt]
 	addr := a.target.addr
--- a/entry/pipeline/claiming.go
+++ b/entry/pipeline/claiming.go
@@ -12,14 +12,14 @@
 	"acaciawinch/entry/route"
 )
 
-// Bounds of the calls that outlive the caller's answer.
+// Timeouts of the claim calls that may continue after the caller has its response.
 const (
 	finishTimeout  = 5 * time.Second
 	releaseTimeout = 2 * time.Second
 )
 
-// claimTargetOf returns the claim's form of a choice.
-func claimTargetOf(choice route.Choice) claims.Target {
+// claimTargetFromChoice converts a choice to the target that a claim records.
+func claimTargetFromChoice(choice route.Choice) claims.Target {
 	return claims.Target{
 		Upstream:    choice.Upstream,
 		Addr:        choice.Addr,
@@ -33,7 +33,7 @@
 func (f *flow) openClaim(r request.OpenClaim) {
 	a := f.attempts[r.Attempt]
 	a.number = r.Number
-	ask := claims.Ask{
+	claimRequest := claims.Ask{
 		Workspace:      f.req.Workspace.Name,
 		Pipeline:       f.req.Template.Name,
 		Key:            f.req.Key,
@@ -42,11 +42,11 @@
 		Request:        f.req.ID,
 		Stage:          f.stages[r.Stage].Name,
 		Attempt:        r.Number,
-		Target:         claimTargetOf(a.choice),
+		Target:         claimTargetFromChoice(a.choice),
 		DispatchWithin: r.DispatchWithin,
 	}
-	f.claim(a, func(ctx context.Context) (claims.Held, error) {
-		return f.runner.opts.Claims.Open(ctx, ask)
+	f.callClaims(a, func(ctx context.Context) (claims.Held, error) {
+		return f.runner.opts.Claims.Open(ctx, claimRequest)
 	})
 }
 
@@ -54,32 +54,33 @@
 func (f *flow) reassign(r request.Reassign) {
 	a := f.attempts[r.Attempt]
 	a.number = r.Number
-	owned, target := f.claims[r.Stage], claimTargetOf(a.choice)
-	f.claim(a, func(ctx context.Context) (claims.Held, error) {
+	owned, target := f.claims[r.Stage], claimTargetFromChoice(a.choice)
+	f.callClaims(a, func(ctx context.Context) (claims.Held, error) {
 		return f.runner.opts.Claims.Reassign(ctx, owned, target)
 	})
 }
 
-// claim makes a call of the claim protocol and posts its verdict. The call goes
-// on when the request is given up, because its verdict says what to release.
-func (f *flow) claim(a *attempt, call func(context.Context) (claims.Held, error)) {
+// callClaims makes one call of the claim protocol and posts its verdict. The call
+// continues after the request is given up, because its verdict tells which claim to
+// release.
+func (f *flow) callClaims(a *attempt, call func(context.Context) (claims.Held, error)) {
 	stage, timeout := a.stage, time.Until(f.record.deadline)
 	go func() {
 		ctx, cancel := context.WithTimeout(f.ctx, max(timeout, time.Millisecond))
 		defer cancel()
-		held, err := call(ctx)
-		event := claimedOf(f.req.ID, a.id, held, err)
+		verdict, err := call(ctx)
+		event := claimedEvent(f.req.ID, a.id, verdict, err)
 		f.post(post{event: event, apply: func() {
-			f.claims[stage] = held.Claim
+			f.claims[stage] = verdict.Claim
 			if event.Status == request.ClaimMine || event.Status == request.ClaimRunning {
-				a.target = claimTarget(held.Claim)
+				a.target = targetFromClaim(verdict.Claim)
 			}
 			f.record.claimed(a, event)
 		}})
 	}()
 }
 
-// claimStatuses translates the keeper's verdicts.
+// claimStatuses maps the verdicts of claims.Keeper to the machine's.
 var claimStatuses = map[claims.Status]request.ClaimStatus{
 	claims.Mine:        request.ClaimMine,
 	claims.Done:        request.ClaimDone,
@@ -89,24 +90,25 @@
 	claims.NotRun:      request.ClaimNotRun,
 }
 
-// claimedOf returns the machine's form of a verdict for the request named own. An
-// error other than that of a wrong body, or a verdict that is not known, counts
-// as unknown.
+// claimedEvent converts a verdict on a claim of the request requestID to the
+// machine's event. An error counts as status unknown, and so does a status that is
+// not listed; only the error for a key reused with another body is reported as
+// invalid.
 //
-// A claim that the request holds itself is no sign of another request's: what its
-// own attempt did, the machine knows. Thus an attempt that its side refused is
-// proved not run also if the store is down before the claim names another one.
-func claimedOf(own core.RequestID, id request.AttemptID, held claims.Held, err error) request.Claimed {
+// Seen is set only for the claim of another request, because the machine knows what
+// this request's own attempt did. An attempt that its sidecar refused is therefore
+// proved not run even if the store goes down before the claim is reassigned.
+func claimedEvent(requestID core.RequestID, id request.AttemptID, verdict claims.Held, err error) request.Claimed {
 	event := request.Claimed{
 		Attempt:    id,
-		Status:     claimStatuses[held.Status],
-		Chunks:     held.Chunks,
-		Recorded:   held.Recorded,
-		RetryAfter: held.RetryAfter,
-		Detail:     held.Reason,
+		Status:     claimStatuses[verdict.Status],
+		Chunks:     verdict.Chunks,
+		Recorded:   verdict.Recorded,
+		RetryAfter: verdict.RetryAfter,
+		Detail:     verdict.Reason,
 	}
-	holder := held.Claim.Record.Request
-	event.Seen = holder != "" && holder != own && !held.KeyNotRun
+	holder := verdict.Claim.Record.Request
+	event.Seen = holder != "" && holder != requestID && !verdict.KeyNotRun
 	switch {
 	case fault.Is(err, fault.Invalid):
 		event.Status = request.ClaimInvalid
@@ -120,13 +122,13 @@
 	return event
 }
 
-// release gives back a claim under which nothing ran.
+// release ends a claim under which nothing ran.
 func (f *flow) release(r request.Release) {
 	owned := f.claims[r.Stage]
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 		defer cancel()
-		_, _ = f.runner.opts.Claims.Release(ctx, owned) // if it is lost, the next asker asks the side
+		_, _ = f.runner.opts.Claims.Release(ctx, owned) // if the release fails, the next request with the key queries the sidecar
 		f.postEvent(request.Released(r))
 	}()
 }
@@ -138,14 +140,14 @@
 		ctx, cancel := context.WithTimeout(context.Background(), finishTimeout)
 		defer cancel()
 		err := f.runner.opts.Claims.Finish(ctx, owned, r.Chunks)
-		// The side's copy is the only one if the result is too large for the claim.
-		kept := err == nil && sizeOf(r.Chunks) <= claim.DefaultRules().MaxResultBytes
-		f.postEvent(request.Finished{Attempt: r.Attempt, Recorded: kept})
+		// A result that is too large for the claim is stored at the sidecar only.
+		recorded := err == nil && totalSize(r.Chunks) <= claim.DefaultRules().MaxResultBytes
+		f.postEvent(request.Finished{Attempt: r.Attempt, Recorded: recorded})
 	}()
 }
 
-// sizeOf returns the bytes of all chunks.
-func sizeOf(chunks [][]byte) int {
+// totalSize returns the size of all chunks in bytes.
+func totalSize(chunks [][]byte) int {
 	size := 0
 	for _, chunk := range chunks {
 		size += len(chunk)
--- a/entry/pipeline/claiming_test.go
+++ b/entry/pipeline/claiming_test.go
@@ -10,15 +10,16 @@
 	"acaciawinch/entry/claims"
 )
 
-// TestOnlyAnotherRequestsClaimIsSeen when the store does not answer: a request
-// whose own attempt was refused has run nothing.
+// TestOnlyAnotherRequestsClaimIsSeen checks that a request does not take its own
+// claim for that of another request with the same key. With the store unavailable
+// it would otherwise not report not run after its own attempt was refused.
 func TestOnlyAnotherRequestsClaimIsSeen(t *testing.T) {
 	seen := func(holder core.RequestID) bool {
-		held := claims.Held{
+		verdict := claims.Held{
 			Status: claims.Unavailable,
 			Claim:  claims.Claim{Record: claim.Record{Request: holder}},
 		}
-		return claimedOf("own", 1, held, nil).Seen
+		return claimedEvent("own", 1, verdict, nil).Seen
 	}
 	assert.Assert(t, !seen("own"))
 	assert.Assert(t, seen("other"))
--- a/entry/pipeline/fixture_test.go
+++ b/entry/pipeline/fixture_test.go
@@ -29,8 +29,8 @@
 
 const testKey = "test-key"
 
-// fakeSide is a side whose answers a test scripts. Calls that are not scripted
-// answer as a side that does all it is asked.
+// fakeSide is a sidecar whose responses a test can script with the on functions.
+// Without onRun every run succeeds.
 type fakeSide struct {
 	wirepb.DRPCSideUnimplementedServer
 	name        string
@@ -49,7 +49,7 @@
 	acks     chan *wirepb.AcknowledgeRequest
 }
 
-// startSide serves a side on loopback until the test ends.
+// startSide serves a fake sidecar on loopback until the test ends.
 func startSide(t *testing.T, name string) *fakeSide {
 	t.Helper()
 	s := &fakeSide{
@@ -73,8 +73,8 @@
 	return s
 }
 
-// hang blocks like a frozen process until the call ends.
-func hang(ctx context.Context) error {
+// block simulates a frozen process: it blocks until the call's context ends.
+func block(ctx context.Context) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
@@ -82,7 +82,7 @@
 func (s *fakeSide) Probe(ctx context.Context, _ *wirepb.ProbeRequest) (*wirepb.ProbeReply, error) {
 	select {
 	case <-s.frozen:
-		return nil, hang(ctx)
+		return nil, block(ctx)
 	default:
 		return &wirepb.ProbeReply{Incarnation: s.incarnation, Revision: 7, Load: &wirepb.Load{}}, nil
 	}
@@ -93,7 +93,7 @@
 	if s.onRun != nil {
 		return s.onRun(request, stream)
 	}
-	return sendWhole(stream, request.GetKey(), len(request.GetResume()), outputOf(request.GetKey().GetStage(), request.GetInput()))
+	return sendOutput(stream, request.GetKey(), len(request.GetResume()), outputOf(request.GetKey().GetStage(), request.GetInput()))
 }
 
 func (s *fakeSide) Attach(request *wirepb.AttachRequest, stream wirepb.DRPCSide_AttachStream) error {
@@ -117,18 +117,18 @@
 	return reply, nil
 }
 
-// sender is a stream that events can be sent on.
+// sender is the sending end of a stream of events.
 type sender interface{ Send(*wirepb.RunEvent) error }
 
-func started(key *wirepb.AttemptKey) *wirepb.RunEvent {
+func startedEvent(key *wirepb.AttemptKey) *wirepb.RunEvent {
 	return &wirepb.RunEvent{Key: key, Event: &wirepb.RunEvent_Started{Started: &wirepb.Started{}}}
 }
 
-func chunk(key *wirepb.AttemptKey, index int, data string) *wirepb.RunEvent {
+func chunkEvent(key *wirepb.AttemptKey, index int, data string) *wirepb.RunEvent {
 	return &wirepb.RunEvent{Key: key, Event: &wirepb.RunEvent_Chunk{Chunk: &wirepb.Chunk{Index: uint64(index), Data: []byte(data)}}}
 }
 
-func closing(key *wirepb.AttemptKey, chunks []string) *wirepb.RunEvent {
+func doneEvent(key *wirepb.AttemptKey, chunks []string) *wirepb.RunEvent {
 	digest := xxhash.New()
 	for _, c := range chunks {
 		_, _ = digest.WriteString(c)
@@ -136,19 +136,20 @@
 	return &wirepb.RunEvent{Key: key, Event: &wirepb.RunEvent_Done{Done: &wirepb.Done{Chunks: uint64(len(chunks)), Digest: digest.Sum64()}}}
 }
 
-// outputOf returns the three chunks that a stage gives for an input.
+// outputOf returns the three chunks that a stage outputs for an input.
 func outputOf(stage string, input []byte) []string {
 	sum := xxhash.Sum64(input)
 	return []string{fmt.Sprintf("%s.%x.0 ", stage, sum), fmt.Sprintf("%s.%x.1 ", stage, sum), fmt.Sprintf("%s.%x.2 ", stage, sum)}
 }
 
-// sendWhole sends the chunks behind the first `skip` and the closing event.
-func sendWhole(stream sender, key *wirepb.AttemptKey, skip int, chunks []string) error {
-	events := []*wirepb.RunEvent{started(key)}
+// sendOutput sends a started event, the chunks after the first skip ones, and a done
+// event.
+func sendOutput(stream sender, key *wirepb.AttemptKey, skip int, chunks []string) error {
+	events := []*wirepb.RunEvent{startedEvent(key)}
 	for i, c := range chunks[skip:] {
-		events = append(events, chunk(key, i, c))
+		events = append(events, chunkEvent(key, i, c))
 	}
-	return sendAll(stream, append(events, closing(key, chunks[skip:]))...)
+	return sendAll(stream, append(events, doneEvent(key, chunks[skip:]))...)
 }
 
 // sendAll sends events in order.
@@ -161,8 +162,7 @@
 	return nil
 }
 
-// fakeRouter hands out the sides of each stage in order, leaving out those that
-// are excluded.
+// fakeRouter chooses the first sidecar of a stage that is not excluded.
 type fakeRouter struct {
 	mu      sync.Mutex
 	sides   map[string][]*fakeSide
@@ -183,7 +183,7 @@
 			return route.Choice{Upstream: core.UpstreamID(s.name), Addr: s.addr, Incarnation: core.Incarnation(s.incarnation)}, nil
 		}
 	}
-	return route.Choice{}, fault.New(fault.Refused, "route.choose", need.Service, "nobody is left")
+	return route.Choice{}, fault.New(fault.Refused, "route.choose", need.Service, "no upstream is left")
 }
 
 func (r *fakeRouter) ObserveLoad(core.UpstreamID, *wirepb.Load) {}
@@ -196,26 +196,27 @@
 
 func (r *fakeRouter) Estimate(string) latency.Estimate { return latency.Estimate{} }
 
-// fakeClaims grants every claim and counts the calls.
+// fakeClaims grants every claim and counts the calls. If verdict is set, Open returns
+// it instead.
 type fakeClaims struct {
 	mu         sync.Mutex
-	held       *claims.Held
+	verdict    *claims.Held
 	opened     int
 	reassigned int
 	finished   [][]byte
 	finishes   chan struct{}
 }
 
-func (c *fakeClaims) Open(_ context.Context, ask claims.Ask) (claims.Held, error) {
+func (c *fakeClaims) Open(_ context.Context, request claims.Ask) (claims.Held, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.opened++
-	if c.held != nil {
-		return *c.held, nil
+	if c.verdict != nil {
+		return *c.verdict, nil
 	}
 	return claims.Held{Status: claims.Mine, Claim: claims.Claim{Version: 1, Record: claim.Record{
-		Request: ask.Request, Attempt: ask.Attempt, Nonce: 1, Target: ask.Target,
-		Identity: claim.Identity{Workspace: ask.Workspace, Pipeline: ask.Pipeline, Key: ask.Key, Stage: ask.Stage},
+		Request: request.Request, Attempt: request.Attempt, Nonce: 1, Target: request.Target,
+		Identity: claim.Identity{Workspace: request.Workspace, Pipeline: request.Pipeline, Key: request.Key, Stage: request.Stage},
 	}}}, nil
 }
 
@@ -241,8 +242,8 @@
 	return nil
 }
 
-// bench is a runner with its fakes.
-type bench struct {
+// harness is a Runner with its fakes.
+type harness struct {
 	t      *testing.T
 	router *fakeRouter
 	claims *fakeClaims
@@ -251,57 +252,57 @@
 	got    []string
 }
 
-// newBench returns a runner whose stages have the given sides.
-func newBench(t *testing.T, sides map[string][]*fakeSide) *bench {
+// newHarness returns a Runner with the given sidecars, by stage.
+func newHarness(t *testing.T, sides map[string][]*fakeSide) *harness {
 	t.Helper()
 	logger, err := observe.NewLogger(io.Discard, "test", "info")
 	assert.NilError(t, err)
 	dialer := link.NewDialer(testKey)
-	b := &bench{t: t, router: &fakeRouter{sides: sides}, claims: &fakeClaims{finishes: make(chan struct{})}, traces: trace.NewRing(10)}
-	b.runner = NewRunner(Options{
-		Router:       b.router,
-		Claims:       b.claims,
+	h := &harness{t: t, router: &fakeRouter{sides: sides}, claims: &fakeClaims{finishes: make(chan struct{})}, traces: trace.NewRing(10)}
+	h.runner = NewRunner(Options{
+		Router:       h.router,
+		Claims:       h.claims,
 		Dialer:       dialer,
-		Record:       Recorder{Logger: logger, Traces: b.traces, Scope: tally.NoopScope},
+		Record:       Recorder{Logger: logger, Traces: h.traces, Scope: tally.NoopScope},
 		Revision:     func() core.Revision { return 7 },
 		NoteRevision: func(core.Revision, string) {},
 		Retry:        budget.DefaultRetry,
 		Hedge:        budget.DefaultHedge,
 	})
 	t.Cleanup(func() {
-		b.runner.flows.Wait()
+		h.runner.flows.Wait()
 		_ = dialer.Close()
 	})
-	return b
+	return h
 }
 
-// request returns a request over the given stages.
-func (b *bench) request(stages ...config.Stage) Request {
+// request returns a request whose pipeline has the given stages.
+func (h *harness) request(stages ...config.Stage) Request {
 	id := core.RequestID("e-1")
-	b.traces.Begin(trace.Trace{RequestID: id})
+	h.traces.Begin(trace.Trace{RequestID: id})
 	return Request{
 		ID: id, Key: "k", Revision: 7, Deadline: 20 * time.Second, Body: []byte("{}"),
 		Workspace: config.Workspace{Name: "w", Weight: 1}, Template: config.Template{Name: "p", Stages: stages},
 	}
 }
 
-// run carries out a request and keeps what the caller gets.
-func (b *bench) run(ctx context.Context, request Request) Result {
-	return b.runner.Run(ctx, request, func(index uint64, data []byte) error {
-		assert.Equal(b.t, index, uint64(len(b.got)))
-		b.got = append(b.got, string(data))
+// run carries out a request and records the chunks that the caller receives.
+func (h *harness) run(ctx context.Context, request Request) Result {
+	return h.runner.Run(ctx, request, func(index uint64, data []byte) error {
+		assert.Equal(h.t, index, uint64(len(h.got)))
+		h.got = append(h.got, string(data))
 		return nil
 	})
 }
 
-// await returns the next value of a channel.
-func await[T any](t *testing.T, c <-chan T) T {
+// receive returns the next value of a channel and fails the test after 10 s.
+func receive[T any](t *testing.T, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
 	case <-time.After(10 * time.Second):
-		t.Fatal("nothing came")
+		t.Fatal("timed out waiting for a value from the channel")
 		panic("unreachable")
 	}
 }
--- a/entry/pipeline/flow.go
+++ b/entry/pipeline/flow.go
@@ -9,8 +9,8 @@
 	"acaciawinch/entry/route"
 )
 
-// flow carries out one request. Its fields belong to the goroutine of the loop;
-// calls run in goroutines of their own and post what came of them.
+// flow carries out one request. Only the goroutine that runs loop accesses its
+// mutable fields; calls run in their own goroutines and post their results to it.
 type flow struct {
 	runner  *Runner
 	req     Request
@@ -19,7 +19,7 @@
 	record  *record
 	emit    Emit
 
-	// ctx ends with the flow; calls that must outlive it don't use it.
+	// ctx ends with the flow; calls that must outlive the flow don't use it.
 	ctx    context.Context
 	cancel context.CancelFunc
 	posts  chan post
@@ -28,35 +28,37 @@
 	// claims holds the claim of each stage that has one.
 	claims map[int]claims.Claim
 	result Result
-	// gone is set once the caller's connection failed.
-	gone bool
+	// callerGone is set once delivery to the caller has failed.
+	callerGone bool
 }
 
-// post is something that a call of the flow came to. Before it is handed to the
-// machine, apply changes the flow's own fields.
+// post is a message to the flow's loop, usually the result of a call. The loop runs
+// apply, which may change the flow's fields, before it passes event to the machine.
+// Either of them may be nil.
 type post struct {
 	event request.Event
 	apply func()
-	// stream is the number of the stream that it came from, zero if from none.
-	stream int
+	// streamNumber is the number of the stream that posted the event, zero for none.
+	streamNumber int
 }
 
-// attempt is what the flow knows of an attempt beside the machine.
+// attempt is the flow's own state of an attempt, in addition to the machine's.
 type attempt struct {
 	id     request.AttemptID
 	stage  int
 	number uint32
 	choice route.Choice
 	target target
-	// stream numbers the streams of the attempt; only the last one may break it.
-	stream int
-	// stop closes the present stream.
-	stop context.CancelFunc
-	sent time.Time
-	last time.Time
+	// streamNumber is the number of the attempt's newest stream. The ends of earlier
+	// streams are ignored.
+	streamNumber int
+	// cancelStream closes the current stream.
+	cancelStream context.CancelFunc
+	sentAt       time.Time
+	lastChunkAt  time.Time
 }
 
-// newFlow returns a flow that has not begun.
+// newFlow returns a flow that has not started.
 func newFlow(r *Runner, req Request, emit Emit) *flow {
 	stages, plan := planOf(req)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -64,7 +66,7 @@
 		runner:   r,
 		req:      req,
 		stages:   stages,
-		machine:  request.New(req.ID, plan, r.know, r.opts.Rules),
+		machine:  request.New(req.ID, plan, r.shared, r.opts.Rules),
 		emit:     emit,
 		ctx:      ctx,
 		cancel:   cancel,
@@ -76,28 +78,29 @@
 	return f
 }
 
-// loop handles posts and time until done says that it is enough. The channel
-// gone is closed when the caller is gone; nil if nobody waits.
-func (f *flow) loop(gone <-chan struct{}, done func() bool) {
+// loop handles posts and timer events until done returns true. The channel
+// disconnected is closed when the caller disconnects; nil means that no caller is
+// waiting.
+func (f *flow) loop(disconnected <-chan struct{}, done func() bool) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for !done() {
 		timer.Reset(time.Until(f.machine.Wake()))
 		select {
 		case p := <-f.posts:
-			f.handle(p)
+			f.handlePost(p)
 		case <-timer.C:
-			f.tell(request.Tick{})
-		case <-gone:
-			gone = nil
-			f.tell(request.CallerGone{})
+			f.handleEvent(request.Tick{})
+		case <-disconnected:
+			disconnected = nil
+			f.handleEvent(request.CallerGone{})
 		}
 	}
 }
 
-// handle hands a post to the machine, unless it is the end of a stream that was
-// replaced.
-func (f *flow) handle(p post) {
+// handlePost passes a post's event to the machine, unless it is the end of a stream
+// that has been replaced.
+func (f *flow) handlePost(p post) {
 	if p.apply != nil {
 		p.apply()
 	}
@@ -106,22 +109,22 @@
 	}
 	if broken, ok := p.event.(request.Broken); ok {
 		a := f.attempts[broken.Attempt]
-		if a == nil || p.stream != a.stream {
+		if a == nil || p.streamNumber != a.streamNumber {
 			return
 		}
 	}
-	f.tell(p.event)
+	f.handleEvent(p.event)
 }
 
-// tell hands an event to the machine and carries out what follows.
-func (f *flow) tell(event request.Event) {
-	f.do(f.machine.Handle(time.Now(), event))
-	if f.gone && !f.machine.Answered() {
-		f.do(f.machine.Handle(time.Now(), request.CallerGone{}))
+// handleEvent passes an event to the machine and executes the resulting actions.
+func (f *flow) handleEvent(event request.Event) {
+	f.executeAll(f.machine.Handle(time.Now(), event))
+	if f.callerGone && !f.machine.Answered() {
+		f.executeAll(f.machine.Handle(time.Now(), request.CallerGone{}))
 	}
 }
 
-// post hands over what a call came to. It returns false if the flow is over.
+// post sends p to the loop. It returns false if the flow has ended.
 func (f *flow) post(p post) bool {
 	select {
 	case f.posts <- p:
@@ -131,21 +134,21 @@
 	}
 }
 
-// postEvent posts an event that changes nothing else.
+// postEvent posts an event without changes to the flow's fields.
 func (f *flow) postEvent(event request.Event) { f.post(post{event: event}) }
 
-// close ends the flow's calls.
+// close cancels the flow's calls and streams.
 func (f *flow) close() {
 	f.cancel()
 	for _, a := range f.attempts {
-		if a.stop != nil {
-			a.stop()
+		if a.cancelStream != nil {
+			a.cancelStream()
 		}
 	}
 }
 
-// attempt returns the flow's side of an attempt.
-func (f *flow) attempt(id request.AttemptID, stage int) *attempt {
+// ensureAttempt returns the flow's state of an attempt and creates it on first use.
+func (f *flow) ensureAttempt(id request.AttemptID, stage int) *attempt {
 	a, ok := f.attempts[id]
 	if !ok {
 		a = &attempt{id: id, stage: stage}
@@ -154,8 +157,8 @@
 	return a
 }
 
-// input returns the input of a stage: its prefix and the output of the stage
-// before, or the caller's body.
+// input returns the input of a stage: its prefix, followed by the output of the
+// previous stage or, for the first stage, by the caller's body.
 func (f *flow) input(stage int) []byte {
 	input := []byte(f.stages[stage].prefix)
 	if stage == 0 {
--- a/entry/pipeline/parameters.go
+++ b/entry/pipeline/parameters.go
@@ -6,9 +6,9 @@
 	"acaciawinch/core/config"
 )
 
-// effective applies the workspace's parameters to a stage of its pipeline, and
-// returns the prefix that goes before the stage's input.
-func effective(request Request, stage config.Stage) (config.Stage, string) {
+// effectiveStage returns a stage with the workspace's parameters applied, and the
+// prefix that precedes the stage's input.
+func effectiveStage(request Request, stage config.Stage) (config.Stage, string) {
 	for _, p := range request.Workspace.Stages {
 		if p.Pipeline != request.Template.Name || p.Stage != stage.Name {
 			continue
@@ -27,8 +27,8 @@
 	return stage, ""
 }
 
-// committed tells whether a non-idempotent stage stands before a stage: it has
-// run when that stage is dispatched.
+// committed reports whether a non-idempotent stage precedes the given stage, and has
+// thus run by the time the given stage is dispatched.
 func committed(template config.Template, stage int) bool {
 	return slices.ContainsFunc(template.Stages[:stage], func(earlier config.Stage) bool {
 		return earlier.NonIdempotent
--- a/entry/pipeline/permit.go
+++ b/entry/pipeline/permit.go
@@ -6,12 +6,13 @@
 	"acaciawinch/core/request"
 )
 
-// permitPatience is how long an idempotent first stage is held back for the
-// permit. A home of the same region answers within it; a first stage is not worth
-// the round trip to another region, and is cancelled if the permit is refused.
-const permitPatience = 10 * time.Millisecond
+// maxPermitWait is how long an idempotent first stage of several waits for the
+// permit. A permit's home in the same region responds within this time. A first
+// stage costs too little to wait for a round trip to another region; it is cancelled
+// if the permit is refused later.
+const maxPermitWait = 10 * time.Millisecond
 
-// awaitPermit tells the machine if the request may not run.
+// awaitPermit waits for the permit's decision and posts a refusal to the machine.
 func (f *flow) awaitPermit() {
 	permit := f.req.Permit
 	if permit == nil {
@@ -27,23 +28,23 @@
 	}
 }
 
-// permitted waits until a choice may be used, and tells whether it may. A check
-// dispatches nothing and needs no permit.
-func (f *flow) permitted(a request.Choose) bool {
+// waitUntilPermitted waits until it is known whether a choice may be used, and
+// reports whether it may. A check dispatches nothing and needs no permit.
+func (f *flow) waitUntilPermitted(a request.Choose) bool {
 	permit := f.req.Permit
 	if permit == nil || a.Check {
 		return true
 	}
-	var patience <-chan time.Time
+	var expired <-chan time.Time
 	if a.Stage == 0 && !f.stages[0].NonIdempotent && len(f.stages) > 1 {
-		timer := time.NewTimer(permitPatience)
+		timer := time.NewTimer(maxPermitWait)
 		defer timer.Stop()
-		patience = timer.C
+		expired = timer.C
 	}
 	select {
 	case <-permit.Decided():
 		return permit.Refusal() == nil
-	case <-patience:
+	case <-expired:
 		return true
 	case <-f.ctx.Done():
 		return false
--- a/entry/pipeline/receive.go
+++ b/entry/pipeline/receive.go
@@ -9,25 +9,25 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// eventStream is a stream of an attempt's events.
+// eventStream is the receiving end of a stream of an attempt's events.
 type eventStream interface {
 	Recv() (*wirepb.RunEvent, error)
 	Close() error
 }
 
-// follow opens a stream of an attempt after a delay and posts its events until it
-// ends. An earlier stream of the attempt is closed.
+// follow opens a stream of an attempt after a delay and posts the attempt's events
+// until the stream ends. It closes an earlier stream of the attempt.
 func (f *flow) follow(a *attempt, after time.Duration, open func(context.Context, wirepb.DRPCSideClient) (eventStream, error)) {
-	if a.stop != nil {
-		a.stop()
+	if a.cancelStream != nil {
+		a.cancelStream()
 	}
-	a.stream++
+	a.streamNumber++
 	ctx, stop := context.WithCancel(context.Background())
-	a.stop = stop
-	s := &stream{flow: f, attempt: a.id, number: a.stream, key: f.keyOf(a), upstream: a.choice.Upstream}
+	a.cancelStream = stop
+	s := &stream{flow: f, attempt: a.id, number: a.streamNumber, key: f.keyOf(a), upstream: a.choice.Upstream}
 	addr := a.target.addr
 	go func() {
-		if !f.pause(after) {
+		if !f.sleep(after) {
 			return
 		}
 		err := f.call(ctx, addr, func(ctx context.Context, side wirepb.DRPCSideClient) error {
@@ -35,10 +35,10 @@
 			if err != nil {
 				return err
 			}
-			defer func() { _ = events.Close() }() // the stream is read or given up
+			defer func() { _ = events.Close() }() // the stream has ended or is no longer read
 			return s.read(events)
 		})
-		f.post(post{stream: s.number, event: request.Broken{
+		f.post(post{streamNumber: s.number, event: request.Broken{
 			Attempt: s.attempt,
 			NotSent: notSent(err),
 			Detail:  err.Error(),
@@ -46,7 +46,7 @@
 	}()
 }
 
-// stream reads one stream of one attempt.
+// stream reads one stream of an attempt.
 type stream struct {
 	flow     *flow
 	attempt  request.AttemptID
@@ -55,7 +55,7 @@
 	upstream core.UpstreamID
 }
 
-// read posts events until the stream ends and returns why it did.
+// read posts events until the stream ends, and returns the error that ended it.
 func (s *stream) read(events eventStream) error {
 	for {
 		message, err := events.Recv()
@@ -63,14 +63,14 @@
 			return err
 		}
 		if !sameKey(message.GetKey(), s.key) {
-			s.drop(message)
+			s.recordDropped(message)
 			continue
 		}
-		s.pass(message)
+		s.forward(message)
 	}
 }
 
-// sameKey tells whether two keys name the same attempt of the same incarnation.
+// sameKey reports whether two keys name the same attempt at the same incarnation.
 func sameKey(a, b *wirepb.AttemptKey) bool {
 	return a.GetRequestId() == b.GetRequestId() &&
 		a.GetStage() == b.GetStage() &&
@@ -78,14 +78,14 @@
 		a.GetSideIncarnation() == b.GetSideIncarnation()
 }
 
-// drop logs an event that belongs to another attempt.
-func (s *stream) drop(message *wirepb.RunEvent) {
+// recordDropped posts that an event of another attempt was received and dropped.
+func (s *stream) recordDropped(message *wirepb.RunEvent) {
 	key := message.GetKey()
 	s.flow.post(post{apply: func() { s.flow.record.dropped(s.flow.attempts[s.attempt], key) }})
 }
 
-// pass posts one event.
-func (s *stream) pass(message *wirepb.RunEvent) {
+// forward passes a message's load to the router and its event to the flow.
+func (s *stream) forward(message *wirepb.RunEvent) {
 	event, load := s.convert(message)
 	if load != nil {
 		s.flow.runner.opts.Router.ObserveLoad(s.upstream, load)
@@ -93,12 +93,13 @@
 	if event == nil {
 		return
 	}
-	s.flow.post(post{event: event, stream: s.number, apply: func() {
+	s.flow.post(post{event: event, streamNumber: s.number, apply: func() {
 		s.flow.record.received(s.flow.attempts[s.attempt], event)
 	}})
 }
 
-// convert returns the machine's form of a message, and the load that it carries.
+// convert returns the machine's event for a message, and the load that the message
+// carries. Both are nil for an unknown event.
 func (s *stream) convert(message *wirepb.RunEvent) (request.Event, *wirepb.Load) {
 	switch e := message.GetEvent().(type) {
 	case *wirepb.RunEvent_Started:
@@ -111,7 +112,7 @@
 		return request.Refused{
 			Attempt:    s.attempt,
 			Refusal:    refusalOf(e.Refused.GetReason()),
-			Late:       late(e.Refused.GetReason()),
+			Late:       isLate(e.Refused.GetReason()),
 			RetryAfter: time.Duration(e.Refused.GetRetryAfterMs()) * time.Millisecond,
 			Detail:     e.Refused.GetReason().String() + " " + e.Refused.GetDetail(),
 		}, e.Refused.GetLoad()
@@ -121,7 +122,8 @@
 	return nil, nil
 }
 
-// refusalOf classifies a refusal. What is not known to be proof is none.
+// refusalOf classifies a refusal. Reasons other than those listed prove that the
+// attempt has not run.
 func refusalOf(reason wirepb.RefusalReason) request.Refusal {
 	switch reason {
 	case wirepb.RefusalReason_REFUSAL_INVALID:
@@ -132,7 +134,8 @@
 	return request.RefusalProved
 }
 
-// late tells whether a side refused for want of time or of room.
-func late(reason wirepb.RefusalReason) bool {
+// isLate reports whether a sidecar refused because its queue is full or the deadline
+// can't be met.
+func isLate(reason wirepb.RefusalReason) bool {
 	return reason == wirepb.RefusalReason_REFUSAL_DEADLINE || reason == wirepb.RefusalReason_REFUSAL_QUEUE_FULL
 }
--- a/entry/pipeline/record.go
+++ b/entry/pipeline/record.go
@@ -15,43 +15,45 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// Recorder is where the decisions about all requests go.
+// Recorder is the destination of the decisions about all requests.
 type Recorder struct {
 	Logger *observe.Logger
 	Traces *trace.Ring
 	Scope  tally.Scope
 }
 
-// record writes down the decisions about one request: log line, trace, metrics.
+// record writes the decisions about one request to log, trace and metrics.
 type record struct {
 	Recorder
-	req      Request
-	stages   []stagePlan
-	began    time.Time
-	deadline time.Time
-	// lastChunk is when the caller got its last chunk.
-	lastChunk time.Time
-	// served counts the passes of idempotent stages that gave a result.
-	served map[int]int64
-}
-
-// newRecord returns the record of a request that begins now.
+	req       Request
+	stages    []stagePlan
+	startedAt time.Time
+	deadline  time.Time
+	// lastEmittedAt is when the last chunk was sent to the caller.
+	lastEmittedAt time.Time
+	// usefulPasses counts, by stage, the passes (runs of a stage at an upstream) of
+	// idempotent stages that returned a result.
+	usefulPasses map[int]int64
+}
+
+// newRecord returns the record of a request that starts now.
 func newRecord(r Recorder, req Request, stages []stagePlan) *record {
 	now := time.Now()
 	return &record{
-		Recorder: r,
-		req:      req,
-		stages:   stages,
-		began:    now,
-		deadline: now.Add(req.Deadline),
-		served:   make(map[int]int64),
+		Recorder:     r,
+		req:          req,
+		stages:       stages,
+		startedAt:    now,
+		deadline:     now.Add(req.Deadline),
+		usefulPasses: make(map[int]int64),
 	}
 }
 
-// decide writes one decision about an attempt to the log and to the trace.
-func (r *record) decide(e event.Event, a *attempt, reason string, more observe.Fields) {
+// recordDecision writes one decision to the log and the trace. The attempt is nil if
+// the decision concerns none.
+func (r *record) recordDecision(e event.Event, a *attempt, reason string, extra observe.Fields) {
 	d := trace.Decision{
-		AtUS:   time.Since(r.began).Microseconds(),
+		AtUS:   time.Since(r.startedAt).Microseconds(),
 		Event:  e.Number,
 		Name:   e.Name,
 		Reason: reason,
@@ -69,83 +71,84 @@
 		d.Alternatives = alternativesOf(a.choice.Alternatives)
 		fields["alternatives"] = a.choice.Alternatives
 	}
-	for name, value := range more {
+	for name, value := range extra {
 		fields[name] = value
 	}
 	r.Traces.Add(r.req.ID, d)
 	r.Logger.Event(e, fields)
 }
 
-// alternativesOf returns the trace's form of what the router weighed.
-func alternativesOf(weighed []route.Alternative) []trace.Alternative {
-	alternatives := make([]trace.Alternative, 0, len(weighed))
-	for _, w := range weighed {
-		reason := w.Reason
-		if w.Expected > 0 {
-			reason += fmt.Sprintf(" (%s)", w.Expected.Round(time.Millisecond))
+// alternativesOf converts the alternatives that the router considered for the trace.
+func alternativesOf(considered []route.Alternative) []trace.Alternative {
+	alternatives := make([]trace.Alternative, 0, len(considered))
+	for _, c := range considered {
+		reason := c.Reason
+		if c.Expected > 0 {
+			reason += fmt.Sprintf(" (%s)", c.Expected.Round(time.Millisecond))
 		}
-		alternatives = append(alternatives, trace.Alternative{Upstream: w.Upstream, Reason: reason})
+		alternatives = append(alternatives, trace.Alternative{Upstream: c.Upstream, Reason: reason})
 	}
 	return alternatives
 }
 
-// dispatched records an attempt that was sent.
+// dispatched records that an attempt was sent.
 func (r *record) dispatched(a *attempt, run request.Run) {
 	service := r.stages[a.stage].Service
 	r.Scope.Tagged(map[string]string{"service": service, "cause": string(run.Cause)}).Counter("passes").Inc(1)
-	r.decide(event.AttemptDispatched, a, string(run.Cause)+": "+a.choice.Reason, observe.Fields{
+	r.recordDecision(event.AttemptDispatched, a, string(run.Cause)+": "+a.choice.Reason, observe.Fields{
 		"remaining_ms": run.Remaining.Milliseconds(),
 		"resume":       run.Resume,
 	})
 }
 
-// attached records an attempt that is followed on a new stream.
+// attached records that an attempt is followed on a new stream.
 func (r *record) attached(a *attempt, attach request.Attach) {
-	r.decide(event.AttemptReattached, a, attach.Reason, observe.Fields{"from": attach.From})
+	r.recordDecision(event.AttemptReattached, a, attach.Reason, observe.Fields{"from": attach.From})
 }
 
-// cancelled records an attempt that was cancelled.
+// cancelled records that an attempt was cancelled.
 func (r *record) cancelled(a *attempt, cancel request.Cancel) {
-	r.decide(event.AttemptCancelled, a, cancel.Detail, observe.Fields{"cause": cancel.Reason})
+	r.recordDecision(event.AttemptCancelled, a, cancel.Detail, observe.Fields{"cause": cancel.Reason})
 }
 
-// ended records how an attempt ended.
-func (r *record) ended(a *attempt, report request.Report) {
+// attemptEnded records how an attempt ended.
+func (r *record) attemptEnded(a *attempt, report request.Report) {
 	service := r.stages[a.stage].Service
 	if report.Wasted != "" {
-		r.wasted(service, report.Wasted, 1)
+		r.countWasted(service, report.Wasted, 1)
 	}
 	if report.End == request.EndOK {
 		if !r.stages[a.stage].NonIdempotent {
-			r.served[a.stage]++
+			r.usefulPasses[a.stage]++
 		}
 		return
 	}
 	if !report.Sent {
 		return
 	}
-	r.decide(event.PassEnded, a, string(report.End), observe.Fields{
+	r.recordDecision(event.PassEnded, a, string(report.End), observe.Fields{
 		"wasted":      report.Wasted,
 		"duration_us": report.Duration.Microseconds(),
 	})
 }
 
-// wasted counts passes that served no answer.
-func (r *record) wasted(service, cause string, passes int64) {
+// countWasted counts passes whose output did not contribute to a response.
+func (r *record) countWasted(service, cause string, passes int64) {
 	r.Scope.Tagged(map[string]string{"service": service, "cause": cause}).Counter("wasted_passes").Inc(passes)
 }
 
-// answered charges the passes of a request that was given up.
-func (r *record) answered(a request.Answer) {
+// requestEnded counts the useful passes of a request as wasted if the request was
+// given up.
+func (r *record) requestEnded(a request.Answer) {
 	if a.Outcome == core.OutcomeAnswered {
 		return
 	}
-	for stage, passes := range r.served {
-		r.wasted(r.stages[stage].Service, "given_up", passes)
+	for stage, passes := range r.usefulPasses {
+		r.countWasted(r.stages[stage].Service, "given_up", passes)
 	}
 }
 
-// noteEvents are the log events of the machine's notes.
+// noteEvents maps the kinds of the machine's notes to log events.
 var noteEvents = map[request.NoteKind]event.Event{
 	request.NoteDropped:  event.EventDropped,
 	request.NoteStayed:   event.AttemptKept,
@@ -157,15 +160,16 @@
 	request.NoteBug:      event.ChartViolated,
 }
 
-// note records a decision without an action of its own.
+// note records a decision that leads to no other action.
 func (r *record) note(a *attempt, n request.Note) {
-	r.decide(noteEvents[n.Kind], a, n.Reason, nil)
+	r.recordDecision(noteEvents[n.Kind], a, n.Reason, nil)
 }
 
-// notChosen records in the trace that no upstream was chosen; the router logged it.
+// notChosen records in the trace that no upstream was chosen. The router has already
+// logged it.
 func (r *record) notChosen(stage string, err error) {
 	r.Traces.Add(r.req.ID, trace.Decision{
-		AtUS:   time.Since(r.began).Microseconds(),
+		AtUS:   time.Since(r.startedAt).Microseconds(),
 		Event:  event.RouteRefused.Number,
 		Name:   event.RouteRefused.Name,
 		Stage:  stage,
@@ -173,15 +177,15 @@
 	})
 }
 
-// dropped records an event that belongs to another attempt.
+// dropped records that an event of another attempt was dropped.
 func (r *record) dropped(a *attempt, key *wirepb.AttemptKey) {
-	r.decide(event.EventDropped, a, fmt.Sprintf("the event names %s/%s/%d of incarnation %d",
+	r.recordDecision(event.EventDropped, a, fmt.Sprintf("event belongs to attempt %s/%s/%d of incarnation %d",
 		key.GetRequestId(), key.GetStage(), key.GetAttempt(), key.GetSideIncarnation()), nil)
 }
 
-// resolved records what a side said of a claimed attempt.
+// resolved records the resolution of a claimed attempt.
 func (r *record) resolved(a *attempt, e request.Resolved) {
-	r.decide(event.ClaimedPassResolved, a, resolutionNames[e.Resolution]+" "+e.Detail, nil)
+	r.recordDecision(event.ClaimedPassResolved, a, resolutionNames[e.Resolution]+" "+e.Detail, nil)
 }
 
 var resolutionNames = map[request.Resolution]string{
@@ -192,9 +196,9 @@
 	request.ResolvedUnreachable: "unreachable",
 }
 
-// claimed records the verdict of a claim.
+// claimed records the verdict on a claim.
 func (r *record) claimed(a *attempt, e request.Claimed) {
-	r.decide(event.StageClaimed, a, claimNames[e.Status]+": "+e.Detail, nil)
+	r.recordDecision(event.StageClaimed, a, claimNames[e.Status]+": "+e.Detail, nil)
 }
 
 var claimNames = map[request.ClaimStatus]string{
@@ -207,34 +211,36 @@
 	request.ClaimInvalid:     "invalid",
 }
 
-// received measures the times between an attempt's events.
+// received measures the time to an attempt's first chunk and between its chunks.
 func (r *record) received(a *attempt, e request.Event) {
 	if _, ok := e.(request.Chunk); !ok {
 		return
 	}
 	now := time.Now()
 	scope := r.Scope.Tagged(map[string]string{"service": r.stages[a.stage].Service})
-	if a.last.IsZero() {
-		scope.Histogram("stage_first_chunk_seconds", firstBuckets).RecordDuration(now.Sub(a.sent))
+	if a.lastChunkAt.IsZero() {
+		scope.Histogram("stage_first_chunk_seconds", firstChunkBuckets).RecordDuration(now.Sub(a.sentAt))
 	} else {
-		scope.Histogram("stage_gap_seconds", gapBuckets).RecordDuration(now.Sub(a.last))
+		scope.Histogram("stage_gap_seconds", chunkGapBuckets).RecordDuration(now.Sub(a.lastChunkAt))
 	}
-	a.last = now
+	a.lastChunkAt = now
 }
 
-// emitted measures what the caller sees.
+// emitted measures the time to the caller's first chunk and between the caller's
+// chunks.
 func (r *record) emitted(index uint64) {
 	now := time.Now()
 	if index == 0 {
-		r.Scope.Histogram("first_chunk_seconds", firstBuckets).RecordDuration(now.Sub(r.began))
+		r.Scope.Histogram("first_chunk_seconds", firstChunkBuckets).RecordDuration(now.Sub(r.startedAt))
 	} else {
-		r.Scope.Histogram("gap_seconds", gapBuckets).RecordDuration(now.Sub(r.lastChunk))
+		r.Scope.Histogram("gap_seconds", chunkGapBuckets).RecordDuration(now.Sub(r.lastEmittedAt))
 	}
-	r.lastChunk = now
+	r.lastEmittedAt = now
 }
 
-// Buckets of the histograms, from 5 ms and from 1 ms.
+// Buckets of the histograms of first chunks, from 5 ms, and of the gaps between
+// chunks, from 1 ms.
 var (
-	firstBuckets = tally.MustMakeExponentialDurationBuckets(5*time.Millisecond, 1.5, 20)
-	gapBuckets   = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 1.5, 20)
+	firstChunkBuckets = tally.MustMakeExponentialDurationBuckets(5*time.Millisecond, 1.5, 20)
+	chunkGapBuckets   = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 1.5, 20)
 )
--- a/entry/pipeline/runner.go
+++ b/entry/pipeline/runner.go
@@ -15,46 +15,50 @@
 	"acaciawinch/wire/link"
 )
 
-// Options are what a Runner needs. Zero Rules are the default ones.
+// Options configures a Runner. Zero Rules stand for request.DefaultRules.
 type Options struct {
 	Router Router
 	Claims Claims
 	Dialer *link.Dialer
 	Record Recorder
-	// Revision returns the newest revision known here, for probes.
+	// Revision returns the newest configuration revision that this gateway knows.
+	// Probes carry it.
 	Revision func() core.Revision
-	// NoteRevision is told the revision and address of each side that answers.
+	// NoteRevision is called with the revision and address of each sidecar that
+	// responds to a probe.
 	NoteRevision func(revision core.Revision, addr string)
 	Rules        request.Rules
-	// Retry and Hedge bound the extra calls of each service; zero allows none.
+	// Retry and Hedge limit the extra calls to each service; zero allows none.
 	Retry, Hedge budget.Limits
 }
 
-// Runner walks requests through their stages. It may be used by many goroutines.
+// Runner runs requests through the stages of their pipelines. It is safe for
+// concurrent use.
 type Runner struct {
-	opts  Options
-	know  *knowledge
-	flows sync.WaitGroup
+	opts   Options
+	shared *sharedState
+	flows  sync.WaitGroup
 }
 
-// NewRunner returns a Runner.
+// NewRunner returns a Runner with the given options.
 func NewRunner(opts Options) *Runner {
 	if opts.Rules == (request.Rules{}) {
 		opts.Rules = request.DefaultRules()
 	}
-	return &Runner{opts: opts, know: newKnowledge(opts.Router, opts.Retry, opts.Hedge)}
+	return &Runner{opts: opts, shared: newSharedState(opts.Router, opts.Retry, opts.Hedge)}
 }
 
-// Run carries out one request and returns its outcome as soon as it is known.
-// Emit is called by the calling goroutine only. Ctx ends when the caller is gone.
+// Run carries out one request and returns its result as soon as it is known. Run
+// calls emit only from the calling goroutine. The context ends when the caller
+// disconnects.
 //
-// What remains to be done behind the answer, such as recording the result of a
-// claimed stage, goes on in the background; Wait waits for it.
+// Work that remains after the response, such as recording the result of a claimed
+// stage, continues in the background; Wait waits for it.
 func (r *Runner) Run(ctx context.Context, req Request, emit Emit) Result {
 	f := newFlow(r, req, emit)
 	r.flows.Add(1)
 	go f.awaitPermit()
-	f.do(f.machine.Start(time.Now()))
+	f.executeAll(f.machine.Start(time.Now()))
 	f.loop(ctx.Done(), f.machine.Answered)
 	go func() {
 		defer r.flows.Done()
@@ -64,7 +68,7 @@
 	return f.result
 }
 
-// Wait waits until nothing is left to be done of any request, or until ctx ends.
+// Wait waits until the background work of all requests has ended, or until ctx ends.
 func (r *Runner) Wait(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
@@ -77,7 +81,7 @@
 	}
 }
 
-// stagePlan is one stage with the workspace's parameters.
+// stagePlan is one stage with the workspace's parameters applied.
 type stagePlan struct {
 	config.Stage
 	prefix string
@@ -85,12 +89,12 @@
 	prefixHash uint64
 }
 
-// planOf returns the request's stages and what the machine needs of them.
+// planOf returns the request's stages and the machine's plan for them.
 func planOf(req Request) ([]stagePlan, request.Plan) {
 	plan := request.Plan{Deadline: req.Deadline, Minted: req.Minted}
 	var stages []stagePlan
 	for _, declared := range req.Template.Stages {
-		stage, prefix := effective(req, declared)
+		stage, prefix := effectiveStage(req, declared)
 		s := stagePlan{Stage: stage, prefix: prefix}
 		if prefix != "" {
 			s.prefixHash = xxhash.Sum64String(prefix)
@@ -107,5 +111,6 @@
 	return stages, plan
 }
 
-// bodyDigest returns the digest under which the key's claims are kept.
+// bodyDigest returns the digest of the body that the claims of the request's key
+// record.
 func bodyDigest(req Request) string { return claim.DigestBody(req.Body) }
--- a/entry/pipeline/types.go
+++ b/entry/pipeline/types.go
@@ -1,5 +1,12 @@
-// Package pipeline walks admitted requests through the stages of their
-// pipelines. The decisions are core/request's; this package carries them out.
+// Package pipeline runs admitted requests through the stages of their pipelines.
+//
+// A state machine of core/request, called the machine here, makes the decisions for
+// each request. This package carries out the machine's actions and passes it the
+// resulting events.
+//
+// An attempt is one try at a stage. It runs at an upstream and is controlled through
+// the sidecar of that upstream. A non-idempotent stage runs only under a claim; see
+// core/claim.
 package pipeline
 
 import (
@@ -20,50 +27,52 @@
 	ID        core.RequestID
 	Workspace config.Workspace
 	Template  config.Template
-	// Revision is the configuration under which the request was admitted; it is
-	// kept to its end.
+	// Revision is the configuration revision under which the request was admitted.
+	// It applies until the request ends.
 	Revision core.Revision
-	// Key is the caller's idempotency key, or the request's id if Minted.
+	// Key is the caller's idempotency key. If the caller sent none, Minted is set and
+	// Key is the request's ID.
 	Key    string
 	Minted bool
-	// Deadline is the time allowed from admission.
+	// Deadline is the time allowed for the request, counted from its admission.
 	Deadline time.Duration
 	Body     []byte
-	// Permit is asked for beside the first choices; nil if the workspace has no bound.
+	// Permit is requested concurrently with the first choices of upstreams; nil if the
+	// workspace has no limit.
 	Permit Permit
 }
 
-// Permit tells whether a request may run within its workspace's bound.
+// Permit reports whether a request may run within its workspace's limit.
 type Permit interface {
 	// Decided is closed once Refusal is known.
 	Decided() <-chan struct{}
-	// Refusal returns nil if the request may run.
+	// Refusal returns nil if the request may run. It is valid once Decided is closed.
 	Refusal() *PermitRefusal
 }
 
-// PermitRefusal says why a request may not run, and when to ask again.
+// PermitRefusal states why a request may not run and when to retry.
 type PermitRefusal struct {
 	Detail     string
 	RetryAfter time.Duration
 }
 
-// Result is how a request ended.
+// Result is the result of a request.
 type Result struct {
 	Outcome core.Outcome
 	// Cause classifies a request that was given up; empty if it was answered.
 	Cause request.GiveUpCause
-	// Step and Detail say where and why the request was given up.
+	// Step and Detail state where and why the request was given up.
 	Step   string
 	Detail string
-	// RetryAfter says when to ask again; zero if that is not known.
+	// RetryAfter is the time after which to retry; zero if it is not known.
 	RetryAfter time.Duration
 }
 
-// Emit delivers one chunk of the answer to the caller; chunks come in order from
-// index zero. An error means that the caller is gone.
+// Emit delivers one chunk of the response to the caller. It is called in order,
+// starting at index zero. An error means that the caller has disconnected.
 type Emit func(index uint64, data []byte) error
 
-// Router chooses upstreams; *route.Router is one.
+// Router chooses upstreams. *route.Router implements it.
 type Router interface {
 	Choose(ctx context.Context, need route.Need) (route.Choice, error)
 	ObserveLoad(upstream core.UpstreamID, load *wirepb.Load)
@@ -71,7 +80,7 @@
 	Estimate(service string) latency.Estimate
 }
 
-// Claims keeps the claims of non-idempotent stages; *claims.Keeper is one.
+// Claims manages the claims of non-idempotent stages. *claims.Keeper implements it.
 type Claims interface {
 	Open(ctx context.Context, ask claims.Ask) (claims.Held, error)
 	Reassign(ctx context.Context, owned claims.Claim, target claims.Target) (claims.Held, error)
