--- a/side/admin.go
+++ b/side/admin.go
@@ -9,16 +9,17 @@
 	"acaciawinch/core/gate"
 )
 
-// Status is the answer of GET /v1/status.
+// Status is the response body of GET /v1/status.
 type Status struct {
 	Upstream string `json:"upstream"`
 	Service  string `json:"service"`
 	Zone     string `json:"zone"`
-	// Process and State are the states by the charts of process and upstream.
+	// Process is the state of the process's lifecycle, and State that of the upstream.
 	Process string `json:"process"`
 	State   string `json:"state"`
 	Why     string `json:"why"`
-	// Incarnation is in decimal: JSON numbers don't hold it in all languages.
+	// Incarnation is a decimal string, since JSON numbers lose precision in some
+	// languages.
 	Incarnation string `json:"incarnation"`
 	Revision    uint64 `json:"revision"`
 	ClockMS     int64  `json:"clock_ms"`
@@ -50,31 +51,32 @@
 	Failed       uint64   `json:"failed"`
 }
 
-// MemoryStatus is what the side remembers.
+// MemoryStatus is the state that the sidecar stores of attempts.
 type MemoryStatus struct {
 	Attempts  int `json:"attempts"`
 	KeptBytes int `json:"kept_bytes"`
-	// HorizonMS is the horizon on the side's clock, -1 if nothing was forgotten.
+	// HorizonMS is the highest ticket time of a forgotten claimed attempt, on the
+	// sidecar's clock; -1 if none was forgotten.
 	HorizonMS int64 `json:"horizon_ms"`
 }
 
-// status returns the present status.
+// status returns the current status.
 func (p *process) status() Status {
 	s := Status{
 		Upstream:          p.settings.Upstream.Name,
 		Service:           p.settings.Upstream.Service,
 		Zone:              p.settings.Process.Zone,
-		Process:           string(p.life.State()),
+		Process:           string(p.lifecycle.State()),
 		Incarnation:       strconv.FormatUint(uint64(p.incarnation), 10),
 		Revision:          uint64(p.revision()),
 		FleetBytesRead:    p.rpc.Traffic().Read() + p.dialer.Traffic().Read(),
 		FleetBytesWritten: p.rpc.Traffic().Written() + p.dialer.Traffic().Written(),
 	}
-	p.keeper.read(func(now time.Duration) { fillStatus(&s, now, p.keeper.gate) })
+	p.dispatcher.read(func(now time.Duration) { fillStatus(&s, now, p.dispatcher.gate) })
 	return s
 }
 
-// fillStatus adds what the gate knows.
+// fillStatus adds the gate's state.
 func fillStatus(s *Status, now time.Duration, g *gate.Gate) {
 	s.State = string(g.State())
 	s.Why = g.Why()
@@ -90,7 +92,7 @@
 	}
 }
 
-// loadStatus returns a load as the status shows it.
+// loadStatus converts a load to its form in the status.
 func loadStatus(load gate.Load) LoadStatus {
 	return LoadStatus{
 		Queued:       load.Queued,
@@ -109,7 +111,7 @@
 	}
 }
 
-// adminOptions are what the admin paths read.
+// adminOptions are the data sources of the admin paths.
 type adminOptions struct {
 	ready   func() bool
 	status  func() Status
@@ -129,7 +131,7 @@
 	})
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(options.status()) // a caller that is gone needs no answer
+		_ = json.NewEncoder(w).Encode(options.status()) // a client that has disconnected needs no response
 	})
 	mux.Handle("GET /metrics", options.metrics)
 	return mux
--- a/side/attempt.go
+++ b/side/attempt.go
@@ -12,16 +12,16 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// attempt is one attempt with the output that is kept of it. Readers follow it
-// from any chunk; it outlives their streams.
+// attempt is one attempt with its stored output. Subscribers follow it from any chunk;
+// it outlives their streams.
 type attempt struct {
 	key core.AttemptKey
-	// ctx ends when the attempt is to be cancelled at the upstream.
+	// ctx ends when the upstream call must be cancelled.
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 	// claim is nil for an idempotent attempt.
 	claim *wirepb.ClaimKey
-	// acknowledged is guarded by the keeper's mutex.
+	// acknowledged is guarded by the dispatcher's mutex.
 	acknowledged bool
 
 	mu      sync.Mutex
@@ -30,9 +30,9 @@
 	chunks  [][]byte
 	bytes   int
 	digest  *xxhash.Digest
-	// end is the closing event, nil while the attempt goes on.
+	// end is the closing event, nil until the attempt ends.
 	end *wirepb.RunEvent
-	// changed is closed and replaced with each change of the fields above.
+	// changed is closed and replaced whenever one of the fields above changes.
 	changed chan struct{}
 }
 
@@ -50,7 +50,7 @@
 	}
 }
 
-// stop cancels the attempt at the upstream.
+// stop cancels the upstream call of the attempt.
 func (a *attempt) stop(cause string) { a.cancel(errors.New(cause)) }
 
 // stopCause returns the cause given to stop.
@@ -61,7 +61,7 @@
 	return ""
 }
 
-// takeCall returns the call and lets go of its input.
+// takeCall returns the call and releases its input.
 func (a *attempt) takeCall() upstream.Call {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -70,13 +70,13 @@
 	return call
 }
 
-// notify wakes the readers. The caller holds mu.
+// notify wakes the subscribers. mu must be held.
 func (a *attempt) notify() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// start notes that the attempt was handed to the upstream.
+// start records that the attempt was sent to the upstream.
 func (a *attempt) start(queuedUS uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -84,8 +84,8 @@
 	a.notify()
 }
 
-// add keeps one chunk of output and returns the size of all.
-func (a *attempt) add(chunk []byte) int {
+// appendChunk stores one chunk of output and returns the total size in bytes.
+func (a *attempt) appendChunk(chunk []byte) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.chunks = append(a.chunks, chunk)
@@ -95,7 +95,7 @@
 	return a.bytes
 }
 
-// size returns the number and the bytes of the chunks so far.
+// size returns the number of chunks so far and their total bytes.
 func (a *attempt) size() (chunks, bytes int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -109,15 +109,15 @@
 	return a.chunks, a.digest.Sum64()
 }
 
-// isDone tells whether the attempt ended with a whole output.
+// isDone reports whether the attempt ended with a complete output.
 func (a *attempt) isDone() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.end.GetDone() != nil
 }
 
-// finish sets the closing event. A second call has no effect: readers may have
-// seen the first.
+// finish sets the closing event. Only the first call has an effect, because
+// subscribers may have received its event.
 func (a *attempt) finish(end *wirepb.RunEvent) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -128,8 +128,8 @@
 	a.notify()
 }
 
-// done returns the closing event of a whole output.
-func (a *attempt) done(cost uint64, load *wirepb.Load) *wirepb.RunEvent {
+// doneEvent returns the closing event of a complete output.
+func (a *attempt) doneEvent(cost uint64, load *wirepb.Load) *wirepb.RunEvent {
 	chunks, digest := a.output()
 	return &wirepb.RunEvent{Key: keyMessage(a.key), Event: &wirepb.RunEvent_Done{Done: &wirepb.Done{
 		Chunks: uint64(len(chunks)),
--- a/side/execute.go
+++ b/side/execute.go
@@ -12,63 +12,63 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// errOutputTooLarge ends an attempt whose output passes its bound.
-var errOutputTooLarge = errors.New("the output is too large")
+// errOutputTooLarge ends an attempt whose output exceeds maxOutputBytes.
+var errOutputTooLarge = errors.New("the output exceeds the size limit")
 
-// execute carries an attempt out at the upstream and reports its end to the gate.
-func (k *keeper) execute(a *attempt) {
-	defer k.executions.Done()
-	began := k.options.clock()
+// execute runs an attempt at the upstream and reports its end to the gate.
+func (d *dispatcher) execute(a *attempt) {
+	defer d.executions.Done()
+	started := d.options.clock()
 	call := a.takeCall()
-	result, err := k.options.client.Run(a.ctx, call, func(chunk []byte) error {
-		if a.add(chunk) > k.options.maxOutputBytes {
+	result, err := d.options.client.Run(a.ctx, call, func(chunk []byte) error {
+		if a.appendChunk(chunk) > d.options.maxOutputBytes {
 			return errOutputTooLarge
 		}
-		k.progress(a)
+		d.progress(a)
 		return nil
 	})
 	stopped := a.ctx.Err() != nil
-	k.do(func(now time.Duration) {
+	d.do(func(now time.Duration) {
 		if err == nil {
-			k.prefixes.Use(call.Prefix)
+			d.prefixes.Use(call.Prefix)
 		}
-		k.ended(now, a, outcome{result: result, err: err, stopped: stopped, ran: now - began})
+		d.settle(now, a, outcome{result: result, err: err, stopped: stopped, ran: now - started})
 	})
 	a.cancel(nil)
 	if fault.Is(err, fault.Unavailable) && !stopped {
-		signal(k.poll)
+		signal(d.pollNow)
 	}
 }
 
-// progress tells the gate of a chunk. It doesn't advance the gate, since nothing
-// becomes due by progress, and chunks are many.
-func (k *keeper) progress(a *attempt) {
-	k.read(func(now time.Duration) { k.gate.Progress(now, a.key) })
+// progress reports a chunk to the gate. It doesn't advance the gate, since progress
+// makes nothing due and chunks are frequent.
+func (d *dispatcher) progress(a *attempt) {
+	d.read(func(now time.Duration) { d.gate.Progress(now, a.key) })
 }
 
-// outcome is how a call of the upstream ended.
+// outcome describes how a call of the upstream ended.
 type outcome struct {
 	result upstream.Result
 	err    error
-	// stopped tells that the side itself cancelled the call.
+	// stopped is set if the sidecar itself cancelled the call.
 	stopped bool
 	ran     time.Duration
 }
 
-// ended settles an attempt. The caller holds the mutex.
-func (k *keeper) ended(now time.Duration, a *attempt, o outcome) {
-	end := k.ending(a, o)
-	k.gate.Finish(now, a.key, end)
+// settle records the end of an attempt. The mutex must be held.
+func (d *dispatcher) settle(now time.Duration, a *attempt, o outcome) {
+	end := d.endingOf(a, o)
+	d.gate.Finish(now, a.key, end)
 	if end.Kind == gate.EndNotRun {
-		// The gate keeps a tombstone and refuses the attempt by itself.
-		delete(k.attempts, a.key)
+		// The gate keeps a tombstone and refuses later copies of the attempt.
+		delete(d.attempts, a.key)
 	}
 	if fault.Is(o.err, fault.Unavailable) && !o.stopped {
-		k.gate.ObserveSilence(now)
+		d.gate.ObserveSilence(now)
 	}
-	a.finish(k.closing(now, a, o))
+	a.finish(d.closingEvent(now, a, o))
 	chunks, _ := a.size()
-	k.log(event.AttemptEnded, with(attemptFields(a.key), observe.Fields{
+	d.log(event.AttemptEnded, mergeFields(attemptFields(a.key), observe.Fields{
 		"result": endNames[end.Kind],
 		"detail": end.Detail,
 		"cost":   end.Cost,
@@ -77,16 +77,16 @@
 	}))
 }
 
-// endNames are the names of the ends in log lines.
+// endNames are the results of attempts in log lines.
 var endNames = map[gate.EndKind]string{
 	gate.EndDone:   "done",
 	gate.EndFailed: "failed",
 	gate.EndNotRun: "not_run",
 }
 
-// ending classifies the end of a call. Only a refusal by the upstream, or a
-// connection that was never made, proves that it did not run.
-func (k *keeper) ending(a *attempt, o outcome) gate.Ending {
+// endingOf classifies the end of a call. Only a rejection by the upstream, or a
+// connection that was never established, proves that the call did not run.
+func (d *dispatcher) endingOf(a *attempt, o outcome) gate.Ending {
 	chunks, bytes := a.size()
 	end := gate.Ending{Bytes: bytes}
 	switch {
@@ -108,15 +108,15 @@
 	return end
 }
 
-// closing returns the closing event for the attempt's readers.
-func (k *keeper) closing(now time.Duration, a *attempt, o outcome) *wirepb.RunEvent {
-	load := k.load(now)
+// closingEvent returns the last event for the attempt's subscribers.
+func (d *dispatcher) closingEvent(now time.Duration, a *attempt, o outcome) *wirepb.RunEvent {
+	load := d.load(now)
 	switch {
 	case o.err == nil:
-		return a.done(o.result.Cost, load)
+		return a.doneEvent(o.result.Cost, load)
 	case fault.Is(o.err, fault.Refused):
 		return refusedEvent(a.key, &wirepb.Refused{
-			Reason: reasonMessages[gate.ReasonUpstream],
+			Reason: refusalReasons[gate.ReasonUpstream],
 			Detail: o.err.Error(),
 			Load:   load,
 		})
--- a/side/fields.go
+++ b/side/fields.go
@@ -11,13 +11,13 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// The names of calls in log lines.
+// Names of calls in log lines.
 const (
 	callRun    = "run"
 	callAttach = "attach"
 )
 
-// attemptFields name an attempt in a log line.
+// attemptFields returns the log fields that identify an attempt.
 func attemptFields(key core.AttemptKey) observe.Fields {
 	return observe.Fields{
 		"request": string(key.Request),
@@ -26,62 +26,62 @@
 	}
 }
 
-// with adds more to fields.
-func with(fields, more observe.Fields) observe.Fields {
+// mergeFields adds more to fields in place and returns fields.
+func mergeFields(fields, more observe.Fields) observe.Fields {
 	maps.Copy(fields, more)
 	return fields
 }
 
-// logDecision logs the gate's decision about a Run. The caller holds the mutex.
-func (k *keeper) logDecision(request *wirepb.RunRequest, ask gate.Ask, d gate.Decision) {
-	fields := with(attemptFields(ask.Key), observe.Fields{
-		"workspace":    ask.Workspace,
-		"queued":       d.Queued,
-		"running":      d.Running,
-		"wait_ms":      d.Wait.Milliseconds(),
-		"service_ms":   d.Service.Milliseconds(),
-		"remaining_ms": ask.Remaining.Milliseconds(),
+// logDecision logs the gate's decision about a Run call. The mutex must be held.
+func (d *dispatcher) logDecision(request *wirepb.RunRequest, submission gate.Ask, decision gate.Decision) {
+	fields := mergeFields(attemptFields(submission.Key), observe.Fields{
+		"workspace":    submission.Workspace,
+		"queued":       decision.Queued,
+		"running":      decision.Running,
+		"wait_ms":      decision.Wait.Milliseconds(),
+		"service_ms":   decision.Service.Milliseconds(),
+		"remaining_ms": submission.Remaining.Milliseconds(),
 	})
-	if d.Verdict != gate.Admitted {
-		k.logFollow(ask.Key, callRun, d, fields)
+	if decision.Verdict != gate.Admitted {
+		d.logNotAdmitted(submission.Key, callRun, decision, fields)
 		return
 	}
-	k.log(event.AttemptAdmitted, with(fields, observe.Fields{
-		"claimed":  ask.Ticket != nil,
+	d.log(event.AttemptAdmitted, mergeFields(fields, observe.Fields{
+		"claimed":  submission.Ticket != nil,
 		"hedge":    request.GetHedge(),
-		"priority": ask.Priority,
+		"priority": submission.Priority,
 	}))
 }
 
-// logFollow logs a decision that runs nothing. The caller holds the mutex.
-func (k *keeper) logFollow(key core.AttemptKey, call string, d gate.Decision, fields observe.Fields) {
+// logNotAdmitted logs a decision that starts no new attempt. The mutex must be held.
+func (d *dispatcher) logNotAdmitted(key core.AttemptKey, call string, decision gate.Decision, fields observe.Fields) {
 	fields["call"] = call
-	switch d.Verdict {
+	switch decision.Verdict {
 	case gate.Attached:
-		k.log(event.AttemptAttached, with(attemptFields(key), observe.Fields{"call": call}))
+		d.log(event.AttemptAttached, mergeFields(attemptFields(key), observe.Fields{"call": call}))
 	case gate.Refused:
-		k.log(event.AttemptRefused, with(fields, observe.Fields{
-			"reason":         string(d.Reason),
-			"detail":         d.Detail,
-			"retry_after_ms": d.RetryAfter.Milliseconds(),
+		d.log(event.AttemptRefused, mergeFields(fields, observe.Fields{
+			"reason":         string(decision.Reason),
+			"detail":         decision.Detail,
+			"retry_after_ms": decision.RetryAfter.Milliseconds(),
 		}))
 	case gate.Gone:
-		k.warn(event.AttemptGone, with(attemptFields(key), observe.Fields{
+		d.warn(event.AttemptGone, mergeFields(attemptFields(key), observe.Fields{
 			"call":   call,
-			"reason": string(d.Reason),
-			"detail": d.Detail,
+			"reason": string(decision.Reason),
+			"detail": decision.Detail,
 		}))
 	}
 }
 
-// logResolve logs the answer to a Resolve. The caller holds the mutex.
-func (k *keeper) logResolve(key core.AttemptKey, claim string, state wirepb.ResolveState, detail string) {
-	k.log(event.AttemptResolved, with(attemptFields(key), observe.Fields{
+// logResolve logs the reply to a Resolve call. The mutex must be held.
+func (d *dispatcher) logResolve(key core.AttemptKey, claim string, state wirepb.ResolveState, detail string) {
+	d.log(event.AttemptResolved, mergeFields(attemptFields(key), observe.Fields{
 		"claim":  claim,
 		"state":  state.String(),
 		"detail": detail,
 	}))
 }
 
-// load returns the present load. The caller holds the mutex.
-func (k *keeper) load(now time.Duration) *wirepb.Load { return loadMessage(k.gate.Load(now)) }
+// load returns the current load. The mutex must be held.
+func (d *dispatcher) load(now time.Duration) *wirepb.Load { return loadMessage(d.gate.Load(now)) }
--- a/side/fleet.go
+++ b/side/fleet.go
@@ -12,7 +12,8 @@
 	"acaciawinch/wire/link"
 )
 
-// fleetState is what the side reads of the fleet's state; *feed.State implements it.
+// fleetState is the part of the fleet's state that the sidecar uses; *feed.State
+// implements it.
 type fleetState interface {
 	Hosts() []fleet.Host
 	Drained(upstream string) bool
@@ -20,12 +21,12 @@
 }
 
 // watchFleet follows the feed until ctx ends: it drains the upstream when the host
-// list or the operators say so, and passes each placement on to the orders.
-func watchFleet(ctx context.Context, source *feed.Feed, k *keeper, orders *orders) error {
+// list or an operator demands it, and passes each placement to the reconciler.
+func watchFleet(ctx context.Context, source *feed.Feed, d *dispatcher, reconciler *modelReconciler) error {
 	for {
 		changed := source.Changed()
 		if state := source.State(); state != nil {
-			applyFleet(state, k, orders)
+			applyFleet(state, d, reconciler)
 		}
 		select {
 		case <-ctx.Done():
@@ -35,21 +36,21 @@
 	}
 }
 
-// applyFleet brings drains and orders in line with the fleet's state.
-func applyFleet(state fleetState, k *keeper, orders *orders) {
-	name := string(k.options.upstream)
-	k.setDrain(gate.DrainHostList, leaving(state.Hosts(), name))
-	k.setDrain(gate.DrainOperator, state.Drained(name))
-	if orders == nil {
+// applyFleet applies the fleet's state to the upstream's drains and the reconciler.
+func applyFleet(state fleetState, d *dispatcher, reconciler *modelReconciler) {
+	name := string(d.options.upstream)
+	d.setDrain(gate.DrainHostList, isLeaving(state.Hosts(), name))
+	d.setDrain(gate.DrainOperator, state.Drained(name))
+	if reconciler == nil {
 		return
 	}
 	plan, version := state.Placement()
-	orders.setPlan(planFor(plan, k.options.upstream, version))
+	reconciler.setPlan(planFor(plan, d.options.upstream, version))
 }
 
-// leaving tells whether the host list says that the host is leaving. A host that
-// is not in the list may just not be in it yet: the list lags.
-func leaving(hosts []fleet.Host, name string) bool {
+// isLeaving reports whether the host list marks the host as leaving. A host that is
+// missing from the list does not count: the list lags and may not have it yet.
+func isLeaving(hosts []fleet.Host, name string) bool {
 	for _, host := range hosts {
 		if host.Name == name {
 			return host.Leaving
@@ -58,7 +59,7 @@
 	return false
 }
 
-// logRefused logs that a connection to this process was refused.
+// logRefused logs a refused connection to this process.
 func (p *process) logRefused(refusal link.Refusal) {
 	p.logger.Warn(event.ConnectionRefused, observe.Fields{
 		"peer":    refusal.Peer,
--- a/side/follow.go
+++ b/side/follow.go
@@ -6,62 +6,62 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// view is what a reader sees of an attempt at one moment.
-type view struct {
+// attemptSnapshot is the state of an attempt at one moment, as a subscriber reads it.
+type attemptSnapshot struct {
 	started *wirepb.Started
 	chunks  [][]byte
 	end     *wirepb.RunEvent
 	changed <-chan struct{}
 }
 
-// look returns the present view.
-func (a *attempt) look() view {
+// snapshot returns the current state.
+func (a *attempt) snapshot() attemptSnapshot {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return view{started: a.started, chunks: a.chunks, end: a.end, changed: a.changed}
+	return attemptSnapshot{started: a.started, chunks: a.chunks, end: a.end, changed: a.changed}
 }
 
-// reader sends one attempt's events to one stream.
-type reader struct {
+// subscriber sends one attempt's events to one stream.
+type subscriber struct {
 	attempt *attempt
 	send    func(*wirepb.RunEvent) error
-	// next is the first chunk that was not sent.
+	// next is the index of the first chunk that was not sent.
 	next uint64
-	// told is set once the start was sent.
-	told bool
+	// startedSent is set once the Started event was sent.
+	startedSent bool
 }
 
 // follow sends events until the closing one, until ctx ends, or until the stream
 // breaks. It returns nil only after the closing event.
-func (r *reader) follow(ctx context.Context) error {
+func (s *subscriber) follow(ctx context.Context) error {
 	for {
-		now := r.attempt.look()
-		if err := r.sendNew(now); err != nil {
+		current := s.attempt.snapshot()
+		if err := s.sendNew(current); err != nil {
 			return err
 		}
-		if now.end != nil {
-			return r.send(now.end)
+		if current.end != nil {
+			return s.send(current.end)
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-now.changed:
+		case <-current.changed:
 		}
 	}
 }
 
-// sendNew sends the start and the chunks that are new.
-func (r *reader) sendNew(now view) error {
-	key := keyMessage(r.attempt.key)
-	if now.started != nil && !r.told {
-		r.told = true
-		if err := r.send(&wirepb.RunEvent{Key: key, Event: &wirepb.RunEvent_Started{Started: now.started}}); err != nil {
+// sendNew sends the Started event and the chunks that were not sent yet.
+func (s *subscriber) sendNew(current attemptSnapshot) error {
+	key := keyMessage(s.attempt.key)
+	if current.started != nil && !s.startedSent {
+		s.startedSent = true
+		if err := s.send(&wirepb.RunEvent{Key: key, Event: &wirepb.RunEvent_Started{Started: current.started}}); err != nil {
 			return err
 		}
 	}
-	for ; r.next < uint64(len(now.chunks)); r.next++ {
-		chunk := &wirepb.Chunk{Index: r.next, Data: now.chunks[r.next]}
-		if err := r.send(&wirepb.RunEvent{Key: key, Event: &wirepb.RunEvent_Chunk{Chunk: chunk}}); err != nil {
+	for ; s.next < uint64(len(current.chunks)); s.next++ {
+		chunk := &wirepb.Chunk{Index: s.next, Data: current.chunks[s.next]}
+		if err := s.send(&wirepb.RunEvent{Key: key, Event: &wirepb.RunEvent_Chunk{Chunk: chunk}}); err != nil {
 			return err
 		}
 	}
--- a/side/helper_test.go
+++ b/side/helper_test.go
@@ -22,43 +22,43 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// testIncarnation is the side's own in tests.
+// testIncarnation is the sidecar's incarnation in tests.
 const testIncarnation core.Incarnation = 7
 
-// waitLimit bounds the wait for an event that must come.
+// waitLimit bounds the wait for an expected event.
 const waitLimit = 10 * time.Second
 
-// fakeCall is one call at the fake upstream, steered by the test.
+// fakeCall is one call at the fake upstream, controlled by the test.
 type fakeCall struct {
 	call upstream.Call
-	// chunks are passed on as they come; a closed channel ends the output.
+	// chunks are emitted as they arrive; closing the channel completes the output.
 	chunks chan string
-	// end is the error of a call that ends without a whole output.
-	end chan error
-	// cancelled is closed when the side cancels the call.
+	// failure is the error of a call that ends without a complete output.
+	failure chan error
+	// cancelled is closed when the sidecar cancels the call.
 	cancelled chan struct{}
 }
 
 // fakeUpstream implements upstream.Client.
 type fakeUpstream struct {
-	// calls passes on each call as it arrives.
+	// calls receives each call as it arrives.
 	calls chan *fakeCall
 
 	mu     sync.Mutex
 	status upstream.Status
 	silent bool
-	// missing is how many reports are missed before the first is given.
-	missing  int
-	orders   []upstream.Order
-	orderErr []error
-	// loads makes a load order show in the status.
+	// missedReports is how many report requests fail before the first succeeds.
+	missedReports int
+	orders        []upstream.Order
+	orderErr      []error
+	// loads makes the status report a model once its load order was accepted.
 	loads bool
 }
 
-// errSilent is the fake's error without a report.
+// errSilent is the error of a report request that fails.
 var errSilent = errors.New("silent")
 
-// newFakeUpstream returns an upstream that runs two calls at once.
+// newFakeUpstream returns an upstream with a capacity of two concurrent calls.
 func newFakeUpstream() *fakeUpstream {
 	return &fakeUpstream{
 		calls:  make(chan *fakeCall, 100),
@@ -69,7 +69,7 @@
 
 // Run implements upstream.Client.
 func (f *fakeUpstream) Run(ctx context.Context, call upstream.Call, emit func([]byte) error) (upstream.Result, error) {
-	c := &fakeCall{call: call, chunks: make(chan string), end: make(chan error), cancelled: make(chan struct{})}
+	c := &fakeCall{call: call, chunks: make(chan string), failure: make(chan error), cancelled: make(chan struct{})}
 	f.calls <- c
 	count := uint64(0)
 	for {
@@ -77,7 +77,7 @@
 		case <-ctx.Done():
 			close(c.cancelled)
 			return upstream.Result{}, ctx.Err()
-		case err := <-c.end:
+		case err := <-c.failure:
 			return upstream.Result{}, err
 		case chunk, more := <-c.chunks:
 			if !more {
@@ -95,8 +95,8 @@
 func (f *fakeUpstream) Status(context.Context) (upstream.Status, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.missing > 0 {
-		f.missing--
+	if f.missedReports > 0 {
+		f.missedReports--
 		return upstream.Status{}, errSilent
 	}
 	if f.silent {
@@ -105,7 +105,7 @@
 	return f.status, nil
 }
 
-// Order implements upstream.Client. It fails with the errors of orderErr first.
+// Order implements upstream.Client. It first returns the errors in orderErr, one a call.
 func (f *fakeUpstream) Order(_ context.Context, order upstream.Order) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -127,54 +127,54 @@
 	return nil, cursor, nil
 }
 
-// set changes what the fake reports.
+// set changes the fake under its mutex.
 func (f *fakeUpstream) set(change func(*fakeUpstream)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change(f)
 }
 
-// given returns the orders taken so far.
-func (f *fakeUpstream) given() []upstream.Order {
+// takenOrders returns the orders accepted so far.
+func (f *fakeUpstream) takenOrders() []upstream.Order {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]upstream.Order(nil), f.orders...)
 }
 
-// readyTimeout bounds the wait for a side, so that one that never gets ready is
-// a failed test and no hanging one.
+// readyTimeout bounds the wait for a sidecar, so that one that never gets ready fails
+// the test instead of blocking it.
 const readyTimeout = 20 * time.Second
 
-// clock is a side's clock that stands still unless the test moves it, so that
-// nothing lapses because the machine is busy.
-type clock struct{ since atomic.Int64 }
-
-// now returns the time since the side's start.
-func (c *clock) now() time.Duration { return time.Duration(c.since.Load()) }
-
-// rig is a side's drpc service before a fake upstream, and a client of it.
-type rig struct {
-	t      *testing.T
-	fake   *fakeUpstream
-	keeper *keeper
-	clock  *clock
-	dialer *link.Dialer
-	addr   string
-	next   int
+// fakeClock is a sidecar's clock that only the test advances, so that nothing expires
+// because the machine is busy.
+type fakeClock struct{ elapsed atomic.Int64 }
+
+// now returns the time since the sidecar's start.
+func (c *fakeClock) now() time.Duration { return time.Duration(c.elapsed.Load()) }
+
+// harness is a sidecar's drpc service for a fake upstream, with a client of it.
+type harness struct {
+	t          *testing.T
+	fake       *fakeUpstream
+	dispatcher *dispatcher
+	clock      *fakeClock
+	dialer     *link.Dialer
+	addr       string
+	next       int
 }
 
-// newRig serves a side with a fake upstream until the test ends.
-func newRig(t *testing.T, options gate.Options) *rig {
-	return newRigBefore(t, options, newFakeUpstream())
+// newHarness serves a sidecar with a new fake upstream until the test ends.
+func newHarness(t *testing.T, options gate.Options) *harness {
+	return newHarnessWith(t, options, newFakeUpstream())
 }
 
-// newRigBefore serves a side before the fake until the test ends.
-func newRigBefore(t *testing.T, options gate.Options, fake *fakeUpstream) *rig {
+// newHarnessWith serves a sidecar for the given fake upstream until the test ends.
+func newHarnessWith(t *testing.T, options gate.Options, fake *fakeUpstream) *harness {
 	logger, err := observe.NewLogger(io.Discard, "side", "info")
 	assert.NilError(t, err)
-	clock := &clock{}
+	clock := &fakeClock{}
 	options.Incarnation = testIncarnation
-	k := newKeeper(keeperOptions{
+	d := newDispatcher(dispatcherOptions{
 		upstream:       "u1",
 		engine:         true,
 		gate:           options,
@@ -183,56 +183,56 @@
 		logger:         logger,
 		clock:          clock.now,
 	})
-	r := &rig{t: t, fake: fake, keeper: k, clock: clock, dialer: link.NewDialer("key")}
-	r.serve()
-	return r
+	h := &harness{t: t, fake: fake, dispatcher: d, clock: clock, dialer: link.NewDialer("key")}
+	h.serve()
+	return h
 }
 
-// serve starts the service and the keeper's loops.
-func (r *rig) serve() {
+// serve starts the service and the dispatcher's loops.
+func (h *harness) serve() {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	assert.NilError(r.t, err)
-	r.addr = listener.Addr().String()
+	assert.NilError(h.t, err)
+	h.addr = listener.Addr().String()
 	rpc := link.NewServer("key")
-	assert.NilError(r.t, wirepb.DRPCRegisterSide(rpc.Mux(), &server{
-		keeper:        r.keeper,
+	assert.NilError(h.t, wirepb.DRPCRegisterSide(rpc.Mux(), &server{
+		dispatcher:    h.dispatcher,
 		incarnation:   testIncarnation,
 		maxInputBytes: 1 << 10,
 		revision:      func() core.Revision { return 3 },
 		noteRevision:  func(core.Revision) {},
 	}))
 	ctx, cancel := context.WithCancel(context.Background())
-	r.t.Cleanup(cancel)
+	h.t.Cleanup(cancel)
 	ready := make(chan struct{})
 	go func() { _ = rpc.Serve(ctx, listener) }()
-	go func() { _ = r.keeper.run(ctx) }()
-	go func() { _ = r.keeper.watchReports(ctx, func() { close(ready) }) }()
+	go func() { _ = h.dispatcher.run(ctx) }()
+	go func() { _ = h.dispatcher.pollReports(ctx, func() { close(ready) }) }()
 	select {
 	case <-ready:
 	case <-time.After(readyTimeout):
-		r.t.Fatal("the side never judged its upstream")
+		h.t.Fatal("the side never learned whether its upstream responds")
 	}
 }
 
-// advance moves the side's clock and lets the gate see it.
-func (r *rig) advance(d time.Duration) {
-	r.clock.since.Add(int64(d))
-	r.keeper.do(func(time.Duration) {})
+// advance moves the sidecar's clock and advances the gate.
+func (h *harness) advance(d time.Duration) {
+	h.clock.elapsed.Add(int64(d))
+	h.dispatcher.do(func(time.Duration) {})
 }
 
-// client returns a client over a connection of its own.
-func (r *rig) client() wirepb.DRPCSideClient {
-	conn := r.dialer.Conn(context.Background(), r.addr)
-	r.t.Cleanup(func() { _ = conn.Close() })
+// client returns a client with a connection of its own.
+func (h *harness) client() wirepb.DRPCSideClient {
+	conn := h.dialer.Conn(context.Background(), h.addr)
+	h.t.Cleanup(func() { _ = conn.Close() })
 	return wirepb.NewDRPCSideClient(conn)
 }
 
-// request returns an idempotent Run message of a new attempt.
-func (r *rig) request() *wirepb.RunRequest {
-	r.next++
+// request returns an idempotent Run message for a new attempt.
+func (h *harness) request() *wirepb.RunRequest {
+	h.next++
 	return &wirepb.RunRequest{
 		Key: &wirepb.AttemptKey{
-			RequestId:       fmt.Sprintf("entry-%d", r.next),
+			RequestId:       fmt.Sprintf("entry-%d", h.next),
 			Stage:           "draft",
 			Attempt:         1,
 			SideIncarnation: uint64(testIncarnation),
@@ -245,12 +245,12 @@
 	}
 }
 
-// claimed returns a claimed Run message whose ticket is from now.
-func (r *rig) claimed() *wirepb.RunRequest {
-	request := r.request()
-	reply, err := r.client().Probe(context.Background(), &wirepb.ProbeRequest{})
-	assert.NilError(r.t, err)
-	request.Claim = &wirepb.ClaimKey{Claim: "claims/1", Nonce: uint64(r.next), SideClockUs: reply.GetSideClockUs()}
+// claimed returns a claimed Run message whose ticket has the sidecar's current time.
+func (h *harness) claimed() *wirepb.RunRequest {
+	request := h.request()
+	reply, err := h.client().Probe(context.Background(), &wirepb.ProbeRequest{})
+	assert.NilError(h.t, err)
+	request.Claim = &wirepb.ClaimKey{Claim: "claims/1", Nonce: uint64(h.next), SideClockUs: reply.GetSideClockUs()}
 	return request
 }
 
@@ -260,37 +260,37 @@
 }
 
 // run sends a Run message. The stream breaks when ctx ends.
-func (r *rig) run(ctx context.Context, request *wirepb.RunRequest) stream {
-	r.t.Helper()
-	s, err := r.client().Run(ctx, request)
-	assert.NilError(r.t, err)
+func (h *harness) run(ctx context.Context, request *wirepb.RunRequest) stream {
+	h.t.Helper()
+	s, err := h.client().Run(ctx, request)
+	assert.NilError(h.t, err)
 	return s
 }
 
-// attach follows an attempt from a chunk on.
-func (r *rig) attach(key *wirepb.AttemptKey, from uint64) stream {
-	r.t.Helper()
-	s, err := r.client().Attach(context.Background(), &wirepb.AttachRequest{Key: key, FromChunk: from})
-	assert.NilError(r.t, err)
+// attach follows an attempt from the given chunk on.
+func (h *harness) attach(key *wirepb.AttemptKey, from uint64) stream {
+	h.t.Helper()
+	s, err := h.client().Attach(context.Background(), &wirepb.AttachRequest{Key: key, FromChunk: from})
+	assert.NilError(h.t, err)
 	return s
 }
 
-// call returns the next call that reaches the fake upstream.
-func (r *rig) call() *fakeCall {
-	r.t.Helper()
+// call waits for the next call at the fake upstream.
+func (h *harness) call() *fakeCall {
+	h.t.Helper()
 	select {
-	case c := <-r.fake.calls:
+	case c := <-h.fake.calls:
 		return c
 	case <-time.After(waitLimit):
-		r.t.Fatal("no call reached the upstream")
+		h.t.Fatal("no call reached the upstream")
 		return nil
 	}
 }
 
-// noCall checks that no call has reached the fake upstream.
-func (r *rig) noCall() {
-	r.t.Helper()
-	assert.Equal(r.t, len(r.fake.calls), 0)
+// noCall checks that no further call has reached the fake upstream.
+func (h *harness) noCall() {
+	h.t.Helper()
+	assert.Equal(h.t, len(h.fake.calls), 0)
 }
 
 // output is what one stream delivered.
@@ -304,19 +304,19 @@
 }
 
 // read reads a stream to its closing event.
-func (r *rig) read(s stream) output {
-	r.t.Helper()
+func (h *harness) read(s stream) output {
+	h.t.Helper()
 	var out output
 	for {
 		event, err := s.Recv()
-		assert.NilError(r.t, err)
+		assert.NilError(h.t, err)
 		if out.add(event) {
 			return out
 		}
 	}
 }
 
-// add adds one event and tells whether it is the closing one.
+// add adds one event and reports whether it is the closing one.
 func (o *output) add(event *wirepb.RunEvent) bool {
 	switch e := event.GetEvent().(type) {
 	case *wirepb.RunEvent_Started:
@@ -343,7 +343,7 @@
 		if condition() {
 			return poll.Success()
 		}
-		return poll.Continue("%s", what)
+		return poll.Continue("waiting until %s", what)
 	}, poll.WithTimeout(waitLimit), poll.WithDelay(2*time.Millisecond))
 }
 
--- a/side/keeper.go
+++ b/side/keeper.go
@@ -13,14 +13,14 @@
 	"acaciawinch/platform/upstream"
 )
 
-// How often the gate's clock is advanced.
+// Intervals between advances of the gate's clock.
 const (
 	busyTick = 20 * time.Millisecond
 	idleTick = 250 * time.Millisecond
 )
 
-// keeperOptions are what a keeper works with.
-type keeperOptions struct {
+// dispatcherOptions configure a dispatcher.
+type dispatcherOptions struct {
 	upstream core.UpstreamID
 	engine   bool
 	gate     gate.Options
@@ -28,17 +28,17 @@
 	maxOutputBytes int
 	client         upstream.Client
 	logger         *observe.Logger
-	// clock is the side's monotonic clock: the time since its start.
+	// clock returns the sidecar's monotonic time since its start.
 	clock func() time.Duration
 }
 
-// keeper guards the gate and the attempts by one mutex, and carries out what the
-// gate decides. Log lines are written after the mutex is released.
-type keeper struct {
-	options keeperOptions
-	// poll asks for a report of the upstream at once.
-	poll chan struct{}
-	// busy tells the ticker that attempts wait or run.
+// dispatcher guards the gate and the attempts by one mutex, and executes the actions
+// that the gate returns. Log lines are written after the mutex is released.
+type dispatcher struct {
+	options dispatcherOptions
+	// pollNow triggers an immediate poll of the upstream's report.
+	pollNow chan struct{}
+	// busy tells run that attempts are waiting or running.
 	busy chan struct{}
 	// executions counts the goroutines that wait for the upstream.
 	executions sync.WaitGroup
@@ -47,25 +47,25 @@
 	gate     *gate.Gate
 	prefixes gate.Prefixes
 	attempts map[core.AttemptKey]*attempt
-	// readers counts the streams that follow attempts.
-	readers int
-	state   chart.State
-	notes   []note
+	// subscribers counts the streams that follow attempts.
+	subscribers int
+	state       chart.State
+	logLines    []logLine
 }
 
-// note is a log line that waits for the mutex to be released.
-type note struct {
+// logLine is a log line that is written once the mutex is released.
+type logLine struct {
 	event  event.Event
 	fields observe.Fields
 	warn   bool
 }
 
-// newKeeper returns a keeper whose upstream has not reported yet.
-func newKeeper(options keeperOptions) *keeper {
+// newDispatcher returns a dispatcher whose upstream has not reported yet.
+func newDispatcher(options dispatcherOptions) *dispatcher {
 	g := gate.New(options.gate)
-	return &keeper{
+	return &dispatcher{
 		options:  options,
-		poll:     make(chan struct{}, 1),
+		pollNow:  make(chan struct{}, 1),
 		busy:     make(chan struct{}, 1),
 		gate:     g,
 		attempts: make(map[core.AttemptKey]*attempt),
@@ -73,32 +73,32 @@
 	}
 }
 
-// do runs step under the mutex with the present clock, lets the gate advance and
-// carries out its actions.
-func (k *keeper) do(step func(now time.Duration)) {
-	k.mu.Lock()
-	now := k.options.clock()
+// do runs step under the mutex with the current time, then advances the gate and
+// executes its actions.
+func (d *dispatcher) do(step func(now time.Duration)) {
+	d.mu.Lock()
+	now := d.options.clock()
 	step(now)
-	k.carryOut(now, k.gate.Advance(now))
-	k.noteState()
-	busy := k.gate.Unsettled() > 0
-	notes := k.notes
-	k.notes = nil
-	k.mu.Unlock()
+	d.applyActions(now, d.gate.Advance(now))
+	d.logStateChange()
+	busy := d.gate.Unsettled() > 0
+	lines := d.logLines
+	d.logLines = nil
+	d.mu.Unlock()
 	if busy {
-		signal(k.busy)
+		signal(d.busy)
 	}
-	k.write(notes)
+	d.write(lines)
 }
 
 // read runs step under the mutex without advancing the gate.
-func (k *keeper) read(step func(now time.Duration)) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	step(k.options.clock())
+func (d *dispatcher) read(step func(now time.Duration)) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	step(d.options.clock())
 }
 
-// signal sends to a channel of capacity one, unless a signal waits in it already.
+// signal sends to a channel of capacity one, unless a signal is already pending.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -106,62 +106,64 @@
 	}
 }
 
-// log keeps a log line until the mutex is released. The caller holds it.
-func (k *keeper) log(e event.Event, fields observe.Fields) {
-	k.notes = append(k.notes, note{event: e, fields: fields})
+// log defers a log line until the mutex is released. The mutex must be held.
+func (d *dispatcher) log(e event.Event, fields observe.Fields) {
+	d.logLines = append(d.logLines, logLine{event: e, fields: fields})
 }
 
-// warn is log for a line that an operator should look at.
-func (k *keeper) warn(e event.Event, fields observe.Fields) {
-	k.notes = append(k.notes, note{event: e, fields: fields, warn: true})
+// warn is log at the warning level.
+func (d *dispatcher) warn(e event.Event, fields observe.Fields) {
+	d.logLines = append(d.logLines, logLine{event: e, fields: fields, warn: true})
 }
 
-// write writes log lines.
-func (k *keeper) write(notes []note) {
-	for _, n := range notes {
-		if n.warn {
-			k.options.logger.Warn(n.event, n.fields)
+// write writes the deferred log lines.
+func (d *dispatcher) write(lines []logLine) {
+	for _, line := range lines {
+		if line.warn {
+			d.options.logger.Warn(line.event, line.fields)
 			continue
 		}
-		k.options.logger.Event(n.event, n.fields)
+		d.options.logger.Event(line.event, line.fields)
 	}
 }
 
-// noteState logs a change of the upstream's state, and any broken rule.
-func (k *keeper) noteState() {
-	if err := k.gate.Fault(); err != nil {
-		k.warn(event.GateFault, observe.Fields{"upstream": string(k.options.upstream), "error": err.Error()})
+// logStateChange logs a change of the upstream's state, and any invariant that the gate
+// violated. The mutex must be held.
+func (d *dispatcher) logStateChange() {
+	if err := d.gate.Fault(); err != nil {
+		d.warn(event.GateFault, observe.Fields{"upstream": string(d.options.upstream), "error": err.Error()})
 	}
-	state := k.gate.State()
-	if state == k.state {
+	state := d.gate.State()
+	if state == d.state {
 		return
 	}
-	k.log(event.UpstreamMoved, observe.Fields{
-		"upstream": string(k.options.upstream),
-		"from":     string(k.state),
+	d.log(event.UpstreamMoved, observe.Fields{
+		"upstream": string(d.options.upstream),
+		"from":     string(d.state),
 		"to":       string(state),
-		"reason":   k.gate.Why(),
+		"reason":   d.gate.Why(),
 	})
-	k.state = state
+	d.state = state
 }
 
-// run advances the gate's clock until ctx ends: often while attempts wait or run.
-func (k *keeper) run(ctx context.Context) error {
+// run advances the gate's clock until ctx ends, at the shorter interval while attempts
+// wait or run.
+func (d *dispatcher) run(ctx context.Context) error {
 	timer := time.NewTimer(idleTick)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-k.busy:
-			// The step that signalled has advanced the gate, so that only the next
-			// tick must come sooner. The ticks below signal as well.
+		case <-d.busy:
+			// The step that signalled has already advanced the gate, so only the next
+			// tick must come sooner. The ticks below signal too.
 			timer.Reset(busyTick)
 			continue
 		case <-timer.C:
 		}
 		unsettled := 0
-		k.do(func(time.Duration) { unsettled = k.gate.Unsettled() })
+		d.do(func(time.Duration) { unsettled = d.gate.Unsettled() })
 		timer.Reset(tick(unsettled))
 	}
 }
--- a/side/message.go
+++ b/side/message.go
@@ -10,9 +10,9 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// reasonMessages are the gate's reasons as messages name them. A refusal by the
-// upstream itself has no name of its own.
-var reasonMessages = map[gate.Reason]wirepb.RefusalReason{
+// refusalReasons maps the gate's reasons to those of messages. Messages have no reason
+// of their own for a rejection by the upstream itself.
+var refusalReasons = map[gate.Reason]wirepb.RefusalReason{
 	gate.ReasonQueueFull:      wirepb.RefusalReason_REFUSAL_QUEUE_FULL,
 	gate.ReasonDeadline:       wirepb.RefusalReason_REFUSAL_DEADLINE,
 	gate.ReasonDraining:       wirepb.RefusalReason_REFUSAL_DRAINING,
@@ -27,8 +27,8 @@
 	gate.ReasonUpstream:       wirepb.RefusalReason_REFUSAL_UNSPECIFIED,
 }
 
-// causes are the reasons of cancellations as costs name them.
-var causes = map[wirepb.CancelReason]gate.Cause{
+// cancelCauses maps the reasons of Cancel calls to the causes that costs are charged to.
+var cancelCauses = map[wirepb.CancelReason]gate.Cause{
 	wirepb.CancelReason_CANCEL_UNSPECIFIED: gate.CauseCallerGone,
 	wirepb.CancelReason_CANCEL_HEDGE_LOST:  gate.CauseHedgeLost,
 	wirepb.CancelReason_CANCEL_DEADLINE:    gate.CauseDeadline,
@@ -36,8 +36,8 @@
 	wirepb.CancelReason_CANCEL_SUPERSEDED:  gate.CauseSuperseded,
 }
 
-// states are the gate's answers to Resolve as messages name them.
-var states = map[gate.State]wirepb.ResolveState{
+// resolveStates maps the gate's states of a resolved attempt to those of messages.
+var resolveStates = map[gate.State]wirepb.ResolveState{
 	gate.StateDone:    wirepb.ResolveState_RESOLVE_DONE,
 	gate.StateRunning: wirepb.ResolveState_RESOLVE_RUNNING,
 	gate.StateNotRun:  wirepb.ResolveState_RESOLVE_NOT_RUN,
@@ -45,7 +45,7 @@
 	gate.StateFailed:  wirepb.ResolveState_RESOLVE_FAILED,
 }
 
-// keyOf returns the attempt that a message names; a missing key is the zero key.
+// keyOf returns the key of the attempt in a message; a missing key yields the zero key.
 func keyOf(m *wirepb.AttemptKey) core.AttemptKey {
 	return core.AttemptKey{
 		Request: core.RequestID(m.GetRequestId()),
@@ -55,7 +55,7 @@
 	}
 }
 
-// keyMessage returns the message that names an attempt.
+// keyMessage converts the key of an attempt to its message.
 func keyMessage(key core.AttemptKey) *wirepb.AttemptKey {
 	return &wirepb.AttemptKey{
 		RequestId:       string(key.Request),
@@ -76,9 +76,9 @@
 	}
 }
 
-// askOf returns what a Run message asks of the gate. Cost is in tokens for an
-// engine, of which a resumed attempt has fewer left, and 1 for all others.
-func askOf(request *wirepb.RunRequest, engine bool) gate.Ask {
+// submissionOf converts a Run message to the gate's input. Cost is in tokens for an
+// engine, where a resumed attempt has fewer tokens remaining, and 1 for other upstreams.
+func submissionOf(request *wirepb.RunRequest, engine bool) gate.Ask {
 	cost := 1
 	if engine {
 		cost = max(1, int(request.GetMaxTokens())-len(request.GetResume()))
@@ -97,7 +97,7 @@
 	}
 }
 
-// callOf returns the upstream's call of an attempt.
+// callOf returns the upstream call of an attempt.
 func callOf(key core.AttemptKey, request *wirepb.RunRequest) upstream.Call {
 	return upstream.Call{
 		ID:        callID(key),
@@ -112,7 +112,7 @@
 	}
 }
 
-// callID is the name of an attempt at the upstream.
+// callID returns the id of an attempt at the upstream.
 func callID(key core.AttemptKey) string {
 	return fmt.Sprintf("%s/%s/%d", key.Request, key.Stage, key.Number)
 }
@@ -127,7 +127,7 @@
 	return &wirepb.RunEvent{Key: keyMessage(key), Event: &wirepb.RunEvent_Failed{Failed: failed}}
 }
 
-// loadMessage returns the message of a load.
+// loadMessage converts a load to its message.
 func loadMessage(load gate.Load) *wirepb.Load {
 	models := make([]*wirepb.LoadedModel, 0, len(load.Models))
 	for _, name := range load.Models {
--- a/side/monitor.go
+++ b/side/monitor.go
@@ -9,74 +9,74 @@
 	"acaciawinch/platform/upstream"
 )
 
-// How often the upstream's own reports are read.
+// Intervals at which the upstream's reports and cache events are polled.
 const (
 	reportInterval = 250 * time.Millisecond
 	cacheInterval  = time.Second
 )
 
-// watchReports reads the upstream's report until ctx ends, and at once when an
-// attempt could not reach the upstream. It calls judged once, as soon as the gate
-// knows whether the upstream answers.
-func (k *keeper) watchReports(ctx context.Context, judged func()) error {
+// pollReports polls the upstream's report until ctx ends, and immediately when an
+// attempt could not reach the upstream. It calls onHealthKnown once, as soon as the gate
+// knows whether the upstream responds.
+func (d *dispatcher) pollReports(ctx context.Context, onHealthKnown func()) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-k.poll:
+		case <-d.pollNow:
 		case <-timer.C:
 		}
-		k.readReport(ctx)
-		if judged != nil && k.upstreamJudged() {
-			judged()
-			judged = nil
+		d.pollReport(ctx)
+		if onHealthKnown != nil && d.upstreamHealthKnown() {
+			onHealthKnown()
+			onHealthKnown = nil
 		}
 		timer.Reset(reportInterval)
 	}
 }
 
-// upstreamJudged tells whether the gate knows if the upstream answers. One missed
-// report proves nothing: beside a process that starts, the upstream may start too.
-func (k *keeper) upstreamJudged() bool {
-	judged := false
-	k.read(func(time.Duration) { judged = k.gate.Judged() })
-	return judged
+// upstreamHealthKnown reports whether the gate knows if the upstream responds. One
+// missed report is no proof: the upstream may be starting together with the sidecar.
+func (d *dispatcher) upstreamHealthKnown() bool {
+	known := false
+	d.read(func(time.Duration) { known = d.gate.Judged() })
+	return known
 }
 
-// readReport reads one report and tells the gate.
-func (k *keeper) readReport(ctx context.Context) {
-	status, err := k.options.client.Status(ctx)
+// pollReport fetches one report and passes it to the gate.
+func (d *dispatcher) pollReport(ctx context.Context) {
+	status, err := d.options.client.Status(ctx)
 	if ctx.Err() != nil {
 		return
 	}
-	k.do(func(now time.Duration) {
+	d.do(func(now time.Duration) {
 		if err != nil {
-			k.gate.ObserveSilence(now)
+			d.gate.ObserveSilence(now)
 			return
 		}
-		k.observeReport(now, status)
+		d.observeReport(now, status)
 	})
 }
 
-// observeReport tells the gate of a report and logs a change of the upstream's
-// notice that it is leaving. The caller holds the mutex.
-func (k *keeper) observeReport(now time.Duration, status upstream.Status) {
-	before := slices.Contains(k.gate.DrainSources(), gate.DrainNotice)
-	k.gate.ObserveReport(now, gate.Report{
+// observeReport passes a report to the gate and logs when the upstream starts or stops
+// announcing that it is leaving. The mutex must be held.
+func (d *dispatcher) observeReport(now time.Duration, status upstream.Status) {
+	before := slices.Contains(d.gate.DrainSources(), gate.DrainNotice)
+	d.gate.ObserveReport(now, gate.Report{
 		Capacity:    status.Capacity,
 		Leaving:     status.Leaving,
 		Models:      status.Models,
 		LastFencing: status.LastFencing,
 	})
 	if status.Leaving != before {
-		k.logDrain(now, gate.DrainNotice, status.Leaving)
+		d.logDrain(now, gate.DrainNotice, status.Leaving)
 	}
 }
 
-// watchCache reads an engine's cache events until ctx ends.
-func (k *keeper) watchCache(ctx context.Context) error {
+// pollCacheEvents polls an engine's cache events until ctx ends.
+func (d *dispatcher) pollCacheEvents(ctx context.Context) error {
 	ticker := time.NewTicker(cacheInterval)
 	defer ticker.Stop()
 	cursor := uint64(0)
@@ -86,23 +86,24 @@
 			return nil
 		case <-ticker.C:
 		}
-		events, next, err := k.options.client.CacheEvents(ctx, cursor)
+		events, next, err := d.options.client.CacheEvents(ctx, cursor)
 		if err != nil {
 			continue
 		}
 		cursor = next
-		k.read(func(time.Duration) { k.observeCache(events) })
+		d.read(func(time.Duration) { d.observeCache(events) })
 	}
 }
 
-// observeCache notes cache events. The caller holds the mutex.
-func (k *keeper) observeCache(events []upstream.CacheEvent) {
+// observeCache applies cache events to the set of cached prefixes. The mutex must be
+// held.
+func (d *dispatcher) observeCache(events []upstream.CacheEvent) {
 	for _, e := range events {
 		switch e.Action {
 		case upstream.CacheStored:
-			k.prefixes.Use(e.Prefix)
+			d.prefixes.Use(e.Prefix)
 		case upstream.CacheEvicted:
-			k.prefixes.Evict(e.Prefix)
+			d.prefixes.Evict(e.Prefix)
 		}
 	}
 }
--- a/side/monitor_test.go
+++ b/side/monitor_test.go
@@ -10,24 +10,25 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// TestOneMissedReportIsNoVerdict starts a side whose upstream starts a moment
-// later: once the side is ready, the upstream is known to answer.
-func TestOneMissedReportIsNoVerdict(t *testing.T) {
+// TestOneMissedReportDoesNotStallTheUpstream guards against a sidecar that marks its
+// upstream as stalled after one missed report, because the upstream started a moment
+// later than the sidecar.
+func TestOneMissedReportDoesNotStallTheUpstream(t *testing.T) {
 	fake := newFakeUpstream()
-	fake.missing = 1
-	r := newRigBefore(t, gate.Options{}, fake)
-	reply, err := r.client().Probe(context.Background(), &wirepb.ProbeRequest{})
+	fake.missedReports = 1
+	h := newHarnessWith(t, gate.Options{}, fake)
+	reply, err := h.client().Probe(context.Background(), &wirepb.ProbeRequest{})
 	assert.NilError(t, err)
 	assert.Assert(t, !reply.Load.Stalled)
 }
 
-// TestSilentUpstreamIsAVerdict lets a side be ready, and say so, before an
-// upstream that does not answer at all.
-func TestSilentUpstreamIsAVerdict(t *testing.T) {
+// TestSilentUpstreamIsStalledOnceTheSideIsReady guards against a sidecar that never gets
+// ready, or gets ready without reporting the stall, because its upstream never responds.
+func TestSilentUpstreamIsStalledOnceTheSideIsReady(t *testing.T) {
 	fake := newFakeUpstream()
 	fake.silent = true
-	r := newRigBefore(t, gate.Options{}, fake)
-	reply, err := r.client().Probe(context.Background(), &wirepb.ProbeRequest{})
+	h := newHarnessWith(t, gate.Options{}, fake)
+	reply, err := h.client().Probe(context.Background(), &wirepb.ProbeRequest{})
 	assert.NilError(t, err)
 	assert.Assert(t, reply.Load.Stalled)
 }
--- a/side/orders.go
+++ b/side/orders.go
@@ -16,33 +16,33 @@
 	"acaciawinch/platform/upstream"
 )
 
-// Waits between the steps of bringing the engine in line with the plan.
+// Intervals and delays of the reconciliation of an engine with the plan.
 const (
 	orderRetryMin = 200 * time.Millisecond
 	orderRetryMax = 5 * time.Second
-	// orderCheck is how often the engine's report is compared with the plan, so
-	// that an engine that was restarted gets its models back.
-	orderCheck = 500 * time.Millisecond
-	// orderAgain is when an order that was taken is given again if the report
-	// does not show its effect.
-	orderAgain = 15 * time.Second
+	// reconcileInterval is how often the engine's report is compared with the plan, so
+	// that an engine that restarted loads its models again.
+	reconcileInterval = 500 * time.Millisecond
+	// orderRepeatDelay is the time after which an accepted order is sent again if the
+	// engine's report does not show its effect.
+	orderRepeatDelay = 15 * time.Second
 )
 
-// The actions of orders.
+// Actions of orders.
 const (
 	actionLoad   = "load"
 	actionUnload = "unload"
 )
 
-// enginePlan is what the plan says of one engine.
+// enginePlan is the part of the placement plan that concerns one engine.
 type enginePlan struct {
-	// version is the plan object's version: the fencing number of the orders.
+	// version is the plan object's version, the fencing token of the orders.
 	version uint64
-	// models are what the engine is to hold, as "model@version".
+	// models are the models that the engine must have loaded, as "model@version".
 	models []string
 }
 
-// planFor returns the part of plan that concerns one upstream.
+// planFor returns the part of plan that concerns one upstream, with its models sorted.
 func planFor(plan placement.Plan, name core.UpstreamID, version uint64) enginePlan {
 	own := enginePlan{version: version}
 	for _, a := range plan.Assignments {
@@ -54,216 +54,219 @@
 	return own
 }
 
-// orders brings one engine in line with the plan. It is a loop over what the
-// engine reports and what the plan says, without memory that a restart would
-// lose, so that a side that was restarted goes on where the last one stopped.
-type orders struct {
-	keeper *keeper
-	// changed tells the loop that the plan changed.
+// modelReconciler loads and unloads the models of one engine as the plan demands. It
+// compares the engine's reports with the plan and needs no state that a restart would
+// lose, so a restarted sidecar continues where the previous incarnation stopped.
+type modelReconciler struct {
+	dispatcher *dispatcher
+	// changed wakes the loop when the plan changes.
 	changed chan struct{}
 
 	mu   sync.Mutex
 	plan enginePlan
 
-	// The rest belongs to the loop.
-	// given tells when an order that was taken is given again.
-	given map[upstream.Order]time.Duration
-	retry time.Duration
-	// refused is the plan's version whose orders are known to be stale.
-	refused uint64
+	// Only the loop uses the fields below.
+	//
+	// repeatAt is the time after which an accepted order may be sent again.
+	repeatAt map[upstream.Order]time.Duration
+	retry    time.Duration
+	// staleVersion is the version of a plan whose orders were refused as stale.
+	staleVersion uint64
 }
 
-// newOrders returns orders without a plan.
-func newOrders(k *keeper) *orders {
-	return &orders{
-		keeper:  k,
-		changed: make(chan struct{}, 1),
-		given:   make(map[upstream.Order]time.Duration),
-		retry:   orderRetryMin,
+// newModelReconciler returns a reconciler that has no plan yet.
+func newModelReconciler(d *dispatcher) *modelReconciler {
+	return &modelReconciler{
+		dispatcher: d,
+		changed:    make(chan struct{}, 1),
+		repeatAt:   make(map[upstream.Order]time.Duration),
+		retry:      orderRetryMin,
 	}
 }
 
-// setPlan replaces the plan. An older one than the present one is ignored.
-func (o *orders) setPlan(plan enginePlan) {
-	o.mu.Lock()
-	newer := plan.version > o.plan.version
+// setPlan replaces the plan, unless the given one is not newer.
+func (r *modelReconciler) setPlan(plan enginePlan) {
+	r.mu.Lock()
+	newer := plan.version > r.plan.version
 	if newer {
-		o.plan = plan
+		r.plan = plan
 	}
-	o.mu.Unlock()
+	r.mu.Unlock()
 	if newer {
-		signal(o.changed)
+		signal(r.changed)
 	}
 }
 
-// present returns the plan in force.
-func (o *orders) present() enginePlan {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.plan
+// currentPlan returns the latest plan.
+func (r *modelReconciler) currentPlan() enginePlan {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.plan
 }
 
-// run gives orders until ctx ends.
-func (o *orders) run(ctx context.Context) error {
-	timer := time.NewTimer(orderCheck)
+// run reconciles the engine with the plan until ctx ends.
+func (r *modelReconciler) run(ctx context.Context) error {
+	timer := time.NewTimer(reconcileInterval)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-o.changed:
+		case <-r.changed:
 		case <-timer.C:
 		}
-		timer.Reset(o.step(ctx))
+		timer.Reset(r.step(ctx))
 	}
 }
 
-// step gives the orders that are due and returns the time until the next step.
-func (o *orders) step(ctx context.Context) time.Duration {
-	plan := o.present()
-	if len(plan.models) == 0 || plan.version == o.refused {
-		// An engine that the plan doesn't know of keeps what it has: the planner
-		// may not have seen it yet.
-		return orderCheck
+// step sends the orders that are due and returns the time until the next step.
+func (r *modelReconciler) step(ctx context.Context) time.Duration {
+	plan := r.currentPlan()
+	if len(plan.models) == 0 || plan.version == r.staleVersion {
+		// An engine that the plan doesn't name keeps its models, because the planner
+		// may not have seen the engine yet.
+		return reconcileInterval
 	}
-	if !o.fence(plan) {
-		o.refused = plan.version
-		return orderCheck
+	if !r.fence(plan) {
+		r.staleVersion = plan.version
+		return reconcileInterval
 	}
-	for _, order := range o.due(plan) {
-		if !o.give(ctx, order) {
-			return o.backOff()
+	for _, order := range r.dueOrders(plan) {
+		if !r.send(ctx, order) {
+			return r.nextBackoff()
 		}
 	}
-	o.retry = orderRetryMin
-	return orderCheck
+	r.retry = orderRetryMin
+	return reconcileInterval
 }
 
-// fence asks the gate whether orders of the plan may be given.
-func (o *orders) fence(plan enginePlan) bool {
+// fence checks the fencing token of the plan at the gate, and reports whether orders
+// of the plan may be sent.
+func (r *modelReconciler) fence(plan enginePlan) bool {
 	allowed := false
-	o.keeper.do(func(time.Duration) {
-		allowed = o.keeper.gate.Fence(plan.version)
+	r.dispatcher.do(func(time.Duration) {
+		allowed = r.dispatcher.gate.Fence(plan.version)
 		if !allowed {
-			o.logRefused(plan.version, "the gate has seen a higher number")
+			r.logStaleOrder(plan.version, "the gate has seen a higher fencing token")
 		}
 	})
 	return allowed
 }
 
-// logRefused logs a refused order. The caller holds the keeper's mutex.
-func (o *orders) logRefused(version uint64, detail string) {
-	o.keeper.warn(event.OrderRefused, observe.Fields{
-		"upstream": string(o.keeper.options.upstream),
+// logStaleOrder logs an order that was refused because its fencing token is stale. The
+// dispatcher's mutex must be held.
+func (r *modelReconciler) logStaleOrder(version uint64, detail string) {
+	r.dispatcher.warn(event.OrderRefused, observe.Fields{
+		"upstream": string(r.dispatcher.options.upstream),
 		"fencing":  version,
-		"highest":  o.keeper.gate.Fencing(),
+		"highest":  r.dispatcher.gate.Fencing(),
 		"detail":   detail,
 	})
 }
 
-// due returns the orders that are due: the loads that are missing, and once there
-// are none the unloads of what the plan does not name and nothing uses any more.
-func (o *orders) due(plan enginePlan) []upstream.Order {
+// dueOrders returns the orders that are due: the loads of missing models, and once no
+// model is missing the unloads of unused models that the plan does not name.
+func (r *modelReconciler) dueOrders(plan enginePlan) []upstream.Order {
 	var list []upstream.Order
-	o.keeper.do(func(now time.Duration) {
-		held := o.keeper.gate.Models(now)
-		missing := o.missing(plan, held)
-		if len(missing) > 0 {
-			list = o.notGivenLately(now, missing)
+	r.dispatcher.do(func(now time.Duration) {
+		models := r.dispatcher.gate.Models(now)
+		loads := r.loadOrders(plan, models)
+		if len(loads) > 0 {
+			list = r.withoutRecent(now, loads)
 			return
 		}
-		list = o.notGivenLately(now, o.extra(now, plan))
+		list = r.withoutRecent(now, r.unloadOrders(now, plan))
 	})
 	return list
 }
 
-// missing returns the loads of models that the plan names and the engine doesn't
-// report. The caller holds the keeper's mutex.
-func (o *orders) missing(plan enginePlan, held []string) []upstream.Order {
+// loadOrders returns the loads of models that the plan names and the engine doesn't
+// report. The dispatcher's mutex must be held.
+func (r *modelReconciler) loadOrders(plan enginePlan, loaded []string) []upstream.Order {
 	var list []upstream.Order
 	for _, model := range plan.models {
-		o.keeper.gate.CancelUnload(model)
-		if !slices.Contains(held, model) {
-			list = append(list, orderOf(actionLoad, model, plan.version))
+		r.dispatcher.gate.CancelUnload(model)
+		if !slices.Contains(loaded, model) {
+			list = append(list, newOrder(actionLoad, model, plan.version))
 		}
 	}
 	return list
 }
 
-// extra returns the unloads of models that the engine reports and the plan doesn't
-// name. New work for them is refused from now on; each is unloaded when none is
-// left. The caller holds the keeper's mutex.
-func (o *orders) extra(now time.Duration, plan enginePlan) []upstream.Order {
+// unloadOrders returns the unloads of models that the engine reports and the plan
+// doesn't name. From now on the gate refuses new attempts for these models; each model
+// is unloaded when no attempt uses it. The dispatcher's mutex must be held.
+func (r *modelReconciler) unloadOrders(now time.Duration, plan enginePlan) []upstream.Order {
 	var list []upstream.Order
-	for _, model := range o.keeper.gate.Reported() {
+	for _, model := range r.dispatcher.gate.Reported() {
 		if slices.Contains(plan.models, model) {
 			continue
 		}
-		o.keeper.gate.BeginUnload(now, model)
-		if o.keeper.gate.Using(model) == 0 {
-			list = append(list, orderOf(actionUnload, model, plan.version))
+		r.dispatcher.gate.BeginUnload(now, model)
+		if r.dispatcher.gate.Using(model) == 0 {
+			list = append(list, newOrder(actionUnload, model, plan.version))
 		}
 	}
 	return list
 }
 
-// orderOf returns an order about a "model@version".
-func orderOf(action, name string, fencing uint64) upstream.Order {
+// newOrder returns an order for a "model@version".
+func newOrder(action, name string, fencing uint64) upstream.Order {
 	model, version, _ := strings.Cut(name, "@")
 	return upstream.Order{Fencing: fencing, Action: action, Model: model, Version: version}
 }
 
-// notGivenLately leaves out the orders that the engine took a short time ago:
-// loading takes time, and reports lag.
-func (o *orders) notGivenLately(now time.Duration, list []upstream.Order) []upstream.Order {
+// withoutRecent removes the orders that the engine accepted a short time ago: loading
+// takes time, and the engine's reports lag.
+func (r *modelReconciler) withoutRecent(now time.Duration, list []upstream.Order) []upstream.Order {
 	return slices.DeleteFunc(list, func(order upstream.Order) bool {
-		again, ok := o.given[order]
-		return ok && now < again
+		repeatAt, ok := r.repeatAt[order]
+		return ok && now < repeatAt
 	})
 }
 
-// give gives one order. It tells whether the engine took it.
-func (o *orders) give(ctx context.Context, order upstream.Order) bool {
-	k := o.keeper
-	err := k.options.client.Order(ctx, order)
+// send sends one order. It reports whether the engine accepted it.
+func (r *modelReconciler) send(ctx context.Context, order upstream.Order) bool {
+	d := r.dispatcher
+	err := d.options.client.Order(ctx, order)
 	if ctx.Err() != nil {
 		return false
 	}
 	fields := observe.Fields{
-		"upstream": string(k.options.upstream),
+		"upstream": string(d.options.upstream),
 		"action":   order.Action,
 		"model":    order.Model + "@" + order.Version,
 		"fencing":  order.Fencing,
 	}
-	k.do(func(now time.Duration) {
+	d.do(func(now time.Duration) {
 		switch {
 		case err == nil:
-			o.forgetOld(now)
-			o.given[order] = now + orderAgain
-			k.log(event.OrderGiven, fields)
+			r.forgetExpired(now)
+			r.repeatAt[order] = now + orderRepeatDelay
+			d.log(event.OrderGiven, fields)
 		case fault.Is(err, fault.Conflict):
-			o.refused = order.Fencing
-			o.logRefused(order.Fencing, err.Error())
+			r.staleVersion = order.Fencing
+			r.logStaleOrder(order.Fencing, err.Error())
 		default:
-			k.warn(event.OrderFailed, with(fields, observe.Fields{"error": err.Error()}))
+			d.warn(event.OrderFailed, mergeFields(fields, observe.Fields{"error": err.Error()}))
 		}
 	})
 	return err == nil
 }
 
-// forgetOld forgets orders that may be given again anyway.
-func (o *orders) forgetOld(now time.Duration) {
-	for order, again := range o.given {
-		if again <= now {
-			delete(o.given, order)
+// forgetExpired deletes the entries of orders that may be sent again.
+func (r *modelReconciler) forgetExpired(now time.Duration) {
+	for order, repeatAt := range r.repeatAt {
+		if repeatAt <= now {
+			delete(r.repeatAt, order)
 		}
 	}
 }
 
-// backOff returns the time until a failed order is tried again. It doubles up to
-// its bound, with jitter, so that sides don't retry in step.
-func (o *orders) backOff() time.Duration {
-	wait := o.retry/2 + rand.N(o.retry/2)
-	o.retry = min(2*o.retry, orderRetryMax)
+// nextBackoff returns the time until a failed order is retried. It doubles up to
+// orderRetryMax, with jitter, so that sidecars don't retry in step.
+func (r *modelReconciler) nextBackoff() time.Duration {
+	wait := r.retry/2 + rand.N(r.retry/2)
+	r.retry = min(2*r.retry, orderRetryMax)
 	return wait
 }
--- a/side/pending.go
+++ b/side/pending.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// pending is what a planned stop waits for.
+// pending counts what a planned stop waits for.
 type pending struct {
-	// unsettled attempts wait or run.
+	// unsettled is the number of attempts that wait or run.
 	unsettled int
-	// unacknowledged results wait for their caller.
+	// unacknowledged is the number of results that a caller may still need; see
+	// gate.Gate.Unacknowledged.
 	unacknowledged int
-	// readers are streams that have not got their closing event.
-	readers int
+	// subscribers is the number of streams that have not received their closing event.
+	subscribers int
 }
 
 // pending returns what a planned stop waits for.
-func (k *keeper) pending() pending {
+func (d *dispatcher) pending() pending {
 	var p pending
-	k.read(func(time.Duration) {
-		p.unsettled = k.gate.Unsettled()
-		p.unacknowledged = k.gate.Unacknowledged()
-		p.readers = k.readers
+	d.read(func(time.Duration) {
+		p.unsettled = d.gate.Unsettled()
+		p.unacknowledged = d.gate.Unacknowledged()
+		p.subscribers = d.subscribers
 	})
 	return p
 }
--- a/side/process.go
+++ b/side/process.go
@@ -23,39 +23,39 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// metricsPrefix begins the names of the side's metrics.
+// metricsPrefix is the prefix of the sidecar's metric names.
 const metricsPrefix = "acaciawinch_side"
 
 // Times of the process.
 const (
 	adminHeaderTimeout = 5 * time.Second
-	// stopCheck is how often a planned stop looks whether it is over.
-	stopCheck  = 20 * time.Millisecond
-	stopLinger = 100 * time.Millisecond
+	// stopCheckInterval is how often a planned stop checks whether it can end.
+	stopCheckInterval = 20 * time.Millisecond
+	stopLinger        = 100 * time.Millisecond
 )
 
-// process holds the parts of one side process.
+// process holds the parts of one sidecar process.
 type process struct {
 	settings    Settings
 	incarnation core.Incarnation
-	life        *lifecycle.Lifecycle
+	lifecycle   *lifecycle.Lifecycle
 	logger      *observe.Logger
 	metrics     *observe.Metrics
 	dialer      *link.Dialer
 	rpc         *link.Server
 	feed        *feed.Feed
-	keeper      *keeper
+	dispatcher  *dispatcher
 	meter       *meter
-	// linger is how long the last answers have to leave before the connections
-	// close.
+	// linger is how long connections stay open after the drain, so that the last
+	// replies are sent.
 	linger time.Duration
-	// orders is nil unless the upstream is an engine.
-	orders *orders
-	// objects is the client of the object API.
+	// reconciler is nil unless the upstream is an engine.
+	reconciler *modelReconciler
+	// objects is the client of the platform's object API.
 	objects *objects.Client
 }
 
-// newProcess wires the parts together. It starts nothing.
+// newProcess creates the parts and connects them, without starting any.
 func newProcess(settings Settings) (*process, error) {
 	logger, err := observe.NewLogger(os.Stderr, settings.Process.Name, settings.Process.LogLevel)
 	if err != nil {
@@ -64,7 +64,7 @@
 	p := &process{
 		settings:    settings,
 		incarnation: core.Incarnation(rand.Uint64()),
-		life:        lifecycle.New(settings.Process.Name),
+		lifecycle:   lifecycle.New(settings.Process.Name),
 		linger:      stopLinger,
 		logger:      logger,
 		metrics:     observe.NewMetrics(metricsPrefix),
@@ -73,10 +73,10 @@
 		objects:     objects.NewClient(settings.Platform.Objects),
 	}
 	p.feed = p.newFeed()
-	p.keeper = newKeeper(p.keeperOptions())
-	p.meter = newMeter(p.metrics.Scope(), p.keeper, p.rpc.Traffic())
+	p.dispatcher = newDispatcher(p.dispatcherOptions())
+	p.meter = newMeter(p.metrics.Scope(), p.dispatcher, p.rpc.Traffic())
 	if settings.Upstream.Kind == config.KindEngine {
-		p.orders = newOrders(p.keeper)
+		p.reconciler = newModelReconciler(p.dispatcher)
 	}
 	p.rpc.OnRefused(p.logRefused)
 	if err := wirepb.DRPCRegisterSide(p.rpc.Mux(), p.newServer()); err != nil {
@@ -85,7 +85,7 @@
 	return p, nil
 }
 
-// newFeed returns the process's copy of the fleet's state.
+// newFeed returns the process's subscription to the fleet's state.
 func (p *process) newFeed() *feed.Feed {
 	return feed.New(feed.Options{
 		Name:    p.settings.Process.Name,
@@ -101,11 +101,11 @@
 	})
 }
 
-// keeperOptions returns the options of the keeper by the settings.
-func (p *process) keeperOptions() keeperOptions {
+// dispatcherOptions derives the options of the dispatcher from the settings.
+func (p *process) dispatcherOptions() dispatcherOptions {
 	s := p.settings
 	started := time.Now()
-	return keeperOptions{
+	return dispatcherOptions{
 		upstream: core.UpstreamID(s.Upstream.Name),
 		engine:   s.Upstream.Kind == config.KindEngine,
 		gate: gate.Options{
@@ -129,7 +129,7 @@
 // newServer returns the drpc service.
 func (p *process) newServer() *server {
 	return &server{
-		keeper:        p.keeper,
+		dispatcher:    p.dispatcher,
 		incarnation:   p.incarnation,
 		maxInputBytes: p.settings.Queue.MaxInputBytes,
 		revision:      p.revision,
@@ -137,7 +137,7 @@
 	}
 }
 
-// revision returns the configuration revision that the process knows of.
+// revision returns the latest configuration revision that the process has, or 0.
 func (p *process) revision() core.Revision {
 	if state := p.feed.State(); state != nil {
 		return state.Revision
@@ -145,17 +145,17 @@
 	return 0
 }
 
-// noteRevision tells the feed of a newer revision. The sender's own address isn't
-// known here; the feed finds an entry to ask by itself.
+// noteRevision tells the feed of a newer revision. The sender's address isn't known
+// here, so the feed chooses the entry to fetch it from.
 func (p *process) noteRevision(revision core.Revision) {
 	if revision > p.revision() {
 		p.feed.NoteRevision(revision, "")
 	}
 }
 
-// synced notes that it is known whether the upstream answers.
+// synced reports to the lifecycle that the upstream's health is known.
 func (p *process) synced() {
-	if err := p.life.FireIfAllowed(lifecycle.Synced); err != nil {
+	if err := p.lifecycle.FireIfAllowed(lifecycle.Synced); err != nil {
 		p.logger.Warn(event.ProcessFailed, observe.Fields{"error": err.Error()})
 	}
 }
@@ -163,59 +163,60 @@
 // admin returns the handler of the admin paths.
 func (p *process) admin() http.Handler {
 	return newAdmin(adminOptions{
-		ready:   p.life.Ready,
+		ready:   p.lifecycle.Ready,
 		status:  p.status,
 		metrics: p.metrics.Handler(),
 	})
 }
 
-// close ends what outlives the parts.
+// close releases the dialer and the metrics.
 func (p *process) close() {
-	_ = p.dialer.Close()  // the process ends
-	_ = p.metrics.Close() // as above
+	_ = p.dialer.Close()  // the process is exiting
+	_ = p.metrics.Close() // the process is exiting
 }
 
-// awaitStop waits for the end of ctx and then for the end of the planned stop. It
-// returns early if the parts end by themselves.
+// awaitStop waits until ctx ends, then runs the planned stop. It returns early if the
+// parts end first.
 func (p *process) awaitStop(ctx, parts context.Context) error {
 	select {
 	case <-ctx.Done():
 	case <-parts.Done():
 		return nil
 	}
-	p.keeper.setDrain(gate.DrainStop, true)
-	if err := p.life.Fire(lifecycle.Stop); err != nil {
+	p.dispatcher.setDrain(gate.DrainStop, true)
+	if err := p.lifecycle.Fire(lifecycle.Stop); err != nil {
 		return err
 	}
-	p.logger.Event(event.ProcessDraining, observe.Fields{"in_flight": p.keeper.pending().unsettled})
+	p.logger.Event(event.ProcessDraining, observe.Fields{"in_flight": p.dispatcher.pending().unsettled})
 	end := lifecycle.Expired
-	if p.awaitEmpty(parts) {
+	if p.awaitIdle(parts) {
 		end = lifecycle.Emptied
 	}
-	return p.life.Fire(end)
+	return p.lifecycle.Fire(end)
 }
 
-// awaitEmpty waits until all attempts have ended and all results are fetched, or
-// until the stop's longest time has passed. It tells whether nothing is left.
-// A result also counts as fetched when its claim holds it.
-func (p *process) awaitEmpty(parts context.Context) bool {
-	limit, cancel := context.WithTimeout(parts, time.Duration(p.settings.Results.StopMS)*time.Millisecond)
+// awaitIdle waits until every attempt has ended and no caller needs a stored result,
+// or until the time limit of the planned stop. It reports whether nothing remains. A
+// result is no longer needed once it is acknowledged or its claim object holds it, or
+// if it was sent completely and its attempt is idempotent.
+func (p *process) awaitIdle(parts context.Context) bool {
+	stopCtx, cancel := context.WithTimeout(parts, time.Duration(p.settings.Results.StopMS)*time.Millisecond)
 	defer cancel()
-	go p.awaitRecords(limit)
-	ticker := time.NewTicker(stopCheck)
+	go p.awaitRecords(stopCtx)
+	ticker := time.NewTicker(stopCheckInterval)
 	defer ticker.Stop()
 	for {
-		left := p.keeper.pending()
-		if left == (pending{}) {
+		remaining := p.dispatcher.pending()
+		if remaining == (pending{}) {
 			linger(parts, p.linger)
 			return true
 		}
 		select {
-		case <-limit.Done():
+		case <-stopCtx.Done():
 			p.logger.Warn(event.StopExpired, observe.Fields{
-				"unsettled":      left.unsettled,
-				"unacknowledged": left.unacknowledged,
-				"readers":        left.readers,
+				"unsettled":      remaining.unsettled,
+				"unacknowledged": remaining.unacknowledged,
+				"readers":        remaining.subscribers,
 			})
 			return false
 		case <-ticker.C:
@@ -223,7 +224,7 @@
 	}
 }
 
-// linger waits for a time, or until ctx ends.
+// linger waits for the given time, or until ctx ends.
 func linger(ctx context.Context, wait time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
--- a/side/process_test.go
+++ b/side/process_test.go
@@ -19,8 +19,8 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// good is a file of settings without optional keys.
-const good = `[process]
+// validSettings is a settings file without optional keys.
+const validSettings = `[process]
 name = "side-u1"
 zone = "z1"
 [listen]
@@ -39,13 +39,13 @@
 
 func TestSettingsAreReadWithTheirDefaults(t *testing.T) {
 	loaded := Defaults()
-	assert.NilError(t, settings.Decode("side.toml", []byte(good), &loaded))
+	assert.NilError(t, settings.Decode("side.toml", []byte(validSettings), &loaded))
 	assert.Equal(t, loaded.Upstream.Kind, config.KindService)
 	assert.Equal(t, loaded.Results.KeepMS, 10_000)
 	assert.Equal(t, loaded.Queue.Discipline, DisciplineFair)
 }
 
-func TestWrongSettingsNameLineAndKey(t *testing.T) {
+func TestErrorsOfInvalidSettingsNameLineAndKey(t *testing.T) {
 	for _, c := range []struct{ old, changed, want string }{
 		{`key = "key"`, `keys = "key"`, "side.toml:10: fleet.keys: unknown key"},
 		{`name = "u1"` + "\n", "", "side.toml:11: upstream.name: missing"},
@@ -55,22 +55,21 @@
 		{"[process]\n", "[queue]\nmax_queued = 0\n[process]\n", "side.toml:2: queue.max_queued: 0 is not within 1 to"},
 		{"[process]\n", "[results]\nkeep_claimed_ms = 60000\n[process]\n", "side.toml:2: results.keep_claimed_ms: 60000 is not within 60001 to"},
 	} {
-		text := strings.Replace(good, c.old, c.changed, 1)
+		text := strings.Replace(validSettings, c.old, c.changed, 1)
 		loaded := Defaults()
 		err := settings.Decode("side.toml", []byte(text), &loaded)
 		assert.ErrorContains(t, err, c.want)
 	}
 }
 
-// upstreamServer is an upstream that speaks HTTP and holds each run until the test
-// lets it end.
-type upstreamServer struct {
+// blockingUpstream is an HTTP upstream that blocks each run until the test releases it.
+type blockingUpstream struct {
 	arrived chan struct{}
 	release chan struct{}
 }
 
 // ServeHTTP implements http.Handler.
-func (u *upstreamServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (u *blockingUpstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/v1/run" {
 		fmt.Fprint(w, `{"capacity":2}`)
 		return
@@ -84,13 +83,13 @@
 	}
 }
 
-// startProcess starts a whole side process before upstream. The returned channel
-// gives the result of its end.
-func startProcess(t *testing.T, ctx context.Context, upstream http.Handler) (*process, *rig, string, chan error) {
+// startProcess starts a whole sidecar process for the upstream. The returned channel
+// receives the result of serve.
+func startProcess(t *testing.T, ctx context.Context, upstream http.Handler) (*process, *harness, string, chan error) {
 	server := httptest.NewServer(upstream)
 	t.Cleanup(server.Close)
 	loaded := Defaults()
-	assert.NilError(t, settings.Decode("side.toml", []byte(good), &loaded))
+	assert.NilError(t, settings.Decode("side.toml", []byte(validSettings), &loaded))
 	loaded.Upstream.URL = server.URL
 	loaded.Platform.Hosts = server.URL
 	loaded.Process.LogLevel = "error"
@@ -101,8 +100,8 @@
 	assert.NilError(t, err)
 	ended := make(chan error, 1)
 	go func() { ended <- p.serve(ctx, open) }()
-	r := &rig{t: t, keeper: p.keeper, dialer: p.dialer, addr: open.fleet.Addr().String()}
-	return p, r, "http://" + open.admin.Addr().String(), ended
+	h := &harness{t: t, dispatcher: p.dispatcher, dialer: p.dialer, addr: open.fleet.Addr().String()}
+	return p, h, "http://" + open.admin.Addr().String(), ended
 }
 
 // get returns the status code of an admin path.
@@ -114,59 +113,59 @@
 	return response.StatusCode
 }
 
-func TestPlannedStopFinishesWhatIsInFlightAndRefusesTheRest(t *testing.T) {
-	upstream := &upstreamServer{arrived: make(chan struct{}, 1), release: make(chan struct{})}
+func TestPlannedStopFinishesWhatIsInFlightAndRefusesNewAttempts(t *testing.T) {
+	upstream := &blockingUpstream{arrived: make(chan struct{}, 1), release: make(chan struct{})}
 	ctx, stop := context.WithCancel(context.Background())
-	p, r, admin, ended := startProcess(t, ctx, upstream)
-	await(t, "it is ready", func() bool { return get(t, admin+"/readyz") == http.StatusOK })
-	own := func() *wirepb.RunRequest {
-		request := r.request()
+	p, h, admin, ended := startProcess(t, ctx, upstream)
+	await(t, "the process is ready", func() bool { return get(t, admin+"/readyz") == http.StatusOK })
+	newRequest := func() *wirepb.RunRequest {
+		request := h.request()
 		request.Key.SideIncarnation = uint64(p.incarnation)
 		return request
 	}
-	held := own()
-	s := r.run(context.Background(), held)
+	first := newRequest()
+	s := h.run(context.Background(), first)
 	<-upstream.arrived
 	stop()
-	await(t, "it is not ready", func() bool { return get(t, admin+"/readyz") == http.StatusServiceUnavailable })
-	await(t, "it drains", func() bool { return p.life.State() == chart.State("draining") })
+	await(t, "the process is not ready", func() bool { return get(t, admin+"/readyz") == http.StatusServiceUnavailable })
+	await(t, "the process drains", func() bool { return p.lifecycle.State() == chart.State("draining") })
 	assert.Equal(t, get(t, admin+"/livez"), http.StatusOK)
-	out := r.read(r.run(context.Background(), own()))
+	out := h.read(h.run(context.Background(), newRequest()))
 	assert.Equal(t, out.refused.GetReason(), wirepb.RefusalReason_REFUSAL_DRAINING)
 	close(upstream.release)
-	assert.DeepEqual(t, r.read(s).chunks, []string{"a"})
+	assert.DeepEqual(t, h.read(s).chunks, []string{"a"})
 	assert.NilError(t, <-ended)
-	assert.Equal(t, p.life.State(), chart.State("stopped"))
+	assert.Equal(t, p.lifecycle.State(), chart.State("stopped"))
 }
 
 func TestStopWaitsForTheAcknowledgementOfAClaimedResult(t *testing.T) {
-	upstream := &upstreamServer{arrived: make(chan struct{}, 1), release: make(chan struct{})}
+	upstream := &blockingUpstream{arrived: make(chan struct{}, 1), release: make(chan struct{})}
 	ctx, stop := context.WithCancel(context.Background())
-	p, r, _, ended := startProcess(t, ctx, upstream)
-	await(t, "it is ready", p.life.Ready)
-	request := r.claimed()
+	p, h, _, ended := startProcess(t, ctx, upstream)
+	await(t, "the process is ready", p.lifecycle.Ready)
+	request := h.claimed()
 	request.Key.SideIncarnation = uint64(p.incarnation)
-	s := r.run(context.Background(), request)
+	s := h.run(context.Background(), request)
 	<-upstream.arrived
 	close(upstream.release)
-	r.read(s)
+	h.read(s)
 	stop()
-	await(t, "it drains", func() bool { return p.life.State() == chart.State("draining") })
-	assert.Equal(t, r.resolve(request).GetState(), wirepb.ResolveState_RESOLVE_DONE)
+	await(t, "the process drains", func() bool { return p.lifecycle.State() == chart.State("draining") })
+	assert.Equal(t, h.resolve(request).GetState(), wirepb.ResolveState_RESOLVE_DONE)
 	select {
 	case err := <-ended:
-		t.Fatal("it did not wait", err)
+		t.Fatal("the stop did not wait for the acknowledgement", err)
 	default:
 	}
-	_, err := r.client().Acknowledge(context.Background(), &wirepb.AcknowledgeRequest{Key: request.GetKey()})
+	_, err := h.client().Acknowledge(context.Background(), &wirepb.AcknowledgeRequest{Key: request.GetKey()})
 	assert.NilError(t, err)
 	assert.NilError(t, <-ended)
 }
 
 func TestStatusAndMetricsAreServed(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
-	_, _, admin, ended := startProcess(t, ctx, &upstreamServer{})
-	await(t, "it is ready", func() bool { return get(t, admin+"/readyz") == http.StatusOK })
+	_, _, admin, ended := startProcess(t, ctx, &blockingUpstream{})
+	await(t, "the process is ready", func() bool { return get(t, admin+"/readyz") == http.StatusOK })
 	response, err := http.Get(admin + "/v1/status")
 	assert.NilError(t, err)
 	defer response.Body.Close()
@@ -190,9 +189,9 @@
 }
 
 func TestPortInUseIsAnError(t *testing.T) {
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	inUse, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	defer taken.Close()
-	_, err = listen(ListenSettings{Fleet: "127.0.0.1:0", Admin: taken.Addr().String()})
+	defer inUse.Close()
+	_, err = listen(ListenSettings{Fleet: "127.0.0.1:0", Admin: inUse.Addr().String()})
 	assert.ErrorContains(t, err, "side.listen")
 }
--- a/side/recorded.go
+++ b/side/recorded.go
@@ -10,22 +10,22 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// Pace of a planned stop's look at the claims of unacknowledged results. An
-// acknowledgement on its way comes before the first look.
+// Limits on how a planned stop checks the claims of unacknowledged results. An
+// acknowledgement in flight arrives before the first check.
 const (
-	recordCheck = time.Second
-	// maxRecordReads bounds the reads of the object API in one look.
+	recordCheckInterval = time.Second
+	// maxRecordReads bounds the reads of the object API in one check.
 	maxRecordReads = 32
 )
 
-// awaitRecords acknowledges results by their claims until ctx ends: once a claim
-// holds the result, nobody asks this side for it, also if the acknowledgement was
-// lost or its sender died before it.
+// awaitRecords acknowledges results by their claims until ctx ends: once a claim holds
+// the result, no caller requests it from this sidecar, even if the acknowledgement was
+// lost or its sender crashed before sending it.
 func (p *process) awaitRecords(ctx context.Context) {
 	if p.settings.Platform.Objects == "" {
 		return
 	}
-	ticker := time.NewTicker(recordCheck)
+	ticker := time.NewTicker(recordCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -33,54 +33,54 @@
 			return
 		case <-ticker.C:
 		}
-		for _, held := range p.keeper.unacknowledged(maxRecordReads) {
-			if recorded(ctx, p.objects, held) {
-				p.keeper.acknowledge(held.key)
+		for _, result := range p.dispatcher.unacknowledged(maxRecordReads) {
+			if isRecorded(ctx, p.objects, result) {
+				p.dispatcher.acknowledge(result.key)
 			}
 		}
 	}
 }
 
-// heldResult is a result that the side keeps, with the claim of its attempt.
-type heldResult struct {
+// unacknowledgedResult is a stored result, with the claim of its attempt.
+type unacknowledgedResult struct {
 	key   core.AttemptKey
 	claim *wirepb.ClaimKey
 }
 
-// recorded tells whether the claim holds the result itself, and not only its
-// digest. While the object API doesn't answer it is not known.
-func recorded(ctx context.Context, store objects.API, held heldResult) bool {
-	object, err := store.Get(ctx, held.claim.GetClaim())
+// isRecorded reports whether the claim holds the result itself, and not only its
+// digest. If the object API fails, it returns false.
+func isRecorded(ctx context.Context, store objects.API, result unacknowledgedResult) bool {
+	object, err := store.Get(ctx, result.claim.GetClaim())
 	if err != nil {
 		return false
 	}
 	record, err := claim.Decode(object.Value)
-	if err != nil || record.State != claim.StateDone || record.Nonce != held.claim.GetNonce() {
+	if err != nil || record.State != claim.StateDone || record.Nonce != result.claim.GetNonce() {
 		return false
 	}
 	return record.Result != nil && !record.Result.Omitted
 }
 
-// unacknowledged returns results of claimed attempts that nobody has acknowledged,
-// at most count of them.
-func (k *keeper) unacknowledged(count int) []heldResult {
-	var found []heldResult
-	k.read(func(time.Duration) {
-		for key, a := range k.attempts {
+// unacknowledged returns at most count results of claimed attempts that are not
+// acknowledged.
+func (d *dispatcher) unacknowledged(count int) []unacknowledgedResult {
+	var found []unacknowledgedResult
+	d.read(func(time.Duration) {
+		for key, a := range d.attempts {
 			if a.claim != nil && !a.acknowledged && a.isDone() && len(found) < count {
-				found = append(found, heldResult{key: key, claim: a.claim})
+				found = append(found, unacknowledgedResult{key: key, claim: a.claim})
 			}
 		}
 	})
 	return found
 }
 
-// acknowledge notes that nobody needs the result of an attempt any longer.
-func (k *keeper) acknowledge(key core.AttemptKey) {
-	k.do(func(now time.Duration) {
-		if a, found := k.attempts[key]; found {
+// acknowledge records that the result of an attempt is no longer needed.
+func (d *dispatcher) acknowledge(key core.AttemptKey) {
+	d.do(func(now time.Duration) {
+		if a, found := d.attempts[key]; found {
 			a.acknowledged = true
 		}
-		k.gate.Acknowledge(now, key)
+		d.gate.Acknowledge(now, key)
 	})
 }
--- a/side/recorded_test.go
+++ b/side/recorded_test.go
@@ -16,7 +16,7 @@
 	"acaciawinch/platform/objects"
 )
 
-// claimStore is an object API that holds one claim once it is set.
+// claimStore is an object API that has no object until set stores the one claim.
 type claimStore struct{ value atomic.Pointer[[]byte] }
 
 // ServeHTTP implements http.Handler.
@@ -30,55 +30,56 @@
 	_, _ = w.Write(*value)
 }
 
-// set sets the claim.
+// set stores the claim.
 func (s *claimStore) set(t *testing.T, record claim.Record) {
 	value, err := record.Encode()
 	assert.NilError(t, err)
 	s.value.Store(&value)
 }
 
-// TestStopDoesNotWaitForALostAcknowledgement stops a side whose caller recorded a
-// result and never acknowledged it.
+// TestStopDoesNotWaitForALostAcknowledgement guards against a planned stop that waits until
+// its time limit for the acknowledgement of a result that the caller has recorded
+// in its claim.
 func TestStopDoesNotWaitForALostAcknowledgement(t *testing.T) {
 	store := &claimStore{}
 	storeServer := httptest.NewServer(store)
 	t.Cleanup(storeServer.Close)
-	upstream := &upstreamServer{arrived: make(chan struct{}, 1), release: make(chan struct{})}
+	upstream := &blockingUpstream{arrived: make(chan struct{}, 1), release: make(chan struct{})}
 	ctx, stop := context.WithCancel(context.Background())
-	p, r, _, ended := startProcess(t, ctx, upstream)
+	p, h, _, ended := startProcess(t, ctx, upstream)
 	p.settings.Platform.Objects = storeServer.URL
 	p.objects = objects.NewClient(storeServer.URL)
-	await(t, "it is ready", p.life.Ready)
-	request := r.claimed()
+	await(t, "the process is ready", p.lifecycle.Ready)
+	request := h.claimed()
 	request.Key.SideIncarnation = uint64(p.incarnation)
-	s := r.run(context.Background(), request)
+	s := h.run(context.Background(), request)
 	<-upstream.arrived
 	close(upstream.release)
-	r.read(s)
+	h.read(s)
 	stop()
-	await(t, "it drains", func() bool { return p.life.State() == chart.State("draining") })
+	await(t, "the process drains", func() bool { return p.lifecycle.State() == chart.State("draining") })
 	store.set(t, claim.Record{State: claim.StateDone, Nonce: request.GetClaim().GetNonce(), Result: &claim.Result{Count: 1}})
 	select {
 	case err := <-ended:
 		assert.NilError(t, err)
 	case <-time.After(waitLimit):
-		t.Fatal("it waits for an acknowledgement that nobody will send")
+		t.Fatal("the stop waits for an acknowledgement that will never be sent")
 	}
-	assert.Equal(t, p.life.State(), chart.State("stopped"))
+	assert.Equal(t, p.lifecycle.State(), chart.State("stopped"))
 }
 
-// TestOnlyARecordedResultNeedsNoSide checks which claims tell that nobody asks the
-// side for a result any longer.
-func TestOnlyARecordedResultNeedsNoSide(t *testing.T) {
-	r := newRig(t, gate.Options{})
-	request := r.claimed()
-	held := heldResult{key: keyOf(request.GetKey()), claim: request.GetClaim()}
+// TestOnlyARecordedResultNeedsNoAcknowledgement checks which claims show that no caller
+// will request the result from the sidecar.
+func TestOnlyARecordedResultNeedsNoAcknowledgement(t *testing.T) {
+	h := newHarness(t, gate.Options{})
+	request := h.claimed()
+	result := unacknowledgedResult{key: keyOf(request.GetKey()), claim: request.GetClaim()}
 	store := &claimStore{}
 	server := httptest.NewServer(store)
 	t.Cleanup(server.Close)
 	client := objects.NewClient(server.URL)
-	assert.Assert(t, !recorded(t.Context(), client, held), "there is no claim")
-	nonce := held.claim.GetNonce()
+	assert.Assert(t, !isRecorded(t.Context(), client, result), "the claim does not exist")
+	nonce := result.claim.GetNonce()
 	for _, c := range []struct {
 		what   string
 		record claim.Record
@@ -90,6 +91,6 @@
 		{"recorded", claim.Record{State: claim.StateDone, Nonce: nonce, Result: &claim.Result{}}, true},
 	} {
 		store.set(t, c.record)
-		assert.Equal(t, recorded(t.Context(), client, held), c.want, c.what)
+		assert.Equal(t, isRecorded(t.Context(), client, result), c.want, c.what)
 	}
 }
--- a/side/refused_test.go
+++ b/side/refused_test.go
@@ -18,7 +18,7 @@
 
 func TestARefusedConnectionIsLogged(t *testing.T) {
 	loaded := Defaults()
-	assert.NilError(t, settings.Decode("side.toml", []byte(good), &loaded))
+	assert.NilError(t, settings.Decode("side.toml", []byte(validSettings), &loaded))
 	p, err := newProcess(loaded)
 	assert.NilError(t, err)
 	defer p.close()
--- a/side/run.go
+++ b/side/run.go
@@ -12,8 +12,8 @@
 	"acaciawinch/observe/lifecycle"
 )
 
-// Run is the side process: it serves until ctx ends, then stops gracefully and
-// returns nil. An error means that it could not start or go on.
+// Run runs a sidecar process until ctx ends, then stops gracefully and returns nil. An
+// error means that the process could not start or had to end.
 func Run(ctx context.Context, settings Settings) error {
 	p, err := newProcess(settings)
 	if err != nil {
@@ -24,16 +24,16 @@
 	if err != nil {
 		return err
 	}
-	who := lifecycle.Identity{
+	identity := lifecycle.Identity{
 		Role:        fleet.RoleUpstream,
 		Name:        settings.Process.Name,
 		Zone:        settings.Process.Zone,
 		Incarnation: p.incarnation,
 	}
-	return p.life.Log(p.logger, who, func() error { return p.serve(ctx, listeners) })
+	return p.lifecycle.Log(p.logger, identity, func() error { return p.serve(ctx, listeners) })
 }
 
-// listeners are the process's open listeners.
+// listeners are the open listeners of a process.
 type listeners struct {
 	fleet net.Listener
 	admin net.Listener
@@ -48,40 +48,41 @@
 	}
 	adminListener, err := net.Listen("tcp", settings.Admin)
 	if err != nil {
-		_ = fleetListener.Close() // the error that is returned tells more
+		_ = fleetListener.Close() // the listen error is returned
 		return listeners{}, fault.Wrap(fault.Unavailable, step, settings.Admin, err)
 	}
 	return listeners{fleet: fleetListener, admin: adminListener}, nil
 }
 
-// serve runs all parts until ctx ends and the planned stop is over. The parts live
-// on their own context: while the process drains, it still answers.
+// serve runs all parts until ctx ends and the planned stop is over. The parts have a
+// context of their own, because the process still serves calls while it drains.
 func (p *process) serve(ctx context.Context, open listeners) error {
-	if err := p.life.Fire(lifecycle.Opened); err != nil {
+	if err := p.lifecycle.Fire(lifecycle.Opened); err != nil {
 		return err
 	}
-	base, end := context.WithCancel(context.WithoutCancel(ctx))
-	defer end()
+	base, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
 	group, parts := errgroup.WithContext(base)
 	group.Go(func() error { return unlessDone(parts, p.rpc.Serve(parts, open.fleet)) })
 	group.Go(func() error { return serveAdmin(parts, p.admin(), open.admin) })
-	group.Go(func() error { return p.keeper.run(parts) })
-	group.Go(func() error { return p.keeper.watchReports(parts, p.synced) })
+	group.Go(func() error { return p.dispatcher.run(parts) })
+	group.Go(func() error { return p.dispatcher.pollReports(parts, p.synced) })
 	group.Go(func() error { return unlessDone(parts, p.feed.Run(parts)) })
-	group.Go(func() error { return watchFleet(parts, p.feed, p.keeper, p.orders) })
+	group.Go(func() error { return watchFleet(parts, p.feed, p.dispatcher, p.reconciler) })
 	group.Go(func() error { return p.meter.run(parts) })
-	if p.orders != nil {
-		group.Go(func() error { return p.orders.run(parts) })
-		group.Go(func() error { return p.keeper.watchCache(parts) })
+	if p.reconciler != nil {
+		group.Go(func() error { return p.reconciler.run(parts) })
+		group.Go(func() error { return p.dispatcher.pollCacheEvents(parts) })
 	}
 	group.Go(func() error {
-		defer end()
+		defer cancel()
 		return p.awaitStop(ctx, parts)
 	})
 	return group.Wait()
 }
 
-// unlessDone returns err, or nil if ctx has ended: what breaks then was ended.
+// unlessDone returns err, or nil if ctx has ended: errors after that come from the
+// shutdown itself.
 func unlessDone(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
@@ -92,7 +93,7 @@
 // serveAdmin serves the admin paths until ctx ends.
 func serveAdmin(ctx context.Context, handler http.Handler, listener net.Listener) error {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: adminHeaderTimeout}
-	stop := context.AfterFunc(ctx, func() { _ = server.Close() }) // what is open is cut
+	stop := context.AfterFunc(ctx, func() { _ = server.Close() }) // open connections are closed at once
 	defer stop()
 	return unlessDone(ctx, server.Serve(listener))
 }
--- a/side/server.go
+++ b/side/server.go
@@ -12,14 +12,14 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// server is the drpc Side service.
+// server implements the drpc Side service.
 type server struct {
-	keeper        *keeper
+	dispatcher    *dispatcher
 	incarnation   core.Incarnation
 	maxInputBytes int
-	// revision returns the configuration revision that the side knows of.
+	// revision returns the latest configuration revision that the sidecar has.
 	revision func() core.Revision
-	// noteRevision is told the revision of each message.
+	// noteRevision receives the revision that each message carries.
 	noteRevision func(core.Revision)
 }
 
@@ -30,11 +30,11 @@
 		Incarnation: uint64(s.incarnation),
 		Revision:    uint64(s.revision()),
 	}
-	s.keeper.read(func(now time.Duration) {
+	s.dispatcher.read(func(now time.Duration) {
 		reply.SideClockUs = uint64(now.Microseconds())
-		reply.Load = s.keeper.load(now)
-		reply.PrefixCached = s.keeper.prefixes.Has(request.GetPrefixHash())
-		reply.WaitUs = uint64(s.keeper.gate.Wait(now, request.GetWorkspace(), int(request.GetPriority())).Microseconds())
+		reply.Load = s.dispatcher.load(now)
+		reply.PrefixCached = s.dispatcher.prefixes.Has(request.GetPrefixHash())
+		reply.WaitUs = uint64(s.dispatcher.gate.Wait(now, request.GetWorkspace(), int(request.GetPriority())).Microseconds())
 	})
 	return reply, nil
 }
@@ -43,175 +43,176 @@
 func (s *server) Run(request *wirepb.RunRequest, stream wirepb.DRPCSide_RunStream) error {
 	s.noteRevision(core.Revision(request.GetRevision()))
 	key := keyOf(request.GetKey())
-	if detail := s.check(request); detail != "" {
+	if detail := s.validateRun(request); detail != "" {
 		return stream.Send(refusedEvent(key, &wirepb.Refused{
 			Reason: wirepb.RefusalReason_REFUSAL_INVALID,
 			Detail: detail,
 		}))
 	}
-	a, closing := s.keeper.submit(request)
-	if closing != nil {
-		return stream.Send(closing)
+	a, closingEvent := s.dispatcher.submit(request)
+	if closingEvent != nil {
+		return stream.Send(closingEvent)
 	}
-	return s.keeper.deliver(stream.Context(), &reader{attempt: a, send: stream.Send})
+	return s.dispatcher.deliver(stream.Context(), &subscriber{attempt: a, send: stream.Send})
 }
 
-// check returns what is wrong with a Run message, or "". Nothing is remembered of
-// a wrong message, since the same message is wrong again.
-func (s *server) check(request *wirepb.RunRequest) string {
+// validateRun returns why a Run message is invalid, or "". Invalid messages leave no
+// state behind, because the same message is rejected again when it is resent.
+func (s *server) validateRun(request *wirepb.RunRequest) string {
 	size := len(request.GetInput())
 	for _, chunk := range request.GetResume() {
 		size += len(chunk)
 	}
 	switch {
 	case request.GetKey().GetRequestId() == "" || request.GetKey().GetStage() == "":
-		return "the attempt has no name"
+		return "the attempt key lacks the request id or the stage"
 	case size > s.maxInputBytes:
-		return "the input is too large"
+		return "the input exceeds the size limit"
 	}
 	return ""
 }
 
-// submit asks the gate about an attempt. It returns the attempt to follow, or the
+// submit passes an attempt to the gate. It returns the attempt to follow, or the
 // event that ends the call.
-func (k *keeper) submit(request *wirepb.RunRequest) (a *attempt, closing *wirepb.RunEvent) {
-	ask := askOf(request, k.options.engine)
-	k.do(func(now time.Duration) {
-		d := k.gate.Submit(now, ask)
-		k.logDecision(request, ask, d)
-		if d.Verdict == gate.Admitted {
-			k.attempts[ask.Key] = newAttempt(ask.Key, callOf(ask.Key, request), request.GetClaim())
+func (d *dispatcher) submit(request *wirepb.RunRequest) (a *attempt, closingEvent *wirepb.RunEvent) {
+	submission := submissionOf(request, d.options.engine)
+	d.do(func(now time.Duration) {
+		decision := d.gate.Submit(now, submission)
+		d.logDecision(request, submission, decision)
+		if decision.Verdict == gate.Admitted {
+			d.attempts[submission.Key] = newAttempt(submission.Key, callOf(submission.Key, request), request.GetClaim())
 		}
-		a, closing = k.join(now, ask.Key, d)
+		a, closingEvent = d.subscribe(now, submission.Key, decision)
 	})
-	return a, closing
+	return a, closingEvent
 }
 
-// join makes the caller a reader of the attempt if the decision allows it, else
-// it returns the event that ends the call. The caller holds the mutex.
-func (k *keeper) join(now time.Duration, key core.AttemptKey, d gate.Decision) (*attempt, *wirepb.RunEvent) {
-	switch d.Verdict {
+// subscribe registers the caller as a subscriber of the attempt if the decision
+// allows it; otherwise it returns the event that ends the call. The mutex must be
+// held.
+func (d *dispatcher) subscribe(now time.Duration, key core.AttemptKey, decision gate.Decision) (*attempt, *wirepb.RunEvent) {
+	switch decision.Verdict {
 	case gate.Admitted, gate.Attached:
-		k.gate.Watch(key)
-		k.readers++
-		return k.attempts[key], nil
+		d.gate.Watch(key)
+		d.subscribers++
+		return d.attempts[key], nil
 	case gate.Refused:
 		return nil, refusedEvent(key, &wirepb.Refused{
-			Reason:       reasonMessages[d.Reason],
-			RetryAfterMs: milliseconds(d.RetryAfter),
-			Load:         k.load(now),
-			Detail:       d.Detail,
+			Reason:       refusalReasons[decision.Reason],
+			RetryAfterMs: milliseconds(decision.RetryAfter),
+			Load:         d.load(now),
+			Detail:       decision.Detail,
 		})
 	}
-	return nil, failedEvent(key, &wirepb.Failed{Detail: d.Detail, MayHaveRun: true, Load: k.load(now)})
+	return nil, failedEvent(key, &wirepb.Failed{Detail: decision.Detail, MayHaveRun: true, Load: d.load(now)})
 }
 
-// deliver sends the attempt's events to its reader and tells the gate when the
-// reader leaves.
-func (k *keeper) deliver(ctx context.Context, r *reader) error {
-	err := r.follow(ctx)
-	k.do(func(now time.Duration) {
-		k.gate.Unwatch(now, r.attempt.key, err == nil)
-		k.readers--
+// deliver sends the attempt's events to the subscriber. When the stream
+// ends, deliver tells the gate whether the closing event was sent.
+func (d *dispatcher) deliver(ctx context.Context, s *subscriber) error {
+	err := s.follow(ctx)
+	d.do(func(now time.Duration) {
+		d.gate.Unwatch(now, s.attempt.key, err == nil)
+		d.subscribers--
 	})
 	return err
 }
 
 // Attach implements wirepb.DRPCSideServer.
 func (s *server) Attach(request *wirepb.AttachRequest, stream wirepb.DRPCSide_AttachStream) error {
-	k := s.keeper
+	d := s.dispatcher
 	key := keyOf(request.GetKey())
 	var a *attempt
-	var closing *wirepb.RunEvent
-	k.do(func(now time.Duration) {
-		d := k.gate.Attach(now, key)
-		k.logFollow(key, callAttach, d, attemptFields(key))
-		a, closing = k.join(now, key, d)
+	var closingEvent *wirepb.RunEvent
+	d.do(func(now time.Duration) {
+		decision := d.gate.Attach(now, key)
+		d.logNotAdmitted(key, callAttach, decision, attemptFields(key))
+		a, closingEvent = d.subscribe(now, key, decision)
 	})
-	if closing != nil {
-		return stream.Send(closing)
+	if closingEvent != nil {
+		return stream.Send(closingEvent)
 	}
-	return k.deliver(stream.Context(), &reader{attempt: a, send: stream.Send, next: request.GetFromChunk()})
+	return d.deliver(stream.Context(), &subscriber{attempt: a, send: stream.Send, next: request.GetFromChunk()})
 }
 
 // Cancel implements wirepb.DRPCSideServer.
 func (s *server) Cancel(_ context.Context, request *wirepb.CancelRequest) (*wirepb.CancelReply, error) {
-	k := s.keeper
+	d := s.dispatcher
 	reply := &wirepb.CancelReply{}
-	k.do(func(now time.Duration) {
-		reply.Started = k.gate.Cancel(now, keyOf(request.GetKey()), causes[request.GetReason()])
+	d.do(func(now time.Duration) {
+		reply.Started = d.gate.Cancel(now, keyOf(request.GetKey()), cancelCauses[request.GetReason()])
 	})
 	return reply, nil
 }
 
 // Acknowledge implements wirepb.DRPCSideServer.
 func (s *server) Acknowledge(_ context.Context, request *wirepb.AcknowledgeRequest) (*wirepb.AcknowledgeReply, error) {
-	s.keeper.acknowledge(keyOf(request.GetKey()))
+	s.dispatcher.acknowledge(keyOf(request.GetKey()))
 	return &wirepb.AcknowledgeReply{}, nil
 }
 
 // Resolve implements wirepb.DRPCSideServer.
 func (s *server) Resolve(_ context.Context, request *wirepb.ResolveRequest) (*wirepb.ResolveReply, error) {
-	k := s.keeper
+	d := s.dispatcher
 	key := keyOf(request.GetKey())
 	reply := &wirepb.ResolveReply{Incarnation: uint64(s.incarnation)}
 	ticket := ticketOf(request.GetClaim())
 	if ticket == nil {
 		reply.State = wirepb.ResolveState_RESOLVE_GONE
-		reply.Detail = "the message names no claim"
+		reply.Detail = "the request carries no claim"
 		return reply, nil
 	}
-	k.do(func(now time.Duration) {
-		state, detail := k.gate.Resolve(now, key, *ticket)
-		reply.State = states[state]
+	d.do(func(now time.Duration) {
+		state, detail := d.gate.Resolve(now, key, *ticket)
+		reply.State = resolveStates[state]
 		reply.Detail = detail
 		if state == gate.StateDone {
-			reply.Chunks, reply.Digest = k.attempts[key].output()
+			reply.Chunks, reply.Digest = d.attempts[key].output()
 		}
-		k.logResolve(key, request.GetClaim().GetClaim(), reply.State, detail)
+		d.logResolve(key, request.GetClaim().GetClaim(), reply.State, detail)
 	})
 	return reply, nil
 }
 
 // Drain implements wirepb.DRPCSideServer.
 func (s *server) Drain(_ context.Context, request *wirepb.DrainRequest) (*wirepb.DrainReply, error) {
-	k := s.keeper
-	k.setDrain(gate.DrainCall, !request.GetResume())
+	d := s.dispatcher
+	d.setDrain(gate.DrainCall, !request.GetResume())
 	reply := &wirepb.DrainReply{}
-	k.read(func(now time.Duration) {
-		load := k.gate.Load(now)
+	d.read(func(now time.Duration) {
+		load := d.gate.Load(now)
 		reply.Queued = uint32(load.Queued)
 		reply.InFlight = uint32(load.InFlight)
 	})
 	return reply, nil
 }
 
-// setDrain tells the gate what a source of drains wants, and logs a change.
-func (k *keeper) setDrain(source gate.DrainSource, on bool) {
-	k.do(func(now time.Duration) {
-		if !k.gate.SetDrain(now, source, on) {
+// setDrain turns the drain of one source on or off at the gate, and logs a change.
+func (d *dispatcher) setDrain(source gate.DrainSource, on bool) {
+	d.do(func(now time.Duration) {
+		if !d.gate.SetDrain(now, source, on) {
 			return
 		}
-		k.logDrain(now, source, on)
+		d.logDrain(now, source, on)
 	})
 }
 
-// logDrain logs the change of one source. The caller holds the mutex.
-func (k *keeper) logDrain(now time.Duration, source gate.DrainSource, on bool) {
+// logDrain logs that a source started or ended its drain. The mutex must be held.
+func (d *dispatcher) logDrain(now time.Duration, source gate.DrainSource, on bool) {
 	fields := observe.Fields{
-		"upstream": string(k.options.upstream),
+		"upstream": string(d.options.upstream),
 		"source":   string(source),
-		"sources":  k.gate.DrainSources(),
+		"sources":  d.gate.DrainSources(),
 	}
 	if !on {
-		k.log(event.DrainEnded, fields)
+		d.log(event.DrainEnded, fields)
 		return
 	}
-	load := k.gate.Load(now)
-	k.log(event.DrainBegan, with(fields, observe.Fields{"queued": load.Queued, "in_flight": load.InFlight}))
+	load := d.gate.Load(now)
+	d.log(event.DrainBegan, mergeFields(fields, observe.Fields{"queued": load.Queued, "in_flight": load.InFlight}))
 }
 
-// modelMessage returns the message of a "model@version".
+// modelMessage converts a "model@version" to its message.
 func modelMessage(name string) *wirepb.LoadedModel {
 	model, version, _ := strings.Cut(name, "@")
 	return &wirepb.LoadedModel{Model: model, Version: version}
--- a/side/settings.go
+++ b/side/settings.go
@@ -12,7 +12,7 @@
 	"acaciawinch/settings"
 )
 
-// Settings are a side process's TOML settings.
+// Settings are the TOML settings of a sidecar process.
 type Settings struct {
 	Process  ProcessSettings  `toml:"process"`
 	Listen   ListenSettings   `toml:"listen"`
@@ -23,7 +23,7 @@
 	Results  ResultSettings   `toml:"results"`
 }
 
-// ProcessSettings name the process and its place.
+// ProcessSettings identify the process and its location.
 type ProcessSettings struct {
 	Name     string `toml:"name" required:"true"`
 	Zone     string `toml:"zone" required:"true"`
@@ -39,12 +39,13 @@
 
 // PlatformSettings are the base URLs of the platform's services.
 type PlatformSettings struct {
-	// Objects may be empty: a side learns the fleet's state from the entries.
+	// Objects may be empty, since a sidecar receives the fleet's state from the entries.
+	// Without the object API, a planned stop can't find recorded results by their claims.
 	Objects string `toml:"objects"`
 	Hosts   string `toml:"hosts" required:"true"`
 }
 
-// FleetSettings hold what all processes of the fleet share.
+// FleetSettings are shared by all processes of the fleet.
 type FleetSettings struct {
 	Key string `toml:"key" required:"true"`
 }
@@ -56,17 +57,17 @@
 	Service string           `toml:"service" required:"true"`
 	Kind    config.StageKind `toml:"kind" required:"true"`
 	URL     string           `toml:"url" required:"true"`
-	// Capacity is how many attempts the upstream runs at once; zero takes the
-	// upstream's own report.
+	// Capacity is how many attempts the upstream runs concurrently; zero uses the
+	// capacity that the upstream reports.
 	Capacity int `toml:"capacity"`
 }
 
-// The disciplines of the queue.
+// Queue disciplines.
 const (
-	// DisciplineFair is the gate's own: see package core/gate.
+	// DisciplineFair is weighted fair queueing as described in package core/gate.
 	DisciplineFair = "fair"
-	// DisciplineFIFO serves all in order of arrival, without bound or admission by
-	// deadline: a baseline for measurements.
+	// DisciplineFIFO serves attempts in order of arrival, with no bound on the queue
+	// and no admission by deadline: a baseline for measurements.
 	DisciplineFIFO = "fifo"
 )
 
@@ -74,7 +75,7 @@
 type QueueSettings struct {
 	// Discipline is fair or fifo.
 	Discipline string `toml:"discipline"`
-	// MaxQueued bounds the attempts that wait.
+	// MaxQueued bounds the waiting attempts.
 	MaxQueued int `toml:"max_queued"`
 	// MaxInputBytes bounds the input of one attempt.
 	MaxInputBytes int `toml:"max_input_bytes"`
@@ -82,23 +83,23 @@
 	MaxOutputBytes int `toml:"max_output_bytes"`
 }
 
-// ResultSettings bound what is kept of finished attempts.
+// ResultSettings bound the state that is stored of finished attempts.
 type ResultSettings struct {
-	// KeepMS is how long a result of an idempotent attempt waits for its
-	// acknowledgement, in milliseconds.
+	// KeepMS is how long the result of an idempotent attempt is stored while its
+	// acknowledgement is outstanding, in milliseconds.
 	KeepMS int `toml:"keep_ms"`
-	// KeepClaimedMS is the same for a claimed attempt. It must be longer than the
-	// ticket lifetime.
+	// KeepClaimedMS is the same for a claimed attempt. It must exceed the ticket
+	// lifetime.
 	KeepClaimedMS int `toml:"keep_claimed_ms"`
-	// MaxClaimed bounds the claimed attempts and tombstones that are remembered.
+	// MaxClaimed bounds the claimed attempts and tombstones that are stored.
 	MaxClaimed int `toml:"max_claimed"`
-	// GraceMS is how long an attempt without any reader goes on.
+	// GraceMS is how long an attempt continues without a subscriber, in milliseconds.
 	GraceMS int `toml:"grace_ms"`
-	// StopMS bounds a planned stop.
+	// StopMS bounds the duration of a planned stop, in milliseconds.
 	StopMS int `toml:"stop_ms"`
 }
 
-// Defaults of the settings.
+// Default values of the settings.
 const (
 	defaultLogLevel      = "info"
 	defaultMaxQueued     = 256
@@ -111,7 +112,7 @@
 	defaultStop          = 20 * time.Second
 )
 
-// Defaults returns settings with every optional value filled in.
+// Defaults returns settings in which every optional value has its default.
 func Defaults() Settings {
 	return Settings{
 		Process: ProcessSettings{LogLevel: defaultLogLevel},
@@ -131,7 +132,7 @@
 	}
 }
 
-// The ranges of the settings.
+// Upper bounds of the settings.
 const (
 	maxCapacity    = 100_000
 	maxQueuedLimit = 100_000
@@ -206,7 +207,7 @@
 	return nil
 }
 
-// checkRange checks that value lies between low and high, both included.
+// checkRange checks that value is between low and high, inclusive.
 func checkRange(key string, value, low, high int) error {
 	if value < low || value > high {
 		return settings.Invalid(key, "%d is not within %d to %d", value, low, high)
