--- a/standin/faults/change.go
+++ b/standin/faults/change.go
@@ -83,7 +83,7 @@
 	}
 	s.operation = s.Site.operate(ctx, "apply", s.Site.files[configSecond])
 	select {
-	case <-held.Hit():
+	case <-held.Stopped():
 	case <-s.operation.done:
 		t.end()
 		return fmt.Errorf("the change ended before its head was written: %s", s.operation.said)
--- a/standin/faults/faultlist.go
+++ b/standin/faults/faultlist.go
@@ -140,7 +140,7 @@
 		{Name: "answer late", Touch: touchLink, InRequest: true, HoldOn: true, Excludes: onlyAnswers, inject: none, heal: none},
 		{Name: "answers out of order", Harmless: true, Touch: touchLink, Excludes: onlyAnswers,
 			prepare: tamper(tap.Swapped), inject: none, heal: untamper},
-		{Name: "answers twice", Harmless: true, Excludes: onlyAnswers, prepare: tamper(tap.Twice), inject: none, heal: untamper},
+		{Name: "answers twice", Harmless: true, Excludes: onlyAnswers, prepare: tamper(tap.Duplicated), inject: none, heal: untamper},
 		{Name: "another request's answers", Harmless: true, Excludes: onlyAnswers, prepare: tamper(tap.Foreign), inject: none, heal: untamper},
 		{Name: "dispatch late", Touch: touchLink, InRequest: true, HoldOn: true, Excludes: onlyDispatch, inject: none, heal: none},
 		{Name: "dispatch three times", Harmless: true, Excludes: onlyDispatch, prepare: replay, inject: none, heal: untamper},
--- a/standin/faults/hold/hold.go
+++ b/standin/faults/hold/hold.go
@@ -1,80 +1,81 @@
-// Package hold stops messages on their way, so that a trial can do something at
-// an exact point of a protocol and then let the message go on.
+// Package hold stops messages in transit, so that a test can act at an exact point of a
+// protocol and then let the message continue. A Gate stands on the path of the messages;
+// a Hold stops one of them.
 package hold
 
 import "sync"
 
-// Board holds messages of type M. It may be used by many goroutines.
-type Board[M any] struct {
+// Gate stops messages of type M. It is safe for concurrent use.
+type Gate[M any] struct {
 	mu     sync.Mutex
 	holds  []*Hold[M]
 	closed chan struct{}
 }
 
-// NewBoard returns a board that holds nothing.
-func NewBoard[M any]() *Board[M] {
-	return &Board[M]{closed: make(chan struct{})}
+// NewGate returns a gate without holds.
+func NewGate[M any]() *Gate[M] {
+	return &Gate[M]{closed: make(chan struct{})}
 }
 
-// Hold is a wish to stop the first message that matches.
+// Hold stops the first message that matches.
 type Hold[M any] struct {
-	match func(M) bool
-	taken bool
-	hit   chan M
-	open  chan struct{}
-	once  sync.Once
+	match       func(M) bool
+	matched     bool
+	stopped     chan M
+	released    chan struct{}
+	releaseOnce sync.Once
 }
 
-// Hold stops the first message that matches until Release. Later ones pass.
-func (b *Board[M]) Hold(match func(M) bool) *Hold[M] {
-	h := &Hold[M]{match: match, hit: make(chan M, 1), open: make(chan struct{})}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.holds = append(b.holds, h)
+// Hold stops the first message that matches until Release. Later matches pass.
+func (g *Gate[M]) Hold(match func(M) bool) *Hold[M] {
+	h := &Hold[M]{match: match, stopped: make(chan M, 1), released: make(chan struct{})}
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.holds = append(g.holds, h)
 	return h
 }
 
-// Hit receives the message once it is stopped.
-func (h *Hold[M]) Hit() <-chan M { return h.hit }
+// Stopped returns a channel that receives the message once it is stopped.
+func (h *Hold[M]) Stopped() <-chan M { return h.stopped }
 
-// Release lets the message go on, or lets it pass if it has not come yet.
-func (h *Hold[M]) Release() { h.once.Do(func() { close(h.open) }) }
+// Release lets the message continue, or pass if it has not arrived yet.
+func (h *Hold[M]) Release() { h.releaseOnce.Do(func() { close(h.released) }) }
 
-// Pass returns when the message may go on. A message that nobody holds goes on
-// at once. It does not end with the sender's connection: a network, too, may
-// deliver what its sender has long given up.
-func (b *Board[M]) Pass(message M) {
-	h := b.take(message)
+// Pass returns once the message may continue, which is at once if no hold matches it.
+// Pass does not end with the sender's connection: a network may also deliver messages
+// whose sender gave up long ago.
+func (g *Gate[M]) Pass(message M) {
+	h := g.match(message)
 	if h == nil {
 		return
 	}
-	h.hit <- message
+	h.stopped <- message
 	select {
-	case <-h.open:
-	case <-b.closed:
+	case <-h.released:
+	case <-g.closed:
 	}
 }
 
-// take returns the hold that the message meets, if any.
-func (b *Board[M]) take(message M) *Hold[M] {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, h := range b.holds {
-		if !h.taken && h.match(message) {
-			h.taken = true
+// match returns the hold that stops the message, or nil.
+func (g *Gate[M]) match(message M) *Hold[M] {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for _, h := range g.holds {
+		if !h.matched && h.match(message) {
+			h.matched = true
 			return h
 		}
 	}
 	return nil
 }
 
-// Close lets all messages go on.
-func (b *Board[M]) Close() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Close releases all messages, present and future.
+func (g *Gate[M]) Close() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	select {
-	case <-b.closed:
+	case <-g.closed:
 	default:
-		close(b.closed)
+		close(g.closed)
 	}
 }
--- a/standin/faults/hold/hold_test.go
+++ b/standin/faults/hold/hold_test.go
@@ -9,33 +9,33 @@
 )
 
 func TestHoldsTheFirstMatchOnly(t *testing.T) {
-	board := hold.NewBoard[int]()
-	even := board.Hold(func(n int) bool { return n%2 == 0 })
+	gate := hold.NewGate[int]()
+	even := gate.Hold(func(n int) bool { return n%2 == 0 })
 	passed := make(chan int)
 	pass := func(n int) {
-		board.Pass(n)
+		gate.Pass(n)
 		passed <- n
 	}
 	go pass(1)
 	assert.Equal(t, <-passed, 1)
 	go pass(2)
-	assert.Equal(t, <-even.Hit(), 2)
+	assert.Equal(t, <-even.Stopped(), 2)
 	go pass(4)
-	assert.Equal(t, <-passed, 4, "the second match passes while the first is held")
+	assert.Equal(t, <-passed, 4, "the second match was stopped although the hold had its message")
 	even.Release()
 	assert.Equal(t, <-passed, 2)
 }
 
-func TestCloseLetsAllGo(t *testing.T) {
-	board := hold.NewBoard[int]()
-	first := board.Hold(func(int) bool { return true })
+func TestCloseReleasesAllMessages(t *testing.T) {
+	gate := hold.NewGate[int]()
+	first := gate.Hold(func(int) bool { return true })
 	passed := make(chan struct{})
 	go func() {
-		board.Pass(1)
+		gate.Pass(1)
 		close(passed)
 	}()
-	<-first.Hit()
-	board.Close()
+	<-first.Stopped()
+	gate.Close()
 	<-passed
-	board.Close()
+	gate.Close()
 }
--- a/standin/faults/placement.go
+++ b/standin/faults/placement.go
@@ -41,7 +41,7 @@
 // happens. In the end the engines must hold it and requests be answered, and no
 // engine may have obeyed an old order, though they don't check.
 func playPlacement(ctx context.Context, s *Scene, f Fault, report *Report) error {
-	if err := await(ctx, firstPlanLimit, s.Site.firstPlan.Hit()); err != nil {
+	if err := await(ctx, firstPlanLimit, s.Site.firstPlan.Stopped()); err != nil {
 		return fmt.Errorf("no first plan: %w", err)
 	}
 	held := s.Site.Store.Hold(func(m storetap.Message) bool {
@@ -51,7 +51,7 @@
 	if _, err := s.Site.Fleet.Accept(ctx, s.Site.files[configFourth]); err != nil {
 		return err
 	}
-	if err := s.reachPlacement(ctx, held.Hit()); err != nil {
+	if err := s.reachPlacement(ctx, held.Stopped()); err != nil {
 		return err
 	}
 	if err := s.inject(ctx, f); err != nil {
@@ -121,7 +121,7 @@
 	}
 	written := s.Site.Store.Hold(func(m storetap.Message) bool { return planWritten(m) && m.Process != s.Entry.Name })
 	written.Release()
-	if err := await(ctx, convergeLimit, written.Hit()); err != nil {
+	if err := await(ctx, convergeLimit, written.Stopped()); err != nil {
 		return fmt.Errorf("no other entry writes a plan: %w", err)
 	}
 	return nil
--- a/standin/faults/removal.go
+++ b/standin/faults/removal.go
@@ -83,7 +83,7 @@
 	defer cancel()
 	var call storetap.Message
 	select {
-	case call = <-held.Hit():
+	case call = <-held.Stopped():
 		for _, entry := range s.Site.Fleet.Entries {
 			if entry.Name == call.Process {
 				s.Entry = entry
@@ -118,7 +118,7 @@
 	answered.Release()
 	held.Release()
 	// Without an answer the fault has prevented it.
-	_ = await(ctx, callLimit, answered.Hit())
+	_ = await(ctx, callLimit, answered.Stopped())
 }
 
 // afterRemoval starts the entries afresh, waits until the removal has come to its
--- a/standin/faults/sabotage_test.go
+++ b/standin/faults/sabotage_test.go
@@ -36,10 +36,10 @@
 }
 
 // meddling returns a preparation that meddles with the Runs of a stage.
-func meddling(stage string, meddle tap.Meddle) func(context.Context, *Scene) error {
+func meddling(stage string, meddle tap.RunRewrite) func(context.Context, *Scene) error {
 	return func(_ context.Context, s *Scene) error {
 		for _, u := range s.Site.Fleet.Service(services[stage]) {
-			s.Site.taps[u.Name].Meddle(meddle)
+			s.Site.taps[u.Name].RewriteRuns(meddle)
 		}
 		return nil
 	}
--- a/standin/faults/site.go
+++ b/standin/faults/site.go
@@ -81,8 +81,8 @@
 	Fleet *harness.Fleet
 	// Sides holds the messages of all entries to all sides, Store the calls of
 	// all processes to the object API.
-	Sides *tap.Board
-	Store *storetap.Board
+	Sides *tap.Gate
+	Store *storetap.Gate
 
 	// taps and storeTaps are those of the present processes; closers end all.
 	taps      map[string]*tap.Tap
@@ -127,8 +127,8 @@
 // newSite starts a deployment with the first configuration in force.
 func newSite(ctx context.Context, o siteOptions) (*Site, error) {
 	s := &Site{
-		Sides:        hold.NewBoard[tap.Message](),
-		Store:        hold.NewBoard[storetap.Message](),
+		Sides:        hold.NewGate[tap.Message](),
+		Store:        hold.NewGate[storetap.Message](),
 		taps:         map[string]*tap.Tap{},
 		storeTaps:    map[string]*storetap.Tap{},
 		controls:     map[string]upstream.Control{},
--- a/standin/faults/step.go
+++ b/standin/faults/step.go
@@ -138,10 +138,10 @@
 		return &armed{
 			reached: func(ctx context.Context, p *pending) (string, error) {
 				select {
-				case m := <-h.Hit():
+				case m := <-h.Stopped():
 					return m.Upstream, nil
 				case <-p.done:
-					return awaitAfterEnd(ctx, p, point, h.Hit())
+					return awaitAfterEnd(ctx, p, point, h.Stopped())
 				case <-ctx.Done():
 					return "", ctx.Err()
 				}
@@ -228,7 +228,7 @@
 		return &armed{
 			reached: func(ctx context.Context, p *pending) (string, error) {
 				select {
-				case m := <-h.Hit():
+				case m := <-h.Stopped():
 					var record claim.Record
 					err := json.Unmarshal(m.Body, &record)
 					return string(record.Target.Upstream), err
@@ -255,7 +255,7 @@
 		return &armed{
 			reached: func(ctx context.Context, p *pending) (string, error) {
 				select {
-				case m := <-h.Hit():
+				case m := <-h.Stopped():
 					return m.Upstream, s.stopEngine(ctx, p, digest, count)
 				case <-p.done:
 					return "", ended(p)
--- a/standin/faults/storetap/addresses.go
+++ b/standin/faults/storetap/addresses.go
@@ -6,21 +6,21 @@
 	"acaciawinch/standin/hostlist"
 )
 
-// addresses are the hosts that the process reaches at other addresses than their
-// own, which a trial with relays between zones brings about.
+// addresses maps the hosts that the process reaches at addresses other than their own,
+// as it does in tests with relays between zones.
 type addresses struct {
 	view hostlist.View
 }
 
-// Rewrite lets the process read and write addresses as its zone sees them, and
-// the store hold the hosts' own: a claim names the address of its side.
+// Rewrite makes the process see the addresses of its zone while the store holds the
+// hosts' own: a claim names the address of its sidecar.
 func (t *Tap) Rewrite(view hostlist.View) { t.addresses.Store(&addresses{view}) }
 
-// quoted returns an address as it stands in JSON.
+// quoted returns an address as it appears in JSON.
 func quoted(address string) []byte { return []byte(`"` + address + `"`) }
 
-// written returns a value that the process writes with the hosts' own addresses.
-func (t *Tap) written(value []byte) []byte {
+// toStore returns a value that the process writes, with the hosts' own addresses.
+func (t *Tap) toStore(value []byte) []byte {
 	a := t.addresses.Load()
 	if a == nil {
 		return value
@@ -31,8 +31,8 @@
 	return value
 }
 
-// read returns a value that the process reads with the addresses of its zone.
-func (t *Tap) read(value []byte) []byte {
+// fromStore returns a value that the process reads, with the addresses of its zone.
+func (t *Tap) fromStore(value []byte) []byte {
 	a := t.addresses.Load()
 	if a == nil {
 		return value
--- a/standin/faults/storetap/addresses_test.go
+++ b/standin/faults/storetap/addresses_test.go
@@ -11,9 +11,9 @@
 func TestTheStoreHoldsTheHostsOwnAddresses(t *testing.T) {
 	var tap Tap
 	value := []byte(`{"addr":"10.0.1.2:1","note":"10.0.1.2:10"}`)
-	assert.Equal(t, string(tap.written(value)), string(value))
+	assert.Equal(t, string(tap.toStore(value)), string(value))
 	tap.Rewrite(hostlist.View{Addresses: []hostlist.Address{{Host: "b", Addr: "10.0.1.2:1", Own: "10.0.0.2:1"}}})
-	stored := tap.written(value)
+	stored := tap.toStore(value)
 	assert.Equal(t, string(stored), `{"addr":"10.0.0.2:1","note":"10.0.1.2:10"}`)
-	assert.Equal(t, string(tap.read(stored)), string(value))
+	assert.Equal(t, string(tap.fromStore(stored)), string(value))
 }
--- a/standin/faults/storetap/storetap.go
+++ b/standin/faults/storetap/storetap.go
@@ -1,5 +1,5 @@
-// Package storetap stands between one process and the object API, so that a
-// trial can hold a write before it takes effect, or its answer behind that.
+// Package storetap is a proxy between one process and the object API. It lets a test
+// hold a write before it takes effect, or hold the response afterwards.
 package storetap
 
 import (
@@ -12,45 +12,45 @@
 	"acaciawinch/standin/faults/hold"
 )
 
-// Point names where a call is on its way.
+// Point names a position on the path of a call.
 type Point string
 
 // The points at which calls can be held.
 const (
-	// Before is a call that has not reached the store.
+	// Before is a request that has not reached the store.
 	Before Point = "before"
-	// After is an answer that has not reached the process.
+	// After is a response that has not reached the process.
 	After Point = "after"
 )
 
-// Message is one call on its way.
+// Message is one call in transit.
 type Message struct {
 	Point   Point
 	Process string
 	Method  string
 	Path    string
 	Body    []byte
-	// Status is the answer's status at the point After.
+	// Status is the status of the response at the point After.
 	Status int
 }
 
-// Board holds calls of all taps of a trial.
-type Board = hold.Board[Message]
+// Gate holds the calls of all taps of a test.
+type Gate = hold.Gate[Message]
 
-// Tap stands before the object API for one process.
+// Tap is the proxy of one process to the object API.
 type Tap struct {
 	process string
 	target  string
-	board   *Board
+	gate    *Gate
 	client  *http.Client
 	server  *http.Server
-	// addresses, if set, are rewritten in the values that pass.
+	// addresses, if set, are rewritten in the values that pass through.
 	addresses atomic.Pointer[addresses]
 }
 
-// New returns a tap that listens on address before the object API at target,
+// New returns a tap that listens on address and forwards to the object API at target,
 // both IP:port.
-func New(process, address, target string, board *Board) (*Tap, error) {
+func New(process, address, target string, gate *Gate) (*Tap, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
@@ -58,51 +58,51 @@
 	t := &Tap{
 		process: process,
 		target:  target,
-		board:   board,
+		gate:    gate,
 		client:  &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}},
 	}
-	t.server = &http.Server{Handler: http.HandlerFunc(t.pass)}
-	go func() { _ = t.server.Serve(listener) }() // ends with Close
+	t.server = &http.Server{Handler: http.HandlerFunc(t.forward)}
+	go func() { _ = t.server.Serve(listener) }() // returns after Close
 	return t, nil
 }
 
-// Close ends the tap and its connections.
+// Close stops the tap and closes its connections.
 func (t *Tap) Close() {
 	t.server.Close()
 	t.client.CloseIdleConnections()
 }
 
-// pass passes one call on. Any failure behind the tap breaks the connection
-// before it, as it would without the tap.
-func (t *Tap) pass(w http.ResponseWriter, r *http.Request) {
+// forward forwards one call. If the call to the object API fails, the connection of the
+// process breaks too, as it would without the tap.
+func (t *Tap) forward(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	body = t.written(body)
+	body = t.toStore(body)
 	message := Message{Point: Before, Process: t.process, Method: r.Method, Path: r.URL.Path, Body: body}
-	t.board.Pass(message)
+	t.gate.Pass(message)
 	response, err := t.send(r, body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(response.Body)
+	responseBody, err := io.ReadAll(response.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
 	message.Point = After
 	message.Status = response.StatusCode
-	t.board.Pass(message)
+	t.gate.Pass(message)
 	for name, values := range response.Header {
 		w.Header()[name] = values
 	}
 	w.Header().Del("Content-Length")
 	w.WriteHeader(response.StatusCode)
-	_, _ = w.Write(t.read(answer)) // the process may be gone
+	_, _ = w.Write(t.fromStore(responseBody)) // the process may have closed the connection
 }
 
-// send passes the call on to the object API.
+// send sends the call to the object API.
 func (t *Tap) send(r *http.Request, body []byte) (*http.Response, error) {
 	target := *r.URL
 	target.Scheme = "http"
--- a/standin/faults/tap/conn.go
+++ b/standin/faults/tap/conn.go
@@ -6,15 +6,14 @@
 	"sync/atomic"
 )
 
-// nearConn is a connection from an entry. It drops bytes while its direction is
-// silent.
-type nearConn struct {
+// entryConn is a connection from an entry. It drops the bytes of a silenced direction.
+type entryConn struct {
 	net.Conn
 	tap *Tap
 }
 
-// Read implements net.Conn. Bytes of a silent direction never arrive.
-func (c nearConn) Read(buffer []byte) (int, error) {
+// Read implements net.Conn. It discards bytes while the direction is silenced.
+func (c entryConn) Read(buffer []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(buffer)
 		if err != nil || !c.tap.silent[ToSide].Load() {
@@ -23,23 +22,23 @@
 	}
 }
 
-// Write implements net.Conn. Bytes of a silent direction vanish.
-func (c nearConn) Write(data []byte) (int, error) {
+// Write implements net.Conn. It discards bytes while the direction is silenced.
+func (c entryConn) Write(data []byte) (int, error) {
 	if c.tap.silent[FromSide].Load() {
 		return len(data), nil
 	}
 	return c.Conn.Write(data)
 }
 
-// farConn is a connection to the side. It remembers whether it broke, which
-// tells a broken connection from an error that the side answered.
-type farConn struct {
+// sideConn is a connection to the sidecar. It records whether it broke, which
+// distinguishes a broken connection from an error that the sidecar returned.
+type sideConn struct {
 	net.Conn
 	broken *atomic.Bool
 }
 
 // Read implements net.Conn.
-func (c farConn) Read(buffer []byte) (int, error) {
+func (c sideConn) Read(buffer []byte) (int, error) {
 	n, err := c.Conn.Read(buffer)
 	if err != nil {
 		c.broken.Store(true)
@@ -48,7 +47,7 @@
 }
 
 // Write implements net.Conn.
-func (c farConn) Write(data []byte) (int, error) {
+func (c sideConn) Write(data []byte) (int, error) {
 	n, err := c.Conn.Write(data)
 	if err != nil {
 		c.broken.Store(true)
@@ -56,18 +55,18 @@
 	return n, err
 }
 
-// nearKey is the context key of the connection that a call came on.
-type nearKey struct{}
+// entryConnKey is the context key of the connection that a call arrived on.
+type entryConnKey struct{}
 
-// withNear notes the connection that calls come on.
-func withNear(ctx context.Context, conn net.Conn) context.Context {
-	return context.WithValue(ctx, nearKey{}, conn)
+// withEntryConn returns a context that carries the connection that calls arrive on.
+func withEntryConn(ctx context.Context, conn net.Conn) context.Context {
+	return context.WithValue(ctx, entryConnKey{}, conn)
 }
 
-// breakNear closes the connection that a call came on: what happened behind the
-// tap then looks to the entry as it would without the tap.
-func breakNear(ctx context.Context) {
-	if conn, ok := ctx.Value(nearKey{}).(net.Conn); ok {
+// breakEntryConn closes the connection that a call arrived on, so that the entry sees a
+// failure at the sidecar as it would without the tap.
+func breakEntryConn(ctx context.Context) {
+	if conn, ok := ctx.Value(entryConnKey{}).(net.Conn); ok {
 		conn.Close()
 	}
 }
--- a/standin/faults/tap/forward.go
+++ b/standin/faults/tap/forward.go
@@ -13,130 +13,131 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// dialTimeout bounds one dial to the side.
+// dialTimeout bounds one dial of the sidecar.
 const dialTimeout = time.Second
 
-// far is one connection to the side, for one call.
-type far struct {
+// sideClient is a connection to the sidecar that serves one call.
+type sideClient struct {
 	conn   drpc.Conn
 	client wirepb.DRPCSideClient
 	broken *atomic.Bool
 }
 
-// open dials the side.
-func (t *Tap) open(ctx context.Context) (*far, error) {
+// dial connects to the sidecar.
+func (t *Tap) dial(ctx context.Context) (*sideClient, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", t.target)
 	if err != nil {
 		return nil, err
 	}
 	broken := &atomic.Bool{}
-	over, err := t.dialer.Over(ctx, farConn{Conn: conn, broken: broken}, t.target)
+	drpcConn, err := t.dialer.Over(ctx, sideConn{Conn: conn, broken: broken}, t.target)
 	if err != nil {
 		return nil, err
 	}
-	return &far{conn: over, client: wirepb.NewDRPCSideClient(over), broken: broken}, nil
+	return &sideClient{conn: drpcConn, client: wirepb.NewDRPCSideClient(drpcConn), broken: broken}, nil
 }
 
-// unary passes one call on. If the side can't be reached, the entry's
-// connection breaks as well.
-func unary[Q, A any](t *Tap, ctx context.Context, request Q,
+// forwardUnary forwards one call. If the sidecar can't be reached, it breaks the entry's
+// connection too.
+func forwardUnary[Q, A any](t *Tap, ctx context.Context, request Q,
 	call func(wirepb.DRPCSideClient, context.Context, Q) (A, error)) (A, error) {
 	var none A
-	f, err := t.open(ctx)
+	f, err := t.dial(ctx)
 	if err != nil {
-		breakNear(ctx)
+		breakEntryConn(ctx)
 		return none, err
 	}
 	defer f.conn.Close()
-	answer, err := call(f.client, ctx, request)
+	reply, err := call(f.client, ctx, request)
 	if err != nil && f.broken.Load() {
-		breakNear(ctx)
+		breakEntryConn(ctx)
 	}
-	return answer, err
+	return reply, err
 }
 
 // Probe implements wirepb.DRPCSideServer.
 func (t *Tap) Probe(ctx context.Context, r *wirepb.ProbeRequest) (*wirepb.ProbeReply, error) {
-	t.pass(Probe, nil, 0)
-	return unary(t, ctx, r, wirepb.DRPCSideClient.Probe)
+	t.holdMessage(Probe, nil, 0)
+	return forwardUnary(t, ctx, r, wirepb.DRPCSideClient.Probe)
 }
 
 // Cancel implements wirepb.DRPCSideServer.
 func (t *Tap) Cancel(ctx context.Context, r *wirepb.CancelRequest) (*wirepb.CancelReply, error) {
-	t.pass(Cancel, r.GetKey(), 0)
-	return unary(t, ctx, r, wirepb.DRPCSideClient.Cancel)
+	t.holdMessage(Cancel, r.GetKey(), 0)
+	return forwardUnary(t, ctx, r, wirepb.DRPCSideClient.Cancel)
 }
 
 // Acknowledge implements wirepb.DRPCSideServer.
 func (t *Tap) Acknowledge(ctx context.Context, r *wirepb.AcknowledgeRequest) (*wirepb.AcknowledgeReply, error) {
-	t.pass(Acknowledge, r.GetKey(), 0)
-	return unary(t, ctx, r, wirepb.DRPCSideClient.Acknowledge)
+	t.holdMessage(Acknowledge, r.GetKey(), 0)
+	return forwardUnary(t, ctx, r, wirepb.DRPCSideClient.Acknowledge)
 }
 
 // Resolve implements wirepb.DRPCSideServer.
 func (t *Tap) Resolve(ctx context.Context, r *wirepb.ResolveRequest) (*wirepb.ResolveReply, error) {
-	t.pass(Resolve, r.GetKey(), 0)
-	return unary(t, ctx, r, wirepb.DRPCSideClient.Resolve)
+	t.holdMessage(Resolve, r.GetKey(), 0)
+	return forwardUnary(t, ctx, r, wirepb.DRPCSideClient.Resolve)
 }
 
 // Drain implements wirepb.DRPCSideServer.
 func (t *Tap) Drain(ctx context.Context, r *wirepb.DrainRequest) (*wirepb.DrainReply, error) {
-	return unary(t, ctx, r, wirepb.DRPCSideClient.Drain)
+	return forwardUnary(t, ctx, r, wirepb.DRPCSideClient.Drain)
 }
 
-// sender receives events on their way to the entry.
+// sender sends events to the entry.
 type sender interface {
 	Context() context.Context
 	Send(*wirepb.RunEvent) error
 }
 
-// receiver gives events that come from the side.
+// receiver receives events from the sidecar.
 type receiver interface {
 	Recv() (*wirepb.RunEvent, error)
 }
 
-// Run implements wirepb.DRPCSideServer. A Run that was held is delivered even
-// if its sender is gone by then.
+// Run implements wirepb.DRPCSideServer. It delivers a Run that was held even if its
+// sender has disconnected meanwhile.
 func (t *Tap) Run(r *wirepb.RunRequest, stream wirepb.DRPCSide_RunStream) error {
 	t.runs.Add(1)
-	t.pass(Run, r.GetKey(), 0)
+	t.holdMessage(Run, r.GetKey(), 0)
 	ctx := stream.Context()
 	if ctx.Err() != nil {
 		t.deliver(context.WithoutCancel(ctx), r)
 		return ctx.Err()
 	}
-	if instead := t.meddled(context.WithoutCancel(ctx), r); instead != nil {
+	if instead := t.rewriteRun(context.WithoutCancel(ctx), r); instead != nil {
 		return stream.Send(instead)
 	}
-	err := t.follow(ctx, stream, func(f *far, ctx context.Context) (receiver, error) { return f.client.Run(ctx, r) })
+	err := t.forwardStream(ctx, stream, func(f *sideClient, ctx context.Context) (receiver, error) { return f.client.Run(ctx, r) })
 	t.replay(context.WithoutCancel(ctx), r)
 	return err
 }
 
 // Attach implements wirepb.DRPCSideServer.
 func (t *Tap) Attach(r *wirepb.AttachRequest, stream wirepb.DRPCSide_AttachStream) error {
-	return t.follow(stream.Context(), stream, func(f *far, ctx context.Context) (receiver, error) {
+	return t.forwardStream(stream.Context(), stream, func(f *sideClient, ctx context.Context) (receiver, error) {
 		return f.client.Attach(ctx, r)
 	})
 }
 
-// meddled changes a Run as the trial wants and returns what is sent in its place.
-func (t *Tap) meddled(ctx context.Context, r *wirepb.RunRequest) *wirepb.RunEvent {
+// rewriteRun applies the test's RunRewrite, if any, and returns the event to send
+// instead of forwarding the Run, or nil.
+func (t *Tap) rewriteRun(ctx context.Context, r *wirepb.RunRequest) *wirepb.RunEvent {
 	t.mu.Lock()
-	meddle := t.meddle
+	rewrite := t.runRewrite
 	t.mu.Unlock()
-	if meddle == nil {
+	if rewrite == nil {
 		return nil
 	}
-	besides, instead := meddle(r)
-	for _, run := range besides {
+	extra, instead := rewrite(r)
+	for _, run := range extra {
 		t.deliver(ctx, run)
 	}
 	return instead
 }
 
-// replay sends a Run again as often as the trial wants.
+// replay sends a Run again as often as Replay has set.
 func (t *Tap) replay(ctx context.Context, r *wirepb.RunRequest) {
 	t.mu.Lock()
 	times := t.replays
@@ -146,9 +147,9 @@
 	}
 }
 
-// deliver sends a Run whose events nobody waits for.
+// deliver sends a Run and discards its events.
 func (t *Tap) deliver(ctx context.Context, r *wirepb.RunRequest) {
-	f, err := t.open(ctx)
+	f, err := t.dial(ctx)
 	if err != nil {
 		return
 	}
@@ -159,27 +160,27 @@
 	}
 }
 
-// follow opens a stream at the side and passes its events on, changed as the
-// trial wants.
-func (t *Tap) follow(ctx context.Context, to sender, call func(*far, context.Context) (receiver, error)) error {
-	f, err := t.open(ctx)
+// forwardStream opens a stream at the sidecar and forwards its events, changed by the
+// test's Tamper if one is set.
+func (t *Tap) forwardStream(ctx context.Context, to sender, call func(*sideClient, context.Context) (receiver, error)) error {
+	f, err := t.dial(ctx)
 	if err != nil {
-		breakNear(ctx)
+		breakEntryConn(ctx)
 		return err
 	}
 	defer f.conn.Close()
 	from, err := call(f, ctx)
 	if err == nil {
-		err = t.copy(to, from)
+		err = t.forwardEvents(to, from)
 	}
 	if err != nil && f.broken.Load() {
-		breakNear(ctx)
+		breakEntryConn(ctx)
 	}
 	return err
 }
 
-// copy passes events on until the side's stream ends.
-func (t *Tap) copy(to sender, from receiver) error {
+// forwardEvents forwards events until the sidecar's stream ends.
+func (t *Tap) forwardEvents(to sender, from receiver) error {
 	t.mu.Lock()
 	tamper := unchanged
 	if t.tamper != nil {
@@ -194,7 +195,7 @@
 		if err != nil {
 			return err
 		}
-		t.passEvent(event)
+		t.holdEvent(event)
 		for _, changed := range tamper(event) {
 			if err := to.Send(changed); err != nil {
 				return err
@@ -203,14 +204,14 @@
 	}
 }
 
-// passEvent holds an event if the trial wants it.
-func (t *Tap) passEvent(event *wirepb.RunEvent) {
+// holdEvent blocks while the test holds the event.
+func (t *Tap) holdEvent(event *wirepb.RunEvent) {
 	switch e := event.GetEvent().(type) {
 	case *wirepb.RunEvent_Started:
-		t.pass(Started, event.GetKey(), 0)
+		t.holdMessage(Started, event.GetKey(), 0)
 	case *wirepb.RunEvent_Chunk:
-		t.pass(Chunk, event.GetKey(), e.Chunk.GetIndex())
+		t.holdMessage(Chunk, event.GetKey(), e.Chunk.GetIndex())
 	case *wirepb.RunEvent_Done:
-		t.pass(Done, event.GetKey(), 0)
+		t.holdMessage(Done, event.GetKey(), 0)
 	}
 }
--- a/standin/faults/tap/tamper.go
+++ b/standin/faults/tap/tamper.go
@@ -7,51 +7,51 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// Tamper returns what is sent in the place of one event of a stream.
+// Tamper returns the events to send instead of one event of a stream.
 type Tamper func(*wirepb.RunEvent) []*wirepb.RunEvent
 
 // NewTamper returns the Tamper of one stream.
 type NewTamper func() Tamper
 
-// Meddle may change a Run on its way. It returns Runs that are sent to the side
-// besides, and an event that is sent to the entry in the Run's place, or nil.
-// It shows what a verdict says of a side that breaks the protocol.
-type Meddle func(r *wirepb.RunRequest) (besides []*wirepb.RunRequest, instead *wirepb.RunEvent)
+// RunRewrite may change a Run in transit. It returns additional Runs to send to the
+// sidecar, and an event to send to the entry instead of forwarding the Run, or nil. It
+// serves to check which findings a sidecar that violates the protocol causes.
+type RunRewrite func(r *wirepb.RunRequest) (extra []*wirepb.RunRequest, instead *wirepb.RunEvent)
 
-// unchanged passes an event on.
+// unchanged forwards an event as it is.
 func unchanged(event *wirepb.RunEvent) []*wirepb.RunEvent {
 	return []*wirepb.RunEvent{event}
 }
 
-// Twice sends every event twice.
-func Twice() Tamper {
+// Duplicated sends every event twice.
+func Duplicated() Tamper {
 	return func(event *wirepb.RunEvent) []*wirepb.RunEvent {
 		return []*wirepb.RunEvent{event, event}
 	}
 }
 
-// Swapped sends chunks in pairs, the later one first, and Done before the chunk
-// that it closes.
+// Swapped sends chunks in pairs, the later one first, and Done before an unpaired last
+// chunk.
 func Swapped() Tamper {
-	var kept *wirepb.RunEvent
+	var delayed *wirepb.RunEvent
 	return func(event *wirepb.RunEvent) []*wirepb.RunEvent {
-		if kept == nil && event.GetChunk() != nil {
-			kept = event
+		if delayed == nil && event.GetChunk() != nil {
+			delayed = event
 			return nil
 		}
-		if kept == nil {
+		if delayed == nil {
 			return []*wirepb.RunEvent{event}
 		}
-		pair := []*wirepb.RunEvent{event, kept}
-		kept = nil
+		pair := []*wirepb.RunEvent{event, delayed}
+		delayed = nil
 		return pair
 	}
 }
 
-// foreignData is what no stage ever gives.
+// foreignData differs from the output of every stage.
 const foreignData = "of another request"
 
-// foreignChanges make the key of another request, stage, attempt or incarnation.
+// foreignChanges turn a key into that of another request, stage, attempt or incarnation.
 var foreignChanges = []func(*wirepb.AttemptKey){
 	func(k *wirepb.AttemptKey) { k.RequestId += "f" },
 	func(k *wirepb.AttemptKey) { k.Stage += "f" },
@@ -59,10 +59,10 @@
 	func(k *wirepb.AttemptKey) { k.SideIncarnation++ },
 }
 
-// Foreign sends, before each event, the like of it that belongs to another
-// request, to another stage, to another attempt and to another incarnation. What
-// it sends is whole in itself: its closing event fits its chunks, so that only
-// the keys tell it from the attempt's own.
+// Foreign sends, before each event, copies that belong to another request, stage,
+// attempt and incarnation. The copies form a consistent stream of their own: the digest
+// in Done matches their chunks, so that only the keys distinguish them from the
+// attempt's own events.
 func Foreign() Tamper {
 	digest := xxhash.New()
 	return func(event *wirepb.RunEvent) []*wirepb.RunEvent {
@@ -77,7 +77,7 @@
 	}
 }
 
-// foreign returns a changed copy of an event with other data.
+// foreign returns a copy of an event with a changed key and other data.
 func foreign(event *wirepb.RunEvent, change func(*wirepb.AttemptKey), digest uint64) *wirepb.RunEvent {
 	clone := proto.CloneOf(event)
 	if clone.Key != nil {
--- a/standin/faults/tap/tap.go
+++ b/standin/faults/tap/tap.go
@@ -1,7 +1,7 @@
-// Package tap stands between the entries and one side process. It speaks the
-// drpc service of sides in both directions, so that a trial can hold single
-// messages, and can deliver them late, twice, out of order or to the wrong
-// request, which a real side never does. It can also cut connections.
+// Package tap is a proxy between the entries and one sidecar. It speaks the drpc service
+// of sidecars in both directions, so that a test can hold single messages and deliver
+// them late, twice, out of order or to the wrong request, which a real sidecar never
+// does. It can also cut connections.
 package tap
 
 import (
@@ -15,7 +15,7 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// Direction names one way through a tap.
+// Direction is a direction of traffic through a tap.
 type Direction int
 
 // The directions.
@@ -24,13 +24,13 @@
 	FromSide
 )
 
-// Point names where a message is on its way.
+// Point names a position on the path of a message.
 type Point string
 
 // The points at which messages can be held.
 const (
-	// Probe, Run, Cancel, Acknowledge and Resolve are requests that have not
-	// reached the side yet.
+	// Probe, Run, Cancel, Acknowledge and Resolve are requests that have not reached the
+	// sidecar yet.
 	Probe       Point = "probe"
 	Run         Point = "run"
 	Cancel      Point = "cancel"
@@ -42,10 +42,10 @@
 	Done    Point = "done"
 )
 
-// Message is one message on its way through a tap.
+// Message is one message in transit through a tap.
 type Message struct {
 	Point Point
-	// Upstream is the name of the side's upstream.
+	// Upstream is the name of the sidecar's upstream.
 	Upstream string
 	Request  string
 	Stage    string
@@ -53,37 +53,37 @@
 	Chunk uint64
 }
 
-// Board holds messages of all taps of a trial.
-type Board = hold.Board[Message]
+// Gate holds the messages of all taps of a test.
+type Gate = hold.Gate[Message]
 
-// Tap stands before one side process. It may be used by many goroutines.
+// Tap is the proxy of one sidecar. It is safe for concurrent use.
 type Tap struct {
 	name   string
 	target string
 	addr   string
-	board  *Board
+	gate   *Gate
 	server *link.Server
 	dialer *link.Dialer
 	silent [2]atomic.Bool
 	runs   atomic.Uint64
 
-	mu       sync.Mutex
-	listener net.Listener
-	conns    map[net.Conn]struct{}
-	tamper   NewTamper
-	meddle   Meddle
-	replays  int
-	cut      bool
+	mu         sync.Mutex
+	listener   net.Listener
+	conns      map[net.Conn]struct{}
+	tamper     NewTamper
+	runRewrite RunRewrite
+	replays    int
+	cut        bool
 }
 
-// New returns a tap that listens on address before the side at target. Key is the
-// fleet's, which both ends of a connection prove to each other.
-func New(name, address, target, key string, board *Board) (*Tap, error) {
+// New returns a tap that listens on address and forwards to the sidecar at target. Key
+// is the fleet's key, which both ends of a connection prove to each other.
+func New(name, address, target, key string, gate *Gate) (*Tap, error) {
 	t := &Tap{
 		name:   name,
 		target: target,
 		addr:   address,
-		board:  board,
+		gate:   gate,
 		server: link.NewServer(key),
 		dialer: link.NewDialer(key),
 		conns:  map[net.Conn]struct{}{},
@@ -94,7 +94,7 @@
 	return t, t.Accept()
 }
 
-// Accept listens again after Refuse.
+// Accept starts to listen, also again after Refuse.
 func (t *Tap) Accept() error {
 	listener, err := net.Listen("tcp", t.addr)
 	if err != nil {
@@ -107,8 +107,8 @@
 	return nil
 }
 
-// Refuse makes dialling fail, as it does when the side process is dead, and
-// breaks the open connections.
+// Refuse makes dials fail, as they do when the sidecar is dead, and breaks the open
+// connections.
 func (t *Tap) Refuse() {
 	t.mu.Lock()
 	listener := t.listener
@@ -117,7 +117,7 @@
 	t.Break()
 }
 
-// Cut breaks the open connections, and new ones as they come.
+// Cut breaks the open connections, and new ones as they are accepted.
 func (t *Tap) Cut() {
 	t.mu.Lock()
 	t.cut = true
@@ -137,7 +137,7 @@
 // Silence drops every byte of a direction and keeps the connections open.
 func (t *Tap) Silence(d Direction) { t.silent[d].Store(true) }
 
-// Heal ends all faults of connections. Those that lost bytes are broken.
+// Heal ends all connection faults. It breaks the connections if bytes were dropped.
 func (t *Tap) Heal() {
 	t.mu.Lock()
 	t.cut = false
@@ -149,24 +149,24 @@
 	}
 }
 
-// Runs returns how many Run messages have come.
+// Runs returns the number of Run messages received.
 func (t *Tap) Runs() uint64 { return t.runs.Load() }
 
-// Tamper changes the events of all calls from now on; nil ends that.
+// Tamper changes the events of all calls from now on; nil stops that.
 func (t *Tap) Tamper(tamper NewTamper) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.tamper = tamper
 }
 
-// Meddle changes all Runs from now on; nil ends that.
-func (t *Tap) Meddle(meddle Meddle) {
+// RewriteRuns changes all Runs from now on; nil stops that.
+func (t *Tap) RewriteRuns(rewrite RunRewrite) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.meddle = meddle
+	t.runRewrite = rewrite
 }
 
-// Replay sends each Run to the side this many times more.
+// Replay sends each Run to the sidecar this many additional times.
 func (t *Tap) Replay(times int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -180,14 +180,14 @@
 		if err != nil {
 			return
 		}
-		if t.enter(conn) {
-			go t.serveOne(conn)
+		if t.track(conn) {
+			go t.serveConn(conn)
 		}
 	}
 }
 
-// enter records a connection, or closes it while connections are cut.
-func (t *Tap) enter(conn net.Conn) bool {
+// track records a connection, or closes it and returns false while connections are cut.
+func (t *Tap) track(conn net.Conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.cut {
@@ -198,19 +198,19 @@
 	return true
 }
 
-// serveOne serves the calls of one connection.
-func (t *Tap) serveOne(conn net.Conn) {
-	ctx, cancel := context.WithCancel(withNear(context.Background(), conn))
+// serveConn serves the calls of one connection.
+func (t *Tap) serveConn(conn net.Conn) {
+	ctx, cancel := context.WithCancel(withEntryConn(context.Background(), conn))
 	defer cancel()
-	t.server.ServeConn(ctx, nearConn{Conn: conn, tap: t})
+	t.server.ServeConn(ctx, entryConn{Conn: conn, tap: t})
 	t.mu.Lock()
 	delete(t.conns, conn)
 	t.mu.Unlock()
 }
 
-// pass holds a message if the trial wants it.
-func (t *Tap) pass(point Point, key *wirepb.AttemptKey, chunk uint64) {
-	t.board.Pass(Message{
+// holdMessage blocks while the test holds the message.
+func (t *Tap) holdMessage(point Point, key *wirepb.AttemptKey, chunk uint64) {
+	t.gate.Pass(Message{
 		Point:    point,
 		Upstream: t.name,
 		Request:  key.GetRequestId(),
