--- a/core/quarantine/bench_test.go
+++ b/core/quarantine/bench_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// bookWithRecords returns a Book with the records of that many other gateways, each with that many
-// crashes, as after the loss of a zone, and the records.
-func bookWithRecords(gateways, crashes int) (*Book, []Record) {
-	b := New("g0")
-	b.Reset(nil, 0)
+// stateWithRecords returns a State with the records of that many other gateways, each with that
+// many crashes, as after the loss of a zone, and the records.
+func stateWithRecords(gateways, crashes int) (*State, []Record) {
+	s := New("g0")
+	s.Reset(nil, 0)
 	var records []Record
 	for g := range gateways {
 		var record Record
@@ -18,9 +18,9 @@
 			record.Crashes = append(record.Crashes, crashOf(fmt.Sprint(g, "/", c), fmt.Sprint("u", (g+c)%1100)))
 		}
 		records = append(records, record)
-		b.Take(fmt.Sprint("g", g+1), record, 0)
+		s.ReplaceRecord(fmt.Sprint("g", g+1), record, 0)
 	}
-	return b, records
+	return s, records
 }
 
 // BenchmarkTakingARecord measures one update of a record. When a zone is lost, all gateways write
@@ -28,10 +28,10 @@
 func BenchmarkTakingARecord(b *testing.B) {
 	for _, size := range []struct{ gateways, crashes int }{{5, 16}, {340, 14}, {340, 100}, {340, maxCrashes}} {
 		b.Run(fmt.Sprintf("%dgateways/%dcrashes", size.gateways, size.crashes), func(b *testing.B) {
-			book, records := bookWithRecords(size.gateways, size.crashes)
+			state, records := stateWithRecords(size.gateways, size.crashes)
 			for i := 0; b.Loop(); i++ {
 				at := i % len(records)
-				book.Take(fmt.Sprint("g", at+1), records[at], time.Second)
+				state.ReplaceRecord(fmt.Sprint("g", at+1), records[at], time.Second)
 			}
 		})
 	}
--- a/core/quarantine/merge.go
+++ b/core/quarantine/merge.go
@@ -114,18 +114,18 @@
 	lists[key] = remaining
 }
 
-// replaceRecord replaces the record of another gateway by its newest one.
-func (b *Book) replaceRecord(gateway string, record Record, now time.Duration) {
-	b.reevaluateRecord(b.swapRecord(gateway, record), now)
+// replacePeerRecord replaces the record of another gateway by its newest one.
+func (s *State) replacePeerRecord(gateway string, record Record, now time.Duration) {
+	s.reevaluateRecord(s.swapRecord(gateway, record), now)
 }
 
 // swapRecord counts a new record of another gateway in place of its previous one and returns the
 // contents of both, which the caller must reevaluate.
-func (b *Book) swapRecord(gateway string, record Record) Record {
-	previous := b.records[gateway]
-	b.records[gateway] = record
-	b.merged.countRecord(record, 1)
-	b.merged.countRecord(previous, -1)
+func (s *State) swapRecord(gateway string, record Record) Record {
+	previous := s.records[gateway]
+	s.records[gateway] = record
+	s.merged.countRecord(record, 1)
+	s.merged.countRecord(previous, -1)
 	return Record{
 		Crashes: slices.Concat(record.Crashes, previous.Crashes),
 		Cleared: slices.Concat(record.Cleared, previous.Cleared),
@@ -134,39 +134,39 @@
 }
 
 // reevaluateRecord reevaluates all crashes and requests in a record.
-func (b *Book) reevaluateRecord(affected Record, now time.Duration) {
-	b.reevaluate(now, slices.Concat(affected.Crashes, affected.Cleared)...)
+func (s *State) reevaluateRecord(affected Record, now time.Duration) {
+	s.reevaluate(now, slices.Concat(affected.Crashes, affected.Cleared)...)
 	for _, request := range affected.Proven {
-		b.updateProven(request, now)
+		s.updateProven(request, now)
 	}
 }
 
 // reevaluate updates crashes whose reports have changed, and the own record with them.
-func (b *Book) reevaluate(now time.Duration, crashes ...Crash) {
+func (s *State) reevaluate(now time.Duration, crashes ...Crash) {
 	for _, crash := range crashes {
-		b.merged.reevaluate(crash, now)
+		s.merged.reevaluate(crash, now)
 	}
-	b.prune(now)
+	s.prune(now)
 	for _, crash := range crashes {
-		b.updateProven(crash.Request, now)
+		s.updateProven(crash.Request, now)
 	}
 }
 
 // updateProven publishes a request that completed here as proven once it has crashLimit crashes,
 // unless another gateway has done so, and withdraws it once it has no active crashes.
-func (b *Book) updateProven(request fingerprint.Fingerprint, now time.Duration) {
-	count := len(b.merged.byRequest[request])
-	index := slices.Index(b.own.Proven, request)
+func (s *State) updateProven(request fingerprint.Fingerprint, now time.Duration) {
+	count := len(s.merged.byRequest[request])
+	index := slices.Index(s.own.Proven, request)
 	switch {
 	case count == 0:
-		delete(b.trials, request)
+		delete(s.trials, request)
 		if index >= 0 {
-			b.own.Proven = slices.Delete(b.own.Proven, index, index+1)
-			b.scheduleWrite(now + batchDelay)
+			s.own.Proven = slices.Delete(s.own.Proven, index, index+1)
+			s.scheduleWrite(now + batchDelay)
 		}
-	case index < 0 && count >= crashLimit && b.completed.contains(request) && b.merged.proven[request] == 0:
-		b.own.Proven = append(b.own.Proven, request)
-		b.scheduleWrite(now)
+	case index < 0 && count >= crashLimit && s.completed.contains(request) && s.merged.proven[request] == 0:
+		s.own.Proven = append(s.own.Proven, request)
+		s.scheduleWrite(now)
 	}
 }
 
@@ -174,11 +174,11 @@
 // marks of crashes that no other gateway reports any more. The order matters: the gateway that
 // reported a crash drops it first and the gateway that cleared it drops its mark afterwards, so
 // that no gateway counts a cleared crash.
-func (b *Book) prune(now time.Duration) {
-	before := len(b.own.Crashes) + len(b.own.Cleared)
+func (s *State) prune(now time.Duration) {
+	before := len(s.own.Crashes) + len(s.own.Cleared)
 	var dropped []Crash
-	b.own.Crashes = slices.DeleteFunc(b.own.Crashes, func(crash Crash) bool {
-		e := b.merged.entryFor(crash)
+	s.own.Crashes = slices.DeleteFunc(s.own.Crashes, func(crash Crash) bool {
+		e := s.merged.entryFor(crash)
 		if e.clearedBy == 0 && now-e.learned < crashTTL {
 			return false
 		}
@@ -186,8 +186,8 @@
 		dropped = append(dropped, crash)
 		return true
 	})
-	b.own.Cleared = slices.DeleteFunc(b.own.Cleared, func(crash Crash) bool {
-		e := b.merged.entryFor(crash)
+	s.own.Cleared = slices.DeleteFunc(s.own.Cleared, func(crash Crash) bool {
+		e := s.merged.entryFor(crash)
 		if e.peerReports > 0 {
 			return false
 		}
@@ -196,9 +196,9 @@
 		return true
 	})
 	for _, crash := range dropped {
-		b.merged.reevaluate(crash, now)
+		s.merged.reevaluate(crash, now)
 	}
-	if len(b.own.Crashes)+len(b.own.Cleared) != before {
-		b.scheduleWrite(now + batchDelay)
+	if len(s.own.Crashes)+len(s.own.Cleared) != before {
+		s.scheduleWrite(now + batchDelay)
 	}
 }
--- a/core/quarantine/model_test.go
+++ b/core/quarantine/model_test.go
@@ -107,8 +107,8 @@
 
 type gateway struct {
 	*model
-	name string
-	book *Book
+	name  string
+	state *State
 	// incarnation counts the starts of the gateway.
 	incarnation int
 	// listed is set once the records were listed.
@@ -192,10 +192,10 @@
 	return g.now >= g.downUntil+propagationTime && g.now >= g.offlineUntil+propagationTime && g.now >= g.storeUpSince+propagationTime
 }
 
-// start starts the gateway with an empty Book.
+// start starts the gateway with an empty State.
 func (g *gateway) start() {
 	g.incarnation++
-	g.book, g.listed, g.writing, g.unacknowledged = New(g.name), false, false, make(map[string]bool)
+	g.state, g.listed, g.writing, g.unacknowledged = New(g.name), false, false, make(map[string]bool)
 	g.listRecords(g.incarnation)
 }
 
@@ -215,7 +215,7 @@
 				records[name] = record
 			}
 		}
-		g.book.Reset(records, g.now)
+		g.state.Reset(records, g.now)
 		g.listed = true
 		g.write()
 	})
@@ -223,7 +223,7 @@
 
 // write writes the gateway's record if it is due.
 func (g *gateway) write() {
-	due, isDue := g.book.Due()
+	due, isDue := g.state.Due()
 	if g.noPublish || g.writing || !isDue {
 		return
 	}
@@ -235,9 +235,9 @@
 		}
 		g.writing = false
 		if g.storeUp() {
-			g.publish(g.book.Own())
+			g.publish(g.state.TakeOwnRecord())
 		} else {
-			g.book.Unwritten(g.now + 500*time.Millisecond)
+			g.state.WriteFailed(g.now + 500*time.Millisecond)
 		}
 		g.write()
 	})
@@ -261,7 +261,7 @@
 			g.receive(name, incarnation)
 		case g.noAdopt && name == g.name:
 		default:
-			g.book.Take(name, g.store[name], g.now)
+			g.state.ReplaceRecord(name, g.store[name], g.now)
 			g.write()
 		}
 	})
@@ -295,12 +295,12 @@
 
 // allows reports whether the gateway sends an attempt, and claims a trial if one is due.
 func (g *gateway) allows(a *attempt) bool {
-	verdict := g.book.Judge(a.fingerprint, g.now)
+	verdict := g.state.Judge(a.fingerprint, g.now)
 	if !verdict.Refused || verdict.Trial == 0 {
 		return !verdict.Refused
 	}
 	if g.noTrialClaim {
-		g.book.TrialUsed(a.fingerprint, g.book.NextTrial(a.fingerprint, verdict.Trial), g.now)
+		g.state.TrialUsed(a.fingerprint, g.state.NextTrial(a.fingerprint, verdict.Trial), g.now)
 		return true
 	}
 	return g.storeUp() && g.claimTrial(a.fingerprint, verdict.Trial)
@@ -310,12 +310,12 @@
 func (g *gateway) claimTrial(request fingerprint.Fingerprint, number int) bool {
 	name := fmt.Sprint(request, number)
 	claim, claimed := g.trials[name]
-	if claimed && g.book.IsPast(request, claim.Trial) {
+	if claimed && g.state.IsPast(request, claim.Trial) {
 		delete(g.unacknowledged, name)
 		claimed = false
 	}
 	if !claimed {
-		claim = grant{Trial: g.book.NextTrial(request, number), owner: g, incarnation: g.incarnation}
+		claim = grant{Trial: g.state.NextTrial(request, number), owner: g, incarnation: g.incarnation}
 		g.trials[name] = claim
 		if g.random.IntN(50) == 0 { // the store executed the call after the gateway had given it up
 			g.unacknowledged[name] = true
@@ -324,13 +324,13 @@
 	}
 	granted := claim.owner == g && claim.incarnation == g.incarnation && (!claimed || g.unacknowledged[name])
 	delete(g.unacknowledged, name)
-	g.book.TrialUsed(request, claim.Trial, g.now)
+	g.state.TrialUsed(request, claim.Trial, g.now)
 	return granted
 }
 
 // removeTrials removes the trials of a cleared request, unless the store is unreachable.
 func (g *gateway) removeTrials(request fingerprint.Fingerprint) {
-	incarnation, count := g.incarnation, g.book.TrialsOf(request)
+	incarnation, count := g.incarnation, g.state.TrialsOf(request)
 	if count == 0 {
 		return
 	}
@@ -357,7 +357,7 @@
 	delete(m.running[a.upstream], a)
 	if a.gateway.incarnation == a.gatewayIncarnation && !m.noClear {
 		a.gateway.removeTrials(a.fingerprint)
-		a.gateway.book.Completed(a.fingerprint, m.now)
+		a.gateway.state.Completed(a.fingerprint, m.now)
 		a.gateway.write()
 	}
 }
@@ -381,10 +381,10 @@
 		return
 	}
 	crash := Crash{Request: a.fingerprint, Upstream: fmt.Sprint(a.upstream, "/", a.incarnation)}
-	g.book.Suspect(crash, m.now)
+	g.state.Suspect(crash, m.now)
 	m.schedule(time.Millisecond, 700*time.Millisecond, func() {
 		if g.incarnation == a.gatewayIncarnation {
-			g.book.Confirm(crash, m.now)
+			g.state.Confirm(crash, m.now)
 			g.write()
 		}
 	})
--- a/core/quarantine/promises_test.go
+++ b/core/quarantine/promises_test.go
@@ -29,19 +29,19 @@
 func (m *model) checkMerged() {
 	for _, g := range m.gateways {
 		want := make(map[Crash]bool)
-		for _, record := range append(slices.Collect(maps.Values(g.book.records)), g.book.own) {
+		for _, record := range append(slices.Collect(maps.Values(g.state.records)), g.state.own) {
 			for _, crash := range record.Crashes {
 				want[crash] = true
 			}
 		}
-		maps.Copy(want, g.book.unconfirmed)
-		for _, record := range append(slices.Collect(maps.Values(g.book.records)), g.book.own) {
+		maps.Copy(want, g.state.unconfirmed)
+		for _, record := range append(slices.Collect(maps.Values(g.state.records)), g.state.own) {
 			for _, crash := range record.Cleared {
 				delete(want, crash)
 			}
 		}
 		got := make(map[Crash]bool)
-		for _, crashes := range g.book.merged.byRequest {
+		for _, crashes := range g.state.merged.byRequest {
 			for _, crash := range crashes {
 				got[crash] = true
 			}
@@ -55,7 +55,7 @@
 // checkRefused notes a gateway that still refuses the popular request.
 func (m *model) checkRefused() {
 	for _, g := range m.gateways {
-		if g.book.Judge(popular, m.now).Refused {
+		if g.state.Judge(popular, m.now).Refused {
 			m.refusalError = "a request that crashes nothing is still refused by " + g.name
 		}
 	}
--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -71,8 +71,8 @@
 	Proven []fingerprint.Fingerprint
 }
 
-// Book holds one gateway's view of all crash records.
-type Book struct {
+// State holds one gateway's view of all crash records.
+type State struct {
 	self string
 	own  Record
 	// adopted is set once the record of an earlier incarnation of this gateway was adopted, or is
@@ -92,9 +92,9 @@
 	due time.Duration
 }
 
-// New returns an empty Book of the gateway self.
-func New(self string) *Book {
-	return &Book{
+// New returns an empty State of the gateway self.
+func New(self string) *State {
+	return &State{
 		self:        self,
 		records:     make(map[string]Record),
 		unconfirmed: make(map[Crash]bool),
@@ -120,21 +120,21 @@
 }
 
 // Judge returns the decision on a request at the time now.
-func (b *Book) Judge(request fingerprint.Fingerprint, now time.Duration) Verdict {
-	crashes := b.merged.byRequest[request]
+func (s *State) Judge(request fingerprint.Fingerprint, now time.Duration) Verdict {
+	crashes := s.merged.byRequest[request]
 	verdict := Verdict{Crashes: len(crashes), Refused: len(crashes) >= crashLimit}
 	if !verdict.Refused {
 		return verdict
 	}
-	verdict.Unsure = len(crashes)-b.countUnconfirmed(crashes) < crashLimit
-	due, available := b.trialDue(request)
+	verdict.Unsure = len(crashes)-s.countUnconfirmed(crashes) < crashLimit
+	due, available := s.trialDue(request)
 	if !available {
 		verdict.RetryAfter = noTrialRetryAfter
 		return verdict
 	}
 	remaining := due - now
 	if remaining <= 0 {
-		verdict.Trial = b.trials[request].Number + 1
+		verdict.Trial = s.trials[request].Number + 1
 		return verdict
 	}
 	verdict.RetryAfter = min(remaining, firstTrialDelay) // a trial in progress may clear the request at any time
@@ -142,130 +142,130 @@
 }
 
 // IsProven reports whether a request is known to have completed before.
-func (b *Book) IsProven(request fingerprint.Fingerprint) bool {
-	return b.merged.proven[request] > 0 || b.completed.contains(request)
+func (s *State) IsProven(request fingerprint.Fingerprint) bool {
+	return s.merged.proven[request] > 0 || s.completed.contains(request)
 }
 
 // countUnconfirmed returns how many of the crashes are not confirmed yet.
-func (b *Book) countUnconfirmed(crashes []Crash) int {
+func (s *State) countUnconfirmed(crashes []Crash) int {
 	count := 0
 	for _, crash := range crashes {
-		if b.unconfirmed[crash] {
+		if s.unconfirmed[crash] {
 			count++
 		}
 	}
 	return count
 }
 
-// Settle returns how long a further attempt of a request must wait before it is judged.
-func (b *Book) Settle(request fingerprint.Fingerprint, now time.Duration) time.Duration {
-	crashes := b.merged.byRequest[request]
-	if len(crashes) == 0 || b.IsProven(request) {
+// SettleDelay returns how long a further attempt of a request must wait before it is judged.
+func (s *State) SettleDelay(request fingerprint.Fingerprint, now time.Duration) time.Duration {
+	crashes := s.merged.byRequest[request]
+	if len(crashes) == 0 || s.IsProven(request) {
 		return 0
 	}
-	return max(0, b.lastLearned(crashes)+settleDelay-now)
+	return max(0, s.lastLearned(crashes)+settleDelay-now)
 }
 
 // lastLearned returns when the last of the crashes became known to this gateway.
-func (b *Book) lastLearned(crashes []Crash) time.Duration {
+func (s *State) lastLearned(crashes []Crash) time.Duration {
 	var latest time.Duration
 	for _, crash := range crashes {
-		latest = max(latest, b.merged.learnedAt(crash))
+		latest = max(latest, s.merged.learnedAt(crash))
 	}
 	return latest
 }
 
 // Suspect records that an upstream may have ended while a request ran there. The crash counts at
 // this gateway at once, and is published once it is confirmed.
-func (b *Book) Suspect(crash Crash, now time.Duration) {
-	if b.unconfirmed[crash] || slices.Contains(b.own.Crashes, crash) {
+func (s *State) Suspect(crash Crash, now time.Duration) {
+	if s.unconfirmed[crash] || slices.Contains(s.own.Crashes, crash) {
 		return
 	}
-	b.unconfirmed[crash] = true
-	b.merged.countReport(crash, 1)
-	b.reevaluate(now, crash)
+	s.unconfirmed[crash] = true
+	s.merged.countReport(crash, 1)
+	s.reevaluate(now, crash)
 }
 
 // Confirm records that the upstream of a suspected crash has ended.
-func (b *Book) Confirm(crash Crash, now time.Duration) {
-	if !b.unconfirmed[crash] {
+func (s *State) Confirm(crash Crash, now time.Duration) {
+	if !s.unconfirmed[crash] {
 		return // its request has completed meanwhile
 	}
-	delete(b.unconfirmed, crash)
-	b.own.Crashes = append(b.own.Crashes, crash)
+	delete(s.unconfirmed, crash)
+	s.own.Crashes = append(s.own.Crashes, crash)
 	affected := []Crash{crash}
-	for len(b.own.Crashes) > maxCrashes {
-		oldest := b.own.Crashes[0]
-		b.own.Crashes = slices.Delete(b.own.Crashes, 0, 1)
-		b.merged.countReport(oldest, -1)
+	for len(s.own.Crashes) > maxCrashes {
+		oldest := s.own.Crashes[0]
+		s.own.Crashes = slices.Delete(s.own.Crashes, 0, 1)
+		s.merged.countReport(oldest, -1)
 		affected = append(affected, oldest)
 	}
-	b.reevaluate(now, affected...)
-	b.scheduleWrite(now)
+	s.reevaluate(now, affected...)
+	s.scheduleWrite(now)
 }
 
 // Dismiss records that the upstream of a suspected crash is still running.
-func (b *Book) Dismiss(crash Crash, now time.Duration) {
-	b.dropSuspicion(crash)
-	b.reevaluate(now, crash)
+func (s *State) Dismiss(crash Crash, now time.Duration) {
+	s.dropSuspicion(crash)
+	s.reevaluate(now, crash)
 }
 
 // dropSuspicion drops an unconfirmed crash, if there is one.
-func (b *Book) dropSuspicion(crash Crash) {
-	if b.unconfirmed[crash] {
-		delete(b.unconfirmed, crash)
-		b.merged.countReport(crash, -1)
+func (s *State) dropSuspicion(crash Crash) {
+	if s.unconfirmed[crash] {
+		delete(s.unconfirmed, crash)
+		s.merged.countReport(crash, -1)
 	}
 }
 
 // Completed records that a request has completed, which clears it of all known crashes. It reports
 // whether there were any.
-func (b *Book) Completed(request fingerprint.Fingerprint, now time.Duration) bool {
-	b.completed.add(request)
-	crashes := slices.Clone(b.merged.byRequest[request]) // clearing changes the list
+func (s *State) Completed(request fingerprint.Fingerprint, now time.Duration) bool {
+	s.completed.add(request)
+	crashes := slices.Clone(s.merged.byRequest[request]) // clearing changes the list
 	if len(crashes) == 0 {
 		return false
 	}
-	delete(b.trials, request)
-	b.clearCrashes(crashes, len(crashes) >= crashLimit, now)
+	delete(s.trials, request)
+	s.clearCrashes(crashes, len(crashes) >= crashLimit, now)
 	return true
 }
 
-// Quiet reports whether no upstream counts as crashed.
-func (b *Book) Quiet() bool { return len(b.merged.byUpstream) == 0 }
+// NoCrashes reports whether no upstream counts as crashed.
+func (s *State) NoCrashes() bool { return len(s.merged.byUpstream) == 0 }
 
-// Answered records that an incarnation of an upstream has responded to a request sent at the time
+// Responded records that an incarnation of an upstream has responded to a request sent at the time
 // sent, and so had not ended by then. It reports whether this cleared any crash: crashes learned at
 // or after sent stay.
-func (b *Book) Answered(upstream string, sent, now time.Duration) bool {
+func (s *State) Responded(upstream string, sent, now time.Duration) bool {
 	var refuted []Crash
 	refused := false
-	for _, crash := range b.merged.byUpstream[upstream] {
-		if b.merged.learnedAt(crash) < sent {
+	for _, crash := range s.merged.byUpstream[upstream] {
+		if s.merged.learnedAt(crash) < sent {
 			refuted = append(refuted, crash)
-			refused = refused || len(b.merged.byRequest[crash.Request]) >= crashLimit
+			refused = refused || len(s.merged.byRequest[crash.Request]) >= crashLimit
 		}
 	}
 	if len(refuted) > 0 {
-		b.clearCrashes(refuted, refused, now)
+		s.clearCrashes(refuted, refused, now)
 	}
 	return len(refuted) > 0
 }
 
 // clearCrashes marks crashes as cleared. With urgent set, other gateways refuse a request because
 // of them, and the record is written at once.
-func (b *Book) clearCrashes(crashes []Crash, urgent bool, now time.Duration) {
+func (s *State) clearCrashes(crashes []Crash, urgent bool, now time.Duration) {
 	for _, crash := range crashes {
-		b.dropSuspicion(crash)
-		if !slices.Contains(b.own.Cleared, crash) {
-			b.own.Cleared = append(b.own.Cleared, crash)
-			b.merged.countCleared(crash, 1)
+		s.dropSuspicion(crash)
+		if !slices.Contains(s.own.Cleared, crash) {
+			s.own.Cleared = append(s.own.Cleared, crash)
+			s.merged.countCleared(crash, 1)
 		}
 	}
-	b.reevaluate(now, crashes...)
+	s.reevaluate(now, crashes...)
 	if urgent {
-		b.scheduleWrite(now)
+		s.scheduleWrite(now)
 	} else {
-		b.scheduleWrite(now + batchDelay)
+		s.scheduleWrite(now + batchDelay)
 	}
 }
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -17,40 +17,40 @@
 // crashOf returns the crash of an upstream under a request.
 func crashOf(target, upstream string) Crash { return Crash{Request: req(target), Upstream: upstream} }
 
-// bookWithCrashes returns the Book of a gateway that saw the given crashes.
-func bookWithCrashes(crashes ...Crash) *Book {
-	b := New("g1")
-	b.Reset(nil, 0)
+// stateWithCrashes returns the State of a gateway that saw the given crashes.
+func stateWithCrashes(crashes ...Crash) *State {
+	s := New("g1")
+	s.Reset(nil, 0)
 	for _, crash := range crashes {
-		recordCrash(b, crash, 0)
+		recordCrash(s, crash, 0)
 	}
-	return b
+	return s
 }
 
 func TestARequestIsRefusedAfterCrashesThatAnyGatewaySaw(t *testing.T) {
-	b := bookWithCrashes(crashOf("a", "u1"))
-	assert.Assert(t, !b.Judge(req("a"), 0).Refused)
-	b.Take("g2", Record{Crashes: []Crash{crashOf("a", "u1")}}, 0)
-	assert.Assert(t, !b.Judge(req("a"), 0).Refused, "both gateways saw the same crash")
-	b.Take("g2", Record{Crashes: []Crash{crashOf("a", "u2"), crashOf("b", "u2")}}, 0)
-	assert.DeepEqual(t, b.Judge(req("a"), 0), Verdict{Crashes: 2, Refused: true, RetryAfter: firstTrialDelay})
-	assert.Assert(t, !b.Judge(req("b"), 0).Refused, "only one crash under this request")
+	s := stateWithCrashes(crashOf("a", "u1"))
+	assert.Assert(t, !s.Judge(req("a"), 0).Refused)
+	s.ReplaceRecord("g2", Record{Crashes: []Crash{crashOf("a", "u1")}}, 0)
+	assert.Assert(t, !s.Judge(req("a"), 0).Refused, "both gateways saw the same crash")
+	s.ReplaceRecord("g2", Record{Crashes: []Crash{crashOf("a", "u2"), crashOf("b", "u2")}}, 0)
+	assert.DeepEqual(t, s.Judge(req("a"), 0), Verdict{Crashes: 2, Refused: true, RetryAfter: firstTrialDelay})
+	assert.Assert(t, !s.Judge(req("b"), 0).Refused, "only one crash under this request")
 }
 
 func TestARequestThatRunsToItsEndIsClearedEverywhere(t *testing.T) {
-	first := bookWithCrashes(crashOf("a", "u1"), crashOf("a", "u2"))
+	first := stateWithCrashes(crashOf("a", "u1"), crashOf("a", "u2"))
 	second := New("g2")
-	second.Reset(map[string]Record{"g1": first.Own()}, 0)
+	second.Reset(map[string]Record{"g1": first.TakeOwnRecord()}, 0)
 	assert.Assert(t, second.Judge(req("a"), 0).Refused)
 	assert.Assert(t, second.Completed(req("a"), 0))
 	assert.Assert(t, !second.Judge(req("a"), 0).Refused)
 	due, must := second.Due()
 	assert.Assert(t, must && due == 0, "other gateways refuse the request until they receive the record")
 
-	first.Take("g2", second.Own(), 0)
+	first.ReplaceRecord("g2", second.TakeOwnRecord(), 0)
 	assert.Assert(t, !first.Judge(req("a"), 0).Refused)
-	second.Take("g1", first.Own(), 0)
-	tidied := second.Own()
+	second.ReplaceRecord("g1", first.TakeOwnRecord(), 0)
+	tidied := second.TakeOwnRecord()
 	assert.Equal(t, len(tidied.Crashes)+len(tidied.Cleared), 0, "no gateway reports the crashes any more")
 	assert.Assert(t, !second.Completed(req("a"), 0), "no crash is left to clear")
 	for _, upstream := range []string{"u3", "u4"} {
@@ -61,51 +61,51 @@
 }
 
 func TestACrashThatIsNotConfirmedCountsHereOnly(t *testing.T) {
-	b := bookWithCrashes(crashOf("a", "u1"))
-	b.Own()
-	b.Suspect(crashOf("a", "u2"), 0)
-	assert.Assert(t, b.Judge(req("a"), 0).Refused)
-	assert.Assert(t, b.Judge(req("a"), 0).Unsure)
-	assert.Equal(t, len(b.Own().Crashes), 1)
-	b.Dismiss(crashOf("a", "u2"), 0)
-	assert.Assert(t, !b.Judge(req("a"), 0).Refused)
-	b.Confirm(crashOf("a", "u2"), 0)
-	assert.Equal(t, len(b.Own().Crashes), 1, "the crash was dismissed")
+	s := stateWithCrashes(crashOf("a", "u1"))
+	s.TakeOwnRecord()
+	s.Suspect(crashOf("a", "u2"), 0)
+	assert.Assert(t, s.Judge(req("a"), 0).Refused)
+	assert.Assert(t, s.Judge(req("a"), 0).Unsure)
+	assert.Equal(t, len(s.TakeOwnRecord().Crashes), 1)
+	s.Dismiss(crashOf("a", "u2"), 0)
+	assert.Assert(t, !s.Judge(req("a"), 0).Refused)
+	s.Confirm(crashOf("a", "u2"), 0)
+	assert.Equal(t, len(s.TakeOwnRecord().Crashes), 1, "the crash was dismissed")
 }
 
 func TestAnUpstreamThatAnswersAgainHasNotCrashed(t *testing.T) {
-	b := bookWithCrashes(crashOf("a", "u1"), crashOf("a", "u2"), crashOf("b", "u2"))
-	b.Take("g2", Record{Crashes: []Crash{crashOf("a", "u2")}}, 0)
-	assert.Assert(t, !b.Answered("u2", 0, 1), "the request may have been sent before the crash")
-	assert.Assert(t, b.Judge(req("a"), 1).Refused)
-	assert.Assert(t, b.Answered("u2", 1, 2))
-	assert.Equal(t, b.Judge(req("a"), 2).Crashes, 1)
-	assert.Equal(t, b.Judge(req("b"), 2).Crashes, 0)
-	due, must := b.Due()
+	s := stateWithCrashes(crashOf("a", "u1"), crashOf("a", "u2"), crashOf("b", "u2"))
+	s.ReplaceRecord("g2", Record{Crashes: []Crash{crashOf("a", "u2")}}, 0)
+	assert.Assert(t, !s.Responded("u2", 0, 1), "the request may have been sent before the crash")
+	assert.Assert(t, s.Judge(req("a"), 1).Refused)
+	assert.Assert(t, s.Responded("u2", 1, 2))
+	assert.Equal(t, s.Judge(req("a"), 2).Crashes, 1)
+	assert.Equal(t, s.Judge(req("b"), 2).Crashes, 0)
+	due, must := s.Due()
 	assert.Assert(t, must && due <= 2)
-	assert.DeepEqual(t, b.Own(), Record{Crashes: []Crash{crashOf("a", "u1")}, Cleared: []Crash{crashOf("a", "u2")}})
-	assert.Assert(t, !b.Answered("u3", 1, 2))
+	assert.DeepEqual(t, s.TakeOwnRecord(), Record{Crashes: []Crash{crashOf("a", "u1")}, Cleared: []Crash{crashOf("a", "u2")}})
+	assert.Assert(t, !s.Responded("u3", 1, 2))
 }
 
 func TestTheRecordOfAnEarlierIncarnationIsAdoptedOnce(t *testing.T) {
-	b := New("g1")
-	b.Suspect(crashOf("a", "u2"), 0)
-	b.Confirm(crashOf("a", "u2"), 0)
-	_, must := b.Due()
+	s := New("g1")
+	s.Suspect(crashOf("a", "u2"), 0)
+	s.Confirm(crashOf("a", "u2"), 0)
+	_, must := s.Due()
 	assert.Assert(t, !must, "the record of the earlier incarnation would be overwritten")
-	b.Reset(map[string]Record{"g1": {Crashes: []Crash{crashOf("a", "u1")}}}, 0)
-	assert.Assert(t, b.Judge(req("a"), 0).Refused)
-	_, must = b.Due()
+	s.Reset(map[string]Record{"g1": {Crashes: []Crash{crashOf("a", "u1")}}}, 0)
+	assert.Assert(t, s.Judge(req("a"), 0).Refused)
+	_, must = s.Due()
 	assert.Assert(t, must)
-	assert.Equal(t, len(b.Own().Crashes), 2)
-	b.Completed(req("a"), 0)
-	b.Take("g1", Record{Crashes: []Crash{crashOf("a", "u1"), crashOf("a", "u2")}}, 0)
-	assert.Assert(t, !b.Judge(req("a"), 0).Refused, "an older write of its own restores no cleared crash")
+	assert.Equal(t, len(s.TakeOwnRecord().Crashes), 2)
+	s.Completed(req("a"), 0)
+	s.ReplaceRecord("g1", Record{Crashes: []Crash{crashOf("a", "u1"), crashOf("a", "u2")}}, 0)
+	assert.Assert(t, !s.Judge(req("a"), 0).Refused, "an older write of its own restores no cleared crash")
 }
 
-// refusedAndProven returns the book of a gateway that refuses a request from now on, and the book
+// refusedAndProven returns the State of a gateway that refuses a request from now on, and the State
 // of another gateway that has seen the request complete before.
-func refusedAndProven(t *testing.T, now time.Duration, upstreams ...string) (refuses, knows *Book) {
+func refusedAndProven(t *testing.T, now time.Duration, upstreams ...string) (refuses, knows *State) {
 	knows = New("g2")
 	knows.Reset(nil, now)
 	knows.Completed(req("a"), now)
@@ -115,98 +115,98 @@
 		recordCrash(refuses, crashOf("a", upstream), now)
 	}
 	assert.Assert(t, refuses.Judge(req("a"), now).Refused)
-	knows.Take("g1", refuses.Own(), now)
+	knows.ReplaceRecord("g1", refuses.TakeOwnRecord(), now)
 	due, must := knows.Due()
 	assert.Assert(t, must && due == now, "other gateways delay the trial until they know that the request is proven")
-	refuses.Take("g2", knows.Own(), now)
+	refuses.ReplaceRecord("g2", knows.TakeOwnRecord(), now)
 	return refuses, knows
 }
 
 // recordCrash makes a gateway record a confirmed crash.
-func recordCrash(b *Book, crash Crash, now time.Duration) {
-	b.Suspect(crash, now)
-	b.Confirm(crash, now)
+func recordCrash(s *State, crash Crash, now time.Duration) {
+	s.Suspect(crash, now)
+	s.Confirm(crash, now)
 }
 
 func TestAProvenRequestIsTriedSoonerAndTwice(t *testing.T) {
-	b, _ := refusedAndProven(t, 0, "u1", "u2")
-	assert.Equal(t, b.Judge(req("a"), firstProvenTrialDelay-1).Trial, 0)
-	assert.Equal(t, b.Judge(req("a"), firstProvenTrialDelay).Trial, 1)
-	b.TrialUsed(req("a"), b.NextTrial(req("a"), 1), firstProvenTrialDelay)
-	recordCrash(b, crashOf("a", "u3"), firstProvenTrialDelay)
+	s, _ := refusedAndProven(t, 0, "u1", "u2")
+	assert.Equal(t, s.Judge(req("a"), firstProvenTrialDelay-1).Trial, 0)
+	assert.Equal(t, s.Judge(req("a"), firstProvenTrialDelay).Trial, 1)
+	s.TrialUsed(req("a"), s.NextTrial(req("a"), 1), firstProvenTrialDelay)
+	recordCrash(s, crashOf("a", "u3"), firstProvenTrialDelay)
 
 	second := firstProvenTrialDelay + crashedTrialDelay
-	assert.Equal(t, b.Judge(req("a"), second-1).Trial, 0)
-	assert.Equal(t, b.Judge(req("a"), second).Trial, 2)
-	b.TrialUsed(req("a"), b.NextTrial(req("a"), 2), second)
-	recordCrash(b, crashOf("a", "u4"), second)
-	assert.DeepEqual(t, b.Judge(req("a"), crashTTL-1), Verdict{Crashes: 4, Refused: true, RetryAfter: noTrialRetryAfter})
+	assert.Equal(t, s.Judge(req("a"), second-1).Trial, 0)
+	assert.Equal(t, s.Judge(req("a"), second).Trial, 2)
+	s.TrialUsed(req("a"), s.NextTrial(req("a"), 2), second)
+	recordCrash(s, crashOf("a", "u4"), second)
+	assert.DeepEqual(t, s.Judge(req("a"), crashTTL-1), Verdict{Crashes: 4, Refused: true, RetryAfter: noTrialRetryAfter})
 }
 
 // TestARequestWithCrashesThatOthersSawHasNoSecondTrial: crashes that only other gateways saw may
 // have preceded all that this gateway saw.
 func TestARequestWithCrashesThatOthersSawHasNoSecondTrial(t *testing.T) {
-	b, _ := refusedAndProven(t, 0, "u1", "u2")
-	b.TrialUsed(req("a"), b.NextTrial(req("a"), 1), 0)
-	recordCrash(b, crashOf("a", "u3"), 0)
-	b.Take("g3", Record{Crashes: []Crash{crashOf("a", "u4")}}, 0)
-	assert.Equal(t, b.Judge(req("a"), crashTTL-1).Trial, 0)
+	s, _ := refusedAndProven(t, 0, "u1", "u2")
+	s.TrialUsed(req("a"), s.NextTrial(req("a"), 1), 0)
+	recordCrash(s, crashOf("a", "u3"), 0)
+	s.ReplaceRecord("g3", Record{Crashes: []Crash{crashOf("a", "u4")}}, 0)
+	assert.Equal(t, s.Judge(req("a"), crashTTL-1).Trial, 0)
 }
 
 func TestATrialThatCrashedNothingIsFollowedByOthers(t *testing.T) {
-	b, _ := refusedAndProven(t, 0, "u1", "u2", "u3", "u4", "u5")
+	s, _ := refusedAndProven(t, 0, "u1", "u2", "u3", "u4", "u5")
 	now := firstProvenTrialDelay
 	for number := 1; number < 10; number++ {
-		assert.Equal(t, b.Judge(req("a"), now-1).Trial, 0, "two trials at once")
-		assert.Equal(t, b.Judge(req("a"), now).Trial, number)
-		b.TrialUsed(req("a"), b.NextTrial(req("a"), number), now)
+		assert.Equal(t, s.Judge(req("a"), now-1).Trial, 0, "two trials at once")
+		assert.Equal(t, s.Judge(req("a"), now).Trial, number)
+		s.TrialUsed(req("a"), s.NextTrial(req("a"), number), now)
 		now += lostTrialDelay
 	}
 }
 
 func TestARejectedTrialIsRetriedOnce(t *testing.T) {
-	b, _ := refusedAndProven(t, 0, "u1", "u2")
+	s, _ := refusedAndProven(t, 0, "u1", "u2")
 	for number, retried := range []bool{true, false} {
-		assert.Equal(t, b.Judge(req("a"), firstProvenTrialDelay).Trial, 1, "send %d", number+1)
-		b.TrialUsed(req("a"), b.NextTrial(req("a"), 1), firstProvenTrialDelay)
-		assert.Equal(t, b.TrialReturned(req("a"), 1, true), retried)
+		assert.Equal(t, s.Judge(req("a"), firstProvenTrialDelay).Trial, 1, "send %d", number+1)
+		s.TrialUsed(req("a"), s.NextTrial(req("a"), 1), firstProvenTrialDelay)
+		assert.Equal(t, s.TrialReturned(req("a"), 1, true), retried)
 	}
-	assert.Equal(t, b.Judge(req("a"), firstProvenTrialDelay+lostTrialDelay).Trial, 2)
+	assert.Equal(t, s.Judge(req("a"), firstProvenTrialDelay+lostTrialDelay).Trial, 2)
 }
 
 func TestARejectedTrialIsNotRetriedAfterACrash(t *testing.T) {
-	b, _ := refusedAndProven(t, 0, "u1", "u2", "u3")
-	b.TrialUsed(req("a"), b.NextTrial(req("a"), 1), 0)
-	assert.Assert(t, !b.TrialReturned(req("a"), 1, true))
-	assert.Assert(t, b.TrialReturned(req("a"), 1, false), "the trial reached no upstream")
-	assert.Assert(t, !b.TrialReturned(req("a"), 1, false), "the trial was returned already")
+	s, _ := refusedAndProven(t, 0, "u1", "u2", "u3")
+	s.TrialUsed(req("a"), s.NextTrial(req("a"), 1), 0)
+	assert.Assert(t, !s.TrialReturned(req("a"), 1, true))
+	assert.Assert(t, s.TrialReturned(req("a"), 1, false), "the trial reached no upstream")
+	assert.Assert(t, !s.TrialReturned(req("a"), 1, false), "the trial was returned already")
 }
 
-func TestEndedReturnsRecentlyCrashedUpstreams(t *testing.T) {
-	b := bookWithCrashes(crashOf("a", "u1"))
-	recordCrash(b, crashOf("a", "u2"), endedWindow-1)
-	assert.DeepEqual(t, b.Ended(req("a"), endedWindow-1), []string{"u1", "u2"})
-	assert.DeepEqual(t, b.Ended(req("a"), endedWindow), []string{"u2"})
-	assert.Equal(t, len(b.Ended(req("b"), 0)), 0)
+func TestRecentlyCrashedReturnsUpstreamsWithinItsWindow(t *testing.T) {
+	s := stateWithCrashes(crashOf("a", "u1"))
+	recordCrash(s, crashOf("a", "u2"), endedWindow-1)
+	assert.DeepEqual(t, s.RecentlyCrashed(req("a"), endedWindow-1), []string{"u1", "u2"})
+	assert.DeepEqual(t, s.RecentlyCrashed(req("a"), endedWindow), []string{"u2"})
+	assert.Equal(t, len(s.RecentlyCrashed(req("b"), 0)), 0)
 }
 
 func TestATrialForCrashesThatWereClearedIsPast(t *testing.T) {
-	b, _ := refusedAndProven(t, 0, "u1", "u2")
-	trial := b.NextTrial(req("a"), 1)
-	assert.Assert(t, !b.IsPast(req("a"), trial))
-	b.Completed(req("a"), 0)
-	recordCrash(b, crashOf("a", "u3"), 0)
-	recordCrash(b, crashOf("a", "u4"), 0)
-	assert.Assert(t, b.IsPast(req("a"), trial))
+	s, _ := refusedAndProven(t, 0, "u1", "u2")
+	trial := s.NextTrial(req("a"), 1)
+	assert.Assert(t, !s.IsPast(req("a"), trial))
+	s.Completed(req("a"), 0)
+	recordCrash(s, crashOf("a", "u3"), 0)
+	recordCrash(s, crashOf("a", "u4"), 0)
+	assert.Assert(t, s.IsPast(req("a"), trial))
 }
 
 func TestProvenRequestsAreWithdrawnOnceCleared(t *testing.T) {
-	b, knows := refusedAndProven(t, 0, "u1", "u2")
-	b.Completed(req("a"), 0)
-	knows.Take("g1", b.Own(), 0)
-	b.Take("g2", knows.Own(), 0)
-	knows.Take("g1", b.Own(), 0)
-	assert.Equal(t, len(b.Own().Proven)+len(knows.Own().Proven), 0)
+	s, knows := refusedAndProven(t, 0, "u1", "u2")
+	s.Completed(req("a"), 0)
+	knows.ReplaceRecord("g1", s.TakeOwnRecord(), 0)
+	s.ReplaceRecord("g2", knows.TakeOwnRecord(), 0)
+	knows.ReplaceRecord("g1", s.TakeOwnRecord(), 0)
+	assert.Equal(t, len(s.TakeOwnRecord().Proven)+len(knows.TakeOwnRecord().Proven), 0)
 }
 
 func TestTheSetOfCompletedRequestsIsBounded(t *testing.T) {
@@ -219,34 +219,34 @@
 }
 
 func TestAnUnprovenRequestHasOneTrial(t *testing.T) {
-	b := bookWithCrashes(crashOf("a", "u1"), crashOf("a", "u2"))
-	assert.Equal(t, b.Judge(req("a"), firstTrialDelay-time.Second).RetryAfter, time.Second)
-	assert.Equal(t, b.Judge(req("a"), firstTrialDelay).Trial, 1)
-	b.TrialUsed(req("a"), Trial{Number: 1}, firstTrialDelay)
-	assert.DeepEqual(t, b.Judge(req("a"), crashTTL-1), Verdict{Crashes: 2, Refused: true, RetryAfter: noTrialRetryAfter})
-	b.Expire(crashTTL)
-	assert.Assert(t, !b.Judge(req("a"), crashTTL).Refused)
+	s := stateWithCrashes(crashOf("a", "u1"), crashOf("a", "u2"))
+	assert.Equal(t, s.Judge(req("a"), firstTrialDelay-time.Second).RetryAfter, time.Second)
+	assert.Equal(t, s.Judge(req("a"), firstTrialDelay).Trial, 1)
+	s.TrialUsed(req("a"), Trial{Number: 1}, firstTrialDelay)
+	assert.DeepEqual(t, s.Judge(req("a"), crashTTL-1), Verdict{Crashes: 2, Refused: true, RetryAfter: noTrialRetryAfter})
+	s.Expire(crashTTL)
+	assert.Assert(t, !s.Judge(req("a"), crashTTL).Refused)
 }
 
 func TestAFurtherAttemptWaitsForTheRecordsOfOtherGateways(t *testing.T) {
-	b := bookWithCrashes(crashOf("a", "u1"))
-	assert.Equal(t, b.Settle(req("a"), settleDelay/3), settleDelay-settleDelay/3)
-	assert.Equal(t, b.Settle(req("a"), settleDelay), time.Duration(0))
-	assert.Equal(t, b.Settle(req("b"), 0), time.Duration(0))
+	s := stateWithCrashes(crashOf("a", "u1"))
+	assert.Equal(t, s.SettleDelay(req("a"), settleDelay/3), settleDelay-settleDelay/3)
+	assert.Equal(t, s.SettleDelay(req("a"), settleDelay), time.Duration(0))
+	assert.Equal(t, s.SettleDelay(req("b"), 0), time.Duration(0))
 }
 
 func TestARecordIsBounded(t *testing.T) {
-	b := bookWithCrashes()
+	s := stateWithCrashes()
 	for i := range maxCrashes + 5 {
 		crash := crashOf("a", string(rune('a'+i)))
-		b.Suspect(crash, 0)
-		b.Confirm(crash, 0)
+		s.Suspect(crash, 0)
+		s.Confirm(crash, 0)
 	}
-	assert.Equal(t, len(b.Own().Crashes), maxCrashes)
+	assert.Equal(t, len(s.TakeOwnRecord().Crashes), maxCrashes)
 }
 
 func TestAnOperatorCanRemoveARecord(t *testing.T) {
-	b := bookWithCrashes(crashOf("a", "u1"), crashOf("a", "u2"))
-	b.Remove("g1", 0)
-	assert.Assert(t, !b.Judge(req("a"), 0).Refused)
+	s := stateWithCrashes(crashOf("a", "u1"), crashOf("a", "u2"))
+	s.Remove("g1", 0)
+	assert.Assert(t, !s.Judge(req("a"), 0).Refused)
 }
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -14,118 +14,119 @@
 const notDue = -1
 
 // Reset replaces the records of all gateways by the given ones.
-func (b *Book) Reset(records map[string]Record, now time.Duration) {
-	own, found := records[b.self]
+func (s *State) Reset(records map[string]Record, now time.Duration) {
+	own, found := records[s.self]
 	var affected []Record
-	for gateway := range b.records {
+	for gateway := range s.records {
 		if _, present := records[gateway]; !present {
-			affected = append(affected, b.swapRecord(gateway, Record{}))
-			delete(b.records, gateway)
+			affected = append(affected, s.swapRecord(gateway, Record{}))
+			delete(s.records, gateway)
 		}
 	}
 	for _, gateway := range slices.Sorted(maps.Keys(records)) {
-		if gateway != b.self {
-			affected = append(affected, b.swapRecord(gateway, records[gateway]))
+		if gateway != s.self {
+			affected = append(affected, s.swapRecord(gateway, records[gateway]))
 		}
 	}
 	for _, record := range affected {
-		b.reevaluateRecord(record, now)
+		s.reevaluateRecord(record, now)
 	}
 	if found {
-		b.Take(b.self, own, now)
+		s.ReplaceRecord(s.self, own, now)
 		return
 	}
-	b.adopted = true
-	if len(b.own.Crashes)+len(b.own.Cleared)+len(b.own.Proven) > 0 {
-		b.scheduleWrite(now)
+	s.adopted = true
+	if len(s.own.Crashes)+len(s.own.Cleared)+len(s.own.Proven) > 0 {
+		s.scheduleWrite(now)
 	}
 }
 
-// Take replaces the record of a gateway. The first record of this gateway itself was written by its
-// earlier incarnation and is adopted, so that the crashes it saw survive a restart; later ones are
-// its own writes and are ignored.
-func (b *Book) Take(gateway string, record Record, now time.Duration) {
-	if gateway != b.self {
-		b.replaceRecord(gateway, record, now)
+// ReplaceRecord replaces the record of a gateway. The first record of this gateway itself was
+// written by its earlier incarnation and is adopted, so that the crashes it saw survive a restart;
+// later ones are its own writes and are ignored.
+func (s *State) ReplaceRecord(gateway string, record Record, now time.Duration) {
+	if gateway != s.self {
+		s.replacePeerRecord(gateway, record, now)
 		return
 	}
-	if !b.adopted {
-		b.Adopt(record, now)
+	if !s.adopted {
+		s.Adopt(record, now)
 	}
 }
 
 // Adopt merges a record of this gateway that this incarnation did not write into the own one, and
 // schedules a write if the two differ.
-func (b *Book) Adopt(record Record, now time.Duration) {
-	b.adopted = true
+func (s *State) Adopt(record Record, now time.Duration) {
+	s.adopted = true
 	for _, crash := range record.Crashes {
-		b.dropSuspicion(crash)
-		if !slices.Contains(b.own.Crashes, crash) {
-			b.own.Crashes = append(b.own.Crashes, crash)
-			b.merged.countReport(crash, 1)
+		s.dropSuspicion(crash)
+		if !slices.Contains(s.own.Crashes, crash) {
+			s.own.Crashes = append(s.own.Crashes, crash)
+			s.merged.countReport(crash, 1)
 		}
 	}
 	for _, crash := range record.Cleared {
-		if !slices.Contains(b.own.Cleared, crash) {
-			b.own.Cleared = append(b.own.Cleared, crash)
-			b.merged.countCleared(crash, 1)
+		if !slices.Contains(s.own.Cleared, crash) {
+			s.own.Cleared = append(s.own.Cleared, crash)
+			s.merged.countCleared(crash, 1)
 		}
 	}
 	for _, request := range record.Proven {
-		b.completed.add(request)
+		s.completed.add(request)
 	}
-	b.reevaluateRecord(record, now)
-	if !slices.Equal(b.own.Crashes, record.Crashes) || !slices.Equal(b.own.Cleared, record.Cleared) || !slices.Equal(b.own.Proven, record.Proven) {
-		b.scheduleWrite(now)
+	s.reevaluateRecord(record, now)
+	if !slices.Equal(s.own.Crashes, record.Crashes) || !slices.Equal(s.own.Cleared, record.Cleared) || !slices.Equal(s.own.Proven, record.Proven) {
+		s.scheduleWrite(now)
 	}
 }
 
 // Remove drops the record of a gateway. This gateway's own record is only removed by an operator,
 // and is dropped too.
-func (b *Book) Remove(gateway string, now time.Duration) {
-	if gateway == b.self {
-		b.dropOwn(now)
+func (s *State) Remove(gateway string, now time.Duration) {
+	if gateway == s.self {
+		s.dropOwn(now)
 		return
 	}
-	b.replaceRecord(gateway, Record{}, now)
-	delete(b.records, gateway)
+	s.replacePeerRecord(gateway, Record{}, now)
+	delete(s.records, gateway)
 }
 
 // dropOwn drops the own record.
-func (b *Book) dropOwn(now time.Duration) {
-	own := b.own
-	b.own = Record{}
+func (s *State) dropOwn(now time.Duration) {
+	own := s.own
+	s.own = Record{}
 	for _, crash := range own.Crashes {
-		b.merged.countReport(crash, -1)
+		s.merged.countReport(crash, -1)
 	}
 	for _, crash := range own.Cleared {
-		b.merged.countCleared(crash, -1)
+		s.merged.countCleared(crash, -1)
 	}
-	b.reevaluateRecord(own, now)
+	s.reevaluateRecord(own, now)
 }
 
 // Expire drops the crashes that have expired.
-func (b *Book) Expire(now time.Duration) {
-	b.reevaluate(now, slices.Collect(maps.Keys(b.merged.entries))...)
+func (s *State) Expire(now time.Duration) {
+	s.reevaluate(now, slices.Collect(maps.Keys(s.merged.entries))...)
 }
 
 // Due returns when the own record must be written, and false if it need not be: nothing has
 // changed, or the record of an earlier incarnation, which the write would overwrite, is not known
 // yet.
-func (b *Book) Due() (time.Duration, bool) { return b.due, b.adopted && b.due != notDue }
+func (s *State) Due() (time.Duration, bool) { return s.due, s.adopted && s.due != notDue }
 
-// Own returns the record to be written and marks it as written. Later changes make it due again.
-func (b *Book) Own() Record {
-	b.due = notDue
-	return Record{Crashes: slices.Clone(b.own.Crashes), Cleared: slices.Clone(b.own.Cleared), Proven: slices.Clone(b.own.Proven)}
+// TakeOwnRecord returns the record to be written and marks it as written. Later changes make it due
+// again.
+func (s *State) TakeOwnRecord() Record {
+	s.due = notDue
+	return Record{Crashes: slices.Clone(s.own.Crashes), Cleared: slices.Clone(s.own.Cleared), Proven: slices.Clone(s.own.Proven)}
 }
 
-// Unwritten records that the write of the own record failed and is to be retried at a time.
-func (b *Book) Unwritten(retryAt time.Duration) { b.scheduleWrite(retryAt) }
+// WriteFailed records that the write of the own record failed and is to be retried at a time.
+func (s *State) WriteFailed(retryAt time.Duration) { s.scheduleWrite(retryAt) }
 
 // scheduleWrite makes the own record due at a time, unless it is due sooner.
-func (b *Book) scheduleWrite(at time.Duration) {
-	if b.due == notDue || at < b.due {
-		b.due = at
+func (s *State) scheduleWrite(at time.Duration) {
+	if s.due == notDue || at < s.due {
+		s.due = at
 	}
 }
--- a/core/quarantine/trial.go
+++ b/core/quarantine/trial.go
@@ -51,36 +51,36 @@
 }
 
 // trialDue returns when the next trial of a request may be made, and false if it gets none.
-func (b *Book) trialDue(request fingerprint.Fingerprint) (time.Duration, bool) {
-	wait, available := b.trialWait(request)
-	return max(b.lastLearned(b.merged.byRequest[request]), b.trials[request].learned) + wait, available
+func (s *State) trialDue(request fingerprint.Fingerprint) (time.Duration, bool) {
+	wait, available := s.trialWait(request)
+	return max(s.lastLearned(s.merged.byRequest[request]), s.trials[request].learned) + wait, available
 }
 
 // trialWait returns the time from the last crash or trial of a request to its next trial, and false
 // if it gets none.
-func (b *Book) trialWait(request fingerprint.Fingerprint) (time.Duration, bool) {
-	used := b.trials[request].Number
+func (s *State) trialWait(request fingerprint.Fingerprint) (time.Duration, bool) {
+	used := s.trials[request].Number
 	switch {
-	case !b.IsProven(request):
+	case !s.IsProven(request):
 		return firstTrialDelay, used < maxTrials
 	case used == 0:
 		return firstProvenTrialDelay, true
-	case !b.crashedSinceTrial(request):
+	case !s.crashedSinceTrial(request):
 		return lostTrialDelay, true
 	default:
-		return crashedTrialDelay, used < maxProvenTrials && len(b.merged.byRequest[request]) <= maxSecondTrialCrashes
+		return crashedTrialDelay, used < maxProvenTrials && len(s.merged.byRequest[request]) <= maxSecondTrialCrashes
 	}
 }
 
 // crashedSinceTrial reports whether an upstream has crashed under a request since its newest trial.
-func (b *Book) crashedSinceTrial(request fingerprint.Fingerprint) bool {
-	prior := b.trials[request].Upstreams
-	return slices.ContainsFunc(b.merged.byRequest[request], func(crash Crash) bool { return !slices.Contains(prior, crash.Upstream) })
+func (s *State) crashedSinceTrial(request fingerprint.Fingerprint) bool {
+	prior := s.trials[request].Upstreams
+	return slices.ContainsFunc(s.merged.byRequest[request], func(crash Crash) bool { return !slices.Contains(prior, crash.Upstream) })
 }
 
 // NextTrial returns the trial of the given number, to be made now.
-func (b *Book) NextTrial(request fingerprint.Fingerprint, number int) Trial {
-	crashes := b.merged.byRequest[request]
+func (s *State) NextTrial(request fingerprint.Fingerprint, number int) Trial {
+	crashes := s.merged.byRequest[request]
 	trial := Trial{Number: number}
 	for _, crash := range crashes[max(0, len(crashes)-maxUpstreams):] {
 		trial.Upstreams = append(trial.Upstreams, crash.Upstream)
@@ -90,51 +90,51 @@
 
 // IsPast reports whether all crashes that a trial was made for have been cleared since. Such a
 // trial does not count for a request that is refused because of later crashes.
-func (b *Book) IsPast(request fingerprint.Fingerprint, trial Trial) bool {
+func (s *State) IsPast(request fingerprint.Fingerprint, trial Trial) bool {
 	if len(trial.Upstreams) == 0 {
 		return false // made by a gateway that does not list upstreams
 	}
-	return !slices.ContainsFunc(b.merged.byRequest[request], func(crash Crash) bool { return slices.Contains(trial.Upstreams, crash.Upstream) })
+	return !slices.ContainsFunc(s.merged.byRequest[request], func(crash Crash) bool { return slices.Contains(trial.Upstreams, crash.Upstream) })
 }
 
 // TrialUsed records that this gateway or another one made a trial of a request.
-func (b *Book) TrialUsed(request fingerprint.Fingerprint, trial Trial, now time.Duration) {
-	if trial.Number > b.trials[request].Number {
+func (s *State) TrialUsed(request fingerprint.Fingerprint, trial Trial, now time.Duration) {
+	if trial.Number > s.trials[request].Number {
 		trial.learned = now
-		trial.retried = trial.retried || b.trials[request].retried
-		b.trials[request] = trial
+		trial.retried = trial.retried || s.trials[request].retried
+		s.trials[request] = trial
 	}
 }
 
 // TrialReturned records that a trial of a request did not run, and reports whether it may be made
 // again. If reached is set, an upstream rejected it; that is retried once, for a proven request
 // without further crashes, since the number of sends to upstreams is bounded too.
-func (b *Book) TrialReturned(request fingerprint.Fingerprint, number int, reached bool) bool {
-	trial, known := b.trials[request]
+func (s *State) TrialReturned(request fingerprint.Fingerprint, number int, reached bool) bool {
+	trial, known := s.trials[request]
 	if !known || trial.Number != number {
 		return false
 	}
 	if reached {
-		if trial.retried || !b.IsProven(request) || len(b.merged.byRequest[request]) > crashLimit {
+		if trial.retried || !s.IsProven(request) || len(s.merged.byRequest[request]) > crashLimit {
 			return false
 		}
 		trial.retried = true
 	}
 	trial.Number--
 	trial.learned = 0
-	b.trials[request] = trial
+	s.trials[request] = trial
 	return true
 }
 
 // TrialsOf returns how many trials of a request are known to be used up.
-func (b *Book) TrialsOf(request fingerprint.Fingerprint) int { return b.trials[request].Number }
+func (s *State) TrialsOf(request fingerprint.Fingerprint) int { return s.trials[request].Number }
 
-// Ended returns the upstream incarnations that crashed recently under a request, which discovery
-// may still list.
-func (b *Book) Ended(request fingerprint.Fingerprint, now time.Duration) []string {
+// RecentlyCrashed returns the upstream incarnations that crashed recently under a request, which
+// discovery may still list.
+func (s *State) RecentlyCrashed(request fingerprint.Fingerprint, now time.Duration) []string {
 	var ended []string
-	for _, crash := range b.merged.byRequest[request] {
-		if now-b.merged.learnedAt(crash) < endedWindow {
+	for _, crash := range s.merged.byRequest[request] {
+		if now-s.merged.learnedAt(crash) < endedWindow {
 			ended = append(ended, crash.Upstream)
 		}
 	}
--- a/gateway/quarantine/guard.go
+++ b/gateway/quarantine/guard.go
@@ -47,8 +47,8 @@
 	// wake tells the writer that the record may have to be written.
 	wake chan struct{}
 
-	mu   sync.Mutex
-	book *core.Book
+	mu    sync.Mutex
+	state *core.State
 	// revision is the revision of this gateway's record in the store, 0 if there is none;
 	// writing is set while a write of the record is in flight.
 	revision int64
@@ -84,7 +84,7 @@
 			trials:    options.Scope.Counter("quarantine_trials"),
 		},
 		wake:     make(chan struct{}, 1),
-		book:     core.New(options.Name),
+		state:    core.New(options.Name),
 		resolved: make(chan struct{}),
 
 		suspects:    make(map[string][]suspect),
@@ -149,13 +149,13 @@
 func (g *Guard) crashedUpstreams(request fingerprint.Fingerprint) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.book.Ended(request, clock.Boot())
+	return g.state.RecentlyCrashed(request, clock.Boot())
 }
 
 // Settle delays an attempt whose request has just crashed an upstream, at most until ctx ends.
 func (g *Guard) Settle(ctx context.Context, request fingerprint.Fingerprint) {
 	g.mu.Lock()
-	wait := g.book.Settle(request, clock.Boot())
+	wait := g.state.SettleDelay(request, clock.Boot())
 	g.mu.Unlock()
 	if wait > 0 {
 		clock.Sleep(ctx, wait)
@@ -172,7 +172,7 @@
 	for {
 		g.mu.Lock()
 		resolved := g.resolved
-		verdict := g.book.Judge(request, clock.Boot())
+		verdict := g.state.Judge(request, clock.Boot())
 		g.mu.Unlock()
 		if !verdict.Unsure {
 			return verdict
@@ -189,7 +189,7 @@
 func (g *Guard) judge(request fingerprint.Fingerprint) core.Verdict {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.book.Judge(request, clock.Boot())
+	return g.state.Judge(request, clock.Boot())
 }
 
 // Broken notes that an upstream closed the connection on which it ran a request. Whether the
@@ -199,7 +199,7 @@
 	crash := core.Crash{Request: request, Upstream: incarnation}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.book.Suspect(crash, clock.Boot())
+	g.state.Suspect(crash, clock.Boot())
 	_, checking := g.suspects[incarnation]
 	g.suspects[incarnation] = append(g.suspects[incarnation], suspect{crash: crash, attempt: attempt})
 	if !checking {
@@ -236,13 +236,13 @@
 func (g *Guard) resolve(s suspect, ended bool) {
 	now := clock.Boot()
 	if ended {
-		g.book.Confirm(s.crash, now)
+		g.state.Confirm(s.crash, now)
 		g.metrics.confirmed.Inc(1)
 	} else {
-		g.book.Dismiss(s.crash, now)
+		g.state.Dismiss(s.crash, now)
 		g.metrics.dismissed.Inc(1)
 	}
-	verdict := g.book.Judge(s.crash.Request, now)
+	verdict := g.state.Judge(s.crash.Request, now)
 	g.options.Logger.Event(event.CrashFound, observe.Fields{"fingerprint": s.crash.Request.String(), "request": s.attempt,
 		"upstream": s.crash.Upstream, "ended": ended, "crashes": verdict.Crashes, "refused": verdict.Refused})
 }
@@ -250,8 +250,8 @@
 // Completed notes that a request has run to its end, which clears it of its crashes.
 func (g *Guard) Completed(request fingerprint.Fingerprint, attempt string) {
 	g.mu.Lock()
-	trials := g.book.TrialsOf(request)
-	cleared := g.book.Completed(request, clock.Boot())
+	trials := g.state.TrialsOf(request)
+	cleared := g.state.Completed(request, clock.Boot())
 	g.mu.Unlock()
 	if !cleared {
 		return
@@ -268,11 +268,11 @@
 func (g *Guard) Answered(upstream routes.Upstream, sent time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.book.Quiet() {
+	if g.state.NoCrashes() {
 		return // the usual case
 	}
 	incarnation := StartOf(upstream)
-	if g.book.Answered(incarnation, sent, clock.Boot()) {
+	if g.state.Responded(incarnation, sent, clock.Boot()) {
 		g.options.Logger.Event(event.CrashDisproved, observe.Fields{"upstream": incarnation})
 		g.wakeWriter()
 	}
--- a/gateway/quarantine/record.go
+++ b/gateway/quarantine/record.go
@@ -120,9 +120,9 @@
 		}
 	}
 	now := clock.Boot()
-	g.book.Reset(records, now)
+	g.state.Reset(records, now)
 	if own, known := records[g.options.Name]; known && foreign {
-		g.book.Adopt(own, now)
+		g.state.Adopt(own, now)
 	}
 	g.wakeWriter()
 }
@@ -157,9 +157,9 @@
 	switch {
 	case !known:
 	case foreign:
-		g.book.Adopt(record, clock.Boot())
+		g.state.Adopt(record, clock.Boot())
 	default:
-		g.book.Take(object.Name, record, clock.Boot())
+		g.state.ReplaceRecord(object.Name, record, clock.Boot())
 	}
 }
 
@@ -168,7 +168,7 @@
 	if name == g.options.Name {
 		g.revision = 0
 	}
-	g.book.Remove(name, clock.Boot())
+	g.state.Remove(name, clock.Boot())
 	g.options.Logger.Event(event.CrashesLearned, observe.Fields{"gateway": name, "revision": 0, "crashes": 0, "cleared": 0})
 }
 
@@ -207,7 +207,7 @@
 // wait waits until the record may be due, and reports whether it is.
 func (g *Guard) wait(ctx context.Context, expire <-chan time.Time) bool {
 	g.mu.Lock()
-	due, pending := g.book.Due()
+	due, pending := g.state.Due()
 	g.mu.Unlock()
 	var timer <-chan time.Time
 	if remaining := due - clock.Boot(); pending && remaining <= 0 {
@@ -221,7 +221,7 @@
 	case <-g.wake:
 	case <-expire:
 		g.mu.Lock()
-		g.book.Expire(clock.Boot())
+		g.state.Expire(clock.Boot())
 		g.mu.Unlock()
 	}
 	return false
@@ -230,7 +230,7 @@
 // write writes the record of this gateway. A failed write is retried.
 func (g *Guard) write(ctx context.Context) {
 	g.mu.Lock()
-	record, revision := g.book.Own(), g.revision
+	record, revision := g.state.TakeOwnRecord(), g.revision
 	g.writing = true
 	g.mu.Unlock()
 	spec := specOf(record)
@@ -259,14 +259,14 @@
 	switch {
 	case fault.Is(err, fault.NotFound):
 		g.revision = 0
-		g.book.Unwritten(now)
+		g.state.WriteFailed(now)
 	case fault.Is(err, fault.Conflict) && object.Revision > 0:
 		// A write of an earlier incarnation, or one whose response was lost.
 		if record, known := g.decodeRecord(object); known {
-			g.book.Adopt(record, now)
+			g.state.Adopt(record, now)
 		}
-		g.book.Unwritten(now)
+		g.state.WriteFailed(now)
 	default:
-		g.book.Unwritten(now + writeRetryDelay)
+		g.state.WriteFailed(now + writeRetryDelay)
 	}
 }
--- a/gateway/quarantine/sweep_test.go
+++ b/gateway/quarantine/sweep_test.go
@@ -21,7 +21,7 @@
 	seen = g.sweep(t.Context(), seen)
 	assert.Equal(t, len(trials.specs), 2, "the request is still refused")
 
-	g.book.Expire(clock.Boot() + 2*time.Hour)
+	g.state.Expire(clock.Boot() + 2*time.Hour)
 	assert.Equal(t, len(g.sweep(t.Context(), nil)), 2, "the trial may have just been made")
 	trials.set(func() { trials.unavailable = true })
 	seen = g.sweep(t.Context(), seen)
--- a/gateway/quarantine/trial.go
+++ b/gateway/quarantine/trial.go
@@ -95,7 +95,7 @@
 func (g *Guard) newTrial(request fingerprint.Fingerprint, number int, attempt string) trialSpec {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	upstreams := g.book.NextTrial(request, number).Upstreams
+	upstreams := g.state.NextTrial(request, number).Upstreams
 	return trialSpec{Gateway: g.options.Name, Incarnation: g.options.Incarnation, Attempt: attempt, Upstreams: upstreams}
 }
 
@@ -104,7 +104,7 @@
 func (g *Guard) isStale(request fingerprint.Fingerprint, number int, trial trialSpec) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	stale := g.book.IsPast(request, core.Trial{Number: number, Upstreams: trial.Upstreams})
+	stale := g.state.IsPast(request, core.Trial{Number: number, Upstreams: trial.Upstreams})
 	if stale {
 		delete(g.takenTrials, trialName(request, number))
 	}
@@ -118,7 +118,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	name := trialName(request, number)
-	g.book.TrialUsed(request, core.Trial{Number: number, Upstreams: trial.Upstreams}, clock.Boot())
+	g.state.TrialUsed(request, core.Trial{Number: number, Upstreams: trial.Upstreams}, clock.Boot())
 	if trial.Gateway != g.options.Name || trial.Incarnation != g.options.Incarnation || g.takenTrials[name] {
 		return trialTaken
 	}
@@ -135,7 +135,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	name := trialName(request, unused.trial)
-	if !g.takenTrials[name] || !g.book.TrialReturned(request, unused.trial, reached) {
+	if !g.takenTrials[name] || !g.state.TrialReturned(request, unused.trial, reached) {
 		return
 	}
 	delete(g.takenTrials, name)
--- a/gateway/quarantine/trial_test.go
+++ b/gateway/quarantine/trial_test.go
@@ -135,8 +135,8 @@
 func addCrashes(g *Guard, upstreams ...string) {
 	for _, upstream := range upstreams {
 		crash := core.Crash{Request: crashing, Upstream: upstream}
-		g.book.Suspect(crash, clock.Boot()-crashAge)
-		g.book.Confirm(crash, clock.Boot()-crashAge)
+		g.state.Suspect(crash, clock.Boot()-crashAge)
+		g.state.Confirm(crash, clock.Boot()-crashAge)
 	}
 }
 
@@ -153,7 +153,7 @@
 	assert.Assert(t, acquireFirstTrial(t, list[0]))
 	assert.Assert(t, !acquireFirstTrial(t, list[1]))
 	assert.Assert(t, !acquireFirstTrial(t, list[0]), "the gateway has already made the trial")
-	assert.Equal(t, list[1].book.TrialsOf(crashing), 1)
+	assert.Equal(t, list[1].state.TrialsOf(crashing), 1)
 }
 
 // TestTrialWhoseStoreResponseWasLostIsMadeLater: otherwise the trial would be used up and never
@@ -183,7 +183,7 @@
 	g := list[0]
 	assert.Assert(t, acquireFirstTrial(t, g))
 	trials.set(func() { trials.unavailable = true })
-	g.book.Completed(crashing, clock.Boot())
+	g.state.Completed(crashing, clock.Boot())
 	addCrashes(g, "u3", "u4")
 	trials.set(func() { trials.unavailable = false })
 	assert.Assert(t, !acquireFirstTrial(t, g), "this call removes the stale object")
@@ -202,7 +202,7 @@
 func TestTrialAvoidsUpstreamsThatJustCrashed(t *testing.T) {
 	list, trials := newGuards(t, 1)
 	g := list[0]
-	g.book.Reset(map[string]core.Record{"g2": {Proven: []fingerprint.Fingerprint{crashing}}}, clock.Boot())
+	g.state.Reset(map[string]core.Record{"g2": {Proven: []fingerprint.Fingerprint{crashing}}}, clock.Boot())
 	check := func(runs bool) (Pass, *Refusal) {
 		return g.Check(t.Context(), Attempt{Request: crashing, ID: "attempt", Runs: func(ended []string) bool {
 			assert.DeepEqual(t, ended, []string{"u1", "u2"})
@@ -224,11 +224,11 @@
 	for _, c := range []struct{ proven, reached, again bool }{{false, false, true}, {false, true, false}, {true, false, true}, {true, true, true}} {
 		list, _ := newGuards(t, 2)
 		if c.proven {
-			list[0].book.Take("g2", core.Record{Proven: []fingerprint.Fingerprint{crashing}}, clock.Boot())
+			list[0].state.ReplaceRecord("g2", core.Record{Proven: []fingerprint.Fingerprint{crashing}}, clock.Boot())
 		}
 		assert.Assert(t, acquireFirstTrial(t, list[0]))
 		list[0].Return(crashing, "attempt", Pass{trial: 1, crashes: 2}, c.reached)
-		assert.Equal(t, list[0].book.TrialsOf(crashing) == 0, c.again)
+		assert.Equal(t, list[0].state.TrialsOf(crashing) == 0, c.again)
 		assert.Assert(t, !acquireFirstTrial(t, list[1]), "the first gateway owns the trial")
 		assert.Equal(t, acquireFirstTrial(t, list[0]), c.again, "%+v", c)
 		assert.Assert(t, !acquireFirstTrial(t, list[0]))
@@ -239,5 +239,5 @@
 	list, _ := newGuards(t, 1)
 	assert.Assert(t, acquireFirstTrial(t, list[0]))
 	list[0].Return(crashing, "attempt", Pass{}, false)
-	assert.Equal(t, list[0].book.TrialsOf(crashing), 1)
+	assert.Equal(t, list[0].state.TrialsOf(crashing), 1)
 }
