--- a/core/source/fleet_test.go
+++ b/core/source/fleet_test.go
@@ -166,10 +166,10 @@
 	}
 	n.lastReport = f.now
 	if !to.hasProof {
-		n.selector.Heard(Word{Incarnation: to.Incarnation, Proved: Never, Failing: to.failing}, f.now)
+		n.selector.RecordReport(Report{Incarnation: to.Incarnation, Proved: Never, Failing: to.failing}, f.now)
 		return
 	}
-	n.selector.Heard(Word{Incarnation: to.Incarnation, Proved: to.proved, Hops: to.hops, Failing: to.failing}, f.now)
+	n.selector.RecordReport(Report{Incarnation: to.Incarnation, Proved: to.proved, Hops: to.hops, Failing: to.failing}, f.now)
 	n.updateProof(to.proved, to.hops+1)
 }
 
@@ -419,9 +419,9 @@
 	s := New(Member{Name: "a", Zone: "z", Incarnation: "ia", LinkMbps: 20}, Settings{FollowersPerReader: 24, StaleAfter: modelStale}, 0)
 	s.SetMembers([]Member{other})
 	assert.Equal(t, s.Next(0).Follow, other)
-	s.Heard(Word{Incarnation: other.Incarnation, Proved: Never}, time.Millisecond)
+	s.RecordReport(Report{Incarnation: other.Incarnation, Proved: Never}, time.Millisecond)
 	assert.Equal(t, s.Next(time.Millisecond).Reason, Seeking)
-	s.Heard(Word{Incarnation: other.Incarnation, Proved: time.Millisecond}, 2*time.Millisecond)
+	s.RecordReport(Report{Incarnation: other.Incarnation, Proved: time.Millisecond}, 2*time.Millisecond)
 	assert.Equal(t, s.Next(2*time.Millisecond).Reason, Follower)
 }
 
--- a/core/source/source.go
+++ b/core/source/source.go
@@ -218,8 +218,8 @@
 // StoreProved records a proof that this process read from the store itself.
 func (s *Selector) StoreProved(at time.Duration) { s.storeProved = max(s.storeProved, at) }
 
-// Word is a source's report on the state of its copy.
-type Word struct {
+// Report is a source's report on the state of its copy.
+type Report struct {
 	// Incarnation is the source's incarnation.
 	Incarnation string
 	// Proved is the time of the source's newest proof, Never if it has none.
@@ -230,18 +230,18 @@
 	Failing bool
 }
 
-// Heard records a report of the followed member.
-func (s *Selector) Heard(w Word, now time.Duration) {
-	if w.Incarnation != s.current.Incarnation {
+// RecordReport records a report of the followed member.
+func (s *Selector) RecordReport(report Report, now time.Duration) {
+	if report.Incarnation != s.current.Incarnation {
 		return
 	}
 	s.current.reported, s.current.reportedAt = true, now
-	s.current.proved, s.current.hops, s.current.failing = w.Proved, w.Hops, w.Failing
+	s.current.proved, s.current.hops, s.current.failing = report.Proved, report.Hops, report.Failing
 }
 
-// Filling records that the followed member is sending a long list that is not complete yet. No
+// Loading records that the followed member is sending a long list that is not complete yet. No
 // other source is sought meanwhile.
-func (s *Selector) Filling(incarnation string, now time.Duration) {
+func (s *Selector) Loading(incarnation string, now time.Duration) {
 	if incarnation == s.current.Incarnation {
 		s.lastGood, s.tryUntil = now, 0
 	}
--- a/gateway/relay/follower.go
+++ b/gateway/relay/follower.go
@@ -238,7 +238,7 @@
 func (f *Follower) reportUpdate(update sourceUpdate) {
 	f.mu.Lock()
 	if update.partial {
-		f.selector.Filling(update.incarnation, clock.Boot())
+		f.selector.Loading(update.incarnation, clock.Boot())
 		f.mu.Unlock()
 		return
 	}
@@ -246,7 +246,7 @@
 	if !update.known {
 		at = source.Never
 	}
-	f.selector.Heard(source.Word{Incarnation: update.incarnation, Proved: at, Hops: update.proof.Hops, Failing: update.failing}, clock.Boot())
+	f.selector.RecordReport(source.Report{Incarnation: update.incarnation, Proved: at, Hops: update.proof.Hops, Failing: update.failing}, clock.Boot())
 	steady := f.plan.Reason == source.Follower && !update.failing
 	f.mu.Unlock()
 	if !steady {
