--- a/core/proof/proof.go
+++ b/core/proof/proof.go
@@ -19,8 +19,8 @@
 
 import "time"
 
-// Word is a source's report of a proof: when it was made, relative to the arrival of a request.
-type Word struct {
+// Report is a source's report of a proof: when it was made, relative to the arrival of a request.
+type Report struct {
 	// Number is the number of the request.
 	Number uint64
 	// After is the time from the arrival of the request to the proof.
@@ -38,9 +38,9 @@
 	s.number, s.receivedAt = number, at
 }
 
-// Word returns the report of a proof that was made at a time by this process's clock.
-func (s *Source) Word(proved time.Duration) Word {
-	return Word{Number: s.number, After: proved - s.receivedAt}
+// Report returns the report of a proof that was made at a time by this process's clock.
+func (s *Source) Report(proved time.Duration) Report {
+	return Report{Number: s.number, After: proved - s.receivedAt}
 }
 
 // maxRequests is the number of requests that a Follower remembers. A report relates to the latest
@@ -53,8 +53,8 @@
 	sent   [maxRequests]time.Duration
 }
 
-// Ask records that a request is sent at a time, and returns its number.
-func (f *Follower) Ask(at time.Duration) uint64 {
+// NextRequest records that a request is sent at a time, and returns its number.
+func (f *Follower) NextRequest(at time.Duration) uint64 {
 	f.number++
 	f.sent[f.number%maxRequests] = at
 	return f.number
@@ -62,9 +62,9 @@
 
 // Proved returns a lower bound, at most now, of the time of a proof by this process's clock. It
 // returns false if the Follower does not remember the request that the report relates to.
-func (f *Follower) Proved(w Word, now time.Duration) (time.Duration, bool) {
-	if w.Number == 0 || w.Number > f.number || f.number-w.Number >= maxRequests {
+func (f *Follower) Proved(r Report, now time.Duration) (time.Duration, bool) {
+	if r.Number == 0 || r.Number > f.number || f.number-r.Number >= maxRequests {
 		return 0, false
 	}
-	return min(f.sent[w.Number%maxRequests]+w.After, now), true
+	return min(f.sent[r.Number%maxRequests]+r.After, now), true
 }
--- a/core/proof/proof_test.go
+++ b/core/proof/proof_test.go
@@ -31,18 +31,18 @@
 
 // report is a report in flight. The true time of its proof is kept with it for the check.
 type report struct {
-	Word
+	Report
 	made    time.Duration
 	arrives time.Duration
 }
 
 // rule computes a follower's time from a report: the package's own rule, or one that is wrong on
 // purpose.
-type rule func(e *edge, w report, now time.Duration) (time.Duration, bool)
+type rule func(e *edge, r report, now time.Duration) (time.Duration, bool)
 
 // actualRule is the package's own rule.
-func actualRule(e *edge, w report, now time.Duration) (time.Duration, bool) {
-	return e.follower.Proved(w.Word, e.to.clock(now))
+func actualRule(e *edge, r report, now time.Duration) (time.Duration, bool) {
+	return e.follower.Proved(r.Report, e.to.clock(now))
 }
 
 // maxUnderestimate runs a random chain and returns by how much the age of a proof was
@@ -68,14 +68,14 @@
 			processes[0].proved, processes[0].hasProof = processes[0].clock(now), true
 			now += within(100 * time.Millisecond)
 		case 1: // a request arrives after a delay
-			number := e.follower.Ask(e.to.clock(now))
+			number := e.follower.NextRequest(e.to.clock(now))
 			now += within(300 * time.Millisecond)
 			e.source.Received(number, e.from.clock(now))
 		case 2: // all processes freeze, suspended or not, while true time passes
 			now += within(6 * time.Second)
 		case 3: // a report is written now and arrives much later
 			if e.from.hasProof && e.source.number > 0 {
-				e.inFlight = append(e.inFlight, report{e.source.Word(e.from.proved), e.from.made, now + within(5*time.Second)})
+				e.inFlight = append(e.inFlight, report{e.source.Report(e.from.proved), e.from.made, now + within(5*time.Second)})
 			}
 		default:
 			worst = max(worst, e.deliver(now, apply))
@@ -88,18 +88,18 @@
 func (e *edge) deliver(now time.Duration, apply rule) time.Duration {
 	worst := time.Duration(-1 << 62)
 	var remaining []report
-	for _, w := range e.inFlight {
-		if w.arrives > now {
-			remaining = append(remaining, w)
+	for _, r := range e.inFlight {
+		if r.arrives > now {
+			remaining = append(remaining, r)
 			continue
 		}
-		at, known := apply(e, w, now)
+		at, known := apply(e, r, now)
 		if !known {
 			continue
 		}
-		worst = max(worst, at-e.to.clock(w.made))
+		worst = max(worst, at-e.to.clock(r.made))
 		if !e.to.hasProof || at > e.to.proved {
-			e.to.proved, e.to.made, e.to.hasProof = at, w.made, true
+			e.to.proved, e.to.made, e.to.hasProof = at, r.made, true
 		}
 	}
 	e.inFlight = remaining
@@ -119,11 +119,11 @@
 		"counted from the arrival of the report": func(e *edge, _ report, now time.Duration) (time.Duration, bool) {
 			return e.to.clock(now), true
 		},
-		"counted from the newest request": func(e *edge, w report, _ time.Duration) (time.Duration, bool) {
-			return e.follower.sent[e.follower.number%maxRequests] + w.After, e.follower.number > 0
+		"counted from the newest request": func(e *edge, r report, _ time.Duration) (time.Duration, bool) {
+			return e.follower.sent[e.follower.number%maxRequests] + r.After, e.follower.number > 0
 		},
-		"the age at the source, from the arrival": func(e *edge, w report, now time.Duration) (time.Duration, bool) {
-			age := w.arrives - w.made - 50*time.Millisecond
+		"the age at the source, from the arrival": func(e *edge, r report, now time.Duration) (time.Duration, bool) {
+			age := r.arrives - r.made - 50*time.Millisecond
 			return e.to.clock(now) - min(age, 200*time.Millisecond), true
 		},
 	}
@@ -138,21 +138,21 @@
 
 func TestReportsOfUnknownRequestsProveNothing(t *testing.T) {
 	var f Follower
-	_, known := f.Proved(Word{Number: 1}, time.Hour)
+	_, known := f.Proved(Report{Number: 1}, time.Hour)
 	assert.Assert(t, !known, "no request was sent")
 	for range maxRequests + 1 {
-		f.Ask(time.Second)
+		f.NextRequest(time.Second)
 	}
-	_, known = f.Proved(Word{Number: 1}, time.Hour)
+	_, known = f.Proved(Report{Number: 1}, time.Hour)
 	assert.Assert(t, !known, "the request is no longer remembered")
-	_, known = f.Proved(Word{Number: 2}, time.Hour)
+	_, known = f.Proved(Report{Number: 2}, time.Hour)
 	assert.Assert(t, known)
 }
 
 func TestAProofIsNeverInTheFuture(t *testing.T) {
 	var f Follower
-	number := f.Ask(10 * time.Second)
-	at, known := f.Proved(Word{Number: number, After: time.Hour}, 11*time.Second)
+	number := f.NextRequest(10 * time.Second)
+	at, known := f.Proved(Report{Number: number, After: time.Hour}, 11*time.Second)
 	assert.Assert(t, known)
 	assert.Equal(t, at, 11*time.Second)
 }
--- a/gateway/relay/link.go
+++ b/gateway/relay/link.go
@@ -111,7 +111,7 @@
 
 // sendRequest sends a request. The time noted for the request is taken before it is sent.
 func (l *link) sendRequest(positions []*wirepb.FollowPosition) error {
-	request := &wirepb.FollowRequest{Number: l.requests.Ask(clock.Boot()), Positions: positions, Name: l.follower.self.Name}
+	request := &wirepb.FollowRequest{Number: l.requests.NextRequest(clock.Boot()), Positions: positions, Name: l.follower.self.Name}
 	return fault.Wrap(fault.Unavailable, "relay.send", l.source.Name, l.stream.Send(request))
 }
 
@@ -130,7 +130,7 @@
 	}
 	if m := update.GetProof(); m != nil {
 		var at time.Duration
-		at, received.known = l.requests.Proved(wordOf(m), clock.Boot())
+		at, received.known = l.requests.Proved(proofReportOf(m), clock.Boot())
 		received.proof = view.Proof{At: at, Hops: int(m.GetHops())}
 	}
 	if received.known {
--- a/gateway/relay/messages.go
+++ b/gateway/relay/messages.go
@@ -60,11 +60,11 @@
 }
 
 // proofMessage encodes a proof and the number of its hops.
-func proofMessage(word proof.Word, hops int) *wirepb.FollowProof {
-	return &wirepb.FollowProof{Number: word.Number, AfterUs: word.After.Microseconds(), Hops: uint32(hops)}
+func proofMessage(report proof.Report, hops int) *wirepb.FollowProof {
+	return &wirepb.FollowProof{Number: report.Number, AfterUs: report.After.Microseconds(), Hops: uint32(hops)}
 }
 
-// wordOf decodes a proof. The lost fraction of a microsecond makes the proof appear older.
-func wordOf(m *wirepb.FollowProof) proof.Word {
-	return proof.Word{Number: m.GetNumber(), After: time.Duration(m.GetAfterUs()-1) * time.Microsecond}
+// proofReportOf decodes a proof. The lost fraction of a microsecond makes the proof appear older.
+func proofReportOf(m *wirepb.FollowProof) proof.Report {
+	return proof.Report{Number: m.GetNumber(), After: time.Duration(m.GetAfterUs()-1) * time.Microsecond}
 }
--- a/gateway/relay/server.go
+++ b/gateway/relay/server.go
@@ -101,11 +101,11 @@
 	f.source.Received(request.GetNumber(), clock.Boot())
 }
 
-// proofWord returns the time of a proof relative to the follower's last request.
-func (f *session) proofWord(proved time.Duration) proof.Word {
+// proofReport returns the time of a proof relative to the follower's last request.
+func (f *session) proofReport(proved time.Duration) proof.Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.source.Word(proved)
+	return f.source.Report(proved)
 }
 
 // sendUpdates sends what the follower lacks until ctx ends or the stream breaks.
@@ -159,7 +159,7 @@
 		f.setPosition(d.Kind, d.Revision)
 	}
 	if known {
-		last.Proof = proofMessage(f.proofWord(proved.At), proved.Hops)
+		last.Proof = proofMessage(f.proofReport(proved.At), proved.Hops)
 	}
 	return f.stream.Send(last)
 }
