--- a/core/pool/batch.go
+++ b/core/pool/batch.go
@@ -85,13 +85,13 @@
 // take none: their results must fit into its room, and they must not have to wait for an
 // upstream closer to their data.
 func (p *Pool) closeBatch(w *worker, now time.Time) *Call {
-	call := &Call{Upstream: w.upstream, Began: now}
+	call := &Call{Upstream: w.upstream, StartedAt: now}
 	room := p.availableBytes(w, now)
 	for _, g := range p.queue {
 		if len(call.Items) >= p.settings.Batch {
 			break
 		}
-		if len(g.items) == 0 || !p.canFinish(g.Task, now) || p.shouldWaitForNearer(g.Task, w, now) {
+		if len(g.items) == 0 || !p.meetsDeadline(g.Task, now) || p.shouldWaitForNearer(g.Task, w, now) {
 			continue
 		}
 		count := p.itemsThatFit(call, g, room-call.bytes)
@@ -113,9 +113,9 @@
 		item.attempts++
 	}
 	call.Expected = time.Duration(w.slowdown * float64(p.callTime(len(call.Items))))
-	call.Patience = p.timeout(w, len(call.Items))
+	call.Timeout = p.timeout(w, len(call.Items))
 	w.calls++
-	w.busyUntil = call.Began.Add(call.Expected)
+	w.busyUntil = call.StartedAt.Add(call.Expected)
 	w.usedBytes += call.bytes
 }
 
--- a/core/pool/chain_test.go
+++ b/core/pool/chain_test.go
@@ -84,7 +84,7 @@
 		due = due.Add(-c.pools[later].Wait(0, 0))
 	}
 	c.next++
-	t := &Task{Ticket: c.next, Due: due, Last: started.Add(4 * c.objective)}
+	t := &Task{Ticket: c.next, Due: due, Deadline: started.Add(4 * c.objective)}
 	c.remaining[t], c.startedAt[t] = c.stages[stage].items, started
 	c.pools[stage].Add(t, c.stages[stage].items)
 	c.dispatch(stage)
@@ -101,7 +101,7 @@
 // end handles the end of a call.
 func (c *chainRun) end(stage int, call *Call) {
 	p := c.pools[stage]
-	p.Finish(call, sameOutcomes(call, Made), c.now)
+	p.Finish(call, sameOutcomes(call, Done), c.now)
 	p.Succeed(call, c.now)
 	for _, item := range call.Items {
 		c.remaining[item.Task]--
--- a/core/pool/estimate.go
+++ b/core/pool/estimate.go
@@ -31,7 +31,7 @@
 	if expected <= 0 {
 		return
 	}
-	ratio := float64(now.Sub(call.Began)) / float64(expected)
+	ratio := float64(now.Sub(call.StartedAt)) / float64(expected)
 	w.slowdown += averageWeight * (ratio - w.slowdown)
 	p.slowdown += averageWeight * (ratio - p.slowdown)
 }
--- a/core/pool/evacuated_test.go
+++ b/core/pool/evacuated_test.go
@@ -24,7 +24,7 @@
 	assert.Equal(t, len(p.Expire(start)), 3)
 	assert.Equal(t, p.Waiting(), 0)
 	assert.Equal(t, p.CallsIn(running.Upstream.Zone), 1)
-	assert.Equal(t, len(p.Finish(running, sameOutcomes(running, Made), start)), 0)
+	assert.Equal(t, len(p.Finish(running, sameOutcomes(running, Done), start)), 0)
 	assert.Equal(t, p.CallsIn(running.Upstream.Zone), 0)
 }
 
--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -19,9 +19,9 @@
 // Ticket identifies a task in its pool.
 type Ticket uint64
 
-// Pull is the number of bytes that an item transfers from or to one availability zone,
+// Transfer is the number of bytes that an item transfers from or to one availability zone,
 // where its inputs are stored or its result is needed.
-type Pull struct {
+type Transfer struct {
 	Zone  string
 	Bytes int64
 }
@@ -35,12 +35,12 @@
 	Value float64
 	// Due is when the task must be done for the request to meet its latency objective.
 	Due time.Time
-	// Last is the deadline of the request; no item starts after it.
-	Last time.Time
+	// Deadline is the deadline of the request; no item starts after it.
+	Deadline time.Time
 	// Bytes is the approximate size of one result.
 	Bytes int64
-	// Pulls are the transfers of each item.
-	Pulls []Pull
+	// Transfers are the transfers of each item.
+	Transfers []Transfer
 
 	// late is set once the task can no longer be done when it is due.
 	late bool
@@ -49,9 +49,9 @@
 // crossZoneBytes returns how many bytes of an item cross zones if it runs in zone.
 func (t *Task) crossZoneBytes(zone string) int64 {
 	var bytes int64
-	for _, pull := range t.Pulls {
-		if pull.Zone != zone {
-			bytes += pull.Bytes
+	for _, transfer := range t.Transfers {
+		if transfer.Zone != zone {
+			bytes += transfer.Bytes
 		}
 	}
 	return bytes
@@ -70,26 +70,26 @@
 type Call struct {
 	Upstream routes.Upstream
 	Items    []*Item
-	// Began is when the batch was closed.
-	Began time.Time
-	// Expected is the expected duration of the call, Patience its timeout.
-	Expected, Patience time.Duration
-	bytes              int64
+	// StartedAt is when the batch was closed.
+	StartedAt time.Time
+	// Expected is the expected duration of the call, Timeout its timeout.
+	Expected, Timeout time.Duration
+	bytes             int64
 }
 
 // Outcome is how one item of a call ended.
 type Outcome int
 
 const (
-	// Made means that the item has a result.
-	Made Outcome = iota
-	// Again means that the item has no result and may be retried.
-	Again
+	// Done means that the item has a result.
+	Done Outcome = iota
+	// Retryable means that the item has no result and may be retried.
+	Retryable
 	// NoRoom means that the upstream had no room for the result: it stores results that
 	// this pool does not know of.
 	NoRoom
-	// Ended means that the item has no result and that no caller waits for it any more.
-	Ended
+	// Abandoned means that the item has no result and that no caller waits for it any more.
+	Abandoned
 )
 
 // maxAttempts bounds the calls of one item: the first call and a retry after the
@@ -196,12 +196,12 @@
 
 // Finish records that a call ended with an outcome for each of its items, in their
 // order, and returns the items that will not be retried. Items without a result are
-// queued again unless their outcome is Ended or they have had maxAttempts; NoRoom does
-// not count as an attempt.
+// queued again unless their outcome is Abandoned or they have had maxAttempts; NoRoom
+// does not count as an attempt.
 func (p *Pool) Finish(call *Call, outcomes []Outcome, now time.Time) (failed []*Item) {
 	w := p.worker(call.Upstream)
 	for i, item := range call.Items {
-		if outcomes[i] == Made {
+		if outcomes[i] == Done {
 			continue
 		}
 		if w != nil {
@@ -211,7 +211,7 @@
 			item.attempts--
 			w.recordNoRoom(item.Task.Bytes, now)
 		}
-		if outcomes[i] == Ended || item.attempts >= maxAttempts {
+		if outcomes[i] == Abandoned || item.attempts >= maxAttempts {
 			failed = append(failed, item)
 			continue
 		}
@@ -268,9 +268,9 @@
 	}
 }
 
-// Alone reports whether an upstream responds as fast as one that is not slow and gets calls
-// from this owner only.
-func (p *Pool) Alone(id string) bool {
+// RespondsPromptly reports whether an upstream responds as fast as one that is not slow and
+// gets calls from this owner only.
+func (p *Pool) RespondsPromptly(id string) bool {
 	w := p.workers[id]
 	return w != nil && w.slowdown < soleCallerSlowdown
 }
--- a/core/pool/pool_test.go
+++ b/core/pool/pool_test.go
@@ -43,7 +43,7 @@
 
 // task returns a task that is due after the given time.
 func task(ticket Ticket, due time.Duration) *Task {
-	return &Task{Ticket: ticket, Due: start.Add(due), Last: start.Add(10 * time.Second), Bytes: 1000}
+	return &Task{Ticket: ticket, Due: start.Add(due), Deadline: start.Add(10 * time.Second), Bytes: 1000}
 }
 
 // tickets returns the tickets of a call's items.
@@ -113,7 +113,7 @@
 	p := newPool(1)
 	for ticket := Ticket(1); ticket <= 30; ticket++ {
 		late := task(ticket, 0)
-		late.Last = start.Add(4 * time.Second)
+		late.Deadline = start.Add(4 * time.Second)
 		p.Add(late, settings.Batch)
 	}
 	refused := map[Ticket]bool{}
@@ -133,7 +133,7 @@
 func TestTasksThatCannotEndBeforeTheirDeadlineAreNotSent(t *testing.T) {
 	p := newPool(1)
 	short := task(1, 10*time.Millisecond)
-	short.Last = start.Add(100 * time.Millisecond)
+	short.Deadline = start.Add(100 * time.Millisecond)
 	p.Add(short, 1)
 	assert.Assert(t, p.Next(start) == nil, "a call takes 220 ms")
 	assert.Equal(t, len(p.Expire(start)), 1)
@@ -146,7 +146,7 @@
 	assert.Equal(t, len(running.Items), 1)
 	for ticket := Ticket(2); ticket < 10; ticket++ {
 		late := task(ticket, -time.Second)
-		late.Last = start.Add(time.Minute)
+		late.Deadline = start.Add(time.Minute)
 		p.Add(late, settings.Batch)
 		lower := task(100+ticket, 10*time.Second)
 		lower.Rank = 2
@@ -167,7 +167,7 @@
 	call := p.Next(start)
 	assert.Equal(t, len(call.Items), 3, "10,000 bytes hold three results")
 
-	p.Finish(call, sameOutcomes(call, Made), start)
+	p.Finish(call, sameOutcomes(call, Done), start)
 	p.Succeed(call, start)
 	assert.Assert(t, p.Next(start) == nil, "the results are still stored")
 	p.Free(call.Upstream, 3000)
@@ -196,12 +196,12 @@
 	first, second := p.Next(start), p.Next(start)
 	assert.Assert(t, first != nil && second != nil)
 
-	failed := p.Finish(first, sameOutcomes(first, Again), start)
+	failed := p.Finish(first, sameOutcomes(first, Retryable), start)
 	p.Fail(first, start)
 	assert.Equal(t, len(failed), 0)
 	assert.Assert(t, p.Next(start.Add(minAvoidTime)) == nil, "the other upstream is only busy")
 
-	p.Finish(second, sameOutcomes(second, Made), start)
+	p.Finish(second, sameOutcomes(second, Done), start)
 	p.Succeed(second, start)
 	again := p.Next(start)
 	assert.Equal(t, again.Upstream.ID, second.Upstream.ID)
@@ -211,7 +211,7 @@
 	p := newPool(1)
 	p.Add(task(1, time.Second), 1)
 	call := p.Next(start)
-	p.Finish(call, sameOutcomes(call, Again), start)
+	p.Finish(call, sameOutcomes(call, Retryable), start)
 	p.Fail(call, start)
 	assert.Assert(t, p.Next(start.Add(minAvoidTime-1)) == nil)
 	assert.Assert(t, p.Next(start.Add(minAvoidTime)) != nil)
@@ -223,7 +223,7 @@
 	now := start
 	for attempt := 1; ; attempt++ {
 		call := p.Next(now)
-		failed := p.Finish(call, sameOutcomes(call, Again), now)
+		failed := p.Finish(call, sameOutcomes(call, Retryable), now)
 		p.Fail(call, now)
 		if len(failed) > 0 {
 			assert.Equal(t, attempt, maxAttempts)
@@ -240,12 +240,12 @@
 	assert.Equal(t, busy.Upstream.ID, "a")
 
 	near := task(1, 5*time.Second)
-	near.Pulls = []Pull{{Zone: "zone-a", Bytes: 1 << 20}}
+	near.Transfers = []Transfer{{Zone: "zone-a", Bytes: 1 << 20}}
 	p.Add(near, 1)
 	assert.Assert(t, p.Next(start) == nil, "b is free, but a will still finish in time")
 
 	hurried := task(2, 400*time.Millisecond)
-	hurried.Pulls = near.Pulls
+	hurried.Transfers = near.Transfers
 	p.Add(hurried, 1)
 	call := p.Next(start)
 	assert.Equal(t, call.Upstream.ID, "b")
@@ -264,7 +264,7 @@
 func TestItemsWhoseRequestEndsAreDropped(t *testing.T) {
 	p := newPool(0)
 	ends := task(1, time.Second)
-	ends.Last = start.Add(settings.CallTime + settings.ItemTime)
+	ends.Deadline = start.Add(settings.CallTime + settings.ItemTime)
 	p.Add(ends, 2)
 	p.Add(task(2, time.Second), 1)
 	assert.Equal(t, len(p.Expire(start)), 0)
@@ -292,7 +292,7 @@
 	assert.Assert(t, again != nil, "the new incarnation is idle")
 	assert.Equal(t, len(again.Items), 8, "all of its room is free")
 
-	p.Finish(call, sameOutcomes(call, Again), start)
+	p.Finish(call, sameOutcomes(call, Retryable), start)
 	p.Fail(call, start)
 	p.Free(call.Upstream, 8000)
 	assert.Equal(t, p.workers["a"].calls, 1, "the call to the new incarnation is still in flight")
--- a/core/pool/queue.go
+++ b/core/pool/queue.go
@@ -53,7 +53,7 @@
 	available := p.availableAt(now)
 	ahead := 0
 	return p.removeMatching(func(g *group) bool {
-		if !p.canFinish(g.Task, available) || g.late && g.Last.Sub(now) < time.Duration(Doubt*float64(p.waitBehind(ahead))) {
+		if !p.meetsDeadline(g.Task, available) || g.late && g.Deadline.Sub(now) < time.Duration(LateWaitFactor*float64(p.waitBehind(ahead))) {
 			return true
 		}
 		ahead += len(g.items)
@@ -61,14 +61,14 @@
 	})
 }
 
-// CanEnd reports whether a call of a task ends before the deadline of its request if it
+// CanFinish reports whether a call of a task ends before the deadline of its request if it
 // starts as soon as an upstream accepts calls.
-func (p *Pool) CanEnd(task *Task, now time.Time) bool { return p.canFinish(task, p.availableAt(now)) }
+func (p *Pool) CanFinish(t *Task, now time.Time) bool { return p.meetsDeadline(t, p.availableAt(now)) }
 
-// canFinish reports whether a call that starts at the given time ends before the
+// meetsDeadline reports whether a call that starts at the given time ends before the
 // deadline of the task's request.
-func (p *Pool) canFinish(task *Task, starts time.Time) bool {
-	return !starts.Add(p.settings.CallTime + p.settings.ItemTime).After(task.Last)
+func (p *Pool) meetsDeadline(task *Task, starts time.Time) bool {
+	return !starts.Add(p.settings.CallTime + p.settings.ItemTime).After(task.Deadline)
 }
 
 // availableAt returns when the first upstream accepts calls: now, unless all eligible
@@ -83,10 +83,11 @@
 	}, now)
 }
 
-// Doubt is how many times the estimated wait a late task must have remaining to stay in the
-// queue, because tasks that are in time are still queued ahead of it. With a lower factor,
-// tasks that wait and then fail cost clients more than the few gain that are served late.
-const Doubt = 4
+// LateWaitFactor is how many times the estimated wait a late task must have remaining to stay
+// in the queue, because tasks that are in time are still queued ahead of it. With a lower
+// factor, tasks that wait and then fail cost clients more than the few gain that are served
+// late.
+const LateWaitFactor = 4
 
 // removeMatching removes the tasks that match or have no items left, and returns their items.
 func (p *Pool) removeMatching(match func(*group) bool) []*Item {
--- a/core/pool/replay_test.go
+++ b/core/pool/replay_test.go
@@ -88,7 +88,7 @@
 	}
 	ticket := Ticket(s.tasks)
 	s.remaining[ticket] = s.load.itemsPerTask
-	arrived := &Task{Ticket: ticket, Due: s.now.Add(s.limit), Last: s.now.Add(10 * s.limit), Bytes: s.load.resultBytes}
+	arrived := &Task{Ticket: ticket, Due: s.now.Add(s.limit), Deadline: s.now.Add(10 * s.limit), Bytes: s.load.resultBytes}
 	if s.valueOf != nil {
 		arrived.Value = s.valueOf(ticket)
 	}
@@ -132,7 +132,7 @@
 		s.pool.Free(e.call.Upstream, int64(len(e.call.Items))*s.load.resultBytes)
 		return
 	}
-	s.pool.Finish(e.call, sameOutcomes(e.call, Made), s.now)
+	s.pool.Finish(e.call, sameOutcomes(e.call, Done), s.now)
 	s.pool.Succeed(e.call, s.now)
 	s.events = append(s.events, simulationEvent{at: s.now.Add(s.load.keep), call: e.call, free: true})
 	for _, item := range e.call.Items {
--- a/gateway/flow/handler.go
+++ b/gateway/flow/handler.go
@@ -412,15 +412,15 @@
 }
 
 // estimateRetryAfter estimates how long it takes until a request that found no capacity can be
-// served: pool.Doubt times the longest backlog of the pools on its route, which is also the time
-// that must remain for a late task. By then the present backlog, and what is queued ahead of the
-// request meanwhile, have been processed. With only one times the backlog, clients come back
+// served: pool.LateWaitFactor times the longest backlog of the pools on its route, which is also
+// the time that must remain for a late task. By then the present backlog, and what is queued ahead
+// of the request meanwhile, have been processed. With only one times the backlog, clients come back
 // during the same burst and are refused again.
 func (rq *request) estimateRetryAfter() time.Duration {
 	now := time.Now()
 	longest := max(retryAfterBusy, rq.View.Upstreams().Opens(rq.service, now).Sub(now))
 	for _, stage := range rq.route.Stages {
-		longest = max(longest, pool.Doubt*rq.Caller.Backlog(stage.Service))
+		longest = max(longest, pool.LateWaitFactor*rq.Caller.Backlog(stage.Service))
 	}
 	return longest
 }
--- a/gateway/flow/prepare.go
+++ b/gateway/flow/prepare.go
@@ -164,7 +164,7 @@
 		Due:         times.due,
 		Class:       run.class,
 		Value:       run.value,
-		Pulls:       run.pulls(stage, run.progress.IsLast(stage), inputs),
+		Transfers:   run.transfers(stage, run.progress.IsLast(stage), inputs),
 	}, func() { run.updates <- stageUpdate{stage: stage, inputsRead: true} })
 	run.updates <- stageUpdate{stage: stage, result: result, owner: owner, took: time.Since(started), err: err}
 }
--- a/gateway/flow/pulls.go
+++ b/gateway/flow/pulls.go
@@ -6,34 +6,34 @@
 	"acaciawinch/core/pool"
 )
 
-// pulls returns the data that each piece of a stage moves between zones: its inputs from the
+// transfers returns the data that each piece of a stage moves between zones: its inputs from the
 // zones where they are kept and, if the request itself uses the result, the result to the zone
 // that the request is likely to be sent to.
-func (rq *request) pulls(stage int, isLast bool, inputs []string) []pool.Pull {
-	var pulls []pool.Pull
+func (rq *request) transfers(stage int, isLast bool, inputs []string) []pool.Transfer {
+	var transfers []pool.Transfer
 	for _, handle := range inputs {
 		if zone := rq.zoneOf(handle); zone != "" {
-			pulls = addPull(pulls, zone, rq.inputBytes(stage))
+			transfers = addTransfer(transfers, zone, rq.inputBytes(stage))
 		}
 	}
 	if !isLast {
-		return pulls
+		return transfers
 	}
 	if zone := rq.likelyZone(); zone != "" {
-		pulls = addPull(pulls, zone, rq.route.Stages[stage].ResultBytes)
+		transfers = addTransfer(transfers, zone, rq.route.Stages[stage].ResultBytes)
 	}
-	return pulls
+	return transfers
 }
 
-// addPull adds bytes to the pull of a zone.
-func addPull(pulls []pool.Pull, zone string, bytes int64) []pool.Pull {
-	for i := range pulls {
-		if pulls[i].Zone == zone {
-			pulls[i].Bytes += bytes
-			return pulls
+// addTransfer adds bytes to the transfer of a zone.
+func addTransfer(transfers []pool.Transfer, zone string, bytes int64) []pool.Transfer {
+	for i := range transfers {
+		if transfers[i].Zone == zone {
+			transfers[i].Bytes += bytes
+			return transfers
 		}
 	}
-	return append(pulls, pool.Pull{Zone: zone, Bytes: bytes})
+	return append(transfers, pool.Transfer{Zone: zone, Bytes: bytes})
 }
 
 // zoneOf returns the zone of the upstream that keeps the result with a handle.
--- a/gateway/flow/times.go
+++ b/gateway/flow/times.go
@@ -68,14 +68,14 @@
 
 // times returns the times of a stage that starts now. The stages after it wait among the tasks
 // of their pools that can be on time. If this stage is already late, they wait behind all others:
-// then pool.Doubt times their backlog must remain for them, as their pools drop late tasks that
-// have less, and the work of this stage would be lost.
+// then pool.LateWaitFactor times their backlog must remain for them, as their pools drop late
+// tasks that have less, and the work of this stage would be lost.
 func (run *stageRun) times(stage int) stageTimes {
 	now := time.Now()
 	tail := run.progress.Tail(stage, run.estimate)
 	due := run.clientStarted.Add(run.route.Objective - firstEventAllowance - tail).Sub(now)
 	if due < run.estimate(stage) {
-		tail = pool.Doubt * run.progress.Tail(stage, run.backlog)
+		tail = pool.LateWaitFactor * run.progress.Tail(stage, run.backlog)
 	}
 	return stageTimes{
 		due:       due,
--- a/gateway/pools/call.go
+++ b/gateway/pools/call.go
@@ -27,7 +27,7 @@
 	now := time.Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	took := now.Sub(call.Began)
+	took := now.Sub(call.StartedAt)
 	if err != nil {
 		o.logger.Warn(event.PoolCallFailed, observe.Fields{"service": p.Service, "upstream": call.Upstream.ID,
 			"items": len(items), "error": err.Error(), "duration_us": took.Microseconds()})
@@ -59,7 +59,7 @@
 
 // run sends a batch and returns its results.
 func (o *Owner) run(call *pool.Call, items []stagecall.Item, maxRemaining time.Duration) ([]stagecall.Result, error) {
-	ctx, cancel := context.WithTimeout(o.lifetime, min(call.Patience, maxRemaining))
+	ctx, cancel := context.WithTimeout(o.lifetime, min(call.Timeout, maxRemaining))
 	defer cancel()
 	body, err := stagecall.RunBody(items)
 	if err != nil {
@@ -109,7 +109,7 @@
 			result = results[i]
 		}
 		if result.Handle != "" {
-			outcomes[i] = pool.Made
+			outcomes[i] = pool.Done
 			made++
 			o.recordResult(p, call, item, result.Handle, now)
 			continue
@@ -126,17 +126,17 @@
 // item is not retried. An item whose task has ended is not retried.
 func (p *ownedPart) outcome(item *pool.Item, reason stagecall.Reason) (pool.Outcome, Failure) {
 	if p.tasks[item.Task.Ticket] == nil {
-		return pool.Ended, Failed
+		return pool.Abandoned, Failed
 	}
 	switch reason {
 	case stagecall.Room:
 		return pool.NoRoom, Failed
 	case stagecall.Late:
-		return pool.Ended, Late
+		return pool.Abandoned, Late
 	case stagecall.Gone:
-		return pool.Ended, Gone
+		return pool.Abandoned, Gone
 	default:
-		return pool.Again, Failed
+		return pool.Retryable, Failed
 	}
 }
 
--- a/gateway/pools/owner.go
+++ b/gateway/pools/owner.go
@@ -276,13 +276,13 @@
 		session: session,
 		number:  number,
 		queued: &pool.Task{
-			Ticket: o.lastTicket,
-			Rank:   task.Class.Rank,
-			Value:  task.Value,
-			Due:    now.Add(task.Due),
-			Last:   now.Add(task.Remaining),
-			Bytes:  task.ResultBytes,
-			Pulls:  task.Pulls,
+			Ticket:    o.lastTicket,
+			Rank:      task.Class.Rank,
+			Value:     task.Value,
+			Due:       now.Add(task.Due),
+			Deadline:  now.Add(task.Remaining),
+			Bytes:     task.ResultBytes,
+			Transfers: task.Transfers,
 		},
 	}
 	p.tasks[o.lastTicket] = open
@@ -291,7 +291,7 @@
 	case p.queue.Evacuated():
 		o.fail(p, o.lastTicket, Evacuated)
 		return true
-	case !p.queue.CanEnd(open.queued, now):
+	case !p.queue.CanFinish(open.queued, now):
 		// A call would be cut off while the upstream works, which looks like a fault.
 		o.fail(p, o.lastTicket, Late)
 		return true
@@ -355,7 +355,7 @@
 // notifyBegun tells the callers of tasks whose last items are in a call that the inputs have
 // been read, once inputReadTime has passed.
 func (o *Owner) notifyBegun(p *ownedPart, call *pool.Call) {
-	if call.Began.Sub(p.ownedSince) < max(minExclusiveTime, p.keepTime) || !p.queue.Alone(call.Upstream.ID) {
+	if call.StartedAt.Sub(p.ownedSince) < max(minExclusiveTime, p.keepTime) || !p.queue.RespondsPromptly(call.Upstream.ID) {
 		return
 	}
 	var begun []pool.Ticket
@@ -386,7 +386,7 @@
 	items := make([]stagecall.Item, len(call.Items))
 	var maxRemaining time.Duration
 	for i, item := range call.Items {
-		remaining := max(time.Millisecond, item.Task.Last.Sub(now))
+		remaining := max(time.Millisecond, item.Task.Deadline.Sub(now))
 		maxRemaining = max(maxRemaining, remaining)
 		items[i] = stagecall.Item{Piece: item.Index, RemainingMS: remaining.Milliseconds()}
 		if task := p.tasks[item.Task.Ticket]; task != nil {
--- a/gateway/pools/serve.go
+++ b/gateway/pools/serve.go
@@ -96,7 +96,7 @@
 		Due:         time.Duration(m.GetDueMs()) * time.Millisecond,
 		Class:       Class{Rank: int(m.GetRank())},
 		Value:       m.GetValue(),
-		Pulls:       pullsOf(m.GetPulls()),
+		Transfers:   transfersOf(m.GetPulls()),
 	}
 }
 
@@ -112,20 +112,20 @@
 	return Part{Service: m.GetService(), Index: int(m.GetPart()), Count: int(m.GetParts())}
 }
 
-// pullsOf decodes a task's transfers.
-func pullsOf(list []*wirepb.PoolPull) []pool.Pull {
-	pulls := make([]pool.Pull, len(list))
+// transfersOf decodes a task's transfers.
+func transfersOf(list []*wirepb.PoolPull) []pool.Transfer {
+	transfers := make([]pool.Transfer, len(list))
 	for i, pull := range list {
-		pulls[i] = pool.Pull{Zone: pull.GetZone(), Bytes: int64(pull.GetBytes())}
+		transfers[i] = pool.Transfer{Zone: pull.GetZone(), Bytes: int64(pull.GetBytes())}
 	}
-	return pulls
+	return transfers
 }
 
-// pullMessages encodes a task's transfers.
-func pullMessages(pulls []pool.Pull) []*wirepb.PoolPull {
-	list := make([]*wirepb.PoolPull, len(pulls))
-	for i, pull := range pulls {
-		list[i] = &wirepb.PoolPull{Zone: pull.Zone, Bytes: uint64(pull.Bytes)}
+// transferMessages encodes a task's transfers.
+func transferMessages(transfers []pool.Transfer) []*wirepb.PoolPull {
+	list := make([]*wirepb.PoolPull, len(transfers))
+	for i, transfer := range transfers {
+		list[i] = &wirepb.PoolPull{Zone: transfer.Zone, Bytes: uint64(transfer.Bytes)}
 	}
 	return list
 }
@@ -145,7 +145,7 @@
 		DueMs:       t.Due.Milliseconds(),
 		Rank:        uint32(max(0, t.Class.Rank)),
 		Value:       t.Value,
-		Pulls:       pullMessages(t.Pulls),
+		Pulls:       transferMessages(t.Transfers),
 		Part:        uint32(t.Index),
 		Parts:       uint32(t.Count),
 	}
--- a/gateway/pools/task.go
+++ b/gateway/pools/task.go
@@ -39,9 +39,9 @@
 	Class Class
 	// Value is the weight of the request against others of the same rank.
 	Value float64
-	// Pulls are the bytes that each item moves between zones: where its inputs are and where
+	// Transfers are the bytes that each item moves between zones: where its inputs are and where
 	// its result is needed.
-	Pulls []pool.Pull
+	Transfers []pool.Transfer
 }
 
 // Class groups requests that share an estimate of the wait.
