--- a/core/stages/progress.go
+++ b/core/stages/progress.go
@@ -73,8 +73,8 @@
 	return inputs
 }
 
-// Take records that a stage has read its inputs.
-func (p *Progress) Take(stage int) { p.inputsRead[stage] = true }
+// MarkInputsRead records that a stage has read its inputs.
+func (p *Progress) MarkInputsRead(stage int) { p.inputsRead[stage] = true }
 
 // Finish records the results of a stage.
 func (p *Progress) Finish(stage int, results []string) {
@@ -118,19 +118,19 @@
 	return found
 }
 
-// Spent returns the stages whose results are no longer needed, and returns each stage only
+// TakeUnneeded returns the stages whose results are no longer needed, and returns each stage only
 // once. The results of a stage are needed until all its followers have read them, or until
 // the caller sets last because the request itself no longer needs any results.
-func (p *Progress) Spent(last bool) []int {
-	var spent []int
+func (p *Progress) TakeUnneeded(last bool) []int {
+	var unneeded []int
 	for stage := range p.graph {
 		if p.freed[stage] || len(p.results[stage]) == 0 || !p.consumed(stage, last) {
 			continue
 		}
 		p.freed[stage] = true
-		spent = append(spent, stage)
+		unneeded = append(unneeded, stage)
 	}
-	return spent
+	return unneeded
 }
 
 // consumed reports whether a stage's results have been read by all that need them.
@@ -150,31 +150,31 @@
 // Results returns the results of a stage.
 func (p *Progress) Results(stage int) []string { return p.results[stage] }
 
-// Length returns the duration of the longest path from the start of a stage to the end of
+// CriticalPath returns the duration of the longest path from the start of a stage to the end of
 // the request's stages, given the estimated duration of each stage.
-func (p *Progress) Length(stage int, estimate func(stage int) time.Duration) time.Duration {
+func (p *Progress) CriticalPath(stage int, estimate func(stage int) time.Duration) time.Duration {
 	if p.items[stage] == 0 {
 		return 0
 	}
-	return estimate(stage) + p.Tail(stage, estimate)
+	return estimate(stage) + p.CriticalPathAfter(stage, estimate)
 }
 
-// Tail returns the same as Length without the duration of the stage itself.
-func (p *Progress) Tail(stage int, estimate func(stage int) time.Duration) time.Duration {
+// CriticalPathAfter returns the same as CriticalPath without the duration of the stage itself.
+func (p *Progress) CriticalPathAfter(stage int, estimate func(stage int) time.Duration) time.Duration {
 	var longest time.Duration
 	for _, later := range p.followers(stage) {
-		longest = max(longest, p.Length(later, estimate))
+		longest = max(longest, p.CriticalPath(later, estimate))
 	}
 	return longest
 }
 
-// Left returns the longest remaining time until all stages are done. A running stage counts
+// Remaining returns the longest remaining time until all stages are done. A running stage counts
 // with its whole estimated duration.
-func (p *Progress) Left(estimate func(stage int) time.Duration) time.Duration {
+func (p *Progress) Remaining(estimate func(stage int) time.Duration) time.Duration {
 	var longest time.Duration
 	for stage := range p.graph {
 		if !p.done[stage] {
-			longest = max(longest, p.Length(stage, estimate))
+			longest = max(longest, p.CriticalPath(stage, estimate))
 		}
 	}
 	return longest
--- a/core/stages/progress_test.go
+++ b/core/stages/progress_test.go
@@ -37,25 +37,25 @@
 	assert.DeepEqual(t, p.Final(), []string{"r3"})
 }
 
-func TestResultsAreReturnedAsSpentOnceAndOnlyWhenRead(t *testing.T) {
+func TestResultsAreReturnedAsUnneededOnceAndOnlyWhenRead(t *testing.T) {
 	p := New(graph, []int{1, 1, 1, 1})
 	p.Start()
 	p.Finish(1, []string{"r1"})
-	assert.Assert(t, p.Spent(false) == nil)
-	p.Take(2)
-	assert.DeepEqual(t, p.Spent(false), []int{1})
-	assert.Assert(t, p.Spent(false) == nil)
+	assert.Assert(t, p.TakeUnneeded(false) == nil)
+	p.MarkInputsRead(2)
+	assert.DeepEqual(t, p.TakeUnneeded(false), []int{1})
+	assert.Assert(t, p.TakeUnneeded(false) == nil)
 	p.Finish(0, []string{"r0"})
-	assert.Assert(t, p.Spent(false) == nil, "the request itself needs the final results")
-	assert.DeepEqual(t, p.Spent(true), []int{0})
+	assert.Assert(t, p.TakeUnneeded(false) == nil, "the request itself needs the final results")
+	assert.DeepEqual(t, p.TakeUnneeded(true), []int{0})
 }
 
 func TestLengthsFollowTheLongestPath(t *testing.T) {
 	p := New(graph, []int{1, 1, 1, 0})
 	each := func(int) time.Duration { return time.Second }
-	assert.Equal(t, p.Length(1, each), 2*time.Second)
-	assert.Equal(t, p.Tail(1, each), time.Second)
-	assert.Equal(t, p.Length(0, each), time.Second)
-	assert.Equal(t, p.Left(each), 2*time.Second)
+	assert.Equal(t, p.CriticalPath(1, each), 2*time.Second)
+	assert.Equal(t, p.CriticalPathAfter(1, each), time.Second)
+	assert.Equal(t, p.CriticalPath(0, each), time.Second)
+	assert.Equal(t, p.Remaining(each), 2*time.Second)
 	assert.Assert(t, p.IsLast(0) && p.IsLast(3) && !p.IsLast(1))
 }
--- a/gateway/flow/prepare.go
+++ b/gateway/flow/prepare.go
@@ -101,8 +101,8 @@
 		return stageUpdate{}, false
 	case update := <-run.updates:
 		if update.inputsRead {
-			run.progress.Take(update.stage)
-			run.freeSpent(run.progress, false)
+			run.progress.MarkInputsRead(update.stage)
+			run.freeUnneeded(run.progress, false)
 			return update, false
 		}
 		run.running--
@@ -110,7 +110,7 @@
 		if update.err == nil && update.result.Failure == "" {
 			run.progress.Finish(update.stage, update.result.Handles)
 			run.doneAt[update.stage] = time.Now()
-			run.freeSpent(run.progress, false)
+			run.freeUnneeded(run.progress, false)
 		}
 		return update, true
 	}
@@ -130,10 +130,10 @@
 // wait.
 func (run *stageRun) startDue() time.Duration {
 	wait := maxWait
-	remaining := run.progress.Left(run.remaining)
+	remaining := run.progress.Remaining(run.remaining)
 	var delayed []int
 	for _, stage := range run.waiting {
-		length := run.progress.Length(stage, run.estimate)
+		length := run.progress.CriticalPath(stage, run.estimate)
 		slack := remaining - length - length/startMarginDivisor - startMargin
 		if slack > 0 && run.progress.IsLast(stage) {
 			delayed = append(delayed, stage)
--- a/gateway/flow/results.go
+++ b/gateway/flow/results.go
@@ -34,7 +34,7 @@
 		return
 	}
 	r.freed = true
-	r.request.freeSpent(r.progress, true)
+	r.request.freeUnneeded(r.progress, true)
 }
 
 // isFreed reports whether the results were freed.
@@ -44,10 +44,10 @@
 	return r.freed
 }
 
-// freeSpent frees the results that no stage needs any more. If all is set, the request itself
+// freeUnneeded frees the results that no stage needs any more. If all is set, the request itself
 // does not need its results any more either.
-func (rq *request) freeSpent(progress *stages.Progress, all bool) {
-	for _, stage := range progress.Spent(all) {
+func (rq *request) freeUnneeded(progress *stages.Progress, all bool) {
+	for _, stage := range progress.TakeUnneeded(all) {
 		rq.Caller.Free(rq.route.Stages[stage].Service, progress.Results(stage))
 	}
 }
--- a/gateway/flow/times.go
+++ b/gateway/flow/times.go
@@ -72,10 +72,10 @@
 // tasks that have less, and the work of this stage would be lost.
 func (run *stageRun) times(stage int) stageTimes {
 	now := time.Now()
-	tail := run.progress.Tail(stage, run.estimate)
+	tail := run.progress.CriticalPathAfter(stage, run.estimate)
 	due := run.clientStarted.Add(run.route.Objective - firstEventAllowance - tail).Sub(now)
 	if due < run.estimate(stage) {
-		tail = pool.LateWaitFactor * run.progress.Tail(stage, run.backlog)
+		tail = pool.LateWaitFactor * run.progress.CriticalPathAfter(stage, run.backlog)
 	}
 	return stageTimes{
 		due:       due,
