--- a/core/selection/chooser.go
+++ b/core/selection/chooser.go
@@ -42,7 +42,7 @@
 	states map[string]*upstreamState
 	// prefixes holds the engine to which each shared prefix was last sent, by the prefix's key.
 	prefixes map[string]sentPrefix
-	// incarnations holds the incarnation number of each upstream in the last call of Keep.
+	// incarnations holds the incarnation number of each upstream in the last call of Sync.
 	incarnations map[string]int64
 }
 
@@ -153,10 +153,10 @@
 	return true, c.estimate(u, now) < idleUtilization*float64(s.load.Slots)
 }
 
-// Least returns the upstream with the smallest share of its slots in use, or false if there is
-// none. Among equals, upstreams in the zone near go first, then the one to which this process
+// LeastLoaded returns the upstream with the smallest share of its slots in use, or false if there
+// is none. Among equals, upstreams in the zone near go first, then the one to which this process
 // has sent the fewest requests. Upstreams in tried are skipped.
-func (c *Chooser) Least(list []routes.Upstream, near string, tried []string, now time.Time) (Choice, bool) {
+func (c *Chooser) LeastLoaded(list []routes.Upstream, near string, tried []string, now time.Time) (Choice, bool) {
 	candidates := c.candidates(list, tried, now)
 	if len(candidates) == 0 {
 		return Choice{}, false
@@ -170,7 +170,7 @@
 	return Choice{Upstream: best, Reason: "load", Load: c.estimate(best, now)}, true
 }
 
-// lessLoaded reports whether Least prefers a to b.
+// lessLoaded reports whether LeastLoaded prefers a to b.
 func (c *Chooser) lessLoaded(a, b routes.Upstream, near string, now time.Time) bool {
 	useA := c.estimate(a, now) / float64(max(1, a.Slots))
 	useB := c.estimate(b, now) / float64(max(1, b.Slots))
@@ -251,8 +251,8 @@
 	return 0
 }
 
-// Heard records an upstream's load report.
-func (c *Chooser) Heard(id string, load Load) {
+// RecordLoad records an upstream's load report.
+func (c *Chooser) RecordLoad(id string, load Load) {
 	s := c.stateOf(id)
 	s.load = load
 	s.ownOpenAtLoad = s.ownOpen
@@ -271,9 +271,9 @@
 	return s
 }
 
-// Keep removes the state of upstreams that are not in list and have no open requests, and of
+// Sync removes the state of upstreams that are not in list and have no open requests, and of
 // those with a new incarnation, which has neither cached prefixes nor requests of the last one.
-func (c *Chooser) Keep(list *routes.Upstreams) {
+func (c *Chooser) Sync(list *routes.Upstreams) {
 	for id, s := range c.states {
 		if s.ownOpen == 0 && !list.Knows(id) {
 			delete(c.states, id)
--- a/core/selection/chooser_test.go
+++ b/core/selection/chooser_test.go
@@ -80,21 +80,21 @@
 	assert.Assert(t, found)
 }
 
-func TestLeastPrefersTheSmallestShareOfSlotsInUse(t *testing.T) {
+func TestLeastLoadedPrefersTheSmallestShareOfSlotsInUse(t *testing.T) {
 	c := New()
 	list := []routes.Upstream{{ID: "a", Slots: 2, Zone: "z"}, {ID: "b", Slots: 8, Zone: "y"}}
-	c.Heard("a", Load{Running: 1, Slots: 2, At: now})
-	c.Heard("b", Load{Running: 2, Slots: 8, At: now})
-	choice, _ := c.Least(list, "z", nil, now)
+	c.RecordLoad("a", Load{Running: 1, Slots: 2, At: now})
+	c.RecordLoad("b", Load{Running: 2, Slots: 8, At: now})
+	choice, _ := c.LeastLoaded(list, "z", nil, now)
 	assert.Equal(t, choice.Upstream.ID, "b")
-	choice, _ = c.Least(list, "z", nil, now.Add(loadTTL))
+	choice, _ = c.LeastLoaded(list, "z", nil, now.Add(loadTTL))
 	assert.Equal(t, choice.Upstream.ID, "a", "stale reports don't count; the local zone goes first")
 }
 
 func TestStaleReportsAreReplacedByOwnOpenRequests(t *testing.T) {
 	c, u := New(), engines(1)[0]
 	c.Started("e0")
-	c.Heard("e0", Load{Running: 10, Waiting: 1, Slots: 64, At: now})
+	c.RecordLoad("e0", Load{Running: 10, Waiting: 1, Slots: 64, At: now})
 	c.Started("e0")
 	assert.Equal(t, c.estimate(u, now), 13.0)
 	assert.Equal(t, c.estimate(u, now.Add(loadTTL)), 2.0)
@@ -104,10 +104,10 @@
 	c := New()
 	c.Started("e0")
 	c.Failed("e1", now)
-	c.Keep(routes.NewUpstreams(nil))
+	c.Sync(routes.NewUpstreams(nil))
 	assert.Equal(t, len(c.states), 1)
 	c.Ended("e0")
-	c.Keep(routes.NewUpstreams(nil))
+	c.Sync(routes.NewUpstreams(nil))
 	assert.Equal(t, len(c.states), 0)
 }
 
@@ -123,9 +123,9 @@
 	}
 	assert.Assert(t, !idle(), "there are no reports")
 	for i := 1; i <= 4; i++ {
-		c.Heard(fmt.Sprintf("e%d", i), Load{Running: 3, Slots: 64, At: now})
+		c.RecordLoad(fmt.Sprintf("e%d", i), Load{Running: 3, Slots: 64, At: now})
 	}
 	assert.Assert(t, idle(), "four others are idle")
-	c.Heard("e5", Load{Running: 64, Waiting: 2, Slots: 64, At: now})
+	c.RecordLoad("e5", Load{Running: 64, Waiting: 2, Slots: 64, At: now})
 	assert.Assert(t, !idle(), "requests wait at one of the others")
 }
--- a/core/selection/order_test.go
+++ b/core/selection/order_test.go
@@ -35,7 +35,7 @@
 		}
 		key := fmt.Sprint("part ", seed)
 		if random.IntN(2) == 0 {
-			c.SentPart(key, list[random.IntN(len(list))].ID, now)
+			c.SentPrefix(key, list[random.IntN(len(list))].ID, now)
 		}
 		want, wanted := chooseBySorting(c, list, key, tried)
 		got, found := c.Choose(list, key, tried, now)
--- a/core/selection/parts.go
+++ b/core/selection/parts.go
@@ -22,8 +22,8 @@
 	at     time.Time
 }
 
-// SentPart records that a request with the key of a shared prefix was sent to an engine.
-func (c *Chooser) SentPart(key, id string, now time.Time) {
+// SentPrefix records that a request with the key of a shared prefix was sent to an engine.
+func (c *Chooser) SentPrefix(key, id string, now time.Time) {
 	if key == "" {
 		return
 	}
--- a/core/selection/parts_test.go
+++ b/core/selection/parts_test.go
@@ -17,13 +17,13 @@
 		list[i].Address = fmt.Sprintf("10.0.0.%d:1", i)
 	}
 	home, _ := c.Choose(list, "part", nil, now)
-	c.SentPart("part", home.Upstream.ID, now)
+	c.SentPrefix("part", home.Upstream.ID, now)
 	again, _ := c.Choose(list, "part", nil, now)
 	assert.Equal(t, again.CopyFrom, "", "the prefix was just sent to the chosen engine")
 
 	other, _ := c.Choose(list, "part", []string{home.Upstream.ID}, now)
 	assert.Assert(t, other.Upstream.ID != home.Upstream.ID)
-	c.SentPart("part", other.Upstream.ID, now)
+	c.SentPrefix("part", other.Upstream.ID, now)
 	back, _ := c.Choose(list, "part", nil, now)
 	assert.Equal(t, back.Upstream.ID, home.Upstream.ID)
 	assert.Equal(t, back.CopyFrom, other.Upstream.Address, "the newest request went to the other engine")
@@ -47,15 +47,15 @@
 func TestPrefixesAreEvicted(t *testing.T) {
 	c := New()
 	for i := range maxPrefixes {
-		c.SentPart(fmt.Sprint(i), "e0", now)
+		c.SentPrefix(fmt.Sprint(i), "e0", now)
 	}
-	c.SentPart("new", "e0", now.Add(prefixTTL))
+	c.SentPrefix("new", "e0", now.Add(prefixTTL))
 	assert.Equal(t, len(c.prefixes), 1)
 	for i := range maxPrefixes + 1 {
-		c.SentPart(fmt.Sprint("x", i), "e0", now.Add(prefixTTL))
+		c.SentPrefix(fmt.Sprint("x", i), "e0", now.Add(prefixTTL))
 	}
 	assert.Assert(t, len(c.prefixes) <= maxPrefixes)
-	c.SentPart("", "e0", now)
+	c.SentPrefix("", "e0", now)
 	_, known := c.prefixes[""]
 	assert.Assert(t, !known, "a request without a shared prefix is not recorded")
 }
@@ -64,17 +64,17 @@
 // prefixes of an engine's last incarnation are forgotten.
 func TestNewIncarnationHasNoStateOfTheLastOne(t *testing.T) {
 	c, list := New(), engines(3)
-	c.Keep(routes.NewUpstreams(list))
+	c.Sync(routes.NewUpstreams(list))
 	home, _ := c.Choose(list, "part", nil, now)
 	c.Started(home.Upstream.ID)
-	c.SentPart("part", home.Upstream.ID, now)
+	c.SentPrefix("part", home.Upstream.ID, now)
 	c.Failed(home.Upstream.ID, now)
 	for i := range list {
 		if list[i].ID == home.Upstream.ID {
 			list[i].Born++
 		}
 	}
-	c.Keep(routes.NewUpstreams(list))
+	c.Sync(routes.NewUpstreams(list))
 	again, _ := c.Choose(list, "part", nil, now)
 	assert.Equal(t, again.Upstream.ID, home.Upstream.ID, "the failure was that of the last incarnation")
 	assert.Equal(t, again.Load, 0.0)
--- a/gateway/flow/choose.go
+++ b/gateway/flow/choose.go
@@ -55,7 +55,7 @@
 			s.cold.Sent(choice.Upstream.ID, now)
 		}
 		s.chooser.Started(choice.Upstream.ID)
-		s.chooser.SentPart(req.sharedPart, choice.Upstream.ID, now)
+		s.chooser.SentPrefix(req.sharedPart, choice.Upstream.ID, now)
 	}
 	return choice, found
 }
@@ -73,7 +73,7 @@
 	if req.service != nil && req.service.Engine != nil {
 		return s.chooser.Choose(list, req.sharedPart, req.tried, now)
 	}
-	return s.chooser.Least(list, s.Zone, req.tried, now)
+	return s.chooser.LeastLoaded(list, s.Zone, req.tried, now)
 }
 
 // usable returns the upstreams of a request's service, without those in regions that may not run
--- a/gateway/flow/server.go
+++ b/gateway/flow/server.go
@@ -110,7 +110,7 @@
 		s.cold.SetMembers(s.View.MemberNames())
 	}
 	if upstreams := s.View.Upstreams(); upstreams != nil {
-		s.chooser.Keep(upstreams)
+		s.chooser.Sync(upstreams)
 	}
 }
 
@@ -196,7 +196,7 @@
 func (s *Server) recordLoad(id string, load selection.Load) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.chooser.Heard(id, load)
+	s.chooser.RecordLoad(id, load)
 }
 
 // markFailed makes the chooser avoid an upstream for a while.
