--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -163,7 +163,7 @@
 	kept := make(map[string]*worker, len(list))
 	for _, upstream := range list {
 		w := p.workers[upstream.ID]
-		if w == nil || w.upstream.Born != upstream.Born {
+		if w == nil || w.upstream.Incarnation != upstream.Incarnation {
 			w = &worker{slowdown: 1} // a new incarnation has no calls and no results
 		}
 		w.upstream = upstream
@@ -282,7 +282,7 @@
 // worker returns the state of one incarnation of an upstream, or nil if it is gone.
 func (p *Pool) worker(upstream routes.Upstream) *worker {
 	w := p.workers[upstream.ID]
-	if w == nil || w.upstream.Born != upstream.Born {
+	if w == nil || w.upstream.Incarnation != upstream.Incarnation {
 		return nil
 	}
 	return w
--- a/core/pool/pool_test.go
+++ b/core/pool/pool_test.go
@@ -283,7 +283,7 @@
 	assert.Equal(t, len(call.Items), 8)
 
 	list := upstreams(1)
-	list[0].Born = 5
+	list[0].Incarnation = 5
 	p.SetUpstreams(list)
 	second := task(2, time.Second)
 	second.Bytes = 1000
--- a/core/pool/queue.go
+++ b/core/pool/queue.go
@@ -74,7 +74,7 @@
 // availableAt returns when the first upstream accepts calls: now, unless all eligible
 // upstreams are backed off.
 func (p *Pool) availableAt(now time.Time) time.Time {
-	return routes.Opens(func(yield func(routes.Upstream) bool) {
+	return routes.AvailableAt(func(yield func(routes.Upstream) bool) {
 		for _, w := range p.workers {
 			if !yield(w.upstream) {
 				return
--- a/core/routes/route.go
+++ b/core/routes/route.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Repeat is the retry policy for requests whose response was lost. The zero value is the
+// RetryPolicy is the retry policy for requests whose response was lost. The zero value is the
 // strictest.
-type Repeat int
+type RetryPolicy int
 
 const (
 	// AtMostOnce means that a request that may have run is never sent again.
-	AtMostOnce Repeat = iota
+	AtMostOnce RetryPolicy = iota
 	// Idempotent means that a request may run more than once.
 	Idempotent
 	// Resumable means that an event stream may be resumed at another upstream after its last
@@ -53,8 +53,8 @@
 	// Host is in lower case, without a port.
 	Host string
 	// Prefix begins and ends with a slash.
-	Prefix string
-	Repeat Repeat
+	Prefix      string
+	RetryPolicy RetryPolicy
 	// Stream is set if the response is a stream of events.
 	Stream bool
 	// Timeout bounds the whole request.
--- a/core/routes/upstream.go
+++ b/core/routes/upstream.go
@@ -21,22 +21,23 @@
 	Slots  int
 	// Leaving is set while the upstream reports that it leaves: it gets no new work.
 	Leaving bool
-	// PausedUntil is until when this process is backed off from the upstream, which rejected
+	// BackoffUntil is until when this process is backed off from the upstream, which rejected
 	// a request and asked for the backoff; the zero time if it did not.
-	PausedUntil time.Time
+	BackoffUntil time.Time
 	// Evacuated is set while its availability zone is evacuated: it gets no new work.
 	Evacuated bool
-	// Born is the number of the incarnation, which distinguishes the runs of an upstream with
-	// one ID: a later run has a higher number. It is the start time in Unix milliseconds, 0 if
+	// Incarnation is the number of the incarnation, which distinguishes the runs of an upstream
+	// with one ID: a later run has a higher number. It is the start time in Unix milliseconds, 0 if
 	// unknown.
-	Born int64
+	Incarnation int64
 	// Cold is the remaining time for which the upstream reported itself cold after its start. A
 	// cold upstream takes only a few requests a second.
 	Cold time.Duration
 	// ColdUntil is the time, by this process's clock, at which Cold has passed.
 	ColdUntil time.Time
-	// TakenBack is when the last evacuation of its zone ended; the zero time if there was none.
-	TakenBack time.Time
+	// EvacuationEnded is when the last evacuation of its zone ended; the zero time if there was
+	// none.
+	EvacuationEnded time.Time
 }
 
 // reportDelay is how long after the end of a zone's evacuation this process may not yet know
@@ -51,14 +52,14 @@
 	if now.Before(u.ColdUntil) {
 		return true
 	}
-	return !u.TakenBack.IsZero() && now.Before(u.TakenBack.Add(start+reportDelay))
+	return !u.EvacuationEnded.IsZero() && now.Before(u.EvacuationEnded.Add(start+reportDelay))
 }
 
 // Eligible reports whether an upstream takes new work, now or once its backoff has ended.
 func (u Upstream) Eligible() bool { return !u.Leaving && !u.Evacuated }
 
 // TakesWork reports whether an upstream takes new work now.
-func (u Upstream) TakesWork(now time.Time) bool { return u.Eligible() && !now.Before(u.PausedUntil) }
+func (u Upstream) TakesWork(now time.Time) bool { return u.Eligible() && !now.Before(u.BackoffUntil) }
 
 // Upstreams is an immutable snapshot of all upstreams.
 type Upstreams struct {
@@ -98,22 +99,22 @@
 	return len(list) > 0
 }
 
-// Opens returns when the first upstream of a service takes work: now, unless all eligible
+// AvailableAt returns when the first upstream of a service takes work: now, unless all eligible
 // upstreams are backed off.
-func (u *Upstreams) Opens(service string, now time.Time) time.Time {
-	return Opens(slices.Values(u.byService[service]), now)
+func (u *Upstreams) AvailableAt(service string, now time.Time) time.Time {
+	return AvailableAt(slices.Values(u.byService[service]), now)
 }
 
-// Opens returns when the first of some upstreams takes work: now, unless all eligible upstreams
-// are backed off.
-func Opens(upstreams iter.Seq[Upstream], now time.Time) time.Time {
+// AvailableAt returns when the first of some upstreams takes work: now, unless all eligible
+// upstreams are backed off.
+func AvailableAt(upstreams iter.Seq[Upstream], now time.Time) time.Time {
 	first := now
 	for upstream := range upstreams {
 		switch {
 		case upstream.TakesWork(now):
 			return now
-		case upstream.Eligible() && (first.Equal(now) || upstream.PausedUntil.Before(first)):
-			first = upstream.PausedUntil
+		case upstream.Eligible() && (first.Equal(now) || upstream.BackoffUntil.Before(first)):
+			first = upstream.BackoffUntil
 		}
 	}
 	return first
--- a/core/routes/upstream_test.go
+++ b/core/routes/upstream_test.go
@@ -22,10 +22,10 @@
 		"no report":                  {Upstream{}, false},
 		"reported":                   {Upstream{ColdUntil: now.Add(time.Millisecond)}, true},
 		"reported time passed":       {Upstream{ColdUntil: now}, false},
-		"evacuation just ended":      {Upstream{TakenBack: now}, true},
-		"report may still be late":   {Upstream{TakenBack: now.Add(-start - reportDelay + time.Millisecond)}, true},
-		"evacuation ended earlier":   {Upstream{TakenBack: now.Add(-start - reportDelay)}, false},
-		"reported, evacuation ended": {Upstream{ColdUntil: now.Add(time.Second), TakenBack: now.Add(-time.Minute)}, true},
+		"evacuation just ended":      {Upstream{EvacuationEnded: now}, true},
+		"report may still be late":   {Upstream{EvacuationEnded: now.Add(-start - reportDelay + time.Millisecond)}, true},
+		"evacuation ended earlier":   {Upstream{EvacuationEnded: now.Add(-start - reportDelay)}, false},
+		"reported, evacuation ended": {Upstream{ColdUntil: now.Add(time.Second), EvacuationEnded: now.Add(-time.Minute)}, true},
 	} {
 		assert.Equal(t, test.upstream.IsCold(start, now), test.cold, name)
 	}
@@ -50,17 +50,17 @@
 }
 
 // TestBackoffEndsByItself checks that an upstream takes work again after its backoff, and that
-// Opens returns the earliest end of a backoff and skips upstreams that leave.
+// AvailableAt returns the earliest end of a backoff and skips upstreams that leave.
 func TestBackoffEndsByItself(t *testing.T) {
-	paused := Upstream{Service: "s", PausedUntil: now.Add(time.Second)}
-	assert.Assert(t, !paused.TakesWork(now) && paused.Eligible())
-	assert.Assert(t, paused.TakesWork(now.Add(time.Second)))
-	longer := Upstream{Service: "s", PausedUntil: now.Add(time.Minute)}
+	backedOff := Upstream{Service: "s", BackoffUntil: now.Add(time.Second)}
+	assert.Assert(t, !backedOff.TakesWork(now) && backedOff.Eligible())
+	assert.Assert(t, backedOff.TakesWork(now.Add(time.Second)))
+	longer := Upstream{Service: "s", BackoffUntil: now.Add(time.Minute)}
 	gone := Upstream{Service: "s", Leaving: true}
-	assert.Equal(t, Opens(slices.Values([]Upstream{longer, gone, paused}), now), now.Add(time.Second))
-	assert.Equal(t, Opens(slices.Values([]Upstream{longer, {Service: "s"}, paused}), now), now)
-	assert.Equal(t, Opens(slices.Values([]Upstream{gone}), now), now)
-	assert.Equal(t, NewUpstreams([]Upstream{longer}).Opens("s", now), now.Add(time.Minute))
+	assert.Equal(t, AvailableAt(slices.Values([]Upstream{longer, gone, backedOff}), now), now.Add(time.Second))
+	assert.Equal(t, AvailableAt(slices.Values([]Upstream{longer, {Service: "s"}, backedOff}), now), now)
+	assert.Equal(t, AvailableAt(slices.Values([]Upstream{gone}), now), now)
+	assert.Equal(t, NewUpstreams([]Upstream{longer}).AvailableAt("s", now), now.Add(time.Minute))
 }
 
 func TestRegionsAllowAllIfThereAreNone(t *testing.T) {
--- a/core/selection/chooser.go
+++ b/core/selection/chooser.go
@@ -279,13 +279,13 @@
 			delete(c.states, id)
 		}
 	}
-	for id, born := range c.incarnations {
-		if upstream, known := list.Find(id); known && upstream.Born != born {
+	for id, incarnation := range c.incarnations {
+		if upstream, known := list.Find(id); known && upstream.Incarnation != incarnation {
 			c.forgetIncarnation(id)
 		}
 	}
 	clear(c.incarnations)
-	list.Each(func(upstream routes.Upstream) { c.incarnations[upstream.ID] = upstream.Born })
+	list.Each(func(upstream routes.Upstream) { c.incarnations[upstream.ID] = upstream.Incarnation })
 }
 
 // forgetIncarnation removes the state of an upstream's last incarnation.
--- a/core/selection/parts_test.go
+++ b/core/selection/parts_test.go
@@ -71,7 +71,7 @@
 	c.Failed(home.Upstream.ID, now)
 	for i := range list {
 		if list[i].ID == home.Upstream.ID {
-			list[i].Born++
+			list[i].Incarnation++
 		}
 	}
 	c.Sync(routes.NewUpstreams(list))
--- a/gateway/flow/handler.go
+++ b/gateway/flow/handler.go
@@ -342,8 +342,8 @@
 		if upstreams.Evacuated(service) {
 			return "all upstreams of " + service + " are in evacuated zones", retryAfterBusy
 		}
-		if opens := upstreams.Opens(service, now); opens.After(rq.startBy) {
-			return "all upstreams of " + service + " are backed off", opens.Sub(now)
+		if availableAt := upstreams.AvailableAt(service, now); availableAt.After(rq.startBy) {
+			return "all upstreams of " + service + " are backed off", availableAt.Sub(now)
 		}
 	}
 	return "", 0
@@ -359,7 +359,7 @@
 	if !errors.As(err, &f) {
 		return false
 	}
-	if f.mayHaveRun && (rq.route.Repeat == routes.AtMostOnce || rq.headSent && rq.route.Repeat != routes.Resumable) {
+	if f.mayHaveRun && (rq.route.RetryPolicy == routes.AtMostOnce || rq.headSent && rq.route.RetryPolicy != routes.Resumable) {
 		return false
 	}
 	if f.unsent {
@@ -418,7 +418,7 @@
 // during the same burst and are refused again.
 func (rq *request) estimateRetryAfter() time.Duration {
 	now := time.Now()
-	longest := max(retryAfterBusy, rq.View.Upstreams().Opens(rq.service, now).Sub(now))
+	longest := max(retryAfterBusy, rq.View.Upstreams().AvailableAt(rq.service, now).Sub(now))
 	for _, stage := range rq.route.Stages {
 		longest = max(longest, pool.LateWaitFactor*rq.Caller.Backlog(stage.Service))
 	}
--- a/gateway/flow/relay.go
+++ b/gateway/flow/relay.go
@@ -55,7 +55,7 @@
 // mayReplaceServerError reports whether a 5xx response of an upstream should be dropped in
 // favour of a retry. mayRetry withdraws the retry from the budget later.
 func (rq *request) mayReplaceServerError() bool {
-	return rq.route.Repeat == routes.Idempotent && rq.sends < rq.route.MaxAttempts && rq.ctx.Err() == nil && rq.canRetry(rq.service)
+	return rq.route.RetryPolicy == routes.Idempotent && rq.sends < rq.route.MaxAttempts && rq.ctx.Err() == nil && rq.canRetry(rq.service)
 }
 
 // copyHead copies the upstream's headers to the client's response. If a stream continues at
--- a/gateway/flow/send.go
+++ b/gateway/flow/send.go
@@ -81,9 +81,9 @@
 // if results of stages would otherwise be lost and the request can still be served then.
 func (rq *request) awaitBackoff() {
 	now := time.Now()
-	opens := rq.View.Upstreams().Opens(rq.service, now)
-	if rq.results != nil && opens.After(now) && opens.Before(rq.startBy.Add(-firstEventAllowance)) {
-		clock.Sleep(rq.ctx, opens.Sub(now))
+	availableAt := rq.View.Upstreams().AvailableAt(rq.service, now)
+	if rq.results != nil && availableAt.After(now) && availableAt.Before(rq.startBy.Add(-firstEventAllowance)) {
+		clock.Sleep(rq.ctx, availableAt.Sub(now))
 	}
 }
 
@@ -133,7 +133,7 @@
 // stillAccepts reports whether a chosen upstream accepts work according to the newest list.
 func (rq *request) stillAccepts(chosen routes.Upstream) bool {
 	current, known := rq.View.Upstreams().Find(chosen.ID)
-	return known && current.Born == chosen.Born && current.TakesWork(time.Now())
+	return known && current.Incarnation == chosen.Incarnation && current.TakesWork(time.Now())
 }
 
 // Engines accept ranks from 0, the most urgent, to 9.
--- a/gateway/pools/call.go
+++ b/gateway/pools/call.go
@@ -188,7 +188,7 @@
 	for _, upstream := range o.fleet.Upstreams().Of(p.Service) {
 		switch pending := p.pendingFrees[upstream.Address]; {
 		case pending == nil:
-		case now.Before(upstream.PausedUntil):
+		case now.Before(upstream.BackoffUntil):
 			later[upstream.Address] = pending
 		default:
 			go o.sendFree(p, upstream, pending)
--- a/gateway/quarantine/guard.go
+++ b/gateway/quarantine/guard.go
@@ -209,7 +209,7 @@
 
 // StartOf returns the name of the incarnation of an upstream.
 func StartOf(upstream routes.Upstream) string {
-	return fmt.Sprintf("%s/%d", upstream.ID, upstream.Born)
+	return fmt.Sprintf("%s/%d", upstream.ID, upstream.Incarnation)
 }
 
 // resolveSuspects confirms the suspected crashes of an incarnation of an upstream, or dismisses
--- a/gateway/view/upstreams.go
+++ b/gateway/view/upstreams.go
@@ -92,7 +92,7 @@
 func (r *upstreamReceiver) noteReport(a Asked, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	key := incarnation{id: a.Upstream.ID, started: a.Upstream.Born}
+	key := incarnation{id: a.Upstream.ID, started: a.Upstream.Incarnation}
 	before := r.reports[key]
 	after := report{leaving: before.leaving || a.Leaving, backoffUntil: before.backoffUntil, updated: now}
 	if until := now.Add(a.Pause); a.Pause > 0 && until.After(before.backoffUntil) {
@@ -109,7 +109,7 @@
 
 // reportOf returns what an upstream's incarnation reported. The caller holds r.mu.
 func (r *upstreamReceiver) reportOf(upstream routes.Upstream) report {
-	return r.reports[incarnation{id: upstream.ID, started: upstream.Born}]
+	return r.reports[incarnation{id: upstream.ID, started: upstream.Incarnation}]
 }
 
 // dropExpiredReports drops the reports of incarnations that are gone for longer than reportTTL.
@@ -117,7 +117,7 @@
 func (r *upstreamReceiver) dropExpiredReports(now time.Time) {
 	for key, old := range r.reports {
 		upstream, known := r.known[key.id]
-		if (!known || upstream.Born != key.started) && now.Sub(old.updated) > reportTTL {
+		if (!known || upstream.Incarnation != key.started) && now.Sub(old.updated) > reportTTL {
 			delete(r.reports, key)
 		}
 	}
@@ -181,9 +181,9 @@
 		return
 	}
 	old, known := r.known[upstream.ID]
-	if known && old.Born > upstream.Born {
+	if known && old.Incarnation > upstream.Incarnation {
 		r.view.options.Logger.Warn(event.UpstreamOutdated, observe.Fields{"upstream": object.Name, "revision": object.Revision,
-			"born": upstream.Born, "known_born": old.Born})
+			"born": upstream.Incarnation, "known_born": old.Incarnation})
 		return
 	}
 	upstream.Region = r.view.options.Regions[upstream.Zone]
@@ -191,10 +191,10 @@
 		upstream.ColdUntil = time.Now().Add(upstream.Cold)
 	}
 	r.known[upstream.ID] = upstream
-	if !known || old.Leaving != upstream.Leaving || old.Born != upstream.Born || old.Cold == 0 && upstream.Cold > 0 {
+	if !known || old.Leaving != upstream.Leaving || old.Incarnation != upstream.Incarnation || old.Cold == 0 && upstream.Cold > 0 {
 		r.view.options.Logger.Event(event.UpstreamChanged, observe.Fields{
 			"upstream": upstream.ID, "service": upstream.Service, "address": upstream.Address,
-			"leaving": upstream.Leaving, "born": upstream.Born, "cold_ms": upstream.Cold.Milliseconds(), "revision": object.Revision})
+			"leaving": upstream.Leaving, "born": upstream.Incarnation, "cold_ms": upstream.Cold.Milliseconds(), "revision": object.Revision})
 	}
 }
 
@@ -215,9 +215,9 @@
 	for _, upstream := range r.known {
 		reported := r.reportOf(upstream)
 		upstream.Leaving = upstream.Leaving || reported.leaving
-		upstream.PausedUntil = reported.backoffUntil
+		upstream.BackoffUntil = reported.backoffUntil
 		upstream.Evacuated = r.evacuated[upstream.Zone]
-		upstream.TakenBack = r.evacuationEnded[upstream.Zone]
+		upstream.EvacuationEnded = r.evacuationEnded[upstream.Zone]
 		list = append(list, upstream)
 	}
 	r.view.upstreams.Store(routes.NewUpstreams(list))
--- a/gateway/view/upstreams_test.go
+++ b/gateway/view/upstreams_test.go
@@ -46,7 +46,7 @@
 	f.Reset([]replica.Object{upstreamObject("a", "ready", 9)})
 	f.Apply([]replica.Change{{Object: upstreamObject("a", "draining", 8)}})
 	upstream, _ := v.Upstreams().Find("a")
-	assert.Assert(t, !upstream.Leaving && upstream.Born == 9)
+	assert.Assert(t, !upstream.Leaving && upstream.Incarnation == 9)
 	f.Apply([]replica.Change{{Object: upstreamObject("a", "draining", 9)}})
 	upstream, _ = v.Upstreams().Find("a")
 	assert.Assert(t, upstream.Leaving)
