--- a/gateway/flow/handler.go
+++ b/gateway/flow/handler.go
@@ -420,7 +420,7 @@
 	now := time.Now()
 	longest := max(retryAfterBusy, rq.View.Upstreams().AvailableAt(rq.service, now).Sub(now))
 	for _, stage := range rq.route.Stages {
-		longest = max(longest, pool.LateWaitFactor*rq.Caller.Backlog(stage.Service))
+		longest = max(longest, pool.LateWaitFactor*rq.Dispatcher.Backlog(stage.Service))
 	}
 	return longest
 }
--- a/gateway/flow/prepare.go
+++ b/gateway/flow/prepare.go
@@ -152,7 +152,7 @@
 func (run *stageRun) runStage(stage int, times stageTimes, inputs []string) {
 	spec := run.route.Stages[stage]
 	started := time.Now()
-	result, owner, err := run.Caller.Do(run.ctx, pools.Task{
+	result, owner, err := run.Dispatcher.Do(run.ctx, pools.Task{
 		Part:        pools.Part{Service: spec.Service},
 		Request:     run.hdr.ID,
 		Stage:       stage,
--- a/gateway/flow/results.go
+++ b/gateway/flow/results.go
@@ -48,6 +48,6 @@
 // does not need its results any more either.
 func (rq *request) freeUnneeded(progress *stages.Progress, all bool) {
 	for _, stage := range progress.TakeUnneeded(all) {
-		rq.Caller.Free(rq.route.Stages[stage].Service, progress.Results(stage))
+		rq.Dispatcher.Free(rq.route.Stages[stage].Service, progress.Results(stage))
 	}
 }
--- a/gateway/flow/server.go
+++ b/gateway/flow/server.go
@@ -31,14 +31,14 @@
 
 // Options configure a Server.
 type Options struct {
-	View    *view.View
-	Caller  *pools.Asker
-	Client  *httpconn.Client
-	Guard   *quarantine.Guard
-	Logger  *observe.Logger
-	Metrics *Metrics
-	Zone    string
-	Retries Retries
+	View       *view.View
+	Dispatcher *pools.Dispatcher
+	Client     *httpconn.Client
+	Guard      *quarantine.Guard
+	Logger     *observe.Logger
+	Metrics    *Metrics
+	Zone       string
+	Retries    Retries
 	// Name is the name of this process among the gateways.
 	Name string
 	// ColdOverrun and ColdSlack bound the requests that a cold upstream may get in any second:
--- a/gateway/flow/times.go
+++ b/gateway/flow/times.go
@@ -14,13 +14,13 @@
 // estimate returns the expected duration of a stage that can be on time.
 func (run *stageRun) estimate(stage int) time.Duration {
 	name := run.route.Stages[stage].Service
-	return max(run.Caller.Wait(name, run.class), run.shortestCall(name))
+	return max(run.Dispatcher.Wait(name, run.class), run.shortestCall(name))
 }
 
 // backlog returns the expected duration of a stage that is late and so waits behind all others.
 func (run *stageRun) backlog(stage int) time.Duration {
 	name := run.route.Stages[stage].Service
-	return max(run.Caller.Backlog(name), run.shortestCall(name))
+	return max(run.Dispatcher.Backlog(name), run.shortestCall(name))
 }
 
 // shortestCall returns the duration of a call with one item at a pool.
--- a/gateway/pools/asker.go
+++ b/gateway/pools/asker.go
@@ -18,8 +18,8 @@
 // pools again.
 const suspectFor = 3 * time.Second
 
-// Asker submits tasks to the owners of pools. It is safe for concurrent use.
-type Asker struct {
+// Dispatcher submits tasks to the owners of pools. It is safe for concurrent use.
+type Dispatcher struct {
 	view     *view.View
 	self     view.Member
 	dialer   *link.Dialer
@@ -37,10 +37,10 @@
 	lastNumber uint64
 }
 
-// NewAsker returns an Asker for the process self, whose local Owner is owner. Its links to
-// other owners close when lifetime ends.
-func NewAsker(lifetime context.Context, v *view.View, self view.Member, owner *Owner, dialer *link.Dialer, logger *observe.Logger) *Asker {
-	return &Asker{
+// NewDispatcher returns a Dispatcher for the process self, whose local Owner is owner. Its links
+// to other owners close when lifetime ends.
+func NewDispatcher(lifetime context.Context, v *view.View, self view.Member, owner *Owner, dialer *link.Dialer, logger *observe.Logger) *Dispatcher {
+	return &Dispatcher{
 		view:     v,
 		self:     self,
 		dialer:   dialer,
@@ -60,9 +60,9 @@
 // responding or hands the task back, the next owner gets it. Do calls begun when the task's
 // inputs have been read; begun must return at once. It returns the name of the last owner
 // tried; the error is that of ctx.
-func (a *Asker) Do(ctx context.Context, task Task, begun func()) (Result, string, error) {
+func (d *Dispatcher) Do(ctx context.Context, task Task, begun func()) (Result, string, error) {
 	start := time.Now()
-	task.Part = a.choosePart(task)
+	task.Part = d.choosePart(task)
 	original := task
 	var result Result
 	var owner string
@@ -70,7 +70,7 @@
 		elapsed := time.Since(start)
 		task.Remaining, task.Due = original.Remaining-elapsed, original.Due-elapsed
 		var err error
-		result, owner, err = a.tryOwner(ctx, task, begun)
+		result, owner, err = d.tryOwner(ctx, task, begun)
 		if err != nil || result.Failure != OwnerLost && result.Failure != OwnerLeft {
 			return result, owner, err
 		}
@@ -80,32 +80,32 @@
 
 // Leave makes other gateways, if there are any, the owners for this process's tasks from now
 // on.
-func (a *Asker) Leave() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.leaving = true
+func (d *Dispatcher) Leave() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.leaving = true
 }
 
 // tryOwner submits a task to the current owner of its part and waits for the result.
-func (a *Asker) tryOwner(ctx context.Context, task Task, begun func()) (Result, string, error) {
-	owner := a.owner(task.Part, time.Now())
+func (d *Dispatcher) tryOwner(ctx context.Context, task Task, begun func()) (Result, string, error) {
+	owner := d.owner(task.Part, time.Now())
 	results := make(chan Result, 1)
-	number := a.nextNumber()
+	number := d.nextNumber()
 	notify := Notify{Begun: begun, Done: func(r Result) { results <- r }}
 	var cancel func()
-	if owner.Name == a.self.Name {
-		a.local.Submit(number, task, notify)
-		cancel = func() { a.local.Cancel(number) }
+	if owner.Name == d.self.Name {
+		d.local.Submit(number, task, notify)
+		cancel = func() { d.local.Cancel(number) }
 	} else {
-		to := a.link(owner)
+		to := d.link(owner)
 		to.submit(number, task, notify)
 		cancel = func() { to.cancel(number) }
 	}
 	select {
 	case result := <-results:
-		a.recordEstimates(task, result)
+		d.recordEstimates(task, result)
 		if result.Failure == OwnerLeft {
-			a.suspect(owner)
+			d.suspect(owner)
 		}
 		return result, owner.Name, nil
 	case <-ctx.Done():
@@ -115,62 +115,62 @@
 }
 
 // Free releases results of a service at their owners.
-func (a *Asker) Free(service string, handles []string) {
+func (d *Dispatcher) Free(service string, handles []string) {
 	if len(handles) == 0 {
 		return
 	}
-	for part, own := range byPart(a.view.Upstreams(), service, handles) {
-		owner := a.owner(part, time.Now())
-		if owner.Name == a.self.Name {
-			a.local.Free(part, own)
+	for part, own := range byPart(d.view.Upstreams(), service, handles) {
+		owner := d.owner(part, time.Now())
+		if owner.Name == d.self.Name {
+			d.local.Free(part, own)
 			continue
 		}
-		a.link(owner).free(part, own)
+		d.link(owner).free(part, own)
 	}
 }
 
 // choosePart returns the part of the pool that runs a task: of the two that the hashes of the
 // request's id select, the one with the shorter backlog.
-func (a *Asker) choosePart(task Task) Part {
-	first := Part{Service: task.Service, Count: partsOf(len(a.view.Upstreams().Of(task.Service)))}
+func (d *Dispatcher) choosePart(task Task) Part {
+	first := Part{Service: task.Service, Count: partsOf(len(d.view.Upstreams().Of(task.Service)))}
 	if first.Count == 1 {
 		return first
 	}
 	second := first
 	first.Index = int(rendezvous.Hash(task.Request) % uint64(first.Count))
 	second.Index = int(rendezvous.Hash(task.Request+"/") % uint64(first.Count))
-	a.mu.Lock()
-	defer a.mu.Unlock()
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	now := time.Now()
-	if a.waits.backlog(second, now) < a.waits.backlog(first, now) {
+	if d.waits.backlog(second, now) < d.waits.backlog(first, now) {
 		return second
 	}
 	return first
 }
 
 // recordEstimates records an owner's estimates of the waits at a part of a pool.
-func (a *Asker) recordEstimates(task Task, result Result) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.waits.record(task.Part, task.Class, result, time.Now())
+func (d *Dispatcher) recordEstimates(task Task, result Result) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.waits.record(task.Part, task.Class, result, time.Now())
 }
 
 // Wait estimates how long a stage of a request of a class takes at a service while the request
 // can still be on time; 0 if there is no estimate.
-func (a *Asker) Wait(service string, class Class) time.Duration {
-	return a.slowestPart(service, func(part Part, now time.Time) time.Duration { return a.waits.timely(part, class, now) })
+func (d *Dispatcher) Wait(service string, class Class) time.Duration {
+	return d.slowestPart(service, func(part Part, now time.Time) time.Duration { return d.waits.timely(part, class, now) })
 }
 
 // Backlog estimates how long a stage takes at a service if it is queued behind the whole
 // backlog; 0 if there is no estimate.
-func (a *Asker) Backlog(service string) time.Duration { return a.slowestPart(service, a.waits.backlog) }
+func (d *Dispatcher) Backlog(name string) time.Duration { return d.slowestPart(name, d.waits.backlog) }
 
 // slowestPart returns the longest wait among the parts of a service's pool.
-func (a *Asker) slowestPart(service string, wait func(Part, time.Time) time.Duration) time.Duration {
-	count := partsOf(len(a.view.Upstreams().Of(service)))
+func (d *Dispatcher) slowestPart(service string, wait func(Part, time.Time) time.Duration) time.Duration {
+	count := partsOf(len(d.view.Upstreams().Of(service)))
 	now := time.Now()
-	a.mu.Lock()
-	defer a.mu.Unlock()
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	var longest time.Duration
 	for index := range count {
 		longest = max(longest, wait(Part{Service: service, Index: index, Count: count}, now))
@@ -179,26 +179,26 @@
 }
 
 // nextNumber returns a new task number.
-func (a *Asker) nextNumber() uint64 {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.lastNumber++
-	return a.lastNumber
+func (d *Dispatcher) nextNumber() uint64 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.lastNumber++
+	return d.lastNumber
 }
 
 // owner returns the owner of a part of a pool: among this process and the members that are not
 // suspected, the one with the most CPU cores; ties are broken by the rendezvous score. If there
 // is no other candidate, it returns this process.
-func (a *Asker) owner(part Part, now time.Time) view.Member {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+func (d *Dispatcher) owner(part Part, now time.Time) view.Member {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	key := rendezvous.Hash(part.key())
-	best := view.Member{Name: a.self.Name, Cores: -1}
-	if !a.leaving {
-		best = a.self
+	best := view.Member{Name: d.self.Name, Cores: -1}
+	if !d.leaving {
+		best = d.self
 	}
-	for _, member := range a.view.Members() {
-		if now.Before(a.suspects[member.Incarnation]) {
+	for _, member := range d.view.Members() {
+		if now.Before(d.suspects[member.Incarnation]) {
 			continue
 		}
 		if preferredOwner(key, member, best) {
@@ -219,38 +219,38 @@
 }
 
 // link returns the open link to an owner, or a new one.
-func (a *Asker) link(owner view.Member) *ownerLink {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if l := a.links[owner.Name]; l != nil && l.incarnation == owner.Incarnation {
+func (d *Dispatcher) link(owner view.Member) *ownerLink {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if l := d.links[owner.Name]; l != nil && l.incarnation == owner.Incarnation {
 		return l
 	}
-	l := newOwnerLink(a, owner)
-	a.links[owner.Name] = l
-	go l.run(a.lifetime)
+	l := newOwnerLink(d, owner)
+	d.links[owner.Name] = l
+	go l.run(d.lifetime)
 	return l
 }
 
 // suspect makes an owner be skipped for suspectFor.
-func (a *Asker) suspect(owner view.Member) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
+func (d *Dispatcher) suspect(owner view.Member) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	now := time.Now()
-	for incarnation, until := range a.suspects {
+	for incarnation, until := range d.suspects {
 		if now.After(until) {
-			delete(a.suspects, incarnation)
+			delete(d.suspects, incarnation)
 		}
 	}
-	a.suspects[owner.Incarnation] = now.Add(suspectFor)
+	d.suspects[owner.Incarnation] = now.Add(suspectFor)
 }
 
 // linkLost removes a broken link and suspects its owner.
-func (a *Asker) linkLost(l *ownerLink, tasks int, err error) {
-	a.mu.Lock()
-	if a.links[l.owner.Name] == l {
-		delete(a.links, l.owner.Name)
+func (d *Dispatcher) linkLost(l *ownerLink, tasks int, err error) {
+	d.mu.Lock()
+	if d.links[l.owner.Name] == l {
+		delete(d.links, l.owner.Name)
 	}
-	a.mu.Unlock()
-	a.suspect(l.owner)
-	a.logger.Warn(event.PoolOwnerLost, observe.Fields{"owner": l.owner.Name, "tasks": tasks, "error": err.Error()})
+	d.mu.Unlock()
+	d.suspect(l.owner)
+	d.logger.Warn(event.PoolOwnerLost, observe.Fields{"owner": l.owner.Name, "tasks": tasks, "error": err.Error()})
 }
--- a/gateway/pools/handover.go
+++ b/gateway/pools/handover.go
@@ -46,7 +46,7 @@
 // Run hands over parts that other processes own, until ctx ends. Without it, after a crash of
 // many processes a pool could have two owners, each with seconds of queued work. Their calls
 // would make each other wait at the upstreams, and their results would take each other's space.
-func (a *Asker) Run(ctx context.Context) error {
+func (d *Dispatcher) Run(ctx context.Context) error {
 	ticker := time.NewTicker(handoverInterval)
 	defer ticker.Stop()
 	h := &handover{since: make(map[Part]time.Time)}
@@ -55,24 +55,24 @@
 		case <-ctx.Done():
 			return nil
 		case now := <-ticker.C:
-			a.handOver(h, now)
+			d.handOver(h, now)
 		}
 	}
 }
 
 // handOver hands over the parts that are due.
-func (a *Asker) handOver(h *handover, now time.Time) {
-	for _, part := range a.local.owner.busyParts() {
-		owner := a.owner(part, now)
-		if h.due(part, owner.Name == a.self.Name, now) {
-			a.handOverTo(owner, part)
+func (d *Dispatcher) handOver(h *handover, now time.Time) {
+	for _, part := range d.local.owner.busyParts() {
+		owner := d.owner(part, now)
+		if h.due(part, owner.Name == d.self.Name, now) {
+			d.handOverTo(owner, part)
 		}
 	}
 }
 
 // handOverTo hands a part of a pool to its owner.
-func (a *Asker) handOverTo(owner view.Member, part Part) {
-	if tasks := a.local.owner.HandBack(part); tasks > 0 {
-		a.logger.Event(event.PoolHandedOver, observe.Fields{"service": part.Service, "part": part.Index, "owner": owner.Name, "tasks": tasks})
+func (d *Dispatcher) handOverTo(owner view.Member, part Part) {
+	if tasks := d.local.owner.HandBack(part); tasks > 0 {
+		d.logger.Event(event.PoolHandedOver, observe.Fields{"service": part.Service, "part": part.Index, "owner": owner.Name, "tasks": tasks})
 	}
 }
--- a/gateway/pools/link.go
+++ b/gateway/pools/link.go
@@ -32,7 +32,7 @@
 
 // ownerLink is the stream to one owner. A broken link is not reopened.
 type ownerLink struct {
-	asker       *Asker
+	dispatcher  *Dispatcher
 	owner       view.Member
 	incarnation string
 	send        chan *wirepb.PoolRequest
@@ -45,9 +45,9 @@
 }
 
 // newOwnerLink returns a link; the caller must call run.
-func newOwnerLink(a *Asker, owner view.Member) *ownerLink {
+func newOwnerLink(d *Dispatcher, owner view.Member) *ownerLink {
 	return &ownerLink{
-		asker:        a,
+		dispatcher:   d,
 		owner:        owner,
 		incarnation:  owner.Incarnation,
 		send:         make(chan *wirepb.PoolRequest, requestQueueSize),
@@ -117,7 +117,7 @@
 	for _, notify := range open {
 		notify.Done(Result{Failure: OwnerLost})
 	}
-	l.asker.linkLost(l, len(open), err)
+	l.dispatcher.linkLost(l, len(open), err)
 }
 
 // serve opens the stream and receives until it breaks.
@@ -127,7 +127,7 @@
 		return err
 	}
 	defer func() { _ = stream.Close() }() // the stream is broken or no longer needed
-	l.asker.logger.Event(event.PoolOwnerJoined, observe.Fields{"owner": l.owner.Name})
+	l.dispatcher.logger.Event(event.PoolOwnerJoined, observe.Fields{"owner": l.owner.Name})
 	go l.write(ctx, cancel, stream)
 	for {
 		reply, err := stream.Recv()
@@ -144,7 +144,7 @@
 		cancel(fault.New(fault.Unavailable, "pool.open", l.owner.Name, "no connection within %v", openTimeout))
 	})
 	defer timeout.Stop()
-	conn := l.asker.dialer.Conn(ctx, l.owner.Address)
+	conn := l.dispatcher.dialer.Conn(ctx, l.owner.Address)
 	stream, err := wirepb.NewDRPCPoolClient(conn).Work(ctx)
 	return stream, fault.Wrap(fault.Unavailable, "pool.open", l.owner.Name, err)
 }
--- a/gateway/pools/task.go
+++ b/gateway/pools/task.go
@@ -5,7 +5,7 @@
 // or nearly empty.
 //
 // A task is one stage of one request and consists of items, one for each piece of its result.
-// An Asker submits a task to the owner of the part, over a stream or within the process. An
+// A Dispatcher submits a task to the owner of the part, over a stream or within the process. An
 // Owner queues items, closes batches and calls upstreams. A result stays at the upstream that
 // made it and is named by a handle, which begins with the upstream's address. A wrong or second
 // owner only makes batches smaller.
@@ -19,7 +19,7 @@
 
 // Task is one stage of one request.
 type Task struct {
-	// Part is the part of the pool that runs the task; the Asker chooses it.
+	// Part is the part of the pool that runs the task; the Dispatcher chooses it.
 	Part
 	// Request is the client's id of the request.
 	Request string
--- a/gateway/process.go
+++ b/gateway/process.go
@@ -37,20 +37,20 @@
 
 // process is a running gateway.
 type process struct {
-	settings Settings
-	queue    *observe.Queue
-	logger   *observe.Logger
-	metrics  *observe.Metrics
-	view     *view.View
-	owner    *pools.Owner
-	caller   *pools.Asker
-	flow     *flow.Server
-	guard    *quarantine.Guard
-	client   *httpconn.Client
-	rpc      *link.Server
-	relay    *relay.Server
-	follower *relay.Follower
-	dialer   *link.Dialer
+	settings   Settings
+	queue      *observe.Queue
+	logger     *observe.Logger
+	metrics    *observe.Metrics
+	view       *view.View
+	owner      *pools.Owner
+	dispatcher *pools.Dispatcher
+	flow       *flow.Server
+	guard      *quarantine.Guard
+	client     *httpconn.Client
+	rpc        *link.Server
+	relay      *relay.Server
+	follower   *relay.Follower
+	dialer     *link.Dialer
 
 	reload *reloader
 
@@ -131,17 +131,17 @@
 		return nil, fault.Wrap(fault.Internal, "gateway.register", "", err)
 	}
 	p.follower = relay.NewFollower(relay.Options{View: p.view, Self: self, Dialer: p.dialer, Logger: logger, Scope: p.metrics.Scope(), FirstStart: settings.Fleet.FirstStart})
-	p.caller = pools.NewAsker(runCtx, p.view, self, p.owner, p.dialer, logger)
+	p.dispatcher = pools.NewDispatcher(runCtx, p.view, self, p.owner, p.dialer, logger)
 	p.flow = flow.New(flow.Options{
-		View:    p.view,
-		Caller:  p.caller,
-		Client:  p.client,
-		Guard:   p.guard,
-		Logger:  logger,
-		Metrics: flow.NewMetrics(p.metrics.Scope()),
-		Zone:    settings.Process.Zone,
-		Retries: settings.retries(),
-		Name:    settings.Process.Name,
+		View:       p.view,
+		Dispatcher: p.dispatcher,
+		Client:     p.client,
+		Guard:      p.guard,
+		Logger:     logger,
+		Metrics:    flow.NewMetrics(p.metrics.Scope()),
+		Zone:       settings.Process.Zone,
+		Retries:    settings.retries(),
+		Name:       settings.Process.Name,
 
 		ColdOverrun: settings.Bounds.ColdOverrun,
 		ColdSlack:   settings.Bounds.ColdSlack,
@@ -200,7 +200,7 @@
 func (p *process) serve(ctx, runCtx context.Context, stop context.CancelFunc, ports listeners) error {
 	servers := newServers(p, ports)
 	group, runCtx := errgroup.WithContext(runCtx)
-	for _, loop := range []func(context.Context) error{p.follower.Run, p.view.Register, p.owner.Run, p.caller.Run, p.flow.Sweep, p.guard.Run, p.guard.Sweep, p.reportDropped, p.reload.run, newZoneWatch(p).run} {
+	for _, loop := range []func(context.Context) error{p.follower.Run, p.view.Register, p.owner.Run, p.dispatcher.Run, p.flow.Sweep, p.guard.Run, p.guard.Sweep, p.reportDropped, p.reload.run, newZoneWatch(p).run} {
 		group.Go(func() error { return loop(runCtx) })
 	}
 	group.Go(func() error { return p.rpc.Serve(runCtx, ports.fleet) })
--- a/gateway/servers.go
+++ b/gateway/servers.go
@@ -101,7 +101,7 @@
 	s.draining.Store(true)
 	p.flow.Drain()
 	p.logger.Event(event.ProcessDraining, observe.Fields{"in_flight": p.flow.InFlight()})
-	p.caller.Leave()
+	p.dispatcher.Leave()
 	p.owner.Leave()
 	grace := time.Duration(p.settings.Bounds.GraceSeconds*float64(time.Second)) - graceMargin
 	ctx, cancel := context.WithTimeout(context.Background(), grace)
