--- a/gateway/flow/choose.go
+++ b/gateway/flow/choose.go
@@ -41,7 +41,7 @@
 
 // isExcluded reports whether the request must not be sent to this incarnation of an upstream.
 func (req requirements) isExcluded(upstream routes.Upstream) bool {
-	return len(req.excluded) > 0 && slices.Contains(req.excluded, quarantine.StartOf(upstream))
+	return len(req.excluded) > 0 && slices.Contains(req.excluded, quarantine.IncarnationOf(upstream))
 }
 
 // choose returns the upstream for a request and records the request as sent there.
--- a/gateway/flow/handler.go
+++ b/gateway/flow/handler.go
@@ -285,7 +285,7 @@
 		return
 	}
 	defer func() { rq.results.free() }()
-	defer func() { rq.Guard.Return(rq.fingerprint, rq.hdr.ID, rq.crashPass, false) }()
+	defer func() { rq.Guard.ReturnTrial(rq.fingerprint, rq.hdr.ID, rq.crashPass, false) }()
 	rq.countRequest(rq.service, rq.started)
 	for {
 		err := rq.checkQuarantine()
@@ -310,7 +310,7 @@
 // checkQuarantine returns an error if the request must not be sent because upstreams crash while
 // running it.
 func (rq *request) checkQuarantine() error {
-	pass, refusal := rq.Guard.Check(rq.ctx, quarantine.Attempt{Request: rq.fingerprint, ID: rq.hdr.ID, Held: rq.crashPass, Runs: rq.canRunExcluding})
+	pass, refusal := rq.Guard.Check(rq.ctx, quarantine.Attempt{Request: rq.fingerprint, ID: rq.hdr.ID, Pass: rq.crashPass, HasUpstream: rq.canRunExcluding})
 	rq.crashPass = pass
 	if refusal != nil {
 		return fault.Wrap(fault.Refused, "request.quarantine", rq.service, refusal)
--- a/gateway/flow/relay.go
+++ b/gateway/flow/relay.go
@@ -134,7 +134,7 @@
 func (rq *request) recordOutcome(response *httpconn.Response, upstream routes.Upstream) {
 	switch {
 	case !response.Framed:
-		rq.Guard.Broken(rq.fingerprint, rq.hdr.ID, upstream)
+		rq.Guard.ConnectionClosed(rq.fingerprint, rq.hdr.ID, upstream)
 	case response.Status/100 == 2:
 		rq.Guard.Completed(rq.fingerprint, rq.hdr.ID)
 	}
--- a/gateway/flow/send.go
+++ b/gateway/flow/send.go
@@ -188,7 +188,7 @@
 	info := header.ReadAnswer(response.Status, response.Header)
 	rq.View.UpstreamAsked(view.Asked{Upstream: upstream, Request: rq.hdr.ID, Leaving: info.Leaving, Pause: info.RetryAfter})
 	if !info.Replaced {
-		rq.Guard.Answered(upstream, sent)
+		rq.Guard.Responded(upstream, sent)
 	}
 	if info.Load.Known {
 		rq.recordLoad(id, selection.Load{Running: info.Load.Running, Waiting: info.Load.Waiting, Slots: info.Load.Slots, At: time.Now()})
@@ -209,7 +209,7 @@
 
 // handleNotRun handles a response which says that the request did not run.
 func (rq *request) handleNotRun(response *httpconn.Response, replaced bool) error {
-	rq.Guard.Return(rq.fingerprint, rq.hdr.ID, rq.usedPass, !replaced)
+	rq.Guard.ReturnTrial(rq.fingerprint, rq.hdr.ID, rq.usedPass, !replaced)
 	if replaced {
 		rq.sends-- // the send did not reach the chosen upstream
 	}
@@ -238,7 +238,7 @@
 		rq.markFailed(id)
 	}
 	if ok && f.closedByUpstream {
-		rq.Guard.Broken(rq.fingerprint, rq.hdr.ID, upstream)
+		rq.Guard.ConnectionClosed(rq.fingerprint, rq.hdr.ID, upstream)
 	}
 	rq.Logger.Event(event.GatewayFailed, observe.Fields{"request": rq.hdr.ID, "fingerprint": rq.fingerprint.String(), "upstream": id, "attempt": len(rq.tried),
 		"step": stepOf(err), "ran": ok && f.mayHaveRun, "error": err.Error()})
--- a/gateway/quarantine/guard.go
+++ b/gateway/quarantine/guard.go
@@ -96,11 +96,11 @@
 type Attempt struct {
 	Request fingerprint.Fingerprint
 	ID      string
-	// Held is the Pass that the request already has.
-	Held Pass
-	// Runs reports whether an upstream can take the request, not counting the given
+	// Pass is the Pass that the request already has.
+	Pass Pass
+	// HasUpstream reports whether an upstream can take the request, not counting the given
 	// incarnations.
-	Runs func(ended []string) bool
+	HasUpstream func(ended []string) bool
 }
 
 // Pass allows a refused request to be sent once.
@@ -130,18 +130,18 @@
 // been sent.
 func (g *Guard) Check(ctx context.Context, attempt Attempt) (Pass, *Refusal) {
 	verdict := g.judgeConfirmed(ctx, attempt.Request)
-	if !verdict.Refused || verdict.Crashes <= attempt.Held.crashes {
-		return attempt.Held, nil
+	if !verdict.Refused || verdict.Crashes <= attempt.Pass.crashes {
+		return attempt.Pass, nil
 	}
 	if verdict.Trial > 0 {
 		ended := g.crashedUpstreams(attempt.Request)
-		if attempt.Runs(ended) && g.acquireTrial(ctx, attempt.Request, verdict.Trial, attempt.ID) {
+		if attempt.HasUpstream(ended) && g.acquireTrial(ctx, attempt.Request, verdict.Trial, attempt.ID) {
 			return Pass{Ended: ended, trial: verdict.Trial, crashes: verdict.Crashes}, nil
 		}
 	}
 	verdict = g.judge(attempt.Request)
 	g.metrics.refused.Inc(1)
-	return attempt.Held, &Refusal{Crashes: verdict.Crashes, RetryAfter: max(verdict.RetryAfter, minRetryAfter)}
+	return attempt.Pass, &Refusal{Crashes: verdict.Crashes, RetryAfter: max(verdict.RetryAfter, minRetryAfter)}
 }
 
 // crashedUpstreams returns the incarnations of upstreams that have just crashed under a
@@ -192,10 +192,10 @@
 	return g.state.Judge(request, clock.Boot())
 }
 
-// Broken notes that an upstream closed the connection on which it ran a request. Whether the
-// upstream has crashed is checked in the background, once for all connections that it closed.
-func (g *Guard) Broken(request fingerprint.Fingerprint, attempt string, upstream routes.Upstream) {
-	incarnation := StartOf(upstream)
+// ConnectionClosed notes that an upstream closed the connection on which it ran a request. Whether
+// the upstream has crashed is checked in the background, once for all connections that it closed.
+func (g *Guard) ConnectionClosed(request fingerprint.Fingerprint, attempt string, upstream routes.Upstream) {
+	incarnation := IncarnationOf(upstream)
 	crash := core.Crash{Request: request, Upstream: incarnation}
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -207,8 +207,8 @@
 	}
 }
 
-// StartOf returns the name of the incarnation of an upstream.
-func StartOf(upstream routes.Upstream) string {
+// IncarnationOf returns the name of the incarnation of an upstream.
+func IncarnationOf(upstream routes.Upstream) string {
 	return fmt.Sprintf("%s/%d", upstream.ID, upstream.Incarnation)
 }
 
@@ -263,15 +263,15 @@
 	}
 }
 
-// Answered notes that an upstream has responded to a request; sent is the boot time at which
+// Responded notes that an upstream has responded to a request; sent is the boot time at which
 // the request was sent.
-func (g *Guard) Answered(upstream routes.Upstream, sent time.Duration) {
+func (g *Guard) Responded(upstream routes.Upstream, sent time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.state.NoCrashes() {
 		return // the usual case
 	}
-	incarnation := StartOf(upstream)
+	incarnation := IncarnationOf(upstream)
 	if g.state.Responded(incarnation, sent, clock.Boot()) {
 		g.options.Logger.Event(event.CrashDisproved, observe.Fields{"upstream": incarnation})
 		g.wakeWriter()
--- a/gateway/quarantine/trial.go
+++ b/gateway/quarantine/trial.go
@@ -126,9 +126,9 @@
 	return trialGranted
 }
 
-// Return gives back the trial of a Pass that did not run, so that a later attempt at this
+// ReturnTrial gives back the trial of a Pass that did not run, so that a later attempt at this
 // gateway may make it. reached is set if an upstream rejected the trial.
-func (g *Guard) Return(request fingerprint.Fingerprint, attempt string, unused Pass, reached bool) {
+func (g *Guard) ReturnTrial(request fingerprint.Fingerprint, attempt string, unused Pass, reached bool) {
 	if unused.trial == 0 {
 		return
 	}
--- a/gateway/quarantine/trial_test.go
+++ b/gateway/quarantine/trial_test.go
@@ -204,7 +204,7 @@
 	g := list[0]
 	g.state.Reset(map[string]core.Record{"g2": {Proven: []fingerprint.Fingerprint{crashing}}}, clock.Boot())
 	check := func(runs bool) (Pass, *Refusal) {
-		return g.Check(t.Context(), Attempt{Request: crashing, ID: "attempt", Runs: func(ended []string) bool {
+		return g.Check(t.Context(), Attempt{Request: crashing, ID: "attempt", HasUpstream: func(ended []string) bool {
 			assert.DeepEqual(t, ended, []string{"u1", "u2"})
 			return runs
 		}})
@@ -227,7 +227,7 @@
 			list[0].state.ReplaceRecord("g2", core.Record{Proven: []fingerprint.Fingerprint{crashing}}, clock.Boot())
 		}
 		assert.Assert(t, acquireFirstTrial(t, list[0]))
-		list[0].Return(crashing, "attempt", Pass{trial: 1, crashes: 2}, c.reached)
+		list[0].ReturnTrial(crashing, "attempt", Pass{trial: 1, crashes: 2}, c.reached)
 		assert.Equal(t, list[0].state.TrialsOf(crashing) == 0, c.again)
 		assert.Assert(t, !acquireFirstTrial(t, list[1]), "the first gateway owns the trial")
 		assert.Equal(t, acquireFirstTrial(t, list[0]), c.again, "%+v", c)
@@ -238,6 +238,6 @@
 func TestPassWithoutATrialReturnsNone(t *testing.T) {
 	list, _ := newGuards(t, 1)
 	assert.Assert(t, acquireFirstTrial(t, list[0]))
-	list[0].Return(crashing, "attempt", Pass{}, false)
+	list[0].ReturnTrial(crashing, "attempt", Pass{}, false)
 	assert.Equal(t, list[0].state.TrialsOf(crashing), 1)
 }
