--- a/gateway/flow/send.go
+++ b/gateway/flow/send.go
@@ -186,7 +186,7 @@
 func (rq *request) handleResponse(upstream routes.Upstream, response *httpconn.Response, sent time.Duration) error {
 	id := upstream.ID
 	info := header.ReadAnswer(response.Status, response.Header)
-	rq.View.UpstreamAsked(view.Asked{Upstream: upstream, Request: rq.hdr.ID, Leaving: info.Leaving, Pause: info.RetryAfter})
+	rq.View.RecordUpstreamReport(view.UpstreamReport{Upstream: upstream, Request: rq.hdr.ID, Leaving: info.Leaving, Backoff: info.RetryAfter})
 	if !info.Replaced {
 		rq.Guard.Responded(upstream, sent)
 	}
--- a/gateway/pools/owner.go
+++ b/gateway/pools/owner.go
@@ -21,9 +21,9 @@
 type Fleet interface {
 	Table() *routes.Table
 	Upstreams() *routes.Upstreams
-	// UpstreamAsked takes what an upstream requested in a response: a drain or a backoff. It
-	// may call Refresh.
-	UpstreamAsked(asked view.Asked)
+	// RecordUpstreamReport takes what an upstream requested in a response: a drain or a backoff.
+	// It may call Refresh.
+	RecordUpstreamReport(report view.UpstreamReport)
 }
 
 // Owner queues tasks and calls upstreams for the parts of pools that callers submit tasks for.
--- a/gateway/pools/owner_test.go
+++ b/gateway/pools/owner_test.go
@@ -32,8 +32,8 @@
 // Upstreams implements Fleet.
 func (k staticFleet) Upstreams() *routes.Upstreams { return k.upstreams }
 
-// UpstreamAsked implements Fleet.
-func (k staticFleet) UpstreamAsked(view.Asked) {}
+// RecordUpstreamReport implements Fleet.
+func (k staticFleet) RecordUpstreamReport(view.UpstreamReport) {}
 
 // stageWorker responds to stage calls from a script, one step a call; the last step is
 // repeated.
@@ -265,8 +265,8 @@
 	return l.fleet.Table()
 }
 
-// UpstreamAsked implements Fleet.
-func (l *pendingFleet) UpstreamAsked(view.Asked) {}
+// RecordUpstreamReport implements Fleet.
+func (l *pendingFleet) RecordUpstreamReport(view.UpstreamReport) {}
 
 // Upstreams implements Fleet.
 func (l *pendingFleet) Upstreams() *routes.Upstreams {
--- a/gateway/process.go
+++ b/gateway/process.go
@@ -116,7 +116,7 @@
 	p.view = view.New(view.Options{
 		Logger:  logger,
 		Self:    self,
-		Source:  settings.source(),
+		Store:   settings.storeOptions(),
 		Regions: regions,
 		Records: []view.Records{{Kind: quarantine.RecordKind, To: p.guard}},
 	})
@@ -154,7 +154,7 @@
 
 // apply puts into force those changed settings that need no restart.
 func (p *process) apply(settings Settings) {
-	p.view.SetSource(settings.source())
+	p.view.SetStoreOptions(settings.storeOptions())
 	p.flow.SetRetries(settings.retries())
 }
 
--- a/gateway/relay/follower.go
+++ b/gateway/relay/follower.go
@@ -112,7 +112,7 @@
 
 // staleAfter returns the age after which a proof is stale.
 func (f *Follower) staleAfter() time.Duration {
-	return min(time.Duration(staleShare*float64(f.view.TrustTime())), time.Duration(applyShare*float64(f.view.ApplyTime())))
+	return min(time.Duration(staleShare*float64(f.view.KeyTrustTime())), time.Duration(applyShare*float64(f.view.ApplyTime())))
 }
 
 // memberOf converts a member for package source.
@@ -134,7 +134,7 @@
 	defer f.mu.Unlock()
 	f.updateMembers()
 	f.selector.SetStaleAfter(f.staleAfter())
-	if at, known := f.view.StoreProved(); known {
+	if at, known := f.view.StoreProofTime(); known {
 		f.selector.StoreProved(at)
 	}
 	plan := f.selector.Next(clock.Boot())
--- a/gateway/relay/link.go
+++ b/gateway/relay/link.go
@@ -122,7 +122,7 @@
 		received.partial = received.partial || len(m.GetPiece()) > 0
 		delta, whole, err := l.assembler.add(m)
 		if err == nil && whole {
-			err = l.follower.view.Take(delta)
+			err = l.follower.view.ApplyDelta(delta)
 		}
 		if err != nil {
 			return fault.Wrap(fault.Invalid, "relay.take", l.source.Name, err)
--- a/gateway/relay/server.go
+++ b/gateway/relay/server.go
@@ -27,9 +27,9 @@
 
 // State is the state that a Server passes on. view.View implements it.
 type State interface {
-	Since(positions []view.Position) ([]view.KindDelta, view.Proof, bool)
+	DeltasSince(positions []view.Position) ([]view.KindDelta, view.Proof, bool)
 	Changed() <-chan struct{}
-	Failing() bool
+	StoreFailing() bool
 }
 
 // Server sends this process's state to followers. It is safe for concurrent use.
@@ -117,8 +117,8 @@
 	due, sentFailing := true, false
 	for {
 		changed := f.server.state.Changed()
-		failing := f.server.state.Failing()
-		deltas, proved, known := f.server.state.Since(f.positions)
+		failing := f.server.state.StoreFailing()
+		deltas, proved, known := f.server.state.DeltasSince(f.positions)
 		if due || failing != sentFailing || hasChanges(deltas) || known && proved.At-sent.At >= minProofAdvance {
 			if err := f.send(deltas, proved, known, failing); err != nil {
 				return // the follower is gone; receiveRequests ends as well
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -210,9 +210,9 @@
 	return max(time.Duration(b.RevokeMS)*time.Millisecond-confirmMargin, confirmMargin)
 }
 
-// source returns the settings that concern the store.
-func (s *Settings) source() view.Source {
-	return view.Source{
+// storeOptions returns the settings that concern the store.
+func (s *Settings) storeOptions() view.StoreOptions {
+	return view.StoreOptions{
 		Store:         s.Store.Address,
 		ConfirmWithin: s.Bounds.confirmWithin(),
 		ApplyWithin:   s.Bounds.applyWithin(),
--- a/gateway/view/follow.go
+++ b/gateway/view/follow.go
@@ -278,7 +278,7 @@
 	case w.lost || w.shortNext:
 		return shortWait
 	default:
-		return min(w.wait, w.view.TrustTime()/time.Duration(w.trustDivisor), w.view.ApplyTime()/applyDivisor)
+		return min(w.wait, w.view.KeyTrustTime()/time.Duration(w.trustDivisor), w.view.ApplyTime()/applyDivisor)
 	}
 }
 
--- a/gateway/view/follow_test.go
+++ b/gateway/view/follow_test.go
@@ -27,7 +27,7 @@
 		4500 * time.Millisecond: configWait,
 		1500 * time.Millisecond: 500 * time.Millisecond,
 	} {
-		v := New(Options{Source: Source{ConfirmWithin: trusted, ApplyWithin: 8 * time.Second}})
+		v := New(Options{Store: StoreOptions{ConfirmWithin: trusted, ApplyWithin: 8 * time.Second}})
 		w := v.newWatcher(document.ConfigKind, configWait)
 		w.trustDivisor = confirmDivisor
 		assert.Equal(t, w.watchWait(), wait, "%v", trusted)
@@ -39,7 +39,7 @@
 // TestConfigWatchWaitIsShortWhileTheStoreFails guards against a long call that was begun during an
 // outage and delays the next call to a store that is back.
 func TestConfigWatchWaitIsShortWhileTheStoreFails(t *testing.T) {
-	v := New(Options{Source: Source{Store: "127.0.0.1:1", ConfirmWithin: 4500 * time.Millisecond, ApplyWithin: 8 * time.Second}})
+	v := New(Options{Store: StoreOptions{Store: "127.0.0.1:1", ConfirmWithin: 4500 * time.Millisecond, ApplyWithin: 8 * time.Second}})
 	w := v.newWatcher(document.ConfigKind, configWait)
 	w.trustDivisor = confirmDivisor
 	assert.Equal(t, w.watchWait(), configWait)
@@ -52,7 +52,7 @@
 // TestConfigWatchWaitIsBoundedByTheApplyTime checks that a follower of a reader that has lost the
 // store has time to find another source before a change must be in force.
 func TestConfigWatchWaitIsBoundedByTheApplyTime(t *testing.T) {
-	v := New(Options{Source: Source{ConfirmWithin: 4500 * time.Millisecond, ApplyWithin: 2 * time.Second}})
+	v := New(Options{Store: StoreOptions{ConfirmWithin: 4500 * time.Millisecond, ApplyWithin: 2 * time.Second}})
 	w := v.newWatcher(document.ConfigKind, configWait)
 	w.trustDivisor = confirmDivisor
 	assert.Equal(t, w.watchWait(), 500*time.Millisecond)
--- a/gateway/view/share.go
+++ b/gateway/view/share.go
@@ -32,9 +32,9 @@
 	return positions
 }
 
-// Since returns what copies at these positions lack, with the newest proof. The proof is read
+// DeltasSince returns what copies at these positions lack, with the newest proof. The proof is read
 // first, so that the changes are at least as new as the proof.
-func (v *View) Since(positions []Position) ([]KindDelta, Proof, bool) {
+func (v *View) DeltasSince(positions []Position) ([]KindDelta, Proof, bool) {
 	newest, known := v.proof.get()
 	var deltas []KindDelta
 	for _, position := range positions {
@@ -52,10 +52,10 @@
 // Changed returns a channel that is closed at the next change or proof.
 func (v *View) Changed() <-chan struct{} { return v.proof.nextChange() }
 
-// Take applies a delta from another gateway. It ignores kinds that this gateway does not
+// ApplyDelta applies a delta from another gateway. It ignores kinds that this gateway does not
 // follow: the other one may run another version. It returns an error if changes are missing
 // between the copy and the delta.
-func (v *View) Take(delta KindDelta) error {
+func (v *View) ApplyDelta(delta KindDelta) error {
 	k := v.replicaOf(delta.Kind)
 	if k == nil {
 		return nil
@@ -70,13 +70,13 @@
 // Proof returns the newest proof, and false if there is none.
 func (v *View) Proof() (Proof, bool) { return v.proof.get() }
 
-// Failing reports whether the store fails to respond to this process as a reader. It is false
+// StoreFailing reports whether the store fails to respond to this process as a reader. It is false
 // in a follower, which does not call the store.
-func (v *View) Failing() bool { return v.failing.Load() }
+func (v *View) StoreFailing() bool { return v.failing.Load() }
 
-// StoreProved returns the boot time of the newest proof that the store gave this process
+// StoreProofTime returns the boot time of the newest proof that the store gave this process
 // itself, and false if there is none.
-func (v *View) StoreProved() (time.Duration, bool) {
+func (v *View) StoreProofTime() (time.Duration, bool) {
 	at := time.Duration(v.storeProofAt.Load())
 	return at, at >= 0
 }
--- a/gateway/view/share_test.go
+++ b/gateway/view/share_test.go
@@ -18,15 +18,15 @@
 	t.Helper()
 	logger, err := observe.NewLogger(io.Discard, "test", "error")
 	assert.NilError(t, err)
-	return New(Options{Logger: logger, Self: Member{Name: "self"}, Source: Source{ConfirmWithin: 4500 * time.Millisecond}})
+	return New(Options{Logger: logger, Self: Member{Name: "self"}, Store: StoreOptions{ConfirmWithin: 4500 * time.Millisecond}})
 }
 
 // syncViews applies to one View all that it lacks of another.
 func syncViews(t *testing.T, from, to *View) {
 	t.Helper()
-	deltas, _, _ := from.Since(to.Positions())
+	deltas, _, _ := from.DeltasSince(to.Positions())
 	for _, d := range deltas {
-		assert.NilError(t, to.Take(d))
+		assert.NilError(t, to.ApplyDelta(d))
 	}
 }
 
@@ -50,14 +50,14 @@
 	assert.NilError(t, source.replicaOf(MemberKind).apply(replica.Delta{After: 5, Revision: 7, Changes: []replica.Change{gone}}))
 	syncViews(t, source, follower)
 	assert.Equal(t, len(follower.Members()), 1)
-	deltas, _, _ := source.Since(follower.Positions())
+	deltas, _, _ := source.DeltasSince(follower.Positions())
 	assert.Equal(t, len(deltas), 0, "nothing is sent twice")
 }
 
 func TestUnknownKindsAreIgnored(t *testing.T) {
 	v := newTestView(t)
-	assert.NilError(t, v.Take(KindDelta{Kind: "unheard-of", Delta: replica.Delta{Reset: true, Revision: 3}}))
-	deltas, _, _ := v.Since([]Position{{Kind: "unheard-of", Revision: -1}})
+	assert.NilError(t, v.ApplyDelta(KindDelta{Kind: "unheard-of", Delta: replica.Delta{Reset: true, Revision: 3}}))
+	deltas, _, _ := v.DeltasSince([]Position{{Kind: "unheard-of", Revision: -1}})
 	assert.Equal(t, len(deltas), 0)
 }
 
--- a/gateway/view/upstreams.go
+++ b/gateway/view/upstreams.go
@@ -49,7 +49,7 @@
 // newUpstreamReceiver returns a receiver that knows no upstream.
 func newUpstreamReceiver(v *View) *upstreamReceiver {
 	r := &upstreamReceiver{view: v, known: make(map[string]routes.Upstream), evacuationEnded: make(map[string]time.Time), reports: make(map[incarnation]report)}
-	if !v.options.Source.Evacuations {
+	if !v.options.Store.Evacuations {
 		r.evacuated = make(map[string]bool)
 	}
 	return r
@@ -68,42 +68,42 @@
 	r.publish()
 }
 
-// Asked is what an upstream reports about itself in a response to this process.
-type Asked struct {
+// UpstreamReport is what an upstream reports about itself in a response to this process.
+type UpstreamReport struct {
 	// Upstream is the upstream as it was when the request was sent to it.
 	Upstream routes.Upstream
 	// Request is the ID of the request, empty for a stage call.
 	Request string
 	// Leaving is set if the upstream accepts no new requests.
 	Leaving bool
-	// Pause is the backoff that the upstream requests, 0 if it requests none.
-	Pause time.Duration
+	// Backoff is the backoff that the upstream requests, 0 if it requests none.
+	Backoff time.Duration
 }
 
-// UpstreamAsked records an upstream's report. A report reaches this process sooner than the
+// RecordUpstreamReport records an upstream's report. A report reaches this process sooner than the
 // upstream's entry in the store, which can't be updated while the store is down.
-func (v *View) UpstreamAsked(a Asked) {
-	if a.Leaving || a.Pause > 0 {
-		v.upstreamEntries.noteReport(a, time.Now())
+func (v *View) RecordUpstreamReport(received UpstreamReport) {
+	if received.Leaving || received.Backoff > 0 {
+		v.upstreamEntries.noteReport(received, time.Now())
 	}
 }
 
 // noteReport records a report. The latest end of a backoff wins.
-func (r *upstreamReceiver) noteReport(a Asked, now time.Time) {
+func (r *upstreamReceiver) noteReport(received UpstreamReport, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	key := incarnation{id: a.Upstream.ID, started: a.Upstream.Incarnation}
+	key := incarnation{id: received.Upstream.ID, started: received.Upstream.Incarnation}
 	before := r.reports[key]
-	after := report{leaving: before.leaving || a.Leaving, backoffUntil: before.backoffUntil, updated: now}
-	if until := now.Add(a.Pause); a.Pause > 0 && until.After(before.backoffUntil) {
+	after := report{leaving: before.leaving || received.Leaving, backoffUntil: before.backoffUntil, updated: now}
+	if until := now.Add(received.Backoff); received.Backoff > 0 && until.After(before.backoffUntil) {
 		after.backoffUntil = until
 	}
 	r.reports[key] = after
 	if after.leaving == before.leaving && after.backoffUntil.Equal(before.backoffUntil) {
 		return
 	}
-	r.view.options.Logger.Event(event.UpstreamAsked, observe.Fields{"upstream": a.Upstream.ID, "service": a.Upstream.Service,
-		"request": a.Request, "leaving": a.Leaving, "retry_after_ms": a.Pause.Milliseconds()})
+	r.view.options.Logger.Event(event.UpstreamAsked, observe.Fields{"upstream": received.Upstream.ID, "service": received.Upstream.Service,
+		"request": received.Request, "leaving": received.Leaving, "retry_after_ms": received.Backoff.Milliseconds()})
 	r.publish()
 }
 
--- a/gateway/view/view.go
+++ b/gateway/view/view.go
@@ -44,8 +44,8 @@
 	Logger *observe.Logger
 	// Self is this process; Members does not contain it.
 	Self Member
-	// Source holds the store's address and the bounds on the age of its data.
-	Source Source
+	// Store holds the store's address and the bounds on the age of its data.
+	Store StoreOptions
 	// Regions holds the region of each zone.
 	Regions map[string]string
 	// Records are further kinds of objects, each with its receiver.
@@ -60,9 +60,9 @@
 	To Receiver
 }
 
-// Source is the store's part of the settings. All but Evacuations may change while the process
-// runs.
-type Source struct {
+// StoreOptions is the store's part of the settings. All but Evacuations may change while the
+// process runs.
+type StoreOptions struct {
 	// Store is the store's address, IP:port.
 	Store string
 	// ConfirmWithin bounds the age of the newest freshness proof while requests with keys are served.
@@ -118,14 +118,14 @@
 		v.newKindReplica(document.WorkerKind, upstreams),
 		v.newKindReplica(MemberKind, newMemberReceiver(v)),
 	}
-	if options.Source.Evacuations {
+	if options.Store.Evacuations {
 		v.evacuations = newEvacuationReceiver(v, upstreams)
 		v.replicas = append(v.replicas, v.newKindReplica(document.EvacuationKind, v.evacuations))
 	}
 	for _, records := range options.Records {
 		v.replicas = append(v.replicas, v.newKindReplica(records.Kind, records.To))
 	}
-	v.SetSource(options.Source)
+	v.SetStoreOptions(options.Store)
 	v.members.Store(&[]Member{})
 	v.storeProofAt.Store(-1)
 	return v
@@ -136,13 +136,13 @@
 	return &kindReplica{name: name, receiver: to, proof: v.proof, replica: replica.New()}
 }
 
-// SetSource applies changed settings. The present data stay in force until the store at a new
-// address replaces them.
-func (v *View) SetSource(source Source) {
-	v.confirmWithin.Store(int64(source.ConfirmWithin))
-	v.applyWithin.Store(int64(source.ApplyWithin))
-	if old := v.store.Load(); old == nil || old.Address() != source.Store {
-		v.store.Store(store.New(source.Store))
+// SetStoreOptions applies changed settings. The present data stay in force until the store at a
+// new address replaces them.
+func (v *View) SetStoreOptions(options StoreOptions) {
+	v.confirmWithin.Store(int64(options.ConfirmWithin))
+	v.applyWithin.Store(int64(options.ApplyWithin))
+	if old := v.store.Load(); old == nil || old.Address() != options.Store {
+		v.store.Store(store.New(options.Store))
 	}
 }
 
@@ -200,24 +200,24 @@
 // new proof.
 func (v *View) keysTrustedFor(extra time.Duration) bool {
 	age, known := v.KeysAge()
-	return known && age+extra < v.TrustTime()
+	return known && age+extra < v.KeyTrustTime()
 }
 
-// TrustTime returns how long a freshness proof is valid.
-func (v *View) TrustTime() time.Duration { return time.Duration(v.confirmWithin.Load()) }
+// KeyTrustTime returns how long a freshness proof is valid.
+func (v *View) KeyTrustTime() time.Duration { return time.Duration(v.confirmWithin.Load()) }
 
 func (v *View) ApplyTime() time.Duration { return time.Duration(v.applyWithin.Load()) }
 
-// leadTime bounds how early TakesNew turns false before requests with keys must be refused: the
-// load balancer checks once a second and acts on the second check. TakesNew uses at most a third
-// of the validity of a proof, so that a watch that waits for another third renews the proof in
-// time.
+// leadTime bounds how early AcceptsConnections turns false before requests with keys must be
+// refused: the load balancer checks once a second and acts on the second check. AcceptsConnections
+// uses at most a third of the validity of a proof, so that a watch that waits for another third
+// renews the proof in time.
 const leadTime = 1500 * time.Millisecond
 
-// TakesNew reports whether new connections should come to this process. A process without recent
-// proofs would soon refuse requests that the other gateways can serve.
-func (v *View) TakesNew() bool {
-	return v.Ready() && (!v.Table().HasWorkspaces() || v.keysTrustedFor(min(leadTime, v.TrustTime()/confirmDivisor)))
+// AcceptsConnections reports whether new connections should come to this process. A process
+// without recent proofs would soon refuse requests that the other gateways can serve.
+func (v *View) AcceptsConnections() bool {
+	return v.Ready() && (!v.Table().HasWorkspaces() || v.keysTrustedFor(min(leadTime, v.KeyTrustTime()/confirmDivisor)))
 }
 
 // OnChange registers a function to call after each change of upstreams, members or configuration.
--- a/gateway/view/view_test.go
+++ b/gateway/view/view_test.go
@@ -21,7 +21,7 @@
 	for _, tt := range []struct {
 		age        time.Duration
 		workspaces bool
-		takesNew   bool
+		accepts    bool
 		trusted    bool
 	}{
 		{time.Second, true, true, true},
@@ -29,16 +29,16 @@
 		{within + time.Second, true, false, false},
 		{within + time.Second, false, true, false},
 	} {
-		v := New(Options{Logger: logger, Source: Source{ConfirmWithin: within}})
+		v := New(Options{Logger: logger, Store: StoreOptions{ConfirmWithin: within}})
 		var workspaces []*routes.Workspace
 		if tt.workspaces {
 			workspaces = []*routes.Workspace{{Name: "w", Keys: []string{"k"}}}
 		}
-		assert.Assert(t, !v.TakesNew(), "the View has no data")
+		assert.Assert(t, !v.AcceptsConnections(), "the View has no data")
 		v.table.Store(routes.NewTable(1, routes.Limits{}, nil, nil, workspaces))
 		v.upstreams.Store(routes.NewUpstreams(nil))
 		v.Confirm(Proof{At: clock.Boot() - tt.age})
-		assert.Equal(t, v.TakesNew(), tt.takesNew, "%v old, workspaces %t", tt.age, tt.workspaces)
+		assert.Equal(t, v.AcceptsConnections(), tt.accepts, "%v old, workspaces %t", tt.age, tt.workspaces)
 		assert.Equal(t, v.KeysTrusted(), tt.trusted, "%v old", tt.age)
 	}
 }
