--- a/gateway/flow/choose.go
+++ b/gateway/flow/choose.go
@@ -15,8 +15,8 @@
 	// configuration doesn't describe it.
 	service *routes.Service
 	name    string
-	// sharedPart identifies the last part of the prompt that other requests share.
-	sharedPart string
+	// sharedPrefixID identifies the last part of the prompt that other requests share.
+	sharedPrefixID string
 	// tried are the upstreams that the request was already sent to.
 	tried []string
 	// excluded are the incarnations of upstreams that the request must not be sent to.
@@ -31,7 +31,7 @@
 	if rq.workspace != nil {
 		regions = append(regions, rq.workspace.Regions)
 	}
-	return requirements{service: rq.table.Service(rq.service), name: rq.service, sharedPart: rq.hdr.SharedPart, tried: rq.tried, excluded: rq.crashPass.Ended, allowedRegions: regions}
+	return requirements{service: rq.table.Service(rq.service), name: rq.service, sharedPrefixID: rq.hdr.SharedPrefixID, tried: rq.tried, excluded: rq.crashPass.Ended, allowedRegions: regions}
 }
 
 // allows reports whether a region may run the request.
@@ -55,7 +55,7 @@
 			s.cold.Sent(choice.Upstream.ID, now)
 		}
 		s.chooser.Started(choice.Upstream.ID)
-		s.chooser.SentPrefix(req.sharedPart, choice.Upstream.ID, now)
+		s.chooser.SentPrefix(req.sharedPrefixID, choice.Upstream.ID, now)
 	}
 	return choice, found
 }
@@ -71,7 +71,7 @@
 func (s *Server) best(req requirements, now time.Time) (selection.Choice, bool) {
 	list := s.usable(req, now)
 	if req.service != nil && req.service.Engine != nil {
-		return s.chooser.Choose(list, req.sharedPart, req.tried, now)
+		return s.chooser.Choose(list, req.sharedPrefixID, req.tried, now)
 	}
 	return s.chooser.LeastLoaded(list, s.Zone, req.tried, now)
 }
--- a/gateway/flow/handler.go
+++ b/gateway/flow/handler.go
@@ -135,7 +135,7 @@
 	if rq.route == nil {
 		return rq.refuseUnknown(http.StatusNotFound, "no route matches the host and path")
 	}
-	hdr, err := header.Read(rq.r.Header, len(rq.route.Stages))
+	hdr, err := header.ReadRequest(rq.r.Header, len(rq.route.Stages))
 	rq.hdr = hdr
 	if err != nil {
 		return rq.refuse(http.StatusBadRequest, "request.read", err.Error(), 0)
--- a/gateway/flow/relay.go
+++ b/gateway/flow/relay.go
@@ -63,7 +63,7 @@
 func (rq *request) copyHead(response *httpconn.Response) {
 	rq.headSent = true
 	h := rq.w.Header()
-	for name, values := range header.Return(response.Header) {
+	for name, values := range header.ForClient(response.Header) {
 		h[name] = values
 	}
 	if h.Get("Content-Type") == "" {
--- a/gateway/flow/send.go
+++ b/gateway/flow/send.go
@@ -116,7 +116,7 @@
 		Body:       rq.body,
 		ID:         rq.hdr.ID,
 		ShouldSend: func() bool { return rq.stillAccepts(choice.Upstream) },
-		Header: header.Apply(rq.r.Header, header.Forward{
+		Header: header.ForUpstream(rq.r.Header, header.Forward{
 			Instance:  choice.Upstream.ID,
 			Workspace: workspace,
 			Remaining: time.Until(rq.deadline),
@@ -185,7 +185,7 @@
 // records the upstream's state, and passes the response on or returns a sendFailure.
 func (rq *request) handleResponse(upstream routes.Upstream, response *httpconn.Response, sent time.Duration) error {
 	id := upstream.ID
-	info := header.ReadAnswer(response.Status, response.Header)
+	info := header.ReadResponse(response.Status, response.Header)
 	rq.View.RecordUpstreamReport(view.UpstreamReport{Upstream: upstream, Request: rq.hdr.ID, Leaving: info.Leaving, Backoff: info.RetryAfter})
 	if !info.Replaced {
 		rq.Guard.Responded(upstream, sent)
--- a/gateway/pools/call.go
+++ b/gateway/pools/call.go
@@ -89,7 +89,7 @@
 	if err != nil {
 		return nil, fault.Wrap(fault.Ambiguous, "stage.read", to.ID, err)
 	}
-	hints := header.ReadAnswer(response.Status, response.Header)
+	hints := header.ReadResponse(response.Status, response.Header)
 	o.fleet.RecordUpstreamReport(view.UpstreamReport{Upstream: to, Leaving: hints.Leaving, Backoff: hints.RetryAfter})
 	if response.Status != http.StatusOK {
 		return nil, fault.New(fault.Refused, "stage.call", to.ID, "status %d, not run %t", response.Status, hints.NotRun)
--- a/gateway/process.go
+++ b/gateway/process.go
@@ -160,8 +160,8 @@
 
 // readEcho extracts from an upstream's response head what httpconn needs.
 func readEcho(status int, h http.Header) httpconn.Echo {
-	answer := header.ReadAnswer(status, h)
-	return httpconn.Echo{ID: answer.ID, NotRun: answer.NotRun, Idle: answer.Idle}
+	response := header.ReadResponse(status, h)
+	return httpconn.Echo{ID: response.ID, NotRun: response.NotRun, Idle: response.Idle}
 }
 
 // newIncarnation returns a random ID for this run of the process.
