--- a/gateway/pools/call.go
+++ b/gateway/pools/call.go
@@ -104,7 +104,7 @@
 	reasons := make(map[*pool.Item]Failure)
 	made := 0
 	for i, item := range call.Items {
-		result := stagecall.Result{Reason: stagecall.Failed}
+		result := stagecall.Result{Reason: stagecall.ReasonFailed}
 		if results != nil {
 			result = results[i]
 		}
@@ -129,11 +129,11 @@
 		return pool.Abandoned, Failed
 	}
 	switch reason {
-	case stagecall.Room:
+	case stagecall.ReasonNoRoom:
 		return pool.NoRoom, Failed
-	case stagecall.Late:
+	case stagecall.ReasonLate:
 		return pool.Abandoned, Late
-	case stagecall.Gone:
+	case stagecall.ReasonInputGone:
 		return pool.Abandoned, Gone
 	default:
 		return pool.Retryable, Failed
--- a/gateway/pools/owner_test.go
+++ b/gateway/pools/owner_test.go
@@ -172,14 +172,14 @@
 }
 
 func TestReasonsOfAnUpstreamBecomeFailures(t *testing.T) {
-	for reason, failure := range map[stagecall.Reason]Failure{stagecall.Late: Late, stagecall.Gone: Gone, stagecall.Failed: Failed} {
+	for reason, failure := range map[stagecall.Reason]Failure{stagecall.ReasonLate: Late, stagecall.ReasonInputGone: Gone, stagecall.ReasonFailed: Failed} {
 		o, _ := newOwner(t, failItems(reason))
 		assert.Equal(t, (<-submit(o.Session(true), 1, task("a"), nil)).Failure, failure, string(reason))
 	}
 }
 
 func TestItemIsRetriedUntilItsUpstreamHasRoom(t *testing.T) {
-	full := failItems(stagecall.Room)
+	full := failItems(stagecall.ReasonNoRoom)
 	o, _ := newOwner(t, full, full, full, full, full, succeed)
 	result := <-submit(o.Session(true), 1, task("a"), nil)
 	assert.DeepEqual(t, result.Handles, []string{"h/a"})
