--- a/gateway/view/follow.go
+++ b/gateway/view/follow.go
@@ -82,7 +82,7 @@
 // the present revisions.
 func (v *View) Read(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	upstreams := v.newWatcher(document.WorkerKind, upstreamWait)
+	upstreams := v.newWatcher(document.UpstreamKind, upstreamWait)
 	upstreams.batchDelay = upstreamBatchDelay
 	members := v.newWatcher(MemberKind, memberWait)
 	members.batchDelay = memberBatchDelay
--- a/gateway/view/follow_test.go
+++ b/gateway/view/follow_test.go
@@ -31,7 +31,7 @@
 		w := v.newWatcher(document.ConfigKind, configWait)
 		w.trustDivisor = confirmDivisor
 		assert.Equal(t, w.watchWait(), wait, "%v", trusted)
-		other := v.newWatcher(document.WorkerKind, upstreamWait)
+		other := v.newWatcher(document.UpstreamKind, upstreamWait)
 		assert.Equal(t, other.watchWait(), upstreamWait, "%v", trusted)
 	}
 }
--- a/gateway/view/share_test.go
+++ b/gateway/view/share_test.go
@@ -75,7 +75,7 @@
 func TestFollowersAreNotifiedOfChangesAndProofs(t *testing.T) {
 	v := newTestView(t)
 	changed := v.Changed()
-	assert.NilError(t, v.replicaOf(document.WorkerKind).apply(replica.Delta{Reset: true, Revision: 1}))
+	assert.NilError(t, v.replicaOf(document.UpstreamKind).apply(replica.Delta{Reset: true, Revision: 1}))
 	<-changed
 	changed = v.Changed()
 	v.Confirm(Proof{At: time.Second})
--- a/gateway/view/view.go
+++ b/gateway/view/view.go
@@ -115,7 +115,7 @@
 	v.upstreamEntries = upstreams
 	v.replicas = []*kindReplica{
 		v.newKindReplica(document.ConfigKind, &configReceiver{view: v}),
-		v.newKindReplica(document.WorkerKind, upstreams),
+		v.newKindReplica(document.UpstreamKind, upstreams),
 		v.newKindReplica(MemberKind, newMemberReceiver(v)),
 	}
 	if options.Store.Evacuations {
