--- a/gateway/flow/handler.go
+++ b/gateway/flow/handler.go
@@ -135,7 +135,7 @@
 	if rq.route == nil {
 		return rq.refuseUnknown(http.StatusNotFound, "no route matches the host and path")
 	}
-	hdr, err := header.Read(rq.r.Header, len(rq.route.Stages))
+	hdr, err := header.ReadRequest(rq.r.Header, len(rq.route.Stages))
 	rq.hdr = hdr
 	if err != nil {
 		return rq.refuse(http.StatusBadRequest, "request.read", err.Error(), 0)
@@ -285,7 +285,7 @@
 		return
 	}
 	defer func() { rq.results.free() }()
-	defer func() { rq.Guard.Return(rq.fingerprint, rq.hdr.ID, rq.crashPass, false) }()
+	defer func() { rq.Guard.ReturnTrial(rq.fingerprint, rq.hdr.ID, rq.crashPass, false) }()
 	rq.countRequest(rq.service, rq.started)
 	for {
 		err := rq.checkQuarantine()
@@ -310,7 +310,7 @@
 // checkQuarantine returns an error if the request must not be sent because upstreams crash while
 // running it.
 func (rq *request) checkQuarantine() error {
-	pass, refusal := rq.Guard.Check(rq.ctx, quarantine.Attempt{Request: rq.fingerprint, ID: rq.hdr.ID, Held: rq.crashPass, Runs: rq.canRunExcluding})
+	pass, refusal := rq.Guard.Check(rq.ctx, quarantine.Attempt{Request: rq.fingerprint, ID: rq.hdr.ID, Pass: rq.crashPass, HasUpstream: rq.canRunExcluding})
 	rq.crashPass = pass
 	if refusal != nil {
 		return fault.Wrap(fault.Refused, "request.quarantine", rq.service, refusal)
@@ -342,8 +342,8 @@
 		if upstreams.Evacuated(service) {
 			return "all upstreams of " + service + " are in evacuated zones", retryAfterBusy
 		}
-		if opens := upstreams.Opens(service, now); opens.After(rq.startBy) {
-			return "all upstreams of " + service + " are backed off", opens.Sub(now)
+		if availableAt := upstreams.AvailableAt(service, now); availableAt.After(rq.startBy) {
+			return "all upstreams of " + service + " are backed off", availableAt.Sub(now)
 		}
 	}
 	return "", 0
@@ -359,7 +359,7 @@
 	if !errors.As(err, &f) {
 		return false
 	}
-	if f.mayHaveRun && (rq.route.Repeat == routes.AtMostOnce || rq.headSent && rq.route.Repeat != routes.Resumable) {
+	if f.mayHaveRun && (rq.route.RetryPolicy == routes.AtMostOnce || rq.headSent && rq.route.RetryPolicy != routes.Resumable) {
 		return false
 	}
 	if f.unsent {
@@ -412,15 +412,15 @@
 }
 
 // estimateRetryAfter estimates how long it takes until a request that found no capacity can be
-// served: pool.Doubt times the longest backlog of the pools on its route, which is also the time
-// that must remain for a late task. By then the present backlog, and what is queued ahead of the
-// request meanwhile, have been processed. With only one times the backlog, clients come back
+// served: pool.LateWaitFactor times the longest backlog of the pools on its route, which is also
+// the time that must remain for a late task. By then the present backlog, and what is queued ahead
+// of the request meanwhile, have been processed. With only one times the backlog, clients come back
 // during the same burst and are refused again.
 func (rq *request) estimateRetryAfter() time.Duration {
 	now := time.Now()
-	longest := max(retryAfterBusy, rq.View.Upstreams().Opens(rq.service, now).Sub(now))
+	longest := max(retryAfterBusy, rq.View.Upstreams().AvailableAt(rq.service, now).Sub(now))
 	for _, stage := range rq.route.Stages {
-		longest = max(longest, pool.Doubt*rq.Caller.Backlog(stage.Service))
+		longest = max(longest, pool.LateWaitFactor*rq.Dispatcher.Backlog(stage.Service))
 	}
 	return longest
 }
--- a/gateway/flow/prepare.go
+++ b/gateway/flow/prepare.go
@@ -101,8 +101,8 @@
 		return stageUpdate{}, false
 	case update := <-run.updates:
 		if update.inputsRead {
-			run.progress.Take(update.stage)
-			run.freeSpent(run.progress, false)
+			run.progress.MarkInputsRead(update.stage)
+			run.freeUnneeded(run.progress, false)
 			return update, false
 		}
 		run.running--
@@ -110,7 +110,7 @@
 		if update.err == nil && update.result.Failure == "" {
 			run.progress.Finish(update.stage, update.result.Handles)
 			run.doneAt[update.stage] = time.Now()
-			run.freeSpent(run.progress, false)
+			run.freeUnneeded(run.progress, false)
 		}
 		return update, true
 	}
@@ -130,10 +130,10 @@
 // wait.
 func (run *stageRun) startDue() time.Duration {
 	wait := maxWait
-	remaining := run.progress.Left(run.remaining)
+	remaining := run.progress.Remaining(run.remaining)
 	var delayed []int
 	for _, stage := range run.waiting {
-		length := run.progress.Length(stage, run.estimate)
+		length := run.progress.CriticalPath(stage, run.estimate)
 		slack := remaining - length - length/startMarginDivisor - startMargin
 		if slack > 0 && run.progress.IsLast(stage) {
 			delayed = append(delayed, stage)
@@ -152,7 +152,7 @@
 func (run *stageRun) runStage(stage int, times stageTimes, inputs []string) {
 	spec := run.route.Stages[stage]
 	started := time.Now()
-	result, owner, err := run.Caller.Do(run.ctx, pools.Task{
+	result, owner, err := run.Dispatcher.Do(run.ctx, pools.Task{
 		Part:        pools.Part{Service: spec.Service},
 		Request:     run.hdr.ID,
 		Stage:       stage,
@@ -164,7 +164,7 @@
 		Due:         times.due,
 		Class:       run.class,
 		Value:       run.value,
-		Pulls:       run.pulls(stage, run.progress.IsLast(stage), inputs),
+		Transfers:   run.transfers(stage, run.progress.IsLast(stage), inputs),
 	}, func() { run.updates <- stageUpdate{stage: stage, inputsRead: true} })
 	run.updates <- stageUpdate{stage: stage, result: result, owner: owner, took: time.Since(started), err: err}
 }
--- a/gateway/flow/relay.go
+++ b/gateway/flow/relay.go
@@ -55,7 +55,7 @@
 // mayReplaceServerError reports whether a 5xx response of an upstream should be dropped in
 // favour of a retry. mayRetry withdraws the retry from the budget later.
 func (rq *request) mayReplaceServerError() bool {
-	return rq.route.Repeat == routes.Idempotent && rq.sends < rq.route.MaxAttempts && rq.ctx.Err() == nil && rq.canRetry(rq.service)
+	return rq.route.RetryPolicy == routes.Idempotent && rq.sends < rq.route.MaxAttempts && rq.ctx.Err() == nil && rq.canRetry(rq.service)
 }
 
 // copyHead copies the upstream's headers to the client's response. If a stream continues at
@@ -63,7 +63,7 @@
 func (rq *request) copyHead(response *httpconn.Response) {
 	rq.headSent = true
 	h := rq.w.Header()
-	for name, values := range header.Return(response.Header) {
+	for name, values := range header.ForClient(response.Header) {
 		h[name] = values
 	}
 	if h.Get("Content-Type") == "" {
@@ -134,7 +134,7 @@
 func (rq *request) recordOutcome(response *httpconn.Response, upstream routes.Upstream) {
 	switch {
 	case !response.Framed:
-		rq.Guard.Broken(rq.fingerprint, rq.hdr.ID, upstream)
+		rq.Guard.ConnectionClosed(rq.fingerprint, rq.hdr.ID, upstream)
 	case response.Status/100 == 2:
 		rq.Guard.Completed(rq.fingerprint, rq.hdr.ID)
 	}
--- a/gateway/flow/send.go
+++ b/gateway/flow/send.go
@@ -81,9 +81,9 @@
 // if results of stages would otherwise be lost and the request can still be served then.
 func (rq *request) awaitBackoff() {
 	now := time.Now()
-	opens := rq.View.Upstreams().Opens(rq.service, now)
-	if rq.results != nil && opens.After(now) && opens.Before(rq.startBy.Add(-firstEventAllowance)) {
-		clock.Sleep(rq.ctx, opens.Sub(now))
+	availableAt := rq.View.Upstreams().AvailableAt(rq.service, now)
+	if rq.results != nil && availableAt.After(now) && availableAt.Before(rq.startBy.Add(-firstEventAllowance)) {
+		clock.Sleep(rq.ctx, availableAt.Sub(now))
 	}
 }
 
@@ -116,7 +116,7 @@
 		Body:       rq.body,
 		ID:         rq.hdr.ID,
 		ShouldSend: func() bool { return rq.stillAccepts(choice.Upstream) },
-		Header: header.Apply(rq.r.Header, header.Forward{
+		Header: header.ForUpstream(rq.r.Header, header.Forward{
 			Instance:  choice.Upstream.ID,
 			Workspace: workspace,
 			Remaining: time.Until(rq.deadline),
@@ -133,7 +133,7 @@
 // stillAccepts reports whether a chosen upstream accepts work according to the newest list.
 func (rq *request) stillAccepts(chosen routes.Upstream) bool {
 	current, known := rq.View.Upstreams().Find(chosen.ID)
-	return known && current.Born == chosen.Born && current.TakesWork(time.Now())
+	return known && current.Incarnation == chosen.Incarnation && current.TakesWork(time.Now())
 }
 
 // Engines accept ranks from 0, the most urgent, to 9.
@@ -185,10 +185,10 @@
 // records the upstream's state, and passes the response on or returns a sendFailure.
 func (rq *request) handleResponse(upstream routes.Upstream, response *httpconn.Response, sent time.Duration) error {
 	id := upstream.ID
-	info := header.ReadAnswer(response.Status, response.Header)
-	rq.View.UpstreamAsked(view.Asked{Upstream: upstream, Request: rq.hdr.ID, Leaving: info.Leaving, Pause: info.RetryAfter})
+	info := header.ReadResponse(response.Status, response.Header)
+	rq.View.RecordUpstreamReport(view.UpstreamReport{Upstream: upstream, Request: rq.hdr.ID, Leaving: info.Leaving, Backoff: info.RetryAfter})
 	if !info.Replaced {
-		rq.Guard.Answered(upstream, sent)
+		rq.Guard.Responded(upstream, sent)
 	}
 	if info.Load.Known {
 		rq.recordLoad(id, selection.Load{Running: info.Load.Running, Waiting: info.Load.Waiting, Slots: info.Load.Slots, At: time.Now()})
@@ -209,7 +209,7 @@
 
 // handleNotRun handles a response which says that the request did not run.
 func (rq *request) handleNotRun(response *httpconn.Response, replaced bool) error {
-	rq.Guard.Return(rq.fingerprint, rq.hdr.ID, rq.usedPass, !replaced)
+	rq.Guard.ReturnTrial(rq.fingerprint, rq.hdr.ID, rq.usedPass, !replaced)
 	if replaced {
 		rq.sends-- // the send did not reach the chosen upstream
 	}
@@ -238,7 +238,7 @@
 		rq.markFailed(id)
 	}
 	if ok && f.closedByUpstream {
-		rq.Guard.Broken(rq.fingerprint, rq.hdr.ID, upstream)
+		rq.Guard.ConnectionClosed(rq.fingerprint, rq.hdr.ID, upstream)
 	}
 	rq.Logger.Event(event.GatewayFailed, observe.Fields{"request": rq.hdr.ID, "fingerprint": rq.fingerprint.String(), "upstream": id, "attempt": len(rq.tried),
 		"step": stepOf(err), "ran": ok && f.mayHaveRun, "error": err.Error()})
--- a/gateway/pools/call.go
+++ b/gateway/pools/call.go
@@ -27,7 +27,7 @@
 	now := time.Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	took := now.Sub(call.Began)
+	took := now.Sub(call.StartedAt)
 	if err != nil {
 		o.logger.Warn(event.PoolCallFailed, observe.Fields{"service": p.Service, "upstream": call.Upstream.ID,
 			"items": len(items), "error": err.Error(), "duration_us": took.Microseconds()})
@@ -59,7 +59,7 @@
 
 // run sends a batch and returns its results.
 func (o *Owner) run(call *pool.Call, items []stagecall.Item, maxRemaining time.Duration) ([]stagecall.Result, error) {
-	ctx, cancel := context.WithTimeout(o.lifetime, min(call.Patience, maxRemaining))
+	ctx, cancel := context.WithTimeout(o.lifetime, min(call.Timeout, maxRemaining))
 	defer cancel()
 	body, err := stagecall.RunBody(items)
 	if err != nil {
@@ -89,8 +89,8 @@
 	if err != nil {
 		return nil, fault.Wrap(fault.Ambiguous, "stage.read", to.ID, err)
 	}
-	hints := header.ReadAnswer(response.Status, response.Header)
-	o.fleet.UpstreamAsked(view.Asked{Upstream: to, Leaving: hints.Leaving, Pause: hints.RetryAfter})
+	hints := header.ReadResponse(response.Status, response.Header)
+	o.fleet.RecordUpstreamReport(view.UpstreamReport{Upstream: to, Leaving: hints.Leaving, Backoff: hints.RetryAfter})
 	if response.Status != http.StatusOK {
 		return nil, fault.New(fault.Refused, "stage.call", to.ID, "status %d, not run %t", response.Status, hints.NotRun)
 	}
@@ -104,12 +104,12 @@
 	reasons := make(map[*pool.Item]Failure)
 	made := 0
 	for i, item := range call.Items {
-		result := stagecall.Result{Reason: stagecall.Failed}
+		result := stagecall.Result{Reason: stagecall.ReasonFailed}
 		if results != nil {
 			result = results[i]
 		}
 		if result.Handle != "" {
-			outcomes[i] = pool.Made
+			outcomes[i] = pool.Done
 			made++
 			o.recordResult(p, call, item, result.Handle, now)
 			continue
@@ -126,17 +126,17 @@
 // item is not retried. An item whose task has ended is not retried.
 func (p *ownedPart) outcome(item *pool.Item, reason stagecall.Reason) (pool.Outcome, Failure) {
 	if p.tasks[item.Task.Ticket] == nil {
-		return pool.Ended, Failed
+		return pool.Abandoned, Failed
 	}
 	switch reason {
-	case stagecall.Room:
+	case stagecall.ReasonNoRoom:
 		return pool.NoRoom, Failed
-	case stagecall.Late:
-		return pool.Ended, Late
-	case stagecall.Gone:
-		return pool.Ended, Gone
+	case stagecall.ReasonLate:
+		return pool.Abandoned, Late
+	case stagecall.ReasonInputGone:
+		return pool.Abandoned, Gone
 	default:
-		return pool.Again, Failed
+		return pool.Retryable, Failed
 	}
 }
 
@@ -188,7 +188,7 @@
 	for _, upstream := range o.fleet.Upstreams().Of(p.Service) {
 		switch pending := p.pendingFrees[upstream.Address]; {
 		case pending == nil:
-		case now.Before(upstream.PausedUntil):
+		case now.Before(upstream.BackoffUntil):
 			later[upstream.Address] = pending
 		default:
 			go o.sendFree(p, upstream, pending)
--- a/gateway/pools/owner_test.go
+++ b/gateway/pools/owner_test.go
@@ -32,8 +32,8 @@
 // Upstreams implements Fleet.
 func (k staticFleet) Upstreams() *routes.Upstreams { return k.upstreams }
 
-// UpstreamAsked implements Fleet.
-func (k staticFleet) UpstreamAsked(view.Asked) {}
+// RecordUpstreamReport implements Fleet.
+func (k staticFleet) RecordUpstreamReport(view.UpstreamReport) {}
 
 // stageWorker responds to stage calls from a script, one step a call; the last step is
 // repeated.
@@ -172,14 +172,14 @@
 }
 
 func TestReasonsOfAnUpstreamBecomeFailures(t *testing.T) {
-	for reason, failure := range map[stagecall.Reason]Failure{stagecall.Late: Late, stagecall.Gone: Gone, stagecall.Failed: Failed} {
+	for reason, failure := range map[stagecall.Reason]Failure{stagecall.ReasonLate: Late, stagecall.ReasonInputGone: Gone, stagecall.ReasonFailed: Failed} {
 		o, _ := newOwner(t, failItems(reason))
 		assert.Equal(t, (<-submit(o.Session(true), 1, task("a"), nil)).Failure, failure, string(reason))
 	}
 }
 
 func TestItemIsRetriedUntilItsUpstreamHasRoom(t *testing.T) {
-	full := failItems(stagecall.Room)
+	full := failItems(stagecall.ReasonNoRoom)
 	o, _ := newOwner(t, full, full, full, full, full, succeed)
 	result := <-submit(o.Session(true), 1, task("a"), nil)
 	assert.DeepEqual(t, result.Handles, []string{"h/a"})
@@ -265,8 +265,8 @@
 	return l.fleet.Table()
 }
 
-// UpstreamAsked implements Fleet.
-func (l *pendingFleet) UpstreamAsked(view.Asked) {}
+// RecordUpstreamReport implements Fleet.
+func (l *pendingFleet) RecordUpstreamReport(view.UpstreamReport) {}
 
 // Upstreams implements Fleet.
 func (l *pendingFleet) Upstreams() *routes.Upstreams {
--- a/gateway/relay/follower.go
+++ b/gateway/relay/follower.go
@@ -112,7 +112,7 @@
 
 // staleAfter returns the age after which a proof is stale.
 func (f *Follower) staleAfter() time.Duration {
-	return min(time.Duration(staleShare*float64(f.view.TrustTime())), time.Duration(applyShare*float64(f.view.ApplyTime())))
+	return min(time.Duration(staleShare*float64(f.view.KeyTrustTime())), time.Duration(applyShare*float64(f.view.ApplyTime())))
 }
 
 // memberOf converts a member for package source.
@@ -134,7 +134,7 @@
 	defer f.mu.Unlock()
 	f.updateMembers()
 	f.selector.SetStaleAfter(f.staleAfter())
-	if at, known := f.view.StoreProved(); known {
+	if at, known := f.view.StoreProofTime(); known {
 		f.selector.StoreProved(at)
 	}
 	plan := f.selector.Next(clock.Boot())
@@ -238,7 +238,7 @@
 func (f *Follower) reportUpdate(update sourceUpdate) {
 	f.mu.Lock()
 	if update.partial {
-		f.selector.Filling(update.incarnation, clock.Boot())
+		f.selector.Loading(update.incarnation, clock.Boot())
 		f.mu.Unlock()
 		return
 	}
@@ -246,7 +246,7 @@
 	if !update.known {
 		at = source.Never
 	}
-	f.selector.Heard(source.Word{Incarnation: update.incarnation, Proved: at, Hops: update.proof.Hops, Failing: update.failing}, clock.Boot())
+	f.selector.RecordReport(source.Report{Incarnation: update.incarnation, Proved: at, Hops: update.proof.Hops, Failing: update.failing}, clock.Boot())
 	steady := f.plan.Reason == source.Follower && !update.failing
 	f.mu.Unlock()
 	if !steady {
--- a/gateway/relay/server.go
+++ b/gateway/relay/server.go
@@ -27,9 +27,9 @@
 
 // State is the state that a Server passes on. view.View implements it.
 type State interface {
-	Since(positions []view.Position) ([]view.KindDelta, view.Proof, bool)
+	DeltasSince(positions []view.Position) ([]view.KindDelta, view.Proof, bool)
 	Changed() <-chan struct{}
-	Failing() bool
+	StoreFailing() bool
 }
 
 // Server sends this process's state to followers. It is safe for concurrent use.
@@ -101,11 +101,11 @@
 	f.source.Received(request.GetNumber(), clock.Boot())
 }
 
-// proofWord returns the time of a proof relative to the follower's last request.
-func (f *session) proofWord(proved time.Duration) proof.Word {
+// proofReport returns the time of a proof relative to the follower's last request.
+func (f *session) proofReport(proved time.Duration) proof.Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.source.Word(proved)
+	return f.source.Report(proved)
 }
 
 // sendUpdates sends what the follower lacks until ctx ends or the stream breaks.
@@ -117,8 +117,8 @@
 	due, sentFailing := true, false
 	for {
 		changed := f.server.state.Changed()
-		failing := f.server.state.Failing()
-		deltas, proved, known := f.server.state.Since(f.positions)
+		failing := f.server.state.StoreFailing()
+		deltas, proved, known := f.server.state.DeltasSince(f.positions)
 		if due || failing != sentFailing || hasChanges(deltas) || known && proved.At-sent.At >= minProofAdvance {
 			if err := f.send(deltas, proved, known, failing); err != nil {
 				return // the follower is gone; receiveRequests ends as well
@@ -159,7 +159,7 @@
 		f.setPosition(d.Kind, d.Revision)
 	}
 	if known {
-		last.Proof = proofMessage(f.proofWord(proved.At), proved.Hops)
+		last.Proof = proofMessage(f.proofReport(proved.At), proved.Hops)
 	}
 	return f.stream.Send(last)
 }
--- a/gateway/servers.go
+++ b/gateway/servers.go
@@ -64,7 +64,7 @@
 
 // ready handles the readiness probes of the platform's load balancer.
 func (s *servers) ready(w http.ResponseWriter, _ *http.Request) {
-	if s.draining.Load() || !s.process.view.TakesNew() {
+	if s.draining.Load() || !s.process.view.AcceptsConnections() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -101,7 +101,7 @@
 	s.draining.Store(true)
 	p.flow.Drain()
 	p.logger.Event(event.ProcessDraining, observe.Fields{"in_flight": p.flow.InFlight()})
-	p.caller.Leave()
+	p.dispatcher.Leave()
 	p.owner.Leave()
 	grace := time.Duration(p.settings.Bounds.GraceSeconds*float64(time.Second)) - graceMargin
 	ctx, cancel := context.WithTimeout(context.Background(), grace)
--- a/gateway/view/follow.go
+++ b/gateway/view/follow.go
@@ -82,7 +82,7 @@
 // the present revisions.
 func (v *View) Read(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	upstreams := v.newWatcher(document.WorkerKind, upstreamWait)
+	upstreams := v.newWatcher(document.UpstreamKind, upstreamWait)
 	upstreams.batchDelay = upstreamBatchDelay
 	members := v.newWatcher(MemberKind, memberWait)
 	members.batchDelay = memberBatchDelay
@@ -278,7 +278,7 @@
 	case w.lost || w.shortNext:
 		return shortWait
 	default:
-		return min(w.wait, w.view.TrustTime()/time.Duration(w.trustDivisor), w.view.ApplyTime()/applyDivisor)
+		return min(w.wait, w.view.KeyTrustTime()/time.Duration(w.trustDivisor), w.view.ApplyTime()/applyDivisor)
 	}
 }
 
--- a/gateway/view/upstreams.go
+++ b/gateway/view/upstreams.go
@@ -49,7 +49,7 @@
 // newUpstreamReceiver returns a receiver that knows no upstream.
 func newUpstreamReceiver(v *View) *upstreamReceiver {
 	r := &upstreamReceiver{view: v, known: make(map[string]routes.Upstream), evacuationEnded: make(map[string]time.Time), reports: make(map[incarnation]report)}
-	if !v.options.Source.Evacuations {
+	if !v.options.Store.Evacuations {
 		r.evacuated = make(map[string]bool)
 	}
 	return r
@@ -68,48 +68,48 @@
 	r.publish()
 }
 
-// Asked is what an upstream reports about itself in a response to this process.
-type Asked struct {
+// UpstreamReport is what an upstream reports about itself in a response to this process.
+type UpstreamReport struct {
 	// Upstream is the upstream as it was when the request was sent to it.
 	Upstream routes.Upstream
 	// Request is the ID of the request, empty for a stage call.
 	Request string
 	// Leaving is set if the upstream accepts no new requests.
 	Leaving bool
-	// Pause is the backoff that the upstream requests, 0 if it requests none.
-	Pause time.Duration
+	// Backoff is the backoff that the upstream requests, 0 if it requests none.
+	Backoff time.Duration
 }
 
-// UpstreamAsked records an upstream's report. A report reaches this process sooner than the
+// RecordUpstreamReport records an upstream's report. A report reaches this process sooner than the
 // upstream's entry in the store, which can't be updated while the store is down.
-func (v *View) UpstreamAsked(a Asked) {
-	if a.Leaving || a.Pause > 0 {
-		v.upstreamEntries.noteReport(a, time.Now())
+func (v *View) RecordUpstreamReport(received UpstreamReport) {
+	if received.Leaving || received.Backoff > 0 {
+		v.upstreamEntries.noteReport(received, time.Now())
 	}
 }
 
 // noteReport records a report. The latest end of a backoff wins.
-func (r *upstreamReceiver) noteReport(a Asked, now time.Time) {
+func (r *upstreamReceiver) noteReport(received UpstreamReport, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	key := incarnation{id: a.Upstream.ID, started: a.Upstream.Born}
+	key := incarnation{id: received.Upstream.ID, started: received.Upstream.Incarnation}
 	before := r.reports[key]
-	after := report{leaving: before.leaving || a.Leaving, backoffUntil: before.backoffUntil, updated: now}
-	if until := now.Add(a.Pause); a.Pause > 0 && until.After(before.backoffUntil) {
+	after := report{leaving: before.leaving || received.Leaving, backoffUntil: before.backoffUntil, updated: now}
+	if until := now.Add(received.Backoff); received.Backoff > 0 && until.After(before.backoffUntil) {
 		after.backoffUntil = until
 	}
 	r.reports[key] = after
 	if after.leaving == before.leaving && after.backoffUntil.Equal(before.backoffUntil) {
 		return
 	}
-	r.view.options.Logger.Event(event.UpstreamAsked, observe.Fields{"upstream": a.Upstream.ID, "service": a.Upstream.Service,
-		"request": a.Request, "leaving": a.Leaving, "retry_after_ms": a.Pause.Milliseconds()})
+	r.view.options.Logger.Event(event.UpstreamAsked, observe.Fields{"upstream": received.Upstream.ID, "service": received.Upstream.Service,
+		"request": received.Request, "leaving": received.Leaving, "retry_after_ms": received.Backoff.Milliseconds()})
 	r.publish()
 }
 
 // reportOf returns what an upstream's incarnation reported. The caller holds r.mu.
 func (r *upstreamReceiver) reportOf(upstream routes.Upstream) report {
-	return r.reports[incarnation{id: upstream.ID, started: upstream.Born}]
+	return r.reports[incarnation{id: upstream.ID, started: upstream.Incarnation}]
 }
 
 // dropExpiredReports drops the reports of incarnations that are gone for longer than reportTTL.
@@ -117,7 +117,7 @@
 func (r *upstreamReceiver) dropExpiredReports(now time.Time) {
 	for key, old := range r.reports {
 		upstream, known := r.known[key.id]
-		if (!known || upstream.Born != key.started) && now.Sub(old.updated) > reportTTL {
+		if (!known || upstream.Incarnation != key.started) && now.Sub(old.updated) > reportTTL {
 			delete(r.reports, key)
 		}
 	}
@@ -181,9 +181,9 @@
 		return
 	}
 	old, known := r.known[upstream.ID]
-	if known && old.Born > upstream.Born {
+	if known && old.Incarnation > upstream.Incarnation {
 		r.view.options.Logger.Warn(event.UpstreamOutdated, observe.Fields{"upstream": object.Name, "revision": object.Revision,
-			"born": upstream.Born, "known_born": old.Born})
+			"born": upstream.Incarnation, "known_born": old.Incarnation})
 		return
 	}
 	upstream.Region = r.view.options.Regions[upstream.Zone]
@@ -191,10 +191,10 @@
 		upstream.ColdUntil = time.Now().Add(upstream.Cold)
 	}
 	r.known[upstream.ID] = upstream
-	if !known || old.Leaving != upstream.Leaving || old.Born != upstream.Born || old.Cold == 0 && upstream.Cold > 0 {
+	if !known || old.Leaving != upstream.Leaving || old.Incarnation != upstream.Incarnation || old.Cold == 0 && upstream.Cold > 0 {
 		r.view.options.Logger.Event(event.UpstreamChanged, observe.Fields{
 			"upstream": upstream.ID, "service": upstream.Service, "address": upstream.Address,
-			"leaving": upstream.Leaving, "born": upstream.Born, "cold_ms": upstream.Cold.Milliseconds(), "revision": object.Revision})
+			"leaving": upstream.Leaving, "born": upstream.Incarnation, "cold_ms": upstream.Cold.Milliseconds(), "revision": object.Revision})
 	}
 }
 
@@ -215,9 +215,9 @@
 	for _, upstream := range r.known {
 		reported := r.reportOf(upstream)
 		upstream.Leaving = upstream.Leaving || reported.leaving
-		upstream.PausedUntil = reported.backoffUntil
+		upstream.BackoffUntil = reported.backoffUntil
 		upstream.Evacuated = r.evacuated[upstream.Zone]
-		upstream.TakenBack = r.evacuationEnded[upstream.Zone]
+		upstream.EvacuationEnded = r.evacuationEnded[upstream.Zone]
 		list = append(list, upstream)
 	}
 	r.view.upstreams.Store(routes.NewUpstreams(list))
--- a/gateway/view/upstreams_test.go
+++ b/gateway/view/upstreams_test.go
@@ -46,7 +46,7 @@
 	f.Reset([]replica.Object{upstreamObject("a", "ready", 9)})
 	f.Apply([]replica.Change{{Object: upstreamObject("a", "draining", 8)}})
 	upstream, _ := v.Upstreams().Find("a")
-	assert.Assert(t, !upstream.Leaving && upstream.Born == 9)
+	assert.Assert(t, !upstream.Leaving && upstream.Incarnation == 9)
 	f.Apply([]replica.Change{{Object: upstreamObject("a", "draining", 9)}})
 	upstream, _ = v.Upstreams().Find("a")
 	assert.Assert(t, upstream.Leaving)
@@ -59,7 +59,7 @@
 	f, v := newTestReceiver(t)
 	f.Reset([]replica.Object{upstreamObject("a", "ready", 1)})
 	upstream, _ := v.Upstreams().Find("a")
-	f.noteReport(Asked{Upstream: upstream, Leaving: true}, time.Now())
+	f.noteReport(UpstreamReport{Upstream: upstream, Leaving: true}, time.Now())
 	for _, state := range []string{"draining", "ready"} {
 		f.Apply([]replica.Change{{Object: upstreamObject("a", state, 1)}})
 		upstream, _ = v.Upstreams().Find("a")
