--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -25,12 +25,12 @@
 if [ -s KNOWN-RED.txt ]; then
   echo "known red, left out of this run:"
   cat KNOWN-RED.txt
-  if [ "$(grep -c . KNOWN-RED.txt)" -gt 3 ]; then
-    echo "KNOWN-RED.txt holds more than three tests"
+  if [ "$(grep -c . KNOWN-RED.txt)" -gt 4 ]; then
+    echo "KNOWN-RED.txt holds more than four tests"
     exit 1
   fi
-  names=$(cut -d, -f1 KNOWN-RED.txt | paste -sd '|')
-  skip="^($names)$"
+  # An entry TEST/SUBTEST leaves out that subtest only.
+  skip=$(cut -d, -f1 KNOWN-RED.txt | sed 's#/#$/^#; s#^#^#; s#$#$#' | paste -sd '|')
 fi
 
 # A package that starts no goroutine and holds no lock has no data race of its own, and the
