--- a/standin/bench/account/account.go
+++ b/standin/bench/account/account.go
@@ -1,6 +1,6 @@
-// Package account works out what a trial cost by stage: the passes that the
-// stand-in upstreams recorded in their ledgers, set against what the callers got.
-// It never looks at the system's own logs.
+// Package account computes what a trial cost per service: it compares the passes
+// that the stand-in upstreams recorded in their ledgers with the results of the
+// callers. It never reads the system's own logs.
 package account
 
 import (
@@ -11,59 +11,60 @@
 	"acaciawinch/standin/ledger"
 )
 
-// Fate is what a caller got for one request.
-type Fate int
+// CallerOutcome is the result of one request as its caller saw it.
+type CallerOutcome int
 
-// The fates.
+// The outcomes.
 const (
-	// Lost means that the ledger's request has no caller: its entry was killed.
-	Lost Fate = iota
-	// Attained is a whole answer within the deadline.
+	// Lost is a request that is in the ledgers but that no caller recorded, as
+	// after its entry was killed.
+	Lost CallerOutcome = iota
+	// Attained is a complete response within the deadline.
 	Attained
-	// Late is a whole answer behind the deadline.
+	// Late is a complete response after the deadline.
 	Late
-	// Unanswered is a refusal, a failure or no answer.
+	// Unanswered is a refusal, a failure or no response.
 	Unanswered
 )
 
-// Stage is the cost of one service's part of all pipelines.
+// Stage is the cost of one service over all pipelines that use it.
 type Stage struct {
 	Service string `json:"service"`
 	// Passes counts the attempts that started at an upstream.
 	Passes int `json:"passes"`
-	// Calls counts the different stages of requests among them.
+	// Calls counts the distinct stages of requests among the passes.
 	Calls int `json:"calls"`
-	// PerAnswered is the passes for each request that was answered in time and
-	// used the service.
+	// PerAnswered is the mean number of passes for each call of a request that was
+	// answered in time.
 	PerAnswered float64 `json:"passes_per_answered"`
 	// Extra is the share of passes beyond the first of each call.
 	Extra float64 `json:"extra"`
-	// Cost is the work spent: tokens of engines, calls of others. WastedCost is
-	// the part of it that went into wasted passes.
+	// Cost is the work done: tokens for engines, calls for other services.
+	// WastedCost is the part of Cost that went into wasted passes.
 	Cost       uint64 `json:"cost"`
 	WastedCost uint64 `json:"wasted_cost"`
 	Wasted     Wasted `json:"wasted"`
 }
 
-// Wasted counts passes that did not serve an answer in time, by cause.
+// Wasted counts the passes that did not lead to a response in time, by cause.
 type Wasted struct {
-	// Hedge passes ran beside the one whose result was used.
+	// Hedge passes ran concurrently with the pass whose result was used.
 	Hedge int `json:"hedge"`
 	// Replaced passes failed, stalled or were killed, and a later one took over.
 	Replaced int `json:"replaced"`
-	// Late passes served an answer behind its deadline.
+	// Late passes served a response that came after its deadline.
 	Late int `json:"late"`
 	// Unwanted passes served a request that was refused or failed in the end.
 	Unwanted int `json:"unwanted"`
-	// Orphan passes served a request that no caller knows.
+	// Orphan passes served a request that no caller recorded.
 	Orphan int `json:"orphan"`
 }
 
-// Total returns the wasted passes of all causes.
+// Total returns the number of wasted passes over all causes.
 func (w Wasted) Total() int { return w.Hedge + w.Replaced + w.Late + w.Unwanted + w.Orphan }
 
-// call names one stage of one request at a service.
-type call struct {
+// callKey identifies a call: one stage of one request at a service.
+type callKey struct {
 	service string
 	request string
 	stage   string
@@ -71,151 +72,154 @@
 
 // pass is one attempt at an upstream.
 type pass struct {
-	began, ended int64
-	// whole is set if the pass came to its end.
-	whole bool
-	cost  uint64
+	started, ended int64
+	// completed is set if the upstream recorded the normal end of the pass.
+	completed bool
+	cost      uint64
 }
 
-// ByStage works out the cost by service, in the order of their names. The fates
+// ByStage computes the cost of each service, sorted by service name. The outcomes
 // are keyed by request id.
-func ByStage(records []ledger.Record, fates map[string]Fate) []Stage {
-	stages := map[string]*stageCount{}
-	for c, passes := range gather(records) {
+func ByStage(records []ledger.Record, outcomes map[string]CallerOutcome) []Stage {
+	stages := map[string]*stageCounter{}
+	for c, passes := range groupPasses(records) {
 		count := stages[c.service]
 		if count == nil {
-			count = &stageCount{}
+			count = &stageCounter{}
 			count.Service = c.service
 			stages[c.service] = count
 		}
-		count.add(passes, fates[c.request])
+		count.add(passes, outcomes[c.request])
 	}
 	var all []Stage
 	for _, count := range stages {
-		all = append(all, count.finish())
+		all = append(all, count.summarize())
 	}
 	slices.SortFunc(all, func(a, b Stage) int { return cmp.Compare(a.Service, b.Service) })
 	return all
 }
 
-// gather joins each attempt's records to a pass.
-func gather(records []ledger.Record) map[call]map[string]*pass {
-	calls := map[call]map[string]*pass{}
+// groupPasses merges the records of each attempt into a pass and groups the passes
+// by call.
+func groupPasses(records []ledger.Record) map[callKey]map[string]*pass {
+	calls := map[callKey]map[string]*pass{}
 	for _, r := range records {
-		c, ok := callOf(r)
+		c, ok := parseCall(r)
 		if !ok {
 			continue
 		}
 		if calls[c] == nil {
 			calls[c] = map[string]*pass{}
 		}
-		// An attempt runs at one upstream; the name keeps two apart if it did not.
+		// An attempt should run at one upstream only; the upstream in the key keeps
+		// the passes apart if it ran at two.
 		name := r.ID + "@" + r.Upstream
 		if calls[c][name] == nil {
 			calls[c][name] = &pass{}
 		}
-		calls[c][name].note(r)
+		calls[c][name].addRecord(r)
 	}
 	return calls
 }
 
-// callOf returns the call of a record, whose id is request/stage/attempt.
-func callOf(r ledger.Record) (call, bool) {
+// parseCall returns the call of a record, whose id has the form
+// request/stage/attempt, and false for records of other kinds.
+func parseCall(r ledger.Record) (callKey, bool) {
 	parts := strings.Split(r.ID, "/")
 	if len(parts) != 3 || r.Event == ledger.Order {
-		return call{}, false
+		return callKey{}, false
 	}
-	return call{service: r.Service, request: parts[0], stage: parts[1]}, true
+	return callKey{service: r.Service, request: parts[0], stage: parts[1]}, true
 }
 
-// note takes one record into account.
-func (p *pass) note(r ledger.Record) {
+// addRecord adds one ledger record to the pass.
+func (p *pass) addRecord(r ledger.Record) {
 	if r.Event == ledger.Start {
-		p.began = r.TimeUS
+		p.started = r.TimeUS
 		return
 	}
 	p.ended = r.TimeUS
 	p.cost = r.Cost
-	p.whole = r.Event == ledger.End
+	p.completed = r.Event == ledger.End
 }
 
-// stageCount gathers a Stage.
-type stageCount struct {
+// stageCounter accumulates a Stage.
+type stageCounter struct {
 	Stage
 	answeredCalls  int
 	answeredPasses int
 }
 
-// add takes the passes of one call into account.
-func (s *stageCount) add(passes map[string]*pass, fate Fate) {
+// add counts the passes of one call.
+func (s *stageCounter) add(passes map[string]*pass, outcome CallerOutcome) {
 	s.Calls++
 	s.Passes += len(passes)
-	if fate == Attained {
+	if outcome == Attained {
 		s.answeredCalls++
 		s.answeredPasses += len(passes)
 	}
-	used := usedOf(passes)
+	used := usedPass(passes)
 	for _, p := range passes {
 		s.Cost += p.cost
-		if p == used && fate == Attained {
+		if p == used && outcome == Attained {
 			continue
 		}
 		s.WastedCost += p.cost
-		*s.cause(p, used, fate)++
+		*s.wasteCounter(p, used, outcome)++
 	}
 }
 
-// usedOf returns the pass that served the call: the first that came to its end,
-// or the last to start if none did.
-func usedOf(passes map[string]*pass) *pass {
+// usedPass returns the pass that served the call: the first to complete, or the
+// last to start if none completed.
+func usedPass(passes map[string]*pass) *pass {
 	var used *pass
 	for _, p := range passes {
-		if used == nil || better(p, used) {
+		if used == nil || preferred(p, used) {
 			used = p
 		}
 	}
 	return used
 }
 
-// better tells whether a served the call rather than b.
-func better(a, b *pass) bool {
-	if a.whole != b.whole {
-		return a.whole
+// preferred reports whether a, rather than b, is the pass that served the call.
+func preferred(a, b *pass) bool {
+	if a.completed != b.completed {
+		return a.completed
 	}
-	if a.whole {
+	if a.completed {
 		return a.ended < b.ended
 	}
-	return a.began > b.began
+	return a.started > b.started
 }
 
-// cause returns the counter that a wasted pass belongs to.
-func (s *stageCount) cause(p, used *pass, fate Fate) *int {
+// wasteCounter returns the counter of the cause for which p was wasted.
+func (s *stageCounter) wasteCounter(p, used *pass, outcome CallerOutcome) *int {
 	switch {
-	case p != used && p.beside(used):
+	case p != used && p.ranAlongside(used):
 		return &s.Wasted.Hedge
 	case p != used:
 		return &s.Wasted.Replaced
-	case fate == Late:
+	case outcome == Late:
 		return &s.Wasted.Late
-	case fate == Lost:
+	case outcome == Lost:
 		return &s.Wasted.Orphan
 	default:
 		return &s.Wasted.Unwanted
 	}
 }
 
-// beside tells whether p was cancelled, or came to its end, only after the other
-// pass had begun and ended: both ran for the same result. A pass that ended
-// before, or that never ended, was replaced.
-func (p *pass) beside(used *pass) bool {
+// ranAlongside reports whether p ended, complete or cancelled, no earlier than the
+// used pass: both ran for the same result. A pass that ended before the used one,
+// or that never ended, was replaced.
+func (p *pass) ranAlongside(used *pass) bool {
 	if p.ended == 0 {
 		return false
 	}
 	return p.ended >= used.ended && used.ended != 0
 }
 
-// finish works out the ratios.
-func (s *stageCount) finish() Stage {
+// summarize computes the ratios and returns the stage.
+func (s *stageCounter) summarize() Stage {
 	if s.answeredCalls > 0 {
 		s.PerAnswered = float64(s.answeredPasses) / float64(s.answeredCalls)
 	}
--- a/standin/bench/account/account_test.go
+++ b/standin/bench/account/account_test.go
@@ -8,7 +8,7 @@
 	"acaciawinch/standin/ledger"
 )
 
-// event returns a record of an engine.
+// event returns a ledger record of an engine.
 func event(at int64, kind ledger.Event, id, upstream string, cost uint64) ledger.Record {
 	return ledger.Record{TimeUS: at, Event: kind, ID: id, Upstream: upstream, Service: "llm", Cost: cost}
 }
@@ -17,10 +17,10 @@
 	records := []ledger.Record{
 		// Answered by one pass.
 		event(10, ledger.Start, "r1/g/1", "a", 0), event(20, ledger.End, "r1/g/1", "a", 5),
-		// Answered by the second of two passes side by side.
+		// Answered by the second of two concurrent passes.
 		event(10, ledger.Start, "r2/g/1", "a", 0), event(15, ledger.Start, "r2/g/2", "b", 0),
 		event(20, ledger.End, "r2/g/2", "b", 5), event(21, ledger.Cancel, "r2/g/1", "a", 2),
-		// Answered after the first was killed, and after another failed.
+		// Answered by the third pass, after the first was killed and the second failed.
 		event(10, ledger.Start, "r3/g/1", "a", 0), event(15, ledger.Start, "r3/g/2", "b", 0),
 		event(18, ledger.Error, "r3/g/2", "b", 1), event(19, ledger.Start, "r3/g/3", "c", 0),
 		event(25, ledger.End, "r3/g/3", "c", 5),
@@ -28,11 +28,11 @@
 		event(10, ledger.Start, "r4/g/1", "a", 0), event(90, ledger.End, "r4/g/1", "a", 5),
 		event(10, ledger.Start, "r5/g/1", "a", 0), event(20, ledger.Cancel, "r5/g/1", "a", 3),
 		event(10, ledger.Start, "r6/g/1", "a", 0),
-		// Orders are no passes.
+		// Orders are not passes.
 		event(10, ledger.Order, "", "a", 0),
 	}
-	fates := map[string]Fate{"r1": Attained, "r2": Attained, "r3": Attained, "r4": Late, "r5": Unanswered}
-	stages := ByStage(records, fates)
+	outcomes := map[string]CallerOutcome{"r1": Attained, "r2": Attained, "r3": Attained, "r4": Late, "r5": Unanswered}
+	stages := ByStage(records, outcomes)
 	assert.Equal(t, len(stages), 1)
 	got := stages[0]
 	assert.Equal(t, got.Passes, 9)
--- a/standin/bench/plots/plots.go
+++ b/standin/bench/plots/plots.go
@@ -1,4 +1,4 @@
-// Package plots draws the bench's results.
+// Package plots draws the results of the bench as SVG files.
 package plots
 
 import (
@@ -13,13 +13,14 @@
 	"acaciawinch/standin/bench/report"
 )
 
-// Size of a plot.
+// Dimensions of a plot.
 const (
 	width  = 6 * vg.Inch
 	height = 3 * vg.Inch
 )
 
-// Colours of the lines: what was offered, then the policies in their order.
+// Colours and widths of the lines: the offered load first, then the policies in
+// the order of their trials. The y axis ends at headroom times the highest value.
 var (
 	offeredColour  = color.Gray{Y: 0xb0}
 	policyColours  = []color.Color{color.RGBA{R: 0x1b, G: 0x7f, B: 0x4b, A: 0xff}, color.RGBA{R: 0xc9, G: 0x6a, B: 0x12, A: 0xff}, color.RGBA{R: 0x7a, G: 0x3f, B: 0x9d, A: 0xff}}
@@ -29,10 +30,10 @@
 	secondsPerStep = 1.0
 )
 
-// Name returns the file name of a case's plot.
+// Name returns the file name of the plot of a case.
 func Name(size, name string) string { return fmt.Sprintf("%s-%s.svg", size, name) }
 
-// Draw writes a plot of each case of the run into the folder dir.
+// Draw writes one plot for each case of the run into the directory dir.
 func Draw(run report.Run, dir string) error {
 	cases := map[string][]report.Trial{}
 	for _, trial := range run.Trials {
@@ -47,8 +48,8 @@
 	return nil
 }
 
-// draw writes the plot of one case: by the second in which requests were due,
-// how many were offered and how many were answered in time under each policy.
+// draw writes the plot of one case. For each second of the trial it shows how many
+// requests were due, and how many of them each policy answered in time.
 func draw(trials []report.Trial, path string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s: %s", trials[0].Size, trials[0].Title)
@@ -72,7 +73,7 @@
 	return p.Save(width, height, path)
 }
 
-// addLine adds one line with its entry in the legend.
+// addLine adds a line and its legend entry to the plot.
 func addLine(p *plot.Plot, series []report.Second, value func(report.Second) int, name string, c color.Color, w vg.Length) error {
 	points := make(plotter.XYs, len(series))
 	for i, second := range series {
--- a/standin/bench/report/page.go
+++ b/standin/bench/report/page.go
@@ -5,15 +5,16 @@
 	"io"
 )
 
-// Page is the page of measurements.
+// Page is the Markdown page of all measurements.
 type Page struct {
 	Run    Run
 	Spread *Spread
-	// Plot names the plot of a case.
+	// Plot returns the file name of the plot of a case.
 	Plot func(size, name string) string
 }
 
-// introduction says how the figures came about. Its verbs are filled in from the run.
+// introduction explains how the figures were obtained. Its formatting verbs are
+// filled in from the run.
 const introduction = `# Measurements
 
 This page is written by ` + "`make bench`" + ` and ` + "`make spread`" + ` from their own runs; what was found out
@@ -58,7 +59,7 @@
 	return nil
 }
 
-// writeTargets writes the targets with what was measured.
+// writeTargets writes the targets with the measured values.
 func (p Page) writeTargets(w io.Writer) error {
 	if _, err := fmt.Fprint(w, "## Targets\n\n"); err != nil {
 		return err
@@ -68,7 +69,8 @@
 	return table.WriteMarkdown(w)
 }
 
-// writeSpread writes how changes came into force, if that was measured.
+// writeSpread writes how long changes took to be in force everywhere, if that was
+// measured.
 func (p Page) writeSpread(w io.Writer) error {
 	if p.Spread == nil {
 		return nil
@@ -84,7 +86,7 @@
 	return nil
 }
 
-// writeCase writes one case with its plot.
+// writeCase writes the plot and the tables of one case.
 func (p Page) writeCase(w io.Writer, g group) error {
 	first := g.trials[0]
 	_, err := fmt.Fprintf(w, "## %s: %s\n\nVersion %s, begun %s.\n\n![requests by second](%s)\n\n",
--- a/standin/bench/report/report.go
+++ b/standin/bench/report/report.go
@@ -1,5 +1,5 @@
-// Package report holds the bench's results, judges them by their targets and
-// writes them as tables and as a page.
+// Package report holds the results of the bench, checks them against their targets
+// and writes them as tables and as a Markdown page.
 package report
 
 import (
@@ -12,7 +12,7 @@
 	"acaciawinch/standin/load"
 )
 
-// Run is everything that one run of the bench measured.
+// Run holds all results of one run of the bench.
 type Run struct {
 	Began   time.Time `json:"began"`
 	Command string    `json:"command"`
@@ -20,87 +20,91 @@
 	Trials  []Trial   `json:"trials"`
 }
 
-// Trial is one case of one size under one policy.
+// Trial holds the results of one case of one size under one policy.
 type Trial struct {
 	Size   string `json:"size"`
 	Case   string `json:"case"`
 	Title  string `json:"title"`
 	Policy string `json:"policy"`
-	// Version is the commit that was measured, and Began when.
+	// Version is the commit that was measured, and Began the start of the trial.
 	Version string    `json:"version"`
 	Began   time.Time `json:"began"`
-	// Capacity is the worked-out capacity in requests per second; Offered is what
-	// was offered in the judged time.
+	// Capacity is the computed capacity in requests per second; Offered is the rate
+	// that was offered in the judged time.
 	Capacity float64 `json:"capacity_per_second"`
 	Offered  float64 `json:"offered_per_second"`
-	// JudgedFrom is from when on requests are judged, in seconds.
+	// JudgedFrom is the start of the judged time, in seconds from the start of the
+	// load.
 	JudgedFrom float64 `json:"judged_from_seconds"`
-	// Judged reports on the requests due in the judged time, and Workspaces on
-	// those of each workspace. Others are those of all but the large workspace.
+	// Judged covers the requests due in the judged time, Workspaces those of each
+	// workspace, and Others those of all workspaces except the large one.
 	Judged     load.Report            `json:"judged"`
 	Others     load.Report            `json:"others"`
 	Workspaces map[string]load.Report `json:"workspaces"`
-	// Goodput is the answers in time, by the second in which they were complete,
-	// over the judged time.
+	// Goodput is the rate of responses in time over the judged time, counted by the
+	// second in which they were complete.
 	Goodput float64 `json:"goodput_per_second"`
 	// Stages is the cost by service over the whole trial.
 	Stages []account.Stage `json:"stages"`
-	// Engine names the service of the engines among the stages.
+	// Engine is the name of the engines' service in Stages.
 	Engine string `json:"engine"`
 	Nodes  Nodes  `json:"nodes"`
-	// Violations counts what must never happen: lost, doubled, crossed or stray
-	// work, or a false "not run".
+	// Violations counts broken guarantees: work that was lost, doubled or stray,
+	// responses with another request's output (crossed), or a false "not run".
 	Violations int      `json:"violations"`
 	Findings   []string `json:"findings,omitempty"`
 	Series     []Second `json:"series"`
-	// Runs is how often the trial ran until the machine was idle enough.
+	// Runs is how many times the trial ran until the machine was idle enough.
 	Runs int `json:"runs"`
-	// Problems counts the refusals and failures by what callers were told.
+	// Problems counts the refusals, failures and late responses by the text that
+	// describes them.
 	Problems map[string]int `json:"problems,omitempty"`
-	// kept is set if the trial is of an earlier run.
-	kept bool
+	// fromEarlier is set if the trial was measured by an earlier run.
+	fromEarlier bool
 }
 
-// Second is what became of the requests due within one second of a trial.
+// Second counts the requests due within one second of a trial.
 type Second struct {
 	Offered  int `json:"offered"`
 	Attained int `json:"attained"`
 }
 
-// Nodes is what the processes spent over the load.
+// Nodes is the resource usage of the processes while load was offered.
 type Nodes struct {
-	// IdleShare is the part of the machine's processors that stayed idle.
+	// IdleShare is the share of the machine's processor time that was idle.
 	IdleShare float64 `json:"idle_share"`
-	// TrialCores is how many processors all processes of the trial used on
-	// average, the stand-ins and the load generator included.
+	// TrialCores is the mean number of processors that all processes of the trial
+	// used, including the stand-ins and the load generator.
 	TrialCores float64 `json:"trial_cores"`
 	Entry      Role    `json:"entry"`
 	Side       Role    `json:"side"`
 }
 
-// Role is the mean spending of one process of a role.
+// Role is the mean resource usage of one process of a role.
 type Role struct {
-	// CoreShare is processor time by wall time: 0.01 is one percent of a core.
+	// CoreShare is processor time divided by wall time: 0.01 is one percent of a
+	// core.
 	CoreShare     float64 `json:"core_share"`
 	ResidentBytes float64 `json:"resident_bytes"`
 	// FleetBytes is the traffic with other processes of the fleet per second, in
-	// both directions, the requests' own data included; ProbeBytes is the part
-	// that probes are.
+	// both directions and including request data; ProbeBytes is the part of it
+	// that is probes.
 	FleetBytes float64 `json:"fleet_bytes_per_second"`
 	ProbeBytes float64 `json:"probe_bytes_per_second"`
-	// Counters are the processes' own counters, summed over them.
+	// Counters are the increases of the metrics that the processes publish, summed
+	// over the processes.
 	Counters map[string]float64 `json:"counters,omitempty"`
 }
 
-// Keep adds the trials of an earlier run for the cases that this run did not run.
-// All policies of a case stay of one run.
+// Keep adds the trials of an earlier run for the cases that this run did not
+// measure. The trials of a case under all policies always come from the same run.
 func (r *Run) Keep(earlier Run) {
 	for _, t := range earlier.Trials {
-		again := slices.ContainsFunc(r.Trials, func(own Trial) bool {
-			return own.Size == t.Size && own.Case == t.Case && !own.kept
+		rerun := slices.ContainsFunc(r.Trials, func(own Trial) bool {
+			return own.Size == t.Size && own.Case == t.Case && !own.fromEarlier
 		})
-		if !again {
-			t.kept = true
+		if !rerun {
+			t.fromEarlier = true
 			r.Trials = append(r.Trials, t)
 		}
 	}
@@ -109,12 +113,12 @@
 	})
 }
 
-// caseIndex returns the place of a case in the order of all.
+// caseIndex returns the index of a case in scene.Cases.
 func caseIndex(name string) int {
 	return slices.IndexFunc(scene.Cases(), func(c scene.Case) bool { return c.Name == name })
 }
 
-// Generation returns the cost of the engines' stage.
+// Generation returns the cost of the engines' service.
 func (t Trial) Generation() account.Stage {
 	for _, stage := range t.Stages {
 		if stage.Service == t.Engine {
--- a/standin/bench/report/report_test.go
+++ b/standin/bench/report/report_test.go
@@ -11,7 +11,7 @@
 	"acaciawinch/standin/load"
 )
 
-// trialOf returns a trial with an attainment.
+// trialOf returns a trial with the given attainment and a matching goodput.
 func trialOf(name, policy string, attainment float64) Trial {
 	t := Trial{Size: "s", Case: name, Policy: policy, Capacity: 100, Engine: "llm"}
 	t.Judged.Attainment = attainment
@@ -20,7 +20,7 @@
 	return t
 }
 
-// met returns the checks' verdicts by target.
+// met reports for each target of the run whether it was met.
 func met(r Run) map[string]bool {
 	verdicts := map[string]bool{}
 	for _, c := range r.Checks() {
@@ -29,7 +29,7 @@
 	return verdicts
 }
 
-func TestTargetsAreJudged(t *testing.T) {
+func TestTargetChecks(t *testing.T) {
 	straggler := trialOf(scene.Straggler, scene.Ours, 0.995)
 	straggler.Stages = []account.Stage{{Service: "llm", Extra: 0.03}}
 	overload := trialOf(scene.Overload, scene.Ours, 0.94)
@@ -43,25 +43,25 @@
 		overload,
 		broken,
 	}})
-	clean := "nothing lost, doubled, crossed or falsely not run"
+	noViolations := "nothing lost, doubled, crossed or falsely not run"
 	assert.DeepEqual(t, got, map[string]bool{
 		"steady: attainment at least 99.9%":                        true,
 		"steady: attainment ahead of random":                       false,
-		"steady: " + clean:                                         true,
+		"steady: " + noViolations:                                  true,
 		"straggler: attainment from 2 s on at least 99.0%":         true,
 		"straggler: under 3% extra generation passes":              false,
 		"straggler: attainment ahead of random":                    true,
-		"straggler: " + clean:                                      true,
-		"capacity: " + clean:                                       true,
+		"straggler: " + noViolations:                               true,
+		"capacity: " + noViolations:                                true,
 		"overload: refusals under 50 ms":                           true,
 		"overload: at least 95% of capacity's goodput":             false,
-		"overload: " + clean:                                       true,
+		"overload: " + noViolations:                                true,
 		"burst: attainment of the other workspaces at least 99.0%": false,
-		"burst: " + clean:                                          false,
+		"burst: " + noViolations:                                   false,
 	})
 }
 
-func TestOfEqualAttainmentsTheFasterIsAhead(t *testing.T) {
+func TestEqualAttainmentsAreRankedByLatency(t *testing.T) {
 	for p95, want := range map[float64]bool{99: true, 100: false, 101: false} {
 		ours, other := trialOf(scene.Steady, scene.Ours, 1), trialOf(scene.Steady, "random", 1)
 		ours.Judged.Latency.P95, other.Judged.Latency.P95 = p95, 100
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestCasesThatRanAgainReplaceAllTheirEarlierTrials(t *testing.T) {
+func TestRerunCasesReplaceAllEarlierTrials(t *testing.T) {
 	run := Run{Trials: []Trial{trialOf(scene.Rack, scene.Ours, 1)}}
 	run.Keep(Run{Trials: []Trial{
 		trialOf(scene.Rack, scene.Ours, 0.5), trialOf(scene.Rack, "random", 0.5),
--- a/standin/bench/report/spread.go
+++ b/standin/bench/report/spread.go
@@ -6,25 +6,28 @@
 	"strings"
 )
 
-// Spread is how accepted changes came into force in a large fleet.
+// Spread holds the measurements of how long accepted changes of the configuration
+// take to be in force in a large fleet, and of the fleet while nothing changes.
 type Spread struct {
 	Entries    int `json:"entries"`
 	Sides      int `json:"sides"`
 	Workspaces int `json:"workspaces"`
-	// RestReads and RestWrites are the calls of the object API per second while
-	// nothing changes; Watches is how many watches wait there.
-	RestReads  float64 `json:"rest_reads_per_second"`
-	RestWrites float64 `json:"rest_writes_per_second"`
-	Watches    int     `json:"watches"`
-	RestEntry  Rest    `json:"rest_entry"`
-	RestSide   Rest    `json:"rest_side"`
-	// Idle is the part of the machine's processors that was idle meanwhile.
+	// IdleReads and IdleWrites are the calls to the object API per second while
+	// nothing changes; Watches is the number of open watches there.
+	IdleReads  float64   `json:"rest_reads_per_second"`
+	IdleWrites float64   `json:"rest_writes_per_second"`
+	Watches    int       `json:"watches"`
+	IdleEntry  IdleUsage `json:"rest_entry"`
+	IdleSide   IdleUsage `json:"rest_side"`
+	// Idle is the share of the machine's processor time that was idle while the idle
+	// fleet was measured.
 	Idle       float64     `json:"idle_share"`
 	Conditions []Condition `json:"conditions"`
 }
 
-// Rest is what one process spends while nothing happens.
-type Rest struct {
+// IdleUsage is the mean resource usage of one process of a role while nothing
+// changes.
+type IdleUsage struct {
 	CoreShare float64 `json:"core_share"`
 	// FleetBytes is the traffic with other processes of the fleet per second, in
 	// both directions.
@@ -33,27 +36,27 @@
 	LargestResident float64 `json:"largest_resident_bytes"`
 }
 
-// Condition is the changes that were made under one condition.
+// Condition holds the times and costs of the changes made under one condition.
 type Condition struct {
 	Name          string  `json:"name"`
 	TargetSeconds float64 `json:"target_seconds"`
-	// Seconds are the times from when the head was written until every process had
-	// the change; SecondsFromStart count from the start of the operator's command.
+	// Seconds are the times from the write of the head until every process had the
+	// change; SecondsFromStart count from the start of the operator's command.
 	Seconds          []float64 `json:"seconds"`
 	SecondsFromStart []float64 `json:"seconds_from_start"`
-	// Missing names a process that did not come to have a change in time.
+	// Missing names a process that did not receive a change before the timeout.
 	Missing         string  `json:"missing,omitempty"`
 	ReadsPerChange  float64 `json:"reads_per_change"`
 	WritesPerChange float64 `json:"writes_per_change"`
 	CallsPerSecond  float64 `json:"calls_per_second"`
 }
 
-// Met tells whether every change was in force within the target.
+// Met reports whether every change was in force everywhere within the target.
 func (c Condition) Met() bool {
 	return c.Missing == "" && len(c.Seconds) > 0 && slices.Max(c.Seconds) <= c.TargetSeconds
 }
 
-// Times returns the times as text.
+// Times formats Seconds as text.
 func (c Condition) Times() string {
 	var texts []string
 	for _, s := range c.Seconds {
@@ -65,17 +68,17 @@
 	return strings.Join(texts, ", ")
 }
 
-// Tables returns the measurement as tables.
+// Tables returns the measurements as tables.
 func (s Spread) Tables() []Table {
 	const megabyte = 1 << 20
-	rest := Table{
+	idle := Table{
 		Title:  fmt.Sprintf("%d entries and %d sides at rest, %d workspaces", s.Entries, s.Sides, s.Workspaces),
 		Header: []string{"role", "core", "fleet B/s", "MB", "largest MB", "store reads/s", "store writes/s", "watches", "machine idle"},
 		Rows: [][]string{
-			{"entry", percent(s.RestEntry.CoreShare), ms(s.RestEntry.FleetBytes), number(s.RestEntry.ResidentBytes / megabyte),
-				number(s.RestEntry.LargestResident / megabyte), number(s.RestReads), number(s.RestWrites), fmt.Sprint(s.Watches), percent(s.Idle)},
-			{"side", percent(s.RestSide.CoreShare), ms(s.RestSide.FleetBytes), number(s.RestSide.ResidentBytes / megabyte),
-				number(s.RestSide.LargestResident / megabyte), "", "", "", ""},
+			{"entry", percent(s.IdleEntry.CoreShare), ms(s.IdleEntry.FleetBytes), decimal(s.IdleEntry.ResidentBytes / megabyte),
+				decimal(s.IdleEntry.LargestResident / megabyte), decimal(s.IdleReads), decimal(s.IdleWrites), fmt.Sprint(s.Watches), percent(s.Idle)},
+			{"side", percent(s.IdleSide.CoreShare), ms(s.IdleSide.FleetBytes), decimal(s.IdleSide.ResidentBytes / megabyte),
+				decimal(s.IdleSide.LargestResident / megabyte), "", "", "", ""},
 		},
 	}
 	changes := Table{
@@ -88,12 +91,12 @@
 		if len(c.SecondsFromStart) > 0 {
 			longest = slices.Max(c.SecondsFromStart)
 		}
-		verdict := targetsMissed
+		verdict := verdictMissed
 		if c.Met() {
-			verdict = targetsExceeded
+			verdict = verdictMet
 		}
-		changes.Rows = append(changes.Rows, []string{c.Name, c.Times(), number(longest), number(c.TargetSeconds), verdict,
-			number(c.ReadsPerChange), number(c.WritesPerChange), number(c.CallsPerSecond)})
+		changes.Rows = append(changes.Rows, []string{c.Name, c.Times(), decimal(longest), decimal(c.TargetSeconds), verdict,
+			decimal(c.ReadsPerChange), decimal(c.WritesPerChange), decimal(c.CallsPerSecond)})
 	}
-	return []Table{rest, changes}
+	return []Table{idle, changes}
 }
--- a/standin/bench/report/table.go
+++ b/standin/bench/report/table.go
@@ -28,7 +28,7 @@
 	return columns.Flush()
 }
 
-// WriteMarkdown writes the table for a page.
+// WriteMarkdown writes the table as Markdown.
 func (t Table) WriteMarkdown(w io.Writer) error {
 	rule := make([]string, len(t.Header))
 	for i := range rule {
@@ -49,14 +49,14 @@
 	return err
 }
 
-// percent formats a share.
+// percent formats a share between 0 and 1 as a percentage.
 func percent(share float64) string { return fmt.Sprintf("%.2f%%", 100*share) }
 
 // ms formats milliseconds.
 func ms(value float64) string { return fmt.Sprintf("%.0f", value) }
 
-// number formats a rate or a ratio.
-func number(value float64) string { return fmt.Sprintf("%.2f", value) }
+// decimal formats a rate or a ratio.
+func decimal(value float64) string { return fmt.Sprintf("%.2f", value) }
 
 // count formats a whole number.
 func count[T int | int64 | uint64](value T) string { return fmt.Sprint(value) }
--- a/standin/bench/report/tables.go
+++ b/standin/bench/report/tables.go
@@ -7,7 +7,7 @@
 	"acaciawinch/standin/load"
 )
 
-// group is the trials of one case of one size, one for each policy.
+// group holds the trials of one case of one size, one for each policy.
 type group struct {
 	size, name, title string
 	trials            []Trial
@@ -48,15 +48,15 @@
 
 // tables returns the tables of one case.
 func (g group) tables() []Table {
-	return []Table{g.outcomes(), g.times(), g.workspaces(), g.cost(), g.nodes()}
+	return []Table{g.outcomes(), g.latencies(), g.workspaces(), g.cost(), g.nodes()}
 }
 
-// heading titles a table of the case.
-func (g group) heading(what string) string {
-	return fmt.Sprintf("%s, %s: %s", g.size, g.title, what)
+// heading returns the title of a table of the case.
+func (g group) heading(subject string) string {
+	return fmt.Sprintf("%s, %s: %s", g.size, g.title, subject)
 }
 
-// outcomes tells what callers got.
+// outcomes returns the table of the results that callers got.
 func (g group) outcomes() Table {
 	t := Table{
 		Title: g.heading(fmt.Sprintf("requests due from second %.0f on", g.trials[0].JudgedFrom)),
@@ -66,16 +66,16 @@
 	for _, trial := range g.trials {
 		j := trial.Judged
 		t.Rows = append(t.Rows, []string{
-			trial.Policy, number(trial.Offered), count(j.Sent), percent(j.Attainment),
-			percent(trial.Others.Attainment), number(trial.Goodput), count(j.NotRun), count(j.Failed),
+			trial.Policy, decimal(trial.Offered), count(j.Sent), percent(j.Attainment),
+			percent(trial.Others.Attainment), decimal(trial.Goodput), count(j.NotRun), count(j.Failed),
 			count(j.Unknown), count(j.Other), count(j.Answered - j.Attained), count(trial.Violations),
 		})
 	}
 	return t
 }
 
-// times tells how long callers waited.
-func (g group) times() Table {
+// latencies returns the table of the times that callers waited.
+func (g group) latencies() Table {
 	t := Table{
 		Title: g.heading("times in ms"),
 		Header: []string{"policy", "first token p50", "p95", "p99", "between tokens p50", "p95", "p99",
@@ -93,7 +93,7 @@
 	return t
 }
 
-// workspaces tells the attainment of each workspace.
+// workspaces returns the table of the attainment of each workspace.
 func (g group) workspaces() Table {
 	var names []string
 	for _, trial := range g.trials {
@@ -116,7 +116,7 @@
 	return t
 }
 
-// cost tells the passes by stage.
+// cost returns the table of the passes and their cost by service.
 func (g group) cost() Table {
 	t := Table{
 		Title: g.heading("cost by stage, over the whole trial"),
@@ -140,7 +140,7 @@
 	return t
 }
 
-// nodes tells what the processes spent.
+// nodes returns the table of the resource usage of the processes.
 func (g group) nodes() Table {
 	t := Table{
 		Title: g.heading("spent by each process"),
@@ -151,9 +151,9 @@
 	for _, trial := range g.trials {
 		n := trial.Nodes
 		t.Rows = append(t.Rows, []string{
-			trial.Policy, count(trial.Runs), percent(n.IdleShare), number(n.TrialCores), percent(n.Entry.CoreShare), number(n.Entry.ResidentBytes / megabyte),
+			trial.Policy, count(trial.Runs), percent(n.IdleShare), decimal(n.TrialCores), percent(n.Entry.CoreShare), decimal(n.Entry.ResidentBytes / megabyte),
 			ms(n.Entry.FleetBytes), ms(n.Entry.ProbeBytes), percent(n.Side.CoreShare),
-			number(n.Side.ResidentBytes / megabyte), ms(n.Side.FleetBytes),
+			decimal(n.Side.ResidentBytes / megabyte), ms(n.Side.FleetBytes),
 		})
 	}
 	return t
--- a/standin/bench/report/target.go
+++ b/standin/bench/report/target.go
@@ -6,19 +6,19 @@
 	"acaciawinch/standin/bench/scene"
 )
 
-// The targets.
+// The targets, and the verdicts on them as the tables show them.
 const (
-	steadyTarget    = 0.999
-	othersTarget    = 0.99
-	faultTarget     = 0.99
-	extraLimit      = 0.03
-	goodputTarget   = 0.95
-	refusalLimitMS  = 50
-	targetsExceeded = "met"
-	targetsMissed   = "MISSED"
+	steadyTarget   = 0.999
+	othersTarget   = 0.99
+	faultTarget    = 0.99
+	extraLimit     = 0.03
+	goodputTarget  = 0.95
+	refusalLimitMS = 50
+	verdictMet     = "met"
+	verdictMissed  = "MISSED"
 )
 
-// Check is one target set against what was measured.
+// Check is the comparison of one target with the measured value.
 type Check struct {
 	Size     string `json:"size"`
 	Case     string `json:"case"`
@@ -27,7 +27,8 @@
 	Met      bool   `json:"met"`
 }
 
-// Checks judges the product's own policy by all targets that the run has cases for.
+// Checks compares the product's own policy with all targets that the run has cases
+// for.
 func (r Run) Checks() []Check {
 	var checks []Check
 	for _, g := range r.groups() {
@@ -36,7 +37,7 @@
 			continue
 		}
 		checks = append(checks, r.caseChecks(ours)...)
-		checks = append(checks, aheadChecks(g, ours)...)
+		checks = append(checks, baselineChecks(g, ours)...)
 		checks = append(checks, checkOf(ours, "nothing lost, doubled, crossed or falsely not run",
 			fmt.Sprintf("%d violations", ours.Violations), ours.Violations == 0))
 	}
@@ -48,7 +49,7 @@
 	return Check{Size: t.Size, Case: t.Case, Target: target, Measured: measured, Met: met}
 }
 
-// caseChecks judges a trial by its case's own targets.
+// caseChecks checks a trial against the targets of its case.
 func (r Run) caseChecks(t Trial) []Check {
 	switch t.Case {
 	case scene.Steady:
@@ -68,12 +69,13 @@
 	}
 }
 
-// attainmentCheck judges an attainment.
-func attainmentCheck(t Trial, measured, target float64, what string) Check {
-	return checkOf(t, fmt.Sprintf("%s at least %.1f%%", what, 100*target), percent(measured), measured >= target)
+// attainmentCheck checks a measured attainment against its target.
+func attainmentCheck(t Trial, measured, target float64, label string) Check {
+	return checkOf(t, fmt.Sprintf("%s at least %.1f%%", label, 100*target), percent(measured), measured >= target)
 }
 
-// overloadChecks judges goodput against that at capacity, and refusals.
+// overloadChecks checks the time of refusals, and the goodput against that of the
+// trial at capacity.
 func (r Run) overloadChecks(t Trial) []Check {
 	refusal := t.Judged.Refusal.P99
 	checks := []Check{checkOf(t, "refusals under 50 ms",
@@ -88,46 +90,46 @@
 		fmt.Sprintf("%s (%.1f/s of %.1f/s)", percent(share), t.Goodput, capacity.Goodput), share >= goodputTarget))
 }
 
-// merit is what policies are ranked by in a case: the higher value is ahead, and
-// of equal ones the lower time.
-type merit struct {
-	what  string
+// score ranks the policies in a case: the higher value is ahead, and of equal
+// values the lower 95th percentile of the latency.
+type score struct {
+	label string
 	value float64
 	p95MS float64
 }
 
-// meritOf returns the merit of a trial.
-func meritOf(t Trial) merit {
+// scoreOf returns the score of a trial.
+func scoreOf(t Trial) score {
 	switch t.Case {
 	case scene.Burst:
-		return merit{"attainment of the other workspaces", t.Others.Attainment, t.Others.Latency.P95}
+		return score{"attainment of the other workspaces", t.Others.Attainment, t.Others.Latency.P95}
 	case scene.Overload, scene.Capacity:
-		return merit{"goodput by capacity", t.Goodput / t.Capacity, t.Judged.Latency.P95}
+		return score{"goodput by capacity", t.Goodput / t.Capacity, t.Judged.Latency.P95}
 	default:
-		return merit{"attainment", t.Judged.Attainment, t.Judged.Latency.P95}
+		return score{"attainment", t.Judged.Attainment, t.Judged.Latency.P95}
 	}
 }
 
-// ahead tells whether m is ahead of other.
-func (m merit) ahead(other merit) bool {
-	if m.value != other.value {
-		return m.value > other.value
+// ahead reports whether s ranks before other.
+func (s score) ahead(other score) bool {
+	if s.value != other.value {
+		return s.value > other.value
 	}
-	return m.p95MS < other.p95MS
+	return s.p95MS < other.p95MS
 }
 
-// aheadChecks compares a trial with the baselines of its group.
-func aheadChecks(g group, ours Trial) []Check {
-	mine := meritOf(ours)
+// baselineChecks checks that a trial is ahead of each baseline policy of its group.
+func baselineChecks(g group, ours Trial) []Check {
+	mine := scoreOf(ours)
 	var checks []Check
 	for _, other := range g.trials {
 		if other.Policy == ours.Policy {
 			continue
 		}
-		theirs := meritOf(other)
+		theirs := scoreOf(other)
 		measured := fmt.Sprintf("%s against %s; whole answer p95 %.0f ms against %.0f ms",
 			percent(mine.value), percent(theirs.value), mine.p95MS, theirs.p95MS)
-		checks = append(checks, checkOf(ours, mine.what+" ahead of "+other.Policy, measured, mine.ahead(theirs)))
+		checks = append(checks, checkOf(ours, mine.label+" ahead of "+other.Policy, measured, mine.ahead(theirs)))
 	}
 	return checks
 }
@@ -136,9 +138,9 @@
 func (r Run) TargetTable() Table {
 	t := Table{Title: "Targets", Header: []string{"size", "case", "target", "measured", ""}}
 	for _, c := range r.Checks() {
-		verdict := targetsMissed
+		verdict := verdictMissed
 		if c.Met {
-			verdict = targetsExceeded
+			verdict = verdictMet
 		}
 		t.Rows = append(t.Rows, []string{c.Size, c.Case, c.Target, c.Measured, verdict})
 	}
--- a/standin/bench/scene/case.go
+++ b/standin/bench/scene/case.go
@@ -6,43 +6,44 @@
 	"time"
 )
 
-// Fault is what befalls the upstreams at a case's time At.
+// Fault is the fault that is injected into the upstreams at a case's time At.
 type Fault string
 
 // The faults.
 const (
 	NoFault Fault = ""
-	// Slow makes one engine ten times slow.
+	// Slow makes one engine SlowFactor times slower.
 	Slow Fault = "slow"
 	// FreezeUpstream stops one engine with SIGSTOP.
 	FreezeUpstream Fault = "freeze_upstream"
-	// FreezeSide stops the side process beside one engine with SIGSTOP.
+	// FreezeSide stops the sidecar of one engine with SIGSTOP.
 	FreezeSide Fault = "freeze_side"
-	// KillRack kills all upstreams of one zone with their sides at once.
+	// KillRack kills all upstreams of one zone and their sidecars at the same time.
 	KillRack Fault = "kill_rack"
 )
 
-// SlowFactor is how much slower a straggler is.
+// SlowFactor is the factor by which Slow lengthens the times of an engine.
 const SlowFactor = 10
 
-// Case is one course of load and faults.
+// Case is one profile of load and faults over time.
 type Case struct {
 	Name string
-	// Title says what happens, for tables and plots.
+	// Title describes the case in tables and plots.
 	Title    string
 	Duration time.Duration
-	// Load is the offered load as part of the engines' capacity.
+	// Load is the offered load as a fraction of the engines' capacity.
 	Load float64
-	// Burst multiplies the load of the large workspace from At on; 0 for none.
+	// Burst multiplies the load of the large workspace from At on; 0 means no burst.
 	Burst float64
 	Fault Fault
 	// At is when the burst or the fault begins.
 	At time.Duration
-	// From is from when on requests are judged.
+	// From is the time from which on requests are judged: earlier ones are not
+	// counted.
 	From time.Duration
 }
 
-// Loads, as parts of the engines' capacity, and times of the cases.
+// Loads, as fractions of the engines' capacity, and times of the cases.
 const (
 	steadyLoad     = 0.6
 	fullLoad       = 1.0
@@ -50,7 +51,7 @@
 	burstFactor    = 10
 	warmup         = 2 * time.Second
 	faultAt        = 3 * time.Second
-	settle         = 2 * time.Second
+	recoveryTime   = 2 * time.Second
 	steadyDuration = 18 * time.Second
 	faultDuration  = 11 * time.Second
 	loadDuration   = 12 * time.Second
@@ -68,23 +69,24 @@
 	Overload       = "overload"
 )
 
-// Cases returns all cases.
+// Cases returns all cases in the order in which they are run and reported.
 func Cases() []Case {
 	return []Case{
 		{Name: Steady, Title: "steady load", Duration: steadyDuration, Load: steadyLoad, From: warmup},
 		{Name: Burst, Title: "one large workspace at 10 times its share", Duration: loadDuration, Load: steadyLoad,
 			Burst: burstFactor, At: faultAt, From: faultAt},
-		faulty(Straggler, "one engine 10 times slow", Slow),
-		faulty(FrozenUpstream, "one engine frozen", FreezeUpstream),
-		faulty(FrozenSide, "the side of one engine frozen", FreezeSide),
-		faulty(Rack, "all upstreams of one zone killed", KillRack),
+		faultCase(Straggler, "one engine 10 times slow", Slow),
+		faultCase(FrozenUpstream, "one engine frozen", FreezeUpstream),
+		faultCase(FrozenSide, "the side of one engine frozen", FreezeSide),
+		faultCase(Rack, "all upstreams of one zone killed", KillRack),
 		{Name: Capacity, Title: "load at capacity", Duration: loadDuration, Load: fullLoad, From: warmup},
 		{Name: Overload, Title: "overload of 1.5 times capacity", Duration: loadDuration, Load: overLoad, From: warmup},
 	}
 }
 
-// faulty returns a case of steady load with a fault, judged from 2 s behind it.
-func faulty(name, title string, fault Fault) Case {
+// faultCase returns a case of steady load with a fault, judged from 2 s after the
+// fault.
+func faultCase(name, title string, fault Fault) Case {
 	return Case{
 		Name:     name,
 		Title:    title,
@@ -92,15 +94,15 @@
 		Load:     steadyLoad,
 		Fault:    fault,
 		At:       faultAt,
-		From:     faultAt + settle,
+		From:     faultAt + recoveryTime,
 	}
 }
 
-// Policy is one way of deciding that is compared.
+// Policy is one configuration of routing, queueing and hedging that is compared.
 type Policy struct {
 	Name  string
 	Title string
-	// Entry and Side are settings tables, in TOML.
+	// Entry and Side are settings tables in TOML, for the entries and the sidecars.
 	Entry string
 	Side  string
 }
@@ -130,14 +132,14 @@
 	}
 }
 
-// named is what can be selected by name.
-type named interface {
+// selectable is a type whose values Select chooses by name.
+type selectable interface {
 	Size | Case | Policy
 }
 
-// Select returns those of all whose names stand in the comma-separated list, in
-// the order of all; an empty list selects all. It fails for an unknown name.
-func Select[T named](all []T, list string, name func(T) string) ([]T, error) {
+// Select returns the elements of all whose names are in the comma-separated list,
+// in the order of all; an empty list selects all. An unknown name is an error.
+func Select[T selectable](all []T, list string, name func(T) string) ([]T, error) {
 	if list == "" {
 		return all, nil
 	}
@@ -153,13 +155,13 @@
 		}
 	}
 	for n := range wanted {
-		return nil, fmt.Errorf("there is no %q", n)
+		return nil, fmt.Errorf("unknown name %q", n)
 	}
 	return chosen, nil
 }
 
-// Scaled returns the case with another duration. The parts before the judged
-// time stay, so that a short run still shows the fault.
+// Scaled returns the case with another duration; zero keeps the duration. The time
+// before From never shrinks, so that a short run still includes the fault.
 func (c Case) Scaled(duration time.Duration) Case {
 	if duration > 0 {
 		c.Duration = max(duration, c.From+time.Second)
--- a/standin/bench/scene/scene_test.go
+++ b/standin/bench/scene/scene_test.go
@@ -10,7 +10,7 @@
 	"acaciawinch/standin/catalog"
 )
 
-// examples is the folder of the example configurations.
+// examples is the directory of the example configurations.
 const examples = "../../../examples"
 
 func TestSizesMatchTheirConfiguration(t *testing.T) {
@@ -37,7 +37,7 @@
 	}
 }
 
-// contains tells whether list holds item.
+// contains reports whether list contains item.
 func contains(list []string, item string) bool {
 	for _, one := range list {
 		if one == item {
@@ -58,7 +58,7 @@
 	assert.Assert(t, math.Abs(total-50) < 1e-9)
 }
 
-func TestWorkspacesOwnTokensCount(t *testing.T) {
+func TestWorkspaceTokenLimitOverridesTemplate(t *testing.T) {
 	size := Sizes()[0]
 	configuration, err := catalog.Load(size.Files(examples)...)
 	assert.NilError(t, err)
@@ -66,7 +66,7 @@
 	assert.Equal(t, size.tokens(configuration, Share{Workspace: "avisos", Pipeline: "aviso"}), 24)
 }
 
-func TestSelectKeepsTheOrderAndNamesTheUnknown(t *testing.T) {
+func TestSelectKeepsOrderAndRejectsUnknownNames(t *testing.T) {
 	name := func(c Case) string { return c.Name }
 	chosen, err := Select(Cases(), "overload, steady", name)
 	assert.NilError(t, err)
@@ -79,7 +79,7 @@
 	assert.ErrorContains(t, err, `"nothing"`)
 }
 
-func TestShortCaseStillShowsItsFault(t *testing.T) {
+func TestScaledCaseKeepsItsFault(t *testing.T) {
 	for _, c := range Cases() {
 		short := c.Scaled(time.Second)
 		assert.Assert(t, short.Duration > short.From && short.From >= short.At, c.Name)
--- a/standin/bench/scene/size.go
+++ b/standin/bench/scene/size.go
@@ -1,6 +1,6 @@
-// Package scene defines what the bench runs: the two users' deployments with the
-// load of their workspaces, the cases of load and faults, and the policies that
-// are compared. It starts nothing.
+// Package scene defines the scenarios of the bench: the deployments of the two
+// users with the load of their workspaces, the cases of load and faults, and the
+// policies that are compared. It starts no processes.
 package scene
 
 import (
@@ -12,53 +12,53 @@
 	"acaciawinch/standin/load"
 )
 
-// Times and batch of the stand-in engines under the bench. They are those of a
-// small model of the real ones: a step of a full batch takes 27 ms. All traffic
-// then fits well within the processors of one machine.
+// Times and batch size of the stand-in engines under the bench. They are those of
+// a small-scale model of real engines: a step of a full batch takes 27 ms. The
+// processors of one machine can then carry all traffic with room to spare.
 const (
 	tokenMS        = 16
 	firstMS        = 80
 	batchSlope     = 0.1
 	engineCapacity = 8
-	// cachedPrefill is the part of firstMS that a cached prompt prefix takes. The
-	// bench uses few prefixes, so that all are cached after the first passes.
+	// cachedPrefill is the fraction of firstMS that a prompt takes whose prefix is
+	// cached. The bench uses few prefixes, so all are cached after the first passes.
 	cachedPrefill = 0.25
 )
 
 // requestDeadline is the deadline of every request of the bench.
 const requestDeadline = 3 * time.Second
 
-// Share is one workspace's use of one pipeline.
+// Share is the part of the load that one workspace sends to one pipeline.
 type Share struct {
 	Workspace string
 	Pipeline  string
-	// Part of all requests; the parts of a size add up to 1.
+	// Part is the fraction of all requests; the parts of a size add up to 1.
 	Part float64
-	// Keyed requests carry an idempotency key.
+	// Keyed is set if the requests carry an idempotency key.
 	Keyed bool
-	// Stream requests are answered by server-sent events.
+	// Stream is set if the requests ask for server-sent events.
 	Stream bool
 }
 
-// Size is one of the users' deployments with its load.
+// Size is the deployment of one user with its load.
 type Size struct {
 	Name       string
 	Deployment deployment.Deployment
-	// Large is the workspace that bursts.
+	// Large is the workspace whose load rises in a burst.
 	Large string
-	// Engine is the engines' service.
+	// Engine is the name of the engines' service.
 	Engine string
 	Shares []Share
 }
 
-// Sizes returns both users' sizes.
+// Sizes returns the sizes of both users.
 func Sizes() []Size { return []Size{institute(), cascadeGrind()} }
 
 // institute is the Institute's size: 26 upstreams and the stage pools.
 func institute() Size {
 	return Size{
 		Name:       "institute",
-		Deployment: timed(deployment.Institute()),
+		Deployment: withBenchTimes(deployment.Institute()),
 		Large:      "pensionistas",
 		Engine:     "asistente-llm",
 		Shares: []Share{
@@ -83,7 +83,7 @@
 func cascadeGrind() Size {
 	return Size{
 		Name:       "cascade-grind",
-		Deployment: timed(deployment.CascadeGrind()),
+		Deployment: withBenchTimes(deployment.CascadeGrind()),
 		Large:      "chefs",
 		Engine:     "blendmodel",
 		Shares: []Share{
@@ -101,8 +101,9 @@
 	}
 }
 
-// timed gives the engines of a deployment the bench's times.
-func timed(d deployment.Deployment) deployment.Deployment {
+// withBenchTimes sets the bench's times and batch size on the engines of a
+// deployment and returns it.
+func withBenchTimes(d deployment.Deployment) deployment.Deployment {
 	for i := range d.Groups {
 		group := &d.Groups[i]
 		if len(group.Models) == 0 {
@@ -116,7 +117,8 @@
 	return d
 }
 
-// Files returns the operators' files of the size within the folder of examples.
+// Files returns the paths of the size's operator configuration files in the
+// directory of the examples.
 func (s Size) Files(examples string) []string {
 	return []string{
 		filepath.Join(examples, s.Name, "pipelines.toml"),
@@ -125,13 +127,13 @@
 }
 
 // Capacity returns the requests per second at which the engines' batches are
-// full. The engines are the scarce stage by far: a pass holds one of the batch's
-// places for the prefill and for each step of a full batch.
+// full. The engines are by far the bottleneck: a pass occupies one slot of the
+// batch for the prefill and for each step of a full batch.
 func (s Size) Capacity(c catalog.Catalog) float64 {
-	places := 0.0
+	slots := 0.0
 	for _, group := range s.Deployment.Groups {
 		if group.Service == s.Engine {
-			places = float64(group.Workers * group.Capacity)
+			slots = float64(group.Workers * group.Capacity)
 		}
 	}
 	step := tokenMS * (1 + batchSlope*(engineCapacity-1))
@@ -140,10 +142,10 @@
 		pass := cachedPrefill*firstMS + float64(s.tokens(c, share))*step
 		seconds += share.Part * pass / 1000
 	}
-	return places / seconds
+	return slots / seconds
 }
 
-// tokens returns how many tokens one request of a share generates.
+// tokens returns the number of tokens that one request of a share generates.
 func (s Size) tokens(c catalog.Catalog, share Share) int {
 	template, _ := c.Template(share.Pipeline)
 	workspace, _ := c.Workspace(share.Workspace)
@@ -153,9 +155,9 @@
 			continue
 		}
 		tokens := stage.MaxTokens
-		for _, own := range workspace.Stages {
-			if own.Pipeline == share.Pipeline && own.Stage == stage.Name && own.MaxTokens > 0 {
-				tokens = own.MaxTokens
+		for _, override := range workspace.Stages {
+			if override.Pipeline == share.Pipeline && override.Stage == stage.Name && override.MaxTokens > 0 {
+				tokens = override.MaxTokens
 			}
 		}
 		total += tokens
@@ -163,7 +165,7 @@
 	return total
 }
 
-// Flows returns the load of a case at a capacity in requests per second.
+// Flows returns the load of a case for a capacity in requests per second.
 func (s Size) Flows(c Case, capacity float64) []load.Flow {
 	var flows []load.Flow
 	for _, share := range s.Shares {
--- a/standin/bench/spread/await.go
+++ b/standin/bench/spread/await.go
@@ -12,13 +12,13 @@
 	"acaciawinch/standin/harness"
 )
 
-// target is one process that must come to have a revision.
+// target is a process that is expected to receive a revision.
 type target struct {
 	process *harness.Process
 	admin   string
 }
 
-// targets returns all entries and sides that run and are not frozen.
+// targets returns all entries and sidecars that are running and not frozen.
 func (m *measurement) targets() []target {
 	var all []target
 	for _, entry := range m.fleet.Entries {
@@ -36,13 +36,14 @@
 	return running
 }
 
-// moments are when each process was first seen with a revision.
-type moments []time.Time
+// seenTimes holds the time at which each process was first seen with a revision.
+type seenTimes []time.Time
 
-// last returns the time from a moment until the last process had the revision.
-func (m moments) last(from time.Time) time.Duration {
+// elapsedSince returns the time from the given moment until the last process had the
+// revision.
+func (s seenTimes) elapsedSince(from time.Time) time.Duration {
 	latest := from
-	for _, at := range m {
+	for _, at := range s {
 		if at.After(latest) {
 			latest = at
 		}
@@ -50,14 +51,14 @@
 	return latest.Sub(from)
 }
 
-// pollInterval is the pause between two looks at one process.
+// pollInterval is the interval between two status queries to one process.
 const pollInterval = 50 * time.Millisecond
 
-// awaitAll waits until all targets have at least a revision.
-func awaitAll(ctx context.Context, targets []target, revision core.Revision, timeout time.Duration) (moments, error) {
+// awaitAll waits until all targets have the given revision or a later one.
+func awaitAll(ctx context.Context, targets []target, revision core.Revision, timeout time.Duration) (seenTimes, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	times := make(moments, len(targets))
+	times := make(seenTimes, len(targets))
 	var group errgroup.Group
 	for i, t := range targets {
 		group.Go(func() error {
@@ -69,7 +70,8 @@
 	return times, group.Wait()
 }
 
-// await waits until one process has at least a revision.
+// await waits until one process has the given revision or a later one, and returns
+// the time at which it was first seen.
 func await(ctx context.Context, t target, revision core.Revision) (time.Time, error) {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
--- a/standin/bench/spread/change.go
+++ b/standin/bench/spread/change.go
@@ -9,22 +9,22 @@
 	"acaciawinch/standin/bench/report"
 )
 
-// writesOfChange is how many writes an accept of a small change makes: a part,
-// the copy of the head, and the head last.
-const writesOfChange = 3
+// writesPerAccept is the number of store writes that the accept of a small change
+// makes: one part, the copy of the head, and then the head.
+const writesPerAccept = 3
 
-// headInterval is the pause between two looks for the head's write.
-const headInterval = 2 * time.Millisecond
+// headPollInterval is the interval between two queries for the write of the head.
+const headPollInterval = 2 * time.Millisecond
 
-// once makes one change and waits until it is in force everywhere. Time counts
-// from the head's write: the operator's command returns later, after an outage
-// much later.
-func (m *measurement) once(ctx context.Context, c condition, result *report.Condition) error {
-	path, err := m.next()
+// applyChange makes one change and waits until it is in force everywhere. Time
+// counts from the write of the head, because the operator's command returns only
+// later, and much later after an outage of the store.
+func (m *measurement) applyChange(ctx context.Context, c condition, result *report.Condition) error {
+	path, err := m.writeNextChange()
 	if err != nil {
 		return err
 	}
-	if err := do(ctx, m, c.before); err != nil {
+	if err := runStep(ctx, m, c.beforeAccept); err != nil {
 		return err
 	}
 	stats, err := m.fleet.ObjectStats(ctx)
@@ -38,25 +38,25 @@
 		_, err := m.fleet.Accept(ctx, path)
 		return err
 	})
-	if err := m.awaitWrites(ctx, stats.Writes+writesOfChange); err != nil {
+	if err := m.awaitWrites(ctx, stats.Writes+writesPerAccept); err != nil {
 		return err
 	}
 	accepted := time.Now()
-	if err := do(ctx, m, c.at); err != nil {
+	if err := runStep(ctx, m, c.onHeadWrite); err != nil {
 		return err
 	}
-	m.note(ctx, began, accepted, result)
+	m.recordTimes(ctx, began, accepted, result)
 	if err := command.Wait(); err != nil {
 		return err
 	}
-	return m.recover(ctx, c)
+	return m.restore(ctx, c)
 }
 
-// awaitWrites waits until the store has counted so many writes.
+// awaitWrites waits until the store has counted the given number of writes.
 func (m *measurement) awaitWrites(ctx context.Context, writes uint64) error {
-	ctx, cancel := context.WithTimeout(ctx, forceTimeout)
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	ticker := time.NewTicker(headInterval)
+	ticker := time.NewTicker(headPollInterval)
 	defer ticker.Stop()
 	for {
 		stats, err := m.fleet.ObjectStats(ctx)
@@ -74,31 +74,32 @@
 	}
 }
 
-// note waits for the change and adds its times.
-func (m *measurement) note(ctx context.Context, began, accepted time.Time, result *report.Condition) {
-	times, err := awaitAll(ctx, m.targets(), m.revision, forceTimeout)
+// recordTimes waits until the change is in force everywhere and adds its times to
+// the result.
+func (m *measurement) recordTimes(ctx context.Context, began, accepted time.Time, result *report.Condition) {
+	times, err := awaitAll(ctx, m.targets(), m.revision, changeTimeout)
 	if err != nil {
 		result.Missing = err.Error()
 		return
 	}
-	result.Seconds = append(result.Seconds, times.last(accepted).Seconds())
-	result.SecondsFromStart = append(result.SecondsFromStart, times.last(began).Seconds())
+	result.Seconds = append(result.Seconds, times.elapsedSince(accepted).Seconds())
+	result.SecondsFromStart = append(result.SecondsFromStart, times.elapsedSince(began).Seconds())
 }
 
-// recover undoes a condition and waits until the processes that it hit have the
-// change too.
-func (m *measurement) recover(ctx context.Context, c condition) error {
-	if err := do(ctx, m, c.end); err != nil {
+// restore undoes a condition and waits until the processes that it affected have
+// the change too.
+func (m *measurement) restore(ctx context.Context, c condition) error {
+	if err := runStep(ctx, m, c.undo); err != nil {
 		return err
 	}
-	if _, err := awaitAll(ctx, m.targets(), m.revision, forceTimeout); err != nil {
+	if _, err := awaitAll(ctx, m.targets(), m.revision, changeTimeout); err != nil {
 		return err
 	}
-	return pause(ctx, settleTime)
+	return wait(ctx, settleTime)
 }
 
-// pause waits, or fails if ctx ends first.
-func pause(ctx context.Context, d time.Duration) error {
+// wait blocks for the duration d, or returns an error if ctx ends first.
+func wait(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
 		return nil
@@ -107,8 +108,8 @@
 	}
 }
 
-// do carries out a step if there is one.
-func do(ctx context.Context, m *measurement, s step) error {
+// runStep runs a step; a nil step does nothing.
+func runStep(ctx context.Context, m *measurement, s step) error {
 	if s == nil {
 		return nil
 	}
--- a/standin/bench/spread/condition.go
+++ b/standin/bench/spread/condition.go
@@ -10,69 +10,71 @@
 	"acaciawinch/standin/objectstore"
 )
 
-// condition is what happens around an accept.
+// condition is a set of faults that are injected around an accept.
 type condition struct {
 	name   string
 	target time.Duration
-	// before happens before the operator's command starts, at as soon as the head
-	// is written, and end when the change is in force: it undoes the others.
-	before, at, end step
+	// beforeAccept runs before the operator's command starts, onHeadWrite as soon
+	// as the head is written, and undo when the change is in force: it reverts the
+	// other two.
+	beforeAccept, onHeadWrite, undo step
 }
 
-// step is a part of a condition.
+// step is one action of a condition.
 type step func(ctx context.Context, m *measurement) error
 
 // Settings of the conditions.
 const (
-	plainTarget = 2 * time.Second
-	killTarget  = 5 * time.Second
-	slowStore   = 300
-	// outage is how long the store stays down behind an accept.
+	plainTarget      = 2 * time.Second
+	killTarget       = 5 * time.Second
+	slowStoreDelayMS = 300
+	// outage is how long the store stays down after the head is written.
 	outage = 3 * time.Second
-	// relaysPerZone is the entries' default.
+	// relaysPerZone is the default of the entries' setting.
 	relaysPerZone = 2
-	// settleTime lets a condition's traces vanish before the next.
+	// settleTime lets the after-effects of a condition end before the next one starts.
 	settleTime = 3 * time.Second
 )
 
-// conditions returns all conditions in order.
+// conditions returns all conditions in the order in which they are measured.
 func conditions() []condition {
 	return []condition{
 		{name: "nothing wrong", target: plainTarget},
 		{
-			name:   "every call of the store takes 300 ms more",
-			target: plainTarget,
-			before: setStore(objectstore.Control{DelayMS: slowStore}),
-			end:    setStore(objectstore.Control{}),
+			name:         "every call of the store takes 300 ms more",
+			target:       plainTarget,
+			beforeAccept: setStore(objectstore.Control{DelayMS: slowStoreDelayMS}),
+			undo:         setStore(objectstore.Control{}),
 		},
-		{name: "store down for 3 s as soon as the head is written", target: killTarget, at: storeDown, end: setStore(objectstore.Control{})},
-		{name: "one relay killed as the head is written", target: killTarget, at: killRelays(1), end: restart},
-		{name: "one relay killed before the accept", target: killTarget, before: killRelays(1), end: restart},
-		{name: "all relays of a zone killed before the accept", target: killTarget, before: killRelays(relaysPerZone), end: restart},
-		{name: "one relay frozen before the accept", target: killTarget, before: freezeRelays(1), end: wake},
-		{name: "all relays of a zone frozen before the accept", target: killTarget, before: freezeRelays(relaysPerZone), end: wake},
+		{name: "store down for 3 s as soon as the head is written", target: killTarget, onHeadWrite: storeDown, undo: setStore(objectstore.Control{})},
+		{name: "one relay killed as the head is written", target: killTarget, onHeadWrite: killRelays(1), undo: restartKilled},
+		{name: "one relay killed before the accept", target: killTarget, beforeAccept: killRelays(1), undo: restartKilled},
+		{name: "all relays of a zone killed before the accept", target: killTarget, beforeAccept: killRelays(relaysPerZone), undo: restartKilled},
+		{name: "one relay frozen before the accept", target: killTarget, beforeAccept: freezeRelays(1), undo: resumeFrozen},
+		{name: "all relays of a zone frozen before the accept", target: killTarget, beforeAccept: freezeRelays(relaysPerZone), undo: resumeFrozen},
 	}
 }
 
-// setStore returns a step that sets the store's fault switches.
+// setStore returns a step that sets the fault injection controls of the store.
 func setStore(control objectstore.Control) step {
 	return func(ctx context.Context, m *measurement) error { return m.fleet.SetObjects(ctx, control) }
 }
 
-// storeDown takes the store down, and brings it back after a while.
+// storeDown takes the store down and schedules its return after the outage time.
 func storeDown(ctx context.Context, m *measurement) error {
 	if err := m.fleet.SetObjects(ctx, objectstore.Control{Down: true}); err != nil {
 		return err
 	}
 	time.AfterFunc(outage, func() {
-		// A failure shows as a change that does not come into force.
+		// If this call fails, the change never comes into force and the measurement
+		// reports it as missing.
 		_ = m.fleet.SetObjects(ctx, objectstore.Control{})
 	})
 	return nil
 }
 
-// killRelays returns a step that kills the first relays of the first zone. The
-// host list goes on naming them.
+// killRelays returns a step that kills the given number of relays of the first
+// zone. The host list still contains them afterwards.
 func killRelays(count int) step {
 	return func(_ context.Context, m *measurement) error {
 		for _, entry := range m.relays(count) {
@@ -82,8 +84,8 @@
 	}
 }
 
-// freezeRelays returns a step that stops the first relays of the first zone with
-// SIGSTOP: their connections stay open.
+// freezeRelays returns a step that stops the given number of relays of the first
+// zone with SIGSTOP: their connections stay open.
 func freezeRelays(count int) step {
 	return func(_ context.Context, m *measurement) error {
 		for _, entry := range m.relays(count) {
@@ -96,8 +98,8 @@
 	}
 }
 
-// wake wakes the frozen processes.
-func wake(_ context.Context, m *measurement) error {
+// resumeFrozen resumes the frozen processes.
+func resumeFrozen(_ context.Context, m *measurement) error {
 	for process := range m.frozen {
 		if err := process.Wake(); err != nil {
 			return err
@@ -107,7 +109,7 @@
 	return nil
 }
 
-// relays returns the first relays of the first zone.
+// relays returns the first relays of the first zone, count in number.
 func (m *measurement) relays(count int) []*harness.Entry {
 	var found []*harness.Entry
 	for _, host := range relay.Relays(m.fleet.HostList().Hosts, relaysPerZone)[:count] {
@@ -120,8 +122,8 @@
 	return found
 }
 
-// restart starts the killed entries again.
-func restart(ctx context.Context, m *measurement) error {
+// restartKilled restarts the killed entries and waits until they are ready.
+func restartKilled(ctx context.Context, m *measurement) error {
 	for _, entry := range m.fleet.Entries {
 		if entry.Running() {
 			continue
@@ -136,8 +138,8 @@
 	return nil
 }
 
-// under makes changes under a condition.
-func (m *measurement) under(ctx context.Context, c condition) (report.Condition, error) {
+// measureCondition makes changes under a condition and returns their times and costs.
+func (m *measurement) measureCondition(ctx context.Context, c condition) (report.Condition, error) {
 	result := report.Condition{Name: c.name, TargetSeconds: c.target.Seconds()}
 	before, err := m.fleet.ObjectStats(ctx)
 	if err != nil {
@@ -145,7 +147,7 @@
 	}
 	began := time.Now()
 	for range m.options.Changes {
-		if err := m.once(ctx, c, &result); err != nil {
+		if err := m.applyChange(ctx, c, &result); err != nil {
 			return result, err
 		}
 	}
--- a/standin/bench/spread/files.go
+++ b/standin/bench/spread/files.go
@@ -16,14 +16,14 @@
 	pipeline = "p"
 )
 
-// declaration is what an operators' file declares.
+// declaration is the content of an operator's configuration file.
 type declaration struct {
 	config.Templates
 	Workspaces []config.Workspace `toml:"workspaces"`
 }
 
-// configuration returns the templates and as many workspaces as asked for. The
-// engines' service has no upstream: nothing is generated.
+// configuration returns the templates and the given number of workspaces. The
+// engines' service has no upstream, since the fleet serves no requests.
 func configuration(workspaces int) declaration {
 	var d declaration
 	d.Models = []config.Model{{Name: "m", Version: "1", Service: "engines", Replicas: 1}}
@@ -44,7 +44,7 @@
 	return d
 }
 
-// workspace returns one workspace, with the parameters that a real one has.
+// workspace returns one workspace with parameters like those of a real one.
 func workspace(i, weight int) config.Workspace {
 	return config.Workspace{
 		Name:        fmt.Sprintf("workspace-%05d", i),
@@ -60,7 +60,7 @@
 	}
 }
 
-// writeFile writes a configuration as an operators' file and returns its path.
+// writeFile writes a configuration file and returns its path.
 func writeFile(dir, name string, d declaration) (string, error) {
 	path := filepath.Join(dir, name)
 	file, err := os.Create(path)
--- a/standin/bench/spread/spent.go
+++ b/standin/bench/spread/spent.go
@@ -10,17 +10,17 @@
 	"acaciawinch/standin/objectstore"
 )
 
-// spent is what the fleet had spent at one moment.
-type spent struct {
+// fleetUsage is the resource usage of the fleet up to one moment.
+type fleetUsage struct {
 	at      time.Time
 	machine usage.Machine
 	stats   objectstore.Stats
-	entry   roleSpent
-	side    roleSpent
+	entry   roleUsage
+	side    roleUsage
 }
 
-// roleSpent is the sum over the processes of a role.
-type roleSpent struct {
+// roleUsage is the resource usage summed over the processes of a role.
+type roleUsage struct {
 	count    int
 	cpu      float64
 	bytes    float64
@@ -28,13 +28,13 @@
 	largest  int
 }
 
-// spent reads the object API's counts and all processes.
-func (m *measurement) spent(ctx context.Context) (spent, error) {
+// readUsage reads the call counts of the object API and the usage of all processes.
+func (m *measurement) readUsage(ctx context.Context) (fleetUsage, error) {
 	stats, err := m.fleet.ObjectStats(ctx)
 	if err != nil {
-		return spent{}, err
+		return fleetUsage{}, err
 	}
-	s := spent{at: time.Now(), machine: machineNow(), stats: stats}
+	s := fleetUsage{at: time.Now(), machine: readMachine(), stats: stats}
 	for _, entry := range m.fleet.Entries {
 		s.entry.add(ctx, entry.Process, entry.AdminURL)
 	}
@@ -44,8 +44,9 @@
 	return s, nil
 }
 
-// add adds one process, if it runs.
-func (r *roleSpent) add(ctx context.Context, p *harness.Process, adminURL string) {
+// add adds the usage of one process. It skips a process that does not run or whose
+// usage cannot be read.
+func (r *roleUsage) add(ctx context.Context, p *harness.Process, adminURL string) {
 	if !p.Running() {
 		return
 	}
@@ -64,13 +65,13 @@
 	r.largest = max(r.largest, reading.ResidentBytes)
 }
 
-// since returns the mean of a process's spending since an earlier reading.
-func (r roleSpent) since(earlier roleSpent, seconds float64) report.Rest {
+// meanSince returns the mean usage of one process since an earlier reading.
+func (r roleUsage) meanSince(earlier roleUsage, seconds float64) report.IdleUsage {
 	if r.count == 0 || seconds <= 0 {
-		return report.Rest{}
+		return report.IdleUsage{}
 	}
 	count := float64(r.count)
-	return report.Rest{
+	return report.IdleUsage{
 		CoreShare:       (r.cpu - earlier.cpu) / (count * seconds),
 		FleetBytes:      (r.bytes - earlier.bytes) / (count * seconds),
 		ResidentBytes:   float64(r.resident) / count,
--- a/standin/bench/spread/spread.go
+++ b/standin/bench/spread/spread.go
@@ -1,6 +1,7 @@
 // Package spread measures how long an accepted change of the configuration takes
-// until it is in force in every process of a large fleet, and what that costs the
-// object API. The fleet carries no load.
+// until it is in force in every process of a large fleet, and how many calls to
+// the object API that takes. The fleet carries no load. A change is in force in a
+// process as soon as the status of that process shows its revision.
 package spread
 
 import (
@@ -17,28 +18,28 @@
 	"acaciawinch/standin/harness"
 )
 
-// Options say what to run.
+// Options configure a measurement.
 type Options struct {
 	Bin string
-	// Entries and Sides are how many processes of each role run.
+	// Entries and Sides are the numbers of processes of each role.
 	Entries int
 	Sides   int
-	// Workspaces is how many the configuration holds.
+	// Workspaces is the number of workspaces in the configuration.
 	Workspaces int
-	// Changes is how many changes are made under each condition.
+	// Changes is the number of changes made under each condition.
 	Changes int
 	Keep    bool
-	// Note is told of progress.
+	// Note is called with progress messages.
 	Note func(format string, args ...any)
 }
 
 // Times of a measurement.
 const (
-	// startTimeout bounds the first spreading of the whole configuration.
+	// startTimeout bounds the wait until all processes have the initial configuration.
 	startTimeout = 60 * time.Second
-	// forceTimeout bounds the wait for a change.
-	forceTimeout = 30 * time.Second
-	// idleTime is how long the fleet's calls at rest are counted.
+	// changeTimeout bounds the wait until a change is in force everywhere.
+	changeTimeout = 30 * time.Second
+	// idleTime is how long the usage of the idle fleet is measured.
 	idleTime = 10 * time.Second
 	hostLag  = time.Second
 )
@@ -46,20 +47,20 @@
 // zones are the fleet's availability zones.
 var zones = []string{"zone-1", "zone-2", "zone-3", "zone-4"}
 
-// measurement is a fleet under measurement.
+// measurement holds a running fleet and the state of its measurement.
 type measurement struct {
 	options Options
 	fleet   *harness.Fleet
-	// dir holds the operators' files.
+	// dir is the directory of the configuration files.
 	dir string
-	// change counts the changes made so far; revision is that of the last.
-	change   int
+	// changes counts the changes made so far; revision is that of the last one.
+	changes  int
 	revision core.Revision
-	// frozen holds the processes that are stopped by SIGSTOP.
+	// frozen holds the processes that were stopped with SIGSTOP.
 	frozen map[*harness.Process]bool
 }
 
-// Run starts the fleet and measures under each condition.
+// Run starts the fleet, measures it idle and then under each condition.
 func Run(ctx context.Context, o Options) (result report.Spread, err error) {
 	dir, err := os.MkdirTemp("", "acaciawinch-spread-")
 	if err != nil {
@@ -67,7 +68,7 @@
 	}
 	defer os.RemoveAll(dir)
 	fleet, err := harness.Start(ctx, harness.Options{
-		Deployment: fleetOf(o),
+		Deployment: fleetDeployment(o),
 		Bin:        o.Bin,
 		HostLag:    hostLag,
 		ReportLag:  hostLag,
@@ -85,8 +86,8 @@
 	return m.run(ctx)
 }
 
-// fleetOf returns the processes that run.
-func fleetOf(o Options) deployment.Deployment {
+// fleetDeployment returns the deployment of the fleet.
+func fleetDeployment(o Options) deployment.Deployment {
 	return deployment.Deployment{
 		Name:    "spread",
 		Region:  "region-1",
@@ -103,7 +104,7 @@
 	}
 }
 
-// run measures the fleet at rest, then under each condition.
+// run measures the idle fleet, then changes under each condition.
 func (m *measurement) run(ctx context.Context) (report.Spread, error) {
 	result := report.Spread{
 		Entries:    m.options.Entries,
@@ -113,11 +114,11 @@
 	if err := m.load(ctx); err != nil {
 		return result, err
 	}
-	if err := m.rest(ctx, &result); err != nil {
+	if err := m.measureIdle(ctx, &result); err != nil {
 		return result, err
 	}
 	for _, c := range conditions() {
-		one, err := m.under(ctx, c)
+		one, err := m.measureCondition(ctx, c)
 		if err != nil {
 			return result, fmt.Errorf("%s: %w", c.name, err)
 		}
@@ -127,7 +128,7 @@
 	return result, nil
 }
 
-// load applies the whole configuration and waits until all have it.
+// load applies the initial configuration and waits until all processes have it.
 func (m *measurement) load(ctx context.Context) error {
 	path, err := writeFile(m.dir, "all.toml", configuration(m.options.Workspaces))
 	if err != nil {
@@ -144,47 +145,47 @@
 		return err
 	}
 	m.options.Note("%d workspaces accepted in %.1f s, in force everywhere %.2f s later",
-		m.options.Workspaces, accepted.Sub(began).Seconds(), times.last(accepted).Seconds())
+		m.options.Workspaces, accepted.Sub(began).Seconds(), times.elapsedSince(accepted).Seconds())
 	return nil
 }
 
-// rest counts what the fleet spends without any change.
-func (m *measurement) rest(ctx context.Context, result *report.Spread) error {
-	if err := pause(ctx, settleTime); err != nil {
+// measureIdle measures the usage of the fleet while nothing changes.
+func (m *measurement) measureIdle(ctx context.Context, result *report.Spread) error {
+	if err := wait(ctx, settleTime); err != nil {
 		return err
 	}
-	before, err := m.spent(ctx)
+	before, err := m.readUsage(ctx)
 	if err != nil {
 		return err
 	}
-	if err := pause(ctx, idleTime); err != nil {
+	if err := wait(ctx, idleTime); err != nil {
 		return err
 	}
-	after, err := m.spent(ctx)
+	after, err := m.readUsage(ctx)
 	if err != nil {
 		return err
 	}
 	seconds := after.at.Sub(before.at).Seconds()
-	result.RestReads = float64(after.stats.Reads-before.stats.Reads) / seconds
-	result.RestWrites = float64(after.stats.Writes-before.stats.Writes) / seconds
+	result.IdleReads = float64(after.stats.Reads-before.stats.Reads) / seconds
+	result.IdleWrites = float64(after.stats.Writes-before.stats.Writes) / seconds
 	result.Watches = after.stats.Waiting
-	result.RestEntry = after.entry.since(before.entry, seconds)
-	result.RestSide = after.side.since(before.side, seconds)
+	result.IdleEntry = after.entry.meanSince(before.entry, seconds)
+	result.IdleSide = after.side.meanSince(before.side, seconds)
 	result.Idle = after.machine.IdleShare(before.machine)
 	return nil
 }
 
-// next writes the operators' file of the next change: another weight for one
-// workspace.
-func (m *measurement) next() (string, error) {
-	m.change++
-	one := workspace(m.change%max(m.options.Workspaces, 1), 1+m.change)
+// writeNextChange writes the configuration file of the next change, which sets
+// another weight for one workspace, and returns its path.
+func (m *measurement) writeNextChange() (string, error) {
+	m.changes++
+	one := workspace(m.changes%max(m.options.Workspaces, 1), 1+m.changes)
 	return writeFile(m.dir, "change.toml", declaration{Workspaces: []config.Workspace{one}})
 }
 
-// machineNow reads the machine, or returns the zero value: only a share that is
-// printed depends on it.
-func machineNow() usage.Machine {
+// readMachine returns the processor time of the machine, or the zero value if it
+// cannot be read: only the reported idle share depends on it.
+func readMachine() usage.Machine {
 	machine, _ := usage.OfMachine()
 	return machine
 }
--- a/standin/bench/spread/spread_test.go
+++ b/standin/bench/spread/spread_test.go
@@ -17,23 +17,23 @@
 	}
 	path, err := writeFile(t.TempDir(), "all.toml", d)
 	assert.NilError(t, err)
-	again, err := catalog.Load(path)
+	loaded, err := catalog.Load(path)
 	assert.NilError(t, err)
-	assert.DeepEqual(t, again.Workspaces, d.Workspaces)
-	assert.DeepEqual(t, again.Templates, d.Templates.Templates)
+	assert.DeepEqual(t, loaded.Workspaces, d.Workspaces)
+	assert.DeepEqual(t, loaded.Templates, d.Templates.Templates)
 }
 
-func TestLastCountsFromTheMoment(t *testing.T) {
+func TestElapsedSinceEndsAtTheLastProcess(t *testing.T) {
 	start := time.Unix(100, 0)
-	seen := moments{start.Add(time.Second), start.Add(3 * time.Second), start.Add(2 * time.Second)}
-	assert.Equal(t, seen.last(start), 3*time.Second)
-	assert.Equal(t, seen.last(start.Add(5*time.Second)), time.Duration(0))
+	seen := seenTimes{start.Add(time.Second), start.Add(3 * time.Second), start.Add(2 * time.Second)}
+	assert.Equal(t, seen.elapsedSince(start), 3*time.Second)
+	assert.Equal(t, seen.elapsedSince(start.Add(5*time.Second)), time.Duration(0))
 }
 
-func TestConditionsUndoWhatTheyDo(t *testing.T) {
+func TestConditionsUndoTheirFaults(t *testing.T) {
 	for _, c := range conditions() {
-		changes := c.before != nil || c.at != nil
-		assert.Equal(t, c.end != nil, changes, c.name)
+		hasFault := c.beforeAccept != nil || c.onHeadWrite != nil
+		assert.Equal(t, c.undo != nil, hasFault, c.name)
 		assert.Assert(t, c.target > 0, c.name)
 	}
 }
--- a/standin/bench/trial/fault.go
+++ b/standin/bench/trial/fault.go
@@ -10,9 +10,9 @@
 	"acaciawinch/standin/upstream"
 )
 
-// fault lets the case's fault happen at its time. It returns nil if the load
-// ends first.
-func (r *run) fault(ctx context.Context) error {
+// injectFault injects the fault of the case at its time. It returns nil without a
+// fault if the load ends first.
+func (r *run) injectFault(ctx context.Context) error {
 	if r.options.Case.Fault == scene.NoFault {
 		return nil
 	}
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// killZone kills all upstreams of a zone with their sides at once.
+// killZone kills all upstreams of a zone and their sidecars concurrently.
 func killZone(fleet *harness.Fleet, zone string) {
 	var group sync.WaitGroup
 	for _, u := range fleet.Upstreams {
@@ -49,15 +49,15 @@
 	group.Wait()
 }
 
-// Limits of the wait for the end of all work.
+// Timeout and poll interval of awaitIdle.
 const (
 	idleTimeout  = 3 * time.Second
 	idleInterval = 100 * time.Millisecond
 )
 
-// awaitIdle waits until no upstream that answers has work, so that work which
-// nobody waits for is in the ledgers. It gives up after a time: work that goes on
-// then has a start and no end there.
+// awaitIdle waits until no responsive engine has work in flight, so that the
+// ledgers also contain work whose caller no longer waits for it. It gives up after
+// idleTimeout: work that still runs then has a start but no end in the ledgers.
 func (r *run) awaitIdle(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, idleTimeout)
 	defer cancel()
@@ -72,7 +72,7 @@
 	}
 }
 
-// busy tells whether any engine that answers has work.
+// busy reports whether any responsive engine has work in flight.
 func (r *run) busy(ctx context.Context) bool {
 	for _, u := range r.fleet.Service(r.options.Size.Engine) {
 		if !u.Worker.Running() || r.frozen(u) {
@@ -86,7 +86,7 @@
 	return false
 }
 
-// frozen tells whether the case froze this upstream.
+// frozen reports whether the fault of the case froze this upstream.
 func (r *run) frozen(u *harness.Upstream) bool {
 	victim := r.fleet.Service(r.options.Size.Engine)[0]
 	return u == victim && r.options.Case.Fault == scene.FreezeUpstream
--- a/standin/bench/trial/gather.go
+++ b/standin/bench/trial/gather.go
@@ -13,11 +13,11 @@
 	"acaciawinch/standin/verdict"
 )
 
-// maxFindings bounds the violations that are described.
+// maxFindings bounds the number of violations that are described in the results.
 const maxFindings = 20
 
-// report works out the results.
-func (r *run) report() report.Trial {
+// results computes the results of the trial.
+func (r *run) results() report.Trial {
 	c := r.options.Case
 	judged := dueFrom(r.records, c.From)
 	summary := verdict.Judge(r.client, load.Exchanges(r.records), r.ledger)
@@ -30,10 +30,10 @@
 		Offered:    float64(len(judged)) / (c.Duration - c.From).Seconds(),
 		JudgedFrom: c.From.Seconds(),
 		Judged:     load.Summarize(judged),
-		Others:     load.Summarize(without(judged, r.options.Size.Large)),
+		Others:     load.Summarize(withoutWorkspace(judged, r.options.Size.Large)),
 		Workspaces: load.SummarizeByWorkspace(judged),
 		Goodput:    goodput(r.records, c.From, c.Duration),
-		Stages:     account.ByStage(r.ledger, fates(r.records)),
+		Stages:     account.ByStage(r.ledger, outcomes(r.records)),
 		Engine:     r.options.Size.Engine,
 		Nodes:      nodes(r.before, r.after),
 		Violations: len(summary.Findings),
@@ -43,7 +43,7 @@
 	}
 }
 
-// dueFrom returns the records of requests due from a time on.
+// dueFrom returns the records of the requests that were due at or after from.
 func dueFrom(records []load.Record, from time.Duration) []load.Record {
 	var due []load.Record
 	for _, record := range records {
@@ -54,20 +54,20 @@
 	return due
 }
 
-// without returns the records of all workspaces but one.
-func without(records []load.Record, workspace string) []load.Record {
-	var rest []load.Record
+// withoutWorkspace returns the records of all workspaces except one.
+func withoutWorkspace(records []load.Record, workspace string) []load.Record {
+	var others []load.Record
 	for _, record := range records {
 		if record.Arrival.Request.Workspace != workspace {
-			rest = append(rest, record)
+			others = append(others, record)
 		}
 	}
-	return rest
+	return others
 }
 
-// goodput returns the answers in time per second, counted when they were
-// complete, between two times of the trial. Counting by completion keeps out what
-// is answered when the load is over.
+// goodput returns the rate of responses in time, per second, that were complete
+// between two times of the trial. Counting by completion leaves out responses that
+// are complete only after the load has ended.
 func goodput(records []load.Record, from, to time.Duration) float64 {
 	count := 0
 	for _, record := range records {
@@ -79,19 +79,19 @@
 	return float64(count) / (to - from).Seconds()
 }
 
-// fates returns what callers got, by request id.
-func fates(records []load.Record) map[string]account.Fate {
-	all := map[string]account.Fate{}
+// outcomes returns the outcomes of the requests by request id.
+func outcomes(records []load.Record) map[string]account.CallerOutcome {
+	all := map[string]account.CallerOutcome{}
 	for _, record := range records {
 		if record.Result.RequestID != "" {
-			all[record.Result.RequestID] = fate(record)
+			all[record.Result.RequestID] = outcomeOf(record)
 		}
 	}
 	return all
 }
 
-// fate returns what the caller of one request got.
-func fate(record load.Record) account.Fate {
+// outcomeOf returns the outcome of one request.
+func outcomeOf(record load.Record) account.CallerOutcome {
 	switch {
 	case record.Attained():
 		return account.Attained
@@ -102,7 +102,7 @@
 	}
 }
 
-// series returns what became of the requests by the second they were due in.
+// series counts the requests by the second in which they were due.
 func series(records []load.Record, duration time.Duration) []report.Second {
 	seconds := make([]report.Second, int((duration+time.Second-1)/time.Second))
 	for _, record := range records {
@@ -115,12 +115,13 @@
 	return seconds
 }
 
-// problems counts what the callers that got no whole answer were told.
+// problems counts the requests without a complete response in time, by the text
+// that describes them.
 func problems(records []load.Record) map[string]int {
 	counts := map[string]int{}
 	for _, record := range records {
 		if record.Result.Verdict != caller.Whole {
-			counts[told(record.Result)]++
+			counts[problemText(record.Result)]++
 		} else if !record.Attained() {
 			counts["late"]++
 		}
@@ -128,20 +129,20 @@
 	return counts
 }
 
-// maxTold bounds the text of what a caller was told.
-const maxTold = 100
+// maxProblemDetail bounds the detail in the text of a problem, in bytes.
+const maxProblemDetail = 100
 
-// told returns what a caller was told, without the numbers that differ from one
-// request to the next.
-func told(result caller.Result) string {
+// problemText describes a result that is not a complete response. It masks the
+// digits, since they differ from one request to the next.
+func problemText(result caller.Result) string {
 	detail := strings.Map(func(r rune) rune {
 		if unicode.IsDigit(r) {
 			return '#'
 		}
 		return r
 	}, result.Detail)
-	if len(detail) > maxTold {
-		detail = detail[:maxTold]
+	if len(detail) > maxProblemDetail {
+		detail = detail[:maxProblemDetail]
 	}
 	return fmt.Sprintf("%s %s: %s", result.Verdict, result.Outcome, detail)
 }
--- a/standin/bench/trial/snapshot.go
+++ b/standin/bench/trial/snapshot.go
@@ -14,58 +14,60 @@
 	"acaciawinch/standin/harness"
 )
 
-// snapshot is what all processes had spent at one moment.
+// snapshot is the resource usage of all processes up to one moment.
 type snapshot struct {
 	at      time.Time
 	machine usage.Machine
-	entries []node
-	sides   []node
-	// others are the processor seconds of the stand-ins and of the load generator.
-	others []float64
+	entries []nodeUsage
+	sides   []nodeUsage
+	// otherCPU holds the processor seconds of each stand-in and of the load
+	// generator.
+	otherCPU []float64
 }
 
-// node is one process's part of a snapshot. Processes that are gone or don't
-// answer have ok unset.
-type node struct {
+// nodeUsage is the usage of one process in a snapshot. Its ok is unset if the
+// process no longer runs or does not respond.
+type nodeUsage struct {
 	ok       bool
 	reading  usage.Reading
 	counters map[string]float64
-	// fleetBytes is the traffic with other processes of the fleet so far.
+	// fleetBytes is the traffic with other processes of the fleet since the start
+	// of the process.
 	fleetBytes float64
 }
 
-// snapshot reads the machine and all processes.
-func (r *run) snapshot(ctx context.Context) (snapshot, error) {
+// takeSnapshot reads the usage of the machine and of all processes.
+func (r *run) takeSnapshot(ctx context.Context) (snapshot, error) {
 	machine, err := usage.OfMachine()
 	if err != nil {
 		return snapshot{}, err
 	}
 	s := snapshot{
-		at:      time.Now(),
-		machine: machine,
-		entries: make([]node, len(r.fleet.Entries)),
-		sides:   make([]node, len(r.fleet.Upstreams)),
-		others:  r.others(),
+		at:       time.Now(),
+		machine:  machine,
+		entries:  make([]nodeUsage, len(r.fleet.Entries)),
+		sides:    make([]nodeUsage, len(r.fleet.Upstreams)),
+		otherCPU: r.readOtherCPU(),
 	}
 	var group errgroup.Group
 	for i, entry := range r.fleet.Entries {
 		group.Go(func() error {
-			s.entries[i] = read(ctx, entry.Process, entry.AdminURL)
+			s.entries[i] = readNode(ctx, entry.Process, entry.AdminURL)
 			return nil
 		})
 	}
 	for i, u := range r.fleet.Upstreams {
 		group.Go(func() error {
-			s.sides[i] = read(ctx, u.Side, u.SideURL)
+			s.sides[i] = readNode(ctx, u.Side, u.SideURL)
 			return nil
 		})
 	}
 	return s, group.Wait()
 }
 
-// others reads the processor time of the stand-ins and of the load generator,
-// zero for those that are gone.
-func (r *run) others() []float64 {
+// readOtherCPU returns the processor seconds of each stand-in and of the load
+// generator, zero for processes that no longer run.
+func (r *run) readOtherCPU() []float64 {
 	pids := []int{os.Getpid(), r.fleet.Objects.PID(), r.fleet.Hosts.PID()}
 	for _, u := range r.fleet.Upstreams {
 		pids = append(pids, u.Worker.PID())
@@ -80,11 +82,12 @@
 	return times
 }
 
-// cores returns how many processors all processes that lived on used on average.
+// cores returns the mean number of processors used by all processes that still run
+// at the second snapshot.
 func cores(before, after snapshot, seconds float64) float64 {
 	total := 0.0
-	for i := range after.others {
-		total += max(0, after.others[i]-before.others[i])
+	for i := range after.otherCPU {
+		total += max(0, after.otherCPU[i]-before.otherCPU[i])
 	}
 	earlier := slices.Concat(before.entries, before.sides)
 	for i, n := range slices.Concat(after.entries, after.sides) {
@@ -95,27 +98,27 @@
 	return total / seconds
 }
 
-// read reads one process.
-func read(ctx context.Context, process *harness.Process, adminURL string) node {
+// readNode reads the usage of one process.
+func readNode(ctx context.Context, process *harness.Process, adminURL string) nodeUsage {
 	if !process.Running() {
-		return node{}
+		return nodeUsage{}
 	}
 	reading, err := usage.OfProcess(process.PID())
 	if err != nil {
-		return node{}
+		return nodeUsage{}
 	}
 	counters, err := usage.Metrics(ctx, adminURL)
 	if err != nil {
-		return node{}
+		return nodeUsage{}
 	}
 	bytes, err := usage.FleetBytes(ctx, adminURL)
 	if err != nil {
-		return node{}
+		return nodeUsage{}
 	}
-	return node{ok: true, reading: reading, counters: counters, fleetBytes: bytes}
+	return nodeUsage{ok: true, reading: reading, counters: counters, fleetBytes: bytes}
 }
 
-// nodes works out what the processes spent between two snapshots.
+// nodes computes the usage of the processes between two snapshots.
 func nodes(before, after snapshot) report.Nodes {
 	seconds := after.at.Sub(before.at).Seconds()
 	return report.Nodes{
@@ -126,8 +129,8 @@
 	}
 }
 
-// role works out the means over the processes that answered both times.
-func role(before, after []node, seconds float64) report.Role {
+// role computes the mean usage of the processes that both snapshots could read.
+func role(before, after []nodeUsage, seconds float64) report.Role {
 	sum := report.Role{Counters: map[string]float64{}}
 	count := 0.0
 	for i := range after {
@@ -147,25 +150,25 @@
 	return sum
 }
 
-// probeBytes is the end of the name of the counter of probes' bytes.
-const probeBytes = "routing_probe_bytes"
+// probeBytesSuffix is the suffix of the names of the counters of probe traffic.
+const probeBytesSuffix = "routing_probe_bytes"
 
-// ownCounters begins the names of the counters that the system publishes.
-const ownCounters = "acaciawinch_"
+// ownMetricPrefix is the prefix of the names of the system's own metrics.
+const ownMetricPrefix = "acaciawinch_"
 
-// addNode adds one process's spending between two readings.
-func addNode(sum *report.Role, before, after node) {
+// addNode adds the usage of one process between two snapshots to sum.
+func addNode(sum *report.Role, before, after nodeUsage) {
 	sum.CoreShare += after.reading.CPUSeconds - before.reading.CPUSeconds
 	sum.ResidentBytes += float64(after.reading.ResidentBytes)
 	sum.FleetBytes += after.fleetBytes - before.fleetBytes
 	for name, value := range after.counters {
-		if !strings.HasPrefix(name, ownCounters) {
+		if !strings.HasPrefix(name, ownMetricPrefix) {
 			continue
 		}
-		grown := value - before.counters[name]
-		sum.Counters[name] += grown
-		if strings.HasSuffix(name, probeBytes) {
-			sum.ProbeBytes += grown
+		increase := value - before.counters[name]
+		sum.Counters[name] += increase
+		if strings.HasSuffix(name, probeBytesSuffix) {
+			sum.ProbeBytes += increase
 		}
 	}
 }
--- a/standin/bench/trial/trial.go
+++ b/standin/bench/trial/trial.go
@@ -1,5 +1,5 @@
-// Package trial runs one case of the bench under one policy with real processes,
-// and gathers what was measured.
+// Package trial runs one case of the bench under one policy with real processes and
+// collects the measurements.
 package trial
 
 import (
@@ -16,28 +16,28 @@
 	"acaciawinch/standin/load"
 )
 
-// reportLag is how late the stand-in upstreams report their load, and hostLag how
-// late the host list is.
+// reportLag is the delay of the load reports of the stand-in upstreams, and hostLag
+// the delay of the host list.
 const (
 	reportLag = 500 * time.Millisecond
 	hostLag   = time.Second
 )
 
-// patience is how long behind its deadline a caller waits for an answer. An
-// answer in that time is late, not missing.
+// patience is how long a caller waits for a response after the deadline. A response
+// within that time counts as late, not as missing.
 const patience = 2 * time.Second
 
-// Options say what to run.
+// Options configure a trial.
 type Options struct {
-	// Bin is the folder of the binaries; Examples that of the configurations.
+	// Bin is the directory of the binaries; Examples that of the configurations.
 	Bin      string
 	Examples string
 	Size     scene.Size
 	Case     scene.Case
 	Policy   scene.Policy
-	// Seed fixes the arrivals, which are the same for every policy.
+	// Seed determines the arrivals, which are the same for every policy.
 	Seed uint64
-	// Keep leaves the folder with settings, logs and ledgers.
+	// Keep preserves the directory of settings, logs and ledgers.
 	Keep bool
 }
 
@@ -54,8 +54,9 @@
 	ledger   []ledger.Record
 }
 
-// Run carries out a trial: it starts the processes, offers the load, lets the
-// fault happen, and ends the processes. Dir is the trial's folder, if it is kept.
+// Run runs a trial: it starts the processes, offers the load, injects the fault and
+// kills the processes. The returned dir is the directory of the trial if it was kept
+// or the measurement failed, and empty otherwise.
 func Run(ctx context.Context, o Options) (result report.Trial, dir string, err error) {
 	files := o.Size.Files(o.Examples)
 	configuration, err := catalog.Load(files...)
@@ -86,7 +87,7 @@
 	if err := r.measure(ctx); err != nil {
 		return report.Trial{}, fleet.Dir, err
 	}
-	result = r.report()
+	result = r.results()
 	if o.Keep {
 		return result, fleet.Dir, nil
 	}
@@ -94,18 +95,18 @@
 	return result, "", fleet.RemoveDir()
 }
 
-// measure offers the load between two readings of what the processes spend, and
-// then reads the ledgers. They are read before a frozen process is woken, which
-// would record the end of work that was given up long ago.
+// measure offers the load between two snapshots of the processes' usage, and then
+// reads the ledgers. It reads them before a frozen process is resumed, because that
+// process would then record the end of work that was abandoned long before.
 func (r *run) measure(ctx context.Context) error {
 	var err error
-	if r.before, err = r.snapshot(ctx); err != nil {
+	if r.before, err = r.takeSnapshot(ctx); err != nil {
 		return err
 	}
-	if err := r.offer(ctx); err != nil {
+	if err := r.offerLoad(ctx); err != nil {
 		return err
 	}
-	if r.after, err = r.snapshot(ctx); err != nil {
+	if r.after, err = r.takeSnapshot(ctx); err != nil {
 		return err
 	}
 	r.awaitIdle(ctx)
@@ -113,25 +114,26 @@
 	return err
 }
 
-// offer sends the load, with the fault in its midst.
-func (r *run) offer(ctx context.Context) error {
+// offerLoad offers the load and injects the fault while the load runs.
+func (r *run) offerLoad(ctx context.Context) error {
 	arrivals := load.Schedule(r.options.Seed, r.duration, r.options.Size.Flows(r.options.Case, r.capacity))
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var failure error
+	var faultErr error
 	var group sync.WaitGroup
-	group.Go(func() { failure = r.fault(ctx) })
+	group.Go(func() { faultErr = r.injectFault(ctx) })
 	r.records = load.Run(ctx, arrivals, load.Options{
 		Client:   r.client,
-		Entry:    r.entry,
+		Entry:    r.entryURL,
 		Patience: patience,
 	})
 	cancel()
 	group.Wait()
-	return failure
+	return faultErr
 }
 
-// entry returns the entry for an arrival: the platform's balancer goes round.
-func (r *run) entry(i int) string {
+// entryURL returns the URL of the entry for arrival i. The entries are used in turn,
+// as by the platform's load balancer.
+func (r *run) entryURL(i int) string {
 	return r.fleet.Entries[i%len(r.fleet.Entries)].URL
 }
--- a/standin/bench/trial/trial_test.go
+++ b/standin/bench/trial/trial_test.go
@@ -14,7 +14,7 @@
 	"acaciawinch/standin/load"
 )
 
-// recordOf returns a record of a request due at a time, with its latency.
+// recordOf returns the record of a request that was due at the given time.
 func recordOf(at, latency time.Duration, workspace string, verdict caller.Verdict) load.Record {
 	return load.Record{
 		Arrival: load.Arrival{At: at, Deadline: time.Second, Request: caller.Request{Workspace: workspace}},
@@ -23,8 +23,8 @@
 	}
 }
 
-// records are one answer in time, a late one, a refusal, and an answer that is
-// complete after the load.
+// records holds a response in time, a late response, a refusal, and a response that
+// is complete only after the load has ended.
 var records = []load.Record{
 	recordOf(0, 500*time.Millisecond, "a", caller.Whole),
 	recordOf(1500*time.Millisecond, 1100*time.Millisecond, "b", caller.Whole),
@@ -34,7 +34,7 @@
 
 func TestRecordsAreJudgedByTheTimeTheyAreDue(t *testing.T) {
 	assert.Equal(t, len(dueFrom(records, 1500*time.Millisecond)), 3)
-	assert.Equal(t, len(without(records, "a")), 2)
+	assert.Equal(t, len(withoutWorkspace(records, "a")), 2)
 }
 
 func TestGoodputCountsCompletionsInTime(t *testing.T) {
@@ -43,27 +43,27 @@
 	assert.Equal(t, goodput(records, time.Second, 3*time.Second), 0.0)
 }
 
-func TestSeriesAndFates(t *testing.T) {
+func TestSeriesAndOutcomes(t *testing.T) {
 	assert.DeepEqual(t, series(records, 3*time.Second), []report.Second{
 		{Offered: 1, Attained: 1}, {Offered: 1}, {Offered: 2, Attained: 1},
 	})
-	assert.DeepEqual(t, fates(records), map[string]account.Fate{
+	assert.DeepEqual(t, outcomes(records), map[string]account.CallerOutcome{
 		"r-a0s": account.Attained, "r-b1.5s": account.Late, "r-a2.1s": account.Unanswered, "r-b2.9s": account.Attained,
 	})
 	assert.DeepEqual(t, problems(records), map[string]int{"late": 1, "problem not_run: wait # ms": 1})
 }
 
-func TestMeansLeaveOutProcessesThatAreGone(t *testing.T) {
-	of := func(cpu, bytes, probes float64) node {
-		return node{
+func TestMeansSkipProcessesThatNoLongerRun(t *testing.T) {
+	usageOf := func(cpu, bytes, probes float64) nodeUsage {
+		return nodeUsage{
 			ok:         true,
 			reading:    usage.Reading{CPUSeconds: cpu, ResidentBytes: 10},
 			counters:   map[string]float64{"acaciawinch_entry_routing_probe_bytes": probes, "go_threads": 9},
 			fleetBytes: bytes,
 		}
 	}
-	before := snapshot{entries: []node{of(1, 100, 0), of(1, 100, 0)}, others: []float64{5, 5}}
-	after := snapshot{entries: []node{of(3, 500, 80), {}}, others: []float64{6, 0}}
+	before := snapshot{entries: []nodeUsage{usageOf(1, 100, 0), usageOf(1, 100, 0)}, otherCPU: []float64{5, 5}}
+	after := snapshot{entries: []nodeUsage{usageOf(3, 500, 80), {}}, otherCPU: []float64{6, 0}}
 	got := role(before.entries, after.entries, 2)
 	assert.DeepEqual(t, got, report.Role{
 		CoreShare:     1,
--- a/standin/bench/usage/usage.go
+++ b/standin/bench/usage/usage.go
@@ -1,5 +1,5 @@
-// Package usage reads what the processes of a trial spend: processor time and
-// memory from the kernel, and the counters that they publish themselves.
+// Package usage reads the resource usage of the processes of a trial: processor
+// time and memory from the kernel, and the metrics that the processes publish.
 package usage
 
 import (
@@ -14,15 +14,15 @@
 	"github.com/prometheus/procfs"
 )
 
-// Reading is what one process has spent since its start.
+// Reading is the resource usage of one process.
 type Reading struct {
-	// CPUSeconds is the processor time.
+	// CPUSeconds is the processor time since the start of the process.
 	CPUSeconds float64
-	// ResidentBytes is the memory in use now.
+	// ResidentBytes is the resident memory at the time of the reading.
 	ResidentBytes int
 }
 
-// OfProcess reads one process. It fails if the process is gone.
+// OfProcess returns the usage of one process, or an error if it no longer exists.
 func OfProcess(pid int) (Reading, error) {
 	process, err := procfs.NewProc(pid)
 	if err != nil {
@@ -35,14 +35,14 @@
 	return Reading{CPUSeconds: stat.CPUTime(), ResidentBytes: stat.ResidentMemory()}, nil
 }
 
-// Machine is the machine's processor time since its start, in seconds over all
-// its processors.
+// Machine is the processor time of the machine since its boot, in seconds summed
+// over all processors.
 type Machine struct {
 	Idle  float64
 	Total float64
 }
 
-// OfMachine reads the machine.
+// OfMachine returns the processor time of the machine.
 func OfMachine() (Machine, error) {
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
@@ -57,7 +57,7 @@
 	return Machine{Idle: idle, Total: idle + c.User + c.Nice + c.System + c.IRQ + c.SoftIRQ + c.Steal}, nil
 }
 
-// IdleShare returns the part of the processors that was idle since an earlier
+// IdleShare returns the fraction of processor time that was idle since an earlier
 // reading.
 func (m Machine) IdleShare(earlier Machine) float64 {
 	total := m.Total - earlier.Total
@@ -67,10 +67,11 @@
 	return (m.Idle - earlier.Idle) / total
 }
 
-// client reads the processes' admin paths; a frozen process must not hold it up.
+// client queries the admin URLs of the processes. Its timeout keeps a frozen
+// process from blocking it.
 var client = &http.Client{Timeout: time.Second}
 
-// get returns the answer of a GET, or fails unless its status is 200.
+// get returns the response to a GET request. A status other than 200 is an error.
 func get(ctx context.Context, url string) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -87,18 +88,18 @@
 	return response, nil
 }
 
-// Status decodes the status document at a process's admin URL.
-func Status(ctx context.Context, adminURL string, into any) error {
+// Status decodes the status document of the process with the given admin URL.
+func Status(ctx context.Context, adminURL string, document any) error {
 	response, err := get(ctx, adminURL+"/v1/status")
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
-	return json.NewDecoder(response.Body).Decode(into)
+	return json.NewDecoder(response.Body).Decode(document)
 }
 
-// traffic is the part of a process's status that tells its traffic. Entries and
-// sides name it differently.
+// traffic holds the traffic counters of a process's status document. Entries and
+// sidecars publish them under different names.
 type traffic struct {
 	EntryRead    uint64 `json:"fleet_read_bytes"`
 	EntryWritten uint64 `json:"fleet_written_bytes"`
@@ -106,16 +107,15 @@
 	SideWritten  uint64 `json:"fleet_bytes_written"`
 }
 
-// FleetBytes returns a process's traffic with other processes of the fleet so
-// far, in both directions.
+// FleetBytes returns the traffic of a process with other processes of the fleet
+// since its start, in both directions.
 func FleetBytes(ctx context.Context, adminURL string) (float64, error) {
 	var t traffic
 	err := Status(ctx, adminURL, &t)
 	return float64(t.EntryRead + t.EntryWritten + t.SideRead + t.SideWritten), err
 }
 
-// Metrics returns the sums of a process's counters and gauges by name, over all
-// their tags.
+// Metrics returns the metrics of a process by name, summed over their labels.
 func Metrics(ctx context.Context, adminURL string) (map[string]float64, error) {
 	response, err := get(ctx, adminURL+"/metrics")
 	if err != nil {
@@ -130,14 +130,15 @@
 	sums := map[string]float64{}
 	for name, family := range families {
 		for _, metric := range family.GetMetric() {
-			sums[name] += value(metric)
+			sums[name] += metricValue(metric)
 		}
 	}
 	return sums, nil
 }
 
-// value returns the value of a counter or a gauge, and the count of others.
-func value(metric *dto.Metric) float64 {
+// metricValue returns the value of a counter or gauge, and the sample count of a
+// histogram or summary.
+func metricValue(metric *dto.Metric) float64 {
 	switch {
 	case metric.Counter != nil:
 		return metric.GetCounter().GetValue()
--- a/standin/bench/usage/usage_test.go
+++ b/standin/bench/usage/usage_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestMetricsAreSummedOverTags(t *testing.T) {
+func TestMetricsAreSummedOverLabels(t *testing.T) {
 	text := "# TYPE a counter\na{zone=\"x\"} 2\na{zone=\"y\"} 3\n# TYPE b gauge\nb 7\n" +
 		"# TYPE c histogram\nc_bucket{le=\"+Inf\"} 4\nc_sum 1\nc_count 4\n"
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -50,7 +50,7 @@
 	assert.Assert(t, err != nil)
 }
 
-func TestIdleShareIsOfTheTimeBetween(t *testing.T) {
+func TestIdleShareCoversTimeSinceEarlierReading(t *testing.T) {
 	earlier := Machine{Idle: 10, Total: 100}
 	assert.Equal(t, Machine{Idle: 40, Total: 140}.IdleShare(earlier), 0.75)
 	assert.Equal(t, earlier.IdleShare(earlier), 0.0)
