--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -1,6 +1,6 @@
-// Package caller is a caller of the system: it sends requests to an entry, reads
-// the answer as JSON or as server-sent events, and checks it byte by byte
-// against the answer that the stand-in upstreams must give.
+// Package caller implements a caller of the system: it sends requests to an entry,
+// reads the response as JSON or as server-sent events, and compares it byte by byte
+// with the output that the stand-in upstreams are expected to produce.
 package caller
 
 import (
@@ -23,7 +23,7 @@
 	Pipeline  string
 	// Key is the idempotency key; empty sends none.
 	Key string
-	// DeadlineMS is the deadline header's text; empty sends none.
+	// DeadlineMS is the value of the deadline header; empty sends none.
 	DeadlineMS string
 	Body       []byte
 	// Stream asks for server-sent events.
@@ -32,63 +32,68 @@
 	Method string
 	// OnChunk, if set, is called with each chunk of a stream as it arrives.
 	OnChunk func(chunk []byte)
-	// BeforeBody, if set, is called when the entry has begun to read the body,
-	// which is sent once it returns.
+	// BeforeBody, if set, is called when the entry has begun to read the body. The
+	// body is sent after BeforeBody returns.
 	BeforeBody func() `json:"-"`
 }
 
-// Verdict tells what came back.
+// Verdict classifies the response to a request.
 type Verdict string
 
 // The verdicts.
 const (
-	// Whole is a complete answer that is the request's own.
+	// Whole is a complete response with the expected output of the request.
 	Whole Verdict = "whole"
-	// Mismatch is an answer that claims to be complete but is not the request's own.
+	// Mismatch is a response that claims to be complete but differs from the
+	// expected output of the request.
 	Mismatch Verdict = "mismatch"
-	// Problem is a problem document, at once or as the last event of a stream.
+	// Problem is a problem document, as the whole response or as the last event of
+	// a stream.
 	Problem Verdict = "problem"
 	// Cut is a stream without its closing event.
 	Cut Verdict = "cut"
-	// Broken is no answer at all.
+	// Broken is a missing response, or one that cannot be decoded.
 	Broken Verdict = "broken"
 )
 
-// Result is what a caller recorded about one request.
+// Result is the record that a caller keeps of one request.
 type Result struct {
 	Verdict   Verdict
 	Outcome   core.Outcome
 	RequestID string
-	// Status is the HTTP status, zero if there was no answer.
+	// Status is the HTTP status, zero if there was no response.
 	Status int
-	// Detail says what is wrong, or what the problem document says.
+	// Detail describes what is wrong, or holds the detail of the problem document.
 	Detail string
-	// RetryAfter is what the answer said, zero if nothing.
+	// RetryAfter is the retry delay in the problem document, zero if there is none.
 	RetryAfter time.Duration
-	// Began is when the request was sent; Latency runs from then to the end.
+	// Began is when the request was sent; Latency is the time from then until the
+	// response ended.
 	Began   time.Time
 	Latency time.Duration
 	// First is the time until the first chunk of a stream; Gaps are the times
 	// between its chunks.
 	First time.Duration
 	Gaps  []time.Duration
-	// Chunks is the stream's chunks, or the JSON answer's output as one.
+	// Chunks holds the chunks of the stream, or the output of the JSON response as
+	// a single chunk.
 	Chunks [][]byte
 }
 
-// Client sends requests. It may be used by many goroutines.
+// Client sends requests. It is safe for concurrent use.
 type Client struct {
 	http    *http.Client
 	catalog catalog.Catalog
 }
 
-// idleConnections is how many idle connections a client keeps to one entry.
+// idleConnections is the number of idle connections that a client keeps to one entry.
 const idleConnections = 256
 
-// continueTimeout bounds how long a body that the entry must ask for is held back.
+// continueTimeout bounds how long the client waits for the status 100 before it
+// sends the body of a request with BeforeBody.
 const continueTimeout = 30 * time.Second
 
-// New returns a client whose answers are checked under the configuration c.
+// New returns a client that checks responses against the configuration c.
 func New(c catalog.Catalog) *Client {
 	transport := &http.Transport{
 		MaxIdleConnsPerHost:   idleConnections,
@@ -100,7 +105,7 @@
 // Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Send sends one request to the entry at url and reads its whole answer.
+// Send sends one request to the entry at url and reads the response to its end.
 func (c *Client) Send(ctx context.Context, url string, r Request) Result {
 	result := Result{Began: time.Now()}
 	response, err := c.post(ctx, url, r)
@@ -115,7 +120,7 @@
 	return result
 }
 
-// post sends the request and returns the answer's beginning.
+// post sends the request and returns the response with its body still unread.
 func (c *Client) post(ctx context.Context, url string, r Request) (*http.Response, error) {
 	method := r.Method
 	if method == "" {
@@ -127,7 +132,7 @@
 		return nil, err
 	}
 	if r.BeforeBody != nil {
-		request.Body = &heldBody{Reader: bytes.NewReader(r.Body), before: r.BeforeBody}
+		request.Body = &delayedBody{Reader: bytes.NewReader(r.Body), before: r.BeforeBody}
 		request.Header.Set("Expect", "100-continue")
 	}
 	request.Header.Set("Content-Type", "application/json")
@@ -143,21 +148,21 @@
 	return c.http.Do(request)
 }
 
-// read reads the answer into result and checks it.
+// read reads the response into result and checks it.
 func (c *Client) read(response *http.Response, r Request, result *Result) {
 	result.Status = response.StatusCode
-	kind := response.Header.Get("Content-Type")
+	contentType := response.Header.Get("Content-Type")
 	switch {
-	case strings.HasPrefix(kind, "text/event-stream"):
+	case strings.HasPrefix(contentType, "text/event-stream"):
 		c.readStream(response.Body, r, result)
-	case strings.HasPrefix(kind, "application/problem+json"):
+	case strings.HasPrefix(contentType, "application/problem+json"):
 		readProblem(response.Body, result)
 	default:
-		c.readWhole(response.Body, r, result)
+		c.readJSON(response.Body, r, result)
 	}
 }
 
-// check compares the chunks with what the request must get.
+// check compares the received chunks with the expected output of the request.
 func (c *Client) check(r Request, result *Result) {
 	want, ok := c.Expected(r)
 	if !ok {
@@ -179,8 +184,8 @@
 	result.Verdict = Whole
 }
 
-// Expected returns the steps that the request's pipeline must take, or false if
-// the configuration has no such pipeline for the workspace.
+// Expected returns the steps that the pipeline of the request is expected to take,
+// or false if the configuration lacks the pipeline or the workspace.
 func (c *Client) Expected(r Request) ([]answer.Step, bool) {
 	template, found := c.catalog.Template(r.Pipeline)
 	workspace, known := c.catalog.Workspace(r.Workspace)
@@ -190,18 +195,18 @@
 	return answer.Expected(template, workspace, r.Body), true
 }
 
-// heldBody is a body whose first read waits for before.
-type heldBody struct {
+// delayedBody is a request body that calls before ahead of its first read.
+type delayedBody struct {
 	*bytes.Reader
 	before func()
 	once   sync.Once
 }
 
 // Read implements io.Reader.
-func (b *heldBody) Read(buffer []byte) (int, error) {
+func (b *delayedBody) Read(buffer []byte) (int, error) {
 	b.once.Do(b.before)
 	return b.Reader.Read(buffer)
 }
 
 // Close implements io.Closer.
-func (b *heldBody) Close() error { return nil }
+func (b *delayedBody) Close() error { return nil }
--- a/standin/caller/caller_test.go
+++ b/standin/caller/caller_test.go
@@ -15,7 +15,7 @@
 	"acaciawinch/standin/catalog"
 )
 
-// testCatalog has one pipeline of one engine stage.
+// testCatalog has one pipeline with a single engine stage.
 var testCatalog = catalog.Catalog{
 	Templates: []config.Template{{
 		Name:   "p",
@@ -27,12 +27,13 @@
 // request is a request for the pipeline.
 var request = Request{Workspace: "w", Pipeline: "p", Body: []byte("{}"), Stream: true}
 
-// tokens returns the answer's chunks.
+// tokens returns the expected chunks of the response.
 func tokens() [][]byte {
 	return answer.Output(testCatalog.Templates[0].Stages[0], request.Body)
 }
 
-// stream writes chunks as events, and a closing event.
+// stream formats chunks as server-sent events, with a closing event if closing is
+// set.
 func stream(chunks [][]byte, closing bool) string {
 	var text strings.Builder
 	for i, chunk := range chunks {
@@ -45,8 +46,9 @@
 	return text.String()
 }
 
-// ask returns what the caller records about an answer.
-func ask(t *testing.T, r Request, contentType, text string) Result {
+// send returns the result that a client records for a response with the given
+// content type and body.
+func send(t *testing.T, r Request, contentType, text string) Result {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", contentType)
 		_, _ = w.Write([]byte(text))
@@ -77,7 +79,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			result := ask(t, request, "text/event-stream", c.text)
+			result := send(t, request, "text/event-stream", c.text)
 			assert.Equal(t, result.Verdict, c.want, result.Detail)
 		})
 	}
@@ -91,17 +93,17 @@
 		if !whole {
 			output = output[1:]
 		}
-		text, err := json.Marshal(wholeAnswer{Outcome: "answered", Output: string(output), Digest: answer.Digest(output)})
+		text, err := json.Marshal(jsonResponse{Outcome: "answered", Output: string(output), Digest: answer.Digest(output)})
 		assert.NilError(t, err)
-		result := ask(t, r, "application/json", string(text))
+		result := send(t, r, "application/json", string(text))
 		assert.Equal(t, result.Verdict == Whole, whole)
 	}
-	result := ask(t, r, "application/problem+json", `{"outcome":"not_run","retry_after_ms":5}`)
+	result := send(t, r, "application/problem+json", `{"outcome":"not_run","retry_after_ms":5}`)
 	assert.Equal(t, result.Verdict, Problem)
 	assert.Equal(t, result.RetryAfter.Milliseconds(), int64(5))
 }
 
-func TestNoAnswerIsBroken(t *testing.T) {
+func TestMissingResponseIsBroken(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		panic(http.ErrAbortHandler)
 	}))
--- a/standin/caller/read.go
+++ b/standin/caller/read.go
@@ -13,11 +13,11 @@
 	"acaciawinch/standin/answer"
 )
 
-// maxEventBytes bounds one server-sent event.
+// maxEventBytes bounds one line of a server-sent event.
 const maxEventBytes = 8 << 20
 
-// wholeAnswer is a JSON answer.
-type wholeAnswer struct {
+// jsonResponse is the body of a JSON response.
+type jsonResponse struct {
 	RequestID    string       `json:"request_id"`
 	Outcome      core.Outcome `json:"outcome"`
 	Output       string       `json:"output"`
@@ -26,7 +26,7 @@
 	Digest       string       `json:"digest"`
 }
 
-// problemDocument is a refusal or failure.
+// problemDocument is the problem document of a refusal or failure.
 type problemDocument struct {
 	Type         string       `json:"type"`
 	Detail       string       `json:"detail"`
@@ -36,14 +36,14 @@
 	RetryAfterMS int64        `json:"retry_after_ms"`
 }
 
-// chunkEvent is the data of an event "chunk".
+// chunkEvent is the data of a "chunk" event.
 type chunkEvent struct {
 	Index  uint64 `json:"index"`
 	Text   string `json:"text"`
 	Base64 []byte `json:"base64"`
 }
 
-// doneEvent is the data of the closing event "done".
+// doneEvent is the data of the closing "done" event.
 type doneEvent struct {
 	RequestID string       `json:"request_id"`
 	Outcome   core.Outcome `json:"outcome"`
@@ -51,9 +51,9 @@
 	Digest    string       `json:"digest"`
 }
 
-// readWhole reads a JSON answer and checks it.
-func (c *Client) readWhole(body io.Reader, r Request, result *Result) {
-	var got wholeAnswer
+// readJSON reads a JSON response and checks it.
+func (c *Client) readJSON(body io.Reader, r Request, result *Result) {
+	var got jsonResponse
 	if err := json.NewDecoder(body).Decode(&got); err != nil {
 		result.Verdict = Broken
 		result.Detail = err.Error()
@@ -82,11 +82,11 @@
 		result.Detail = err.Error()
 		return
 	}
-	result.noteProblem(got)
+	result.recordProblem(got)
 }
 
-// noteProblem records a problem document.
-func (r *Result) noteProblem(p problemDocument) {
+// recordProblem records a problem document in the result.
+func (r *Result) recordProblem(p problemDocument) {
 	r.Verdict = Problem
 	r.Outcome = p.Outcome
 	r.RequestID = p.RequestID
@@ -100,7 +100,7 @@
 	data []byte
 }
 
-// readStream reads server-sent events up to the closing one and checks them.
+// readStream reads server-sent events up to the closing event and checks them.
 func (c *Client) readStream(body io.Reader, r Request, result *Result) {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(nil, maxEventBytes)
@@ -114,12 +114,12 @@
 		}
 		switch e.name {
 		case "chunk":
-			if !noteChunk(e, r, result) {
+			if !recordChunk(e, r, result) {
 				return
 			}
-			last = result.noteTime(last)
+			last = result.recordChunkTime(last)
 		case "done":
-			c.noteDone(e, r, result)
+			c.checkDone(e, r, result)
 			return
 		case "problem":
 			readProblem(bytes.NewReader(e.data), result)
@@ -148,8 +148,9 @@
 	return event{}, false
 }
 
-// noteChunk records one chunk. It returns false if the chunk is out of order.
-func noteChunk(e event, r Request, result *Result) bool {
+// recordChunk records one chunk. It returns false if the chunk is malformed or out
+// of order.
+func recordChunk(e event, r Request, result *Result) bool {
 	var chunk chunkEvent
 	err := json.Unmarshal(e.data, &chunk)
 	if err != nil || chunk.Index != uint64(len(result.Chunks)) {
@@ -168,8 +169,9 @@
 	return true
 }
 
-// noteTime records when a chunk came, last being when the one before did.
-func (r *Result) noteTime(last time.Time) time.Time {
+// recordChunkTime records the arrival of a chunk and returns its time; last is the
+// time of the previous chunk.
+func (r *Result) recordChunkTime(last time.Time) time.Time {
 	now := time.Now()
 	if len(r.Chunks) == 1 {
 		r.First = now.Sub(r.Began)
@@ -179,8 +181,9 @@
 	return now
 }
 
-// noteDone checks the closing event against the chunks.
-func (c *Client) noteDone(e event, r Request, result *Result) {
+// checkDone checks the closing event against the received chunks, and the chunks
+// against the expected output.
+func (c *Client) checkDone(e event, r Request, result *Result) {
 	var done doneEvent
 	if err := json.Unmarshal(e.data, &done); err != nil {
 		result.Verdict = Cut
