--- a/standin/answer/answer.go
+++ b/standin/answer/answer.go
@@ -1,5 +1,5 @@
-// Package answer computes the output that the stand-in upstreams give. Callers
-// check the answers that they get with it, byte by byte.
+// Package answer computes the output that the stand-in upstreams produce. Callers
+// compare the responses that they receive with it, byte by byte.
 package answer
 
 import (
@@ -11,40 +11,40 @@
 	"acaciawinch/core/config"
 )
 
-// Digest returns the input's digest as ledgers keep it: 16 hexadecimal digits
-// of xxhash64.
+// Digest returns the digest of the input as the ledgers record it: the xxhash64 sum
+// as 16 hexadecimal digits.
 func Digest(input []byte) string {
 	return fmt.Sprintf("%016x", xxhash.Sum64(input))
 }
 
-// Simple returns the single chunk that a stage pool or plain service gives.
+// Simple returns the single chunk that a stage pool or plain service produces.
 func Simple(service string, input []byte) []byte {
 	return []byte(service + ":" + Digest(input))
 }
 
-// Token returns the chunk with number i that an engine gives.
+// Token returns the chunk with index i that an engine produces.
 func Token(input []byte, i int) []byte {
 	hash := xxhash.New()
-	_, _ = hash.Write(input)                 // a hash takes every byte
-	_, _ = hash.WriteString(strconv.Itoa(i)) // a hash takes every byte
+	_, _ = hash.Write(input)                 // writes to a hash never fail
+	_, _ = hash.WriteString(strconv.Itoa(i)) // writes to a hash never fail
 	return fmt.Appendf(nil, "%08x ", uint32(hash.Sum64()))
 }
 
-// Step is what one stage is expected to get and to give.
+// Step is the expected input and output of one stage.
 type Step struct {
 	Stage config.Stage
 	Input []byte
-	// Chunks is the stage's output in order.
+	// Chunks holds the output of the stage in order.
 	Chunks [][]byte
 }
 
-// Expected returns the steps of a request with the given body. The answer is
-// the last step's output.
+// Expected returns the steps of a request with the given body. The expected
+// response is the output of the last step.
 func Expected(template config.Template, workspace config.Workspace, body []byte) []Step {
 	steps := make([]Step, 0, len(template.Stages))
 	input := body
 	for _, stage := range template.Stages {
-		stage, prefix := effective(template.Name, stage, workspace)
+		stage, prefix := applyParameters(template.Name, stage, workspace)
 		step := Step{Stage: stage, Input: append([]byte(prefix), input...)}
 		step.Chunks = Output(stage, step.Input)
 		steps = append(steps, step)
@@ -53,8 +53,9 @@
 	return steps
 }
 
-// effective applies the workspace's parameters to a stage and returns its prefix.
-func effective(pipeline string, stage config.Stage, workspace config.Workspace) (config.Stage, string) {
+// applyParameters applies the workspace's parameters to a stage of a pipeline. It
+// returns the resulting stage and the prefix of its input.
+func applyParameters(pipeline string, stage config.Stage, workspace config.Workspace) (config.Stage, string) {
 	prefix := ""
 	for _, p := range workspace.Stages {
 		if p.Pipeline != pipeline || p.Stage != stage.Name {
@@ -74,7 +75,7 @@
 	return stage, prefix
 }
 
-// Output returns the chunks that the stage's upstreams give for input.
+// Output returns the chunks that the upstreams of the stage produce for input.
 func Output(stage config.Stage, input []byte) [][]byte {
 	if stage.Kind != config.KindEngine {
 		return [][]byte{Simple(stage.Service, input)}
@@ -86,7 +87,7 @@
 	return chunks
 }
 
-// Join returns the chunks as one value.
+// Join returns the concatenation of the chunks.
 func Join(chunks [][]byte) []byte {
 	var joined []byte
 	for _, chunk := range chunks {
--- a/standin/answer/answer_test.go
+++ b/standin/answer/answer_test.go
@@ -8,7 +8,8 @@
 	"acaciawinch/core/config"
 )
 
-// helloDigest is xxhash64 of "hello" with seed 0, as other programs give it.
+// helloDigest is the xxhash64 sum of "hello" with seed 0, taken from an independent
+// implementation.
 const helloDigest = "26c7827d889f6da3"
 
 func TestExpectedChainsStages(t *testing.T) {
