--- a/standin/catalog/catalog.go
+++ b/standin/catalog/catalog.go
@@ -1,5 +1,5 @@
 // Package catalog reads the operators' configuration files for the callers of a
-// trial, who work out from them what answers to expect.
+// trial, which derive from them the responses to expect.
 package catalog
 
 import (
@@ -10,27 +10,27 @@
 	"acaciawinch/core/config"
 )
 
-// Catalog is the configuration that a trial runs under.
+// Catalog is the configuration of a trial.
 type Catalog struct {
 	Templates  []config.Template  `toml:"templates"`
 	Workspaces []config.Workspace `toml:"workspaces"`
 }
 
-// Load reads and joins the files.
+// Load reads the files at the given paths and merges them in order.
 func Load(paths ...string) (Catalog, error) {
-	var all Catalog
+	var merged Catalog
 	for _, path := range paths {
-		var one Catalog
-		if _, err := toml.DecodeFile(path, &one); err != nil {
+		var part Catalog
+		if _, err := toml.DecodeFile(path, &part); err != nil {
 			return Catalog{}, fmt.Errorf("%s: %w", path, err)
 		}
-		all.Templates = append(all.Templates, one.Templates...)
-		all.Workspaces = append(all.Workspaces, one.Workspaces...)
+		merged.Templates = append(merged.Templates, part.Templates...)
+		merged.Workspaces = append(merged.Workspaces, part.Workspaces...)
 	}
-	return all, nil
+	return merged, nil
 }
 
-// Template returns the template with the given name.
+// Template returns the template with the given name, and whether it exists.
 func (c Catalog) Template(name string) (config.Template, bool) {
 	for _, template := range c.Templates {
 		if template.Name == name {
@@ -40,7 +40,7 @@
 	return config.Template{}, false
 }
 
-// Workspace returns the workspace with the given name.
+// Workspace returns the workspace with the given name, and whether it exists.
 func (c Catalog) Workspace(name string) (config.Workspace, bool) {
 	for _, workspace := range c.Workspaces {
 		if workspace.Name == name {
