--- a/standin/deployment/deployment.go
+++ b/standin/deployment/deployment.go
@@ -1,6 +1,6 @@
-// Package deployment describes which processes a trial runs: zones, entries,
-// services with their workers, and stage pools. It holds the two deployments of
-// the project's users.
+// Package deployment describes the processes of a trial: zones, entries (the
+// gateway processes that serve callers), services with their workers, and stage
+// pools. It also defines the deployments of the project's two users.
 package deployment
 
 import (
@@ -10,52 +10,54 @@
 	"acaciawinch/core/config"
 )
 
-// Group is the workers of one service or stage pool.
+// Group describes the workers of one service or stage pool.
 type Group struct {
 	Service string
 	Kind    config.StageKind
 	Workers int
-	// Capacity is how many calls one worker runs at once.
+	// Capacity is the number of calls that one worker runs concurrently.
 	Capacity int
-	// ServiceMS is the time of one call of a pool or service, in milliseconds.
+	// ServiceMS is the duration of one call to a pool or service, in milliseconds.
 	ServiceMS float64
-	// TokenMS and FirstMS are an engine's times of one step of a batch of one and
-	// of one uncached prompt, in milliseconds.
+	// TokenMS is the time an engine takes for one decoding step with a batch of one,
+	// and FirstMS the time it takes for an uncached prompt, in milliseconds.
 	TokenMS float64
 	FirstMS float64
-	// BatchSlope is the part of TokenMS that each further batch member adds.
+	// BatchSlope is the fraction of TokenMS that each further batch member adds to a
+	// step.
 	BatchSlope float64
-	// Spread is the part of ServiceMS and FirstMS that varies from call to call.
+	// Spread is the fraction of ServiceMS and FirstMS that varies between calls.
 	Spread float64
-	// Shared lets all sides of the group stand before one worker process, for trials
-	// of many processes without load.
+	// Shared makes all sidecars of the group use one worker process, for trials with
+	// many processes and no load.
 	Shared bool
-	// IgnoreFencing makes the engines obey orders with old fencing numbers.
+	// IgnoreFencing makes the engines obey orders with stale fencing tokens.
 	IgnoreFencing bool
-	// Models are loaded from the start, as "model@version".
+	// Models lists the models that are loaded at startup, as "model@version".
 	Models []string
 }
 
-// Deployment is what runs.
+// Deployment describes all processes of a trial and their zones.
 type Deployment struct {
 	Name   string
 	Region string
 	Zones  []string
-	// Regions are the regions of the zones, if they are not all in Region.
+	// Regions holds the region of each zone by index; zones beyond its length are in
+	// Region.
 	Regions []string
-	// Entries is how many entry processes run.
+	// Entries is the number of entry processes.
 	Entries int
 	Groups  []Group
 }
 
-// Upstream is one worker with its place.
+// Upstream is one worker and its zone.
 type Upstream struct {
 	Name  string
 	Zone  string
 	Group Group
 }
 
-// Entry is one entry with its place.
+// Entry is one entry process and its zone.
 type Entry struct {
 	Name string
 	Zone string
@@ -69,8 +71,8 @@
 	return d.Region
 }
 
-// Upstreams returns the workers of all groups. Each group is spread over the
-// zones in turn.
+// Upstreams returns the workers of all groups. The workers of each group are
+// assigned to the zones round robin.
 func (d Deployment) Upstreams() []Upstream {
 	var all []Upstream
 	for _, group := range d.Groups {
@@ -85,7 +87,7 @@
 	return all
 }
 
-// EntryList returns the entries, spread over the zones in turn.
+// EntryList returns the entries, assigned to the zones round robin.
 func (d Deployment) EntryList() []Entry {
 	all := make([]Entry, d.Entries)
 	for i := range all {
--- a/standin/deployment/users.go
+++ b/standin/deployment/users.go
@@ -2,8 +2,8 @@
 
 import "acaciawinch/core/config"
 
-// Times of the stand-in upstreams, in milliseconds. They are short, so that a
-// trial on one machine takes seconds.
+// Times of the stand-in upstreams, in milliseconds. They are short so that a trial
+// on one machine takes only seconds.
 const (
 	poolMS    = 4
 	serviceMS = 6
@@ -11,7 +11,7 @@
 	firstMS   = 20
 )
 
-// Capacities of the stand-in upstreams.
+// Capacities of the stand-in upstreams, and the batch slope of the engines.
 const (
 	engineCapacity  = 8
 	poolCapacity    = 4
@@ -19,11 +19,11 @@
 	batchSlope      = 0.1
 )
 
-// poolWorkers is the size of each stage pool: one worker in each zone.
+// poolWorkers is the number of workers of each stage pool: one in each zone.
 const poolWorkers = 3
 
-// entriesOfToday is how many entries each user runs today.
-const entriesOfToday = 3
+// entriesPerUser is the number of entries that each user runs today.
+const entriesPerUser = 3
 
 // Institute is the deployment of the Instituto Ecuatoriano de Bonos de Ahorro Publico.
 func Institute() Deployment {
@@ -31,7 +31,7 @@
 		Name:    "institute",
 		Region:  "sierra-norte",
 		Zones:   []string{"sala-inaquito", "sala-carcelen", "sala-cumbaya"},
-		Entries: entriesOfToday,
+		Entries: entriesPerUser,
 		Groups: append(pools(poolWorkers),
 			engines("asistente-llm", 9, "asistente@3.2", "redactor@1.4"),
 			service("atencion-sucur", 3),
@@ -48,7 +48,7 @@
 		Name:    "cascade-grind",
 		Region:  "pnw-west",
 		Zones:   []string{"hall-a", "hall-b", "annex"},
-		Entries: entriesOfToday,
+		Entries: entriesPerUser,
 		Groups: append(pools(poolWorkers),
 			engines("blendmodel", 12, "blend@2.1", "allergen@1.0"),
 			service("orderdesk", 3),
@@ -59,7 +59,7 @@
 	}
 }
 
-// Thin is the smallest deployment that answers the Institute's pipeline
+// Thin is the smallest deployment that can serve the Institute's pipeline
 // "consulta": one entry and one upstream for each stage.
 func Thin() Deployment {
 	return Deployment{
@@ -71,7 +71,7 @@
 	}
 }
 
-// pools returns the stage pools.
+// pools returns the groups of the stage pools, each with the given number of workers.
 func pools(workers int) []Group {
 	groups := []Group{}
 	for _, service := range []string{"encoders", "retrievers", "rerankers"} {
@@ -86,7 +86,7 @@
 	return groups
 }
 
-// engines returns a group of model engines.
+// engines returns the group of workers of a model engine service.
 func engines(service string, workers int, models ...string) Group {
 	return Group{
 		Service:    service,
@@ -100,7 +100,7 @@
 	}
 }
 
-// service returns a group of workers of a plain service.
+// service returns the group of workers of a plain service.
 func service(name string, workers int) Group {
 	return Group{
 		Service:   name,
