--- a/standin/harness/apply.go
+++ b/standin/harness/apply.go
@@ -9,19 +9,19 @@
 	"acaciawinch/core"
 )
 
-// accepted is the part of what `acaciawinch apply` prints that trials need.
-type accepted struct {
+// applyOutput is the part of the output of `acaciawinch apply` that trials use.
+type applyOutput struct {
 	Revision core.Revision `json:"revision"`
 }
 
-// entryStatus is the part of an entry's status that trials need.
+// entryStatus is the part of an entry's status that trials use.
 type entryStatus struct {
 	Revision core.Revision `json:"revision"`
 	Hosts    int           `json:"hosts"`
 }
 
-// Apply applies the operators' files and waits until they are in force at every
-// entry that runs.
+// Apply applies the operators' files and waits until every running entry has their
+// revision.
 func (f *Fleet) Apply(ctx context.Context, files ...string) error {
 	revision, err := f.Accept(ctx, files...)
 	if err != nil {
@@ -30,29 +30,29 @@
 	return f.AwaitRevision(ctx, revision)
 }
 
-// Accept applies the operators' files and returns their revision, without
-// waiting until it is in force.
+// Accept applies the operators' files and returns the accepted revision without
+// waiting until the entries have it.
 func (f *Fleet) Accept(ctx context.Context, files ...string) (core.Revision, error) {
 	output, err := f.Command(ctx, append([]string{"--output", "json", "apply"}, files...)...)
 	if err != nil {
 		return 0, err
 	}
-	var got accepted
-	if err := json.Unmarshal([]byte(output), &got); err != nil {
+	var result applyOutput
+	if err := json.Unmarshal([]byte(output), &result); err != nil {
 		return 0, fmt.Errorf("apply printed %q: %w", output, err)
 	}
-	return got.Revision, nil
+	return result.Revision, nil
 }
 
-// AwaitRevision waits until every entry that runs has at least this revision,
-// and knows the hosts.
+// AwaitRevision waits until every running entry has at least the given revision and
+// a non-empty host list.
 func (f *Fleet) AwaitRevision(ctx context.Context, revision core.Revision) error {
 	for _, entry := range f.Entries {
 		if !entry.Running() {
 			continue
 		}
 		what := fmt.Sprintf("%s has not reached revision %d", entry.Name, revision)
-		err := Await(ctx, what, func(ctx context.Context) error { return entry.has(ctx, revision) })
+		err := Await(ctx, what, func(ctx context.Context) error { return entry.hasRevision(ctx, revision) })
 		if err != nil {
 			return err
 		}
@@ -60,8 +60,9 @@
 	return nil
 }
 
-// has fails unless the entry has at least this revision and knows the hosts.
-func (e *Entry) has(ctx context.Context, revision core.Revision) error {
+// hasRevision returns an error unless the entry has at least the given revision and a
+// non-empty host list.
+func (e *Entry) hasRevision(ctx context.Context, revision core.Revision) error {
 	var status entryStatus
 	if err := send(ctx, http.MethodGet, e.AdminURL+"/v1/status", nil, &status); err != nil {
 		return err
--- a/standin/harness/control.go
+++ b/standin/harness/control.go
@@ -15,21 +15,21 @@
 	"acaciawinch/standin/upstream"
 )
 
-// Command runs the operators' command and returns its output. The error holds
-// what it wrote to its error output.
+// Command runs the operators' command and returns its standard output. The error
+// contains its standard error.
 func (f *Fleet) Command(ctx context.Context, args ...string) (string, error) {
 	full := append([]string{"--config", f.settingsPath("acaciawinch.toml")}, args...)
 	command := exec.CommandContext(ctx, f.binary("acaciawinch"), full...)
-	var output, problems bytes.Buffer
+	var output, errorOutput bytes.Buffer
 	command.Stdout = &output
-	command.Stderr = &problems
+	command.Stderr = &errorOutput
 	if err := command.Run(); err != nil {
-		return output.String(), fmt.Errorf("acaciawinch %v: %w: %s", args, err, problems.String())
+		return output.String(), fmt.Errorf("acaciawinch %v: %w: %s", args, err, errorOutput.String())
 	}
 	return output.String(), nil
 }
 
-// ObjectsURL returns the object API's own URL, past all relays.
+// ObjectsURL returns the URL of the object API without a relay.
 func (f *Fleet) ObjectsURL() string { return f.objectsURL }
 
 // SetObjects replaces the fault switches of the object API.
@@ -37,14 +37,14 @@
 	return send(ctx, http.MethodPost, f.objectsURL+"/control", control, nil)
 }
 
-// ObjectStats returns the calls that the object API counted.
+// ObjectStats returns the object API's call counters.
 func (f *Fleet) ObjectStats(ctx context.Context) (objectstore.Stats, error) {
 	var stats objectstore.Stats
 	err := send(ctx, http.MethodGet, f.objectsURL+"/control/stats", nil, &stats)
 	return stats, err
 }
 
-// SetHosts replaces the true host list.
+// SetHosts replaces the host list. Its readers see the change after Options.HostLag.
 func (f *Fleet) SetHosts(ctx context.Context, list fleet.List) error {
 	return send(ctx, http.MethodPut, f.hostsURL+"/control/hosts", list, nil)
 }
@@ -54,26 +54,26 @@
 	return send(ctx, http.MethodPost, f.hostsURL+"/control/leaving", hostlist.Leaving{Name: name, Leaving: leaving}, nil)
 }
 
-// RemoveHost takes a host out of the host list.
+// RemoveHost removes a host from the host list.
 func (f *Fleet) RemoveHost(ctx context.Context, name string) error {
 	return send(ctx, http.MethodPost, f.hostsURL+"/control/remove", hostlist.Remove{Name: name}, nil)
 }
 
-// Set replaces the fault switches of the stand-in upstream.
+// Set replaces the fault switches of the worker.
 func (u *Upstream) Set(ctx context.Context, control upstream.Control) error {
 	return send(ctx, http.MethodPost, u.WorkerURL+"/control", control, nil)
 }
 
-// Status returns what the stand-in upstream reports, with its lag.
+// Status returns the worker's load report, which lags by Options.ReportLag.
 func (u *Upstream) Status(ctx context.Context) (upstream.Status, error) {
 	var status upstream.Status
 	err := send(ctx, http.MethodGet, u.WorkerURL+"/v1/status", nil, &status)
 	return status, err
 }
 
-// send sends body as JSON, unless it is nil, and decodes the answer into answer,
-// unless that is nil. It fails unless the answer's status is 200.
-func send(ctx context.Context, method, url string, body, answer any) error {
+// send sends body as JSON, unless it is nil, and decodes the response's body into
+// result, unless that is nil. It fails unless the response's status is 200.
+func send(ctx context.Context, method, url string, body, result any) error {
 	var data io.Reader
 	if body != nil {
 		encoded, err := json.Marshal(body)
@@ -86,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	response, err := probeClient.Do(request)
+	response, err := httpClient.Do(request)
 	if err != nil {
 		return err
 	}
@@ -94,8 +94,8 @@
 	if response.StatusCode != http.StatusOK {
 		return fmt.Errorf("%s %s: %s", method, url, response.Status)
 	}
-	if answer == nil {
+	if result == nil {
 		return nil
 	}
-	return json.NewDecoder(response.Body).Decode(answer)
+	return json.NewDecoder(response.Body).Decode(result)
 }
--- a/standin/harness/files.go
+++ b/standin/harness/files.go
@@ -8,7 +8,7 @@
 	"acaciawinch/core/fleet"
 )
 
-// HostList returns the true host list.
+// HostList returns the host list with the current addresses of all processes.
 func (f *Fleet) HostList() fleet.List {
 	list := fleet.List{Version: 1}
 	for i, e := range f.Options.Deployment.EntryList() {
@@ -33,7 +33,7 @@
 	return list
 }
 
-// writeHosts writes the first host list.
+// writeHosts writes the initial host list and its views.
 func (f *Fleet) writeHosts() error {
 	data, err := json.MarshalIndent(f.HostList(), "", " ")
 	if err != nil {
@@ -45,8 +45,8 @@
 	return f.writeViews()
 }
 
-// writeCommand writes the settings of the operators' command.
-func (f *Fleet) writeCommand() error {
+// writeCommandSettings writes the settings of the operators' command.
+func (f *Fleet) writeCommandSettings() error {
 	objects, err := f.intercept(LinkObjects, OperatorsCommand, strings.TrimPrefix(f.objectsURL, "http://"))
 	if err != nil {
 		return err
--- a/standin/harness/fleet.go
+++ b/standin/harness/fleet.go
@@ -1,6 +1,11 @@
-// Package harness runs trials: it starts the real binaries as processes with
-// generated settings on loopback ports, kills, freezes, stops and cuts them, and
-// always ends what it started, each by its process id.
+// Package harness runs trials. A trial is one run of a whole deployment on this
+// machine: the real binaries as processes with generated settings on loopback ports,
+// against stand-ins of the platform and of the upstreams. The harness kills, freezes
+// and stops the processes, cuts their connections, and finally ends each process that
+// it started, by its process ID.
+//
+// A worker is the stand-in process of an upstream. A side is the sidecar process
+// beside it.
 package harness
 
 import (
@@ -18,7 +23,7 @@
 	"acaciawinch/standin/objectstore"
 )
 
-// BinEnvironment names the environment variable with the folder of the binaries.
+// BinEnvironment is the environment variable that holds the folder of the binaries.
 const BinEnvironment = "ACACIAWINCH_BIN"
 
 // Options configure a trial.
@@ -29,46 +34,49 @@
 	Bin string
 	// Dir receives settings, logs and ledgers; empty means a new temporary folder.
 	Dir string
-	// Configuration are the operators' files that Start applies.
+	// Configuration lists the operators' configuration files that Start applies.
 	Configuration []string
-	// HostLag and ReportLag are how late the host list and the load reports are.
+	// HostLag and ReportLag are the delays after which changes of the host list and
+	// load reports become visible.
 	HostLag   time.Duration
 	ReportLag time.Duration
-	// Objects bounds the calls that the object API takes.
+	// Objects limits the rate of calls to the object API.
 	Objects objectstore.Limits
-	// Relays puts a relay into each connection kind that is set.
+	// Relays selects the kinds of connections that go through relays.
 	Relays Relays
-	// EntrySettings and SideSettings are further TOML tables.
+	// EntrySettings and SideSettings are TOML tables that are appended to the
+	// settings of each entry and each sidecar.
 	EntrySettings string
 	SideSettings  string
 	// LogLevel is the processes' log level; empty means info.
 	LogLevel string
-	// Intercept, if set, puts something of the trial's own before a listener.
+	// Intercept, if set, may place a proxy of the trial in front of a listener.
 	Intercept Intercept
 }
 
 // Relays selects the connections that go through relays.
 type Relays struct {
-	// Fleet: from any process to an entry's or a side's drpc listener.
+	// Fleet: from any process to the drpc listener of an entry or a sidecar.
 	Fleet bool
-	// Upstreams: from a side to its upstream.
+	// Upstreams: from a sidecar to its upstream.
 	Upstreams bool
-	// Objects: from each entry and side to the object API, each its own relay.
+	// Objects: from each entry and sidecar to the object API, with one relay each.
 	Objects bool
 	// Callers: from callers to an entry.
 	Callers bool
-	// Zones: from each zone to each host of another one, and to the host list.
-	// It needs Objects, which leads from each process to the object API.
+	// Zones: from each zone to each host of the other zones, and to the host list.
+	// It requires Objects, whose relays are used to partition a zone from the object API.
 	Zones bool
 }
 
 // Entry is an entry process with its addresses.
 type Entry struct {
 	*Process
-	// URL is where callers ask; AdminURL is where operators do.
+	// URL is the address for callers, AdminURL the one for operators.
 	URL      string
 	AdminURL string
-	// Fleet, Callers and Objects are the relays before and behind it, or nil.
+	// Fleet and Callers are the relays to the entry's listeners, Objects is the relay
+	// from the entry to the object API. Each is nil if not selected.
 	Fleet   *Relay
 	Callers *Relay
 	Objects *Relay
@@ -76,18 +84,19 @@
 	listen addresses
 }
 
-// Upstream is a stand-in upstream with the side process beside it.
+// Upstream is a stand-in upstream with its sidecar process.
 type Upstream struct {
 	deployment.Upstream
 	Worker *Process
 	Side   *Process
-	// WorkerURL is the stand-in's address; SideURL is the side's for operators.
+	// WorkerURL is the URL of the worker, SideURL the sidecar's URL for operators.
 	WorkerURL string
 	SideURL   string
-	// Ledger is the file of the worker's records.
+	// Ledger is the path of the worker's ledger.
 	Ledger string
-	// Fleet, Link and Objects are the relays before the side, between the side
-	// and the worker, and between the side and the object API, or nil.
+	// Fleet is the relay to the sidecar, Link the one from the sidecar to the worker,
+	// and Objects the one from the sidecar to the object API. Each is nil if not
+	// selected.
 	Fleet   *Relay
 	Link    *Relay
 	Objects *Relay
@@ -120,11 +129,11 @@
 	temporary  bool
 }
 
-// startTimeout bounds the start of all processes until they are ready.
+// startTimeout limits the time from the start of the processes until all are ready.
 const startTimeout = 30 * time.Second
 
-// Start starts a trial and waits until every process is ready. On failure it
-// ends what it started.
+// Start starts a trial and waits until every process is ready. On failure it kills
+// the processes that it started.
 func Start(ctx context.Context, options Options) (*Fleet, error) {
 	f, err := prepare(options)
 	if err != nil {
@@ -139,18 +148,18 @@
 	return f, nil
 }
 
-// start starts the platform, then the upstreams with their sides and the
-// entries, waits until all are ready and applies the configuration.
+// start starts the platform, then the upstreams with their sidecars and the entries,
+// waits until all are ready and applies the configuration.
 func (f *Fleet) start(ctx context.Context) error {
 	if err := startAll(ctx, []*Process{f.Objects, f.Hosts}); err != nil {
 		return err
 	}
-	for _, process := range f.own() {
+	for _, process := range f.systemProcesses() {
 		if err := process.Start(); err != nil {
 			return err
 		}
 	}
-	if err := awaitAll(ctx, f.own()); err != nil {
+	if err := awaitAll(ctx, f.systemProcesses()); err != nil {
 		return err
 	}
 	if len(f.Options.Configuration) == 0 {
@@ -159,12 +168,13 @@
 	return f.Apply(ctx, f.Options.Configuration...)
 }
 
-// own returns all processes but the platform's: workers, sides, entries.
-func (f *Fleet) own() []*Process {
+// systemProcesses returns the processes of the deployment without the stand-ins of the
+// platform: workers, sidecars and entries.
+func (f *Fleet) systemProcesses() []*Process {
 	return append(append(f.workers(), f.sides()...), f.entries()...)
 }
 
-// workers returns the stand-in upstreams, each once.
+// workers returns the worker processes, each once: upstreams may share a worker.
 func (f *Fleet) workers() []*Process {
 	var all []*Process
 	for _, u := range f.Upstreams {
@@ -175,7 +185,7 @@
 	return all
 }
 
-// sides returns the side processes.
+// sides returns the sidecar processes.
 func (f *Fleet) sides() []*Process {
 	var all []*Process
 	for _, u := range f.Upstreams {
@@ -193,7 +203,7 @@
 	return all
 }
 
-// Upstream returns the upstream with the given name, or nil.
+// Upstream returns the upstream with the given name, or nil if there is none.
 func (f *Fleet) Upstream(name string) *Upstream {
 	for _, u := range f.Upstreams {
 		if u.Name == name {
@@ -214,7 +224,7 @@
 	return found
 }
 
-// Records returns what all upstreams wrote to their ledgers so far.
+// Records returns the records that all workers have written to their ledgers so far.
 func (f *Fleet) Records() ([]ledger.Record, error) {
 	return ledger.ReadAll(filepath.Join(f.Dir, "ledgers"))
 }
@@ -238,8 +248,8 @@
 	return group.Wait()
 }
 
-// Stop stops all processes that run by SIGTERM: entries, then sides, then
-// workers, then the platform. It fails if any exits with a code other than 0.
+// Stop stops all running processes with SIGTERM in the order entries, sidecars,
+// workers, platform. It fails if any exits with a code other than 0.
 func (f *Fleet) Stop(ctx context.Context) error {
 	platform := []*Process{f.Objects, f.Hosts}
 	var failures []error
@@ -250,7 +260,7 @@
 	return errors.Join(failures...)
 }
 
-// terminateAll stops the processes that run, all at once.
+// terminateAll stops the running ones of the processes concurrently.
 func terminateAll(ctx context.Context, processes []*Process) error {
 	failures := make([]error, len(processes))
 	var group errgroup.Group
@@ -263,13 +273,14 @@
 			return nil
 		})
 	}
-	_ = group.Wait() // the functions never fail; their errors are kept apart
+	_ = group.Wait() // the functions return nil; their errors are in failures
 	return errors.Join(failures...)
 }
 
-// Kill ends all processes with SIGKILL and closes the relays. The folder stays.
+// Kill ends all processes with SIGKILL and closes the relays. It keeps the trial's
+// folder.
 func (f *Fleet) Kill() {
-	for _, process := range append(append(f.own(), f.replaced...), f.Objects, f.Hosts) {
+	for _, process := range append(append(f.systemProcesses(), f.replaced...), f.Objects, f.Hosts) {
 		process.Kill()
 	}
 	for _, relay := range f.relays {
@@ -278,7 +289,7 @@
 	f.ports.Close()
 }
 
-// RemoveDir removes the folder if Start made it.
+// RemoveDir removes the trial's folder if Start created it as a temporary one.
 func (f *Fleet) RemoveDir() error {
 	if !f.temporary {
 		return nil
--- a/standin/harness/idle.go
+++ b/standin/harness/idle.go
@@ -6,25 +6,25 @@
 	"net/http"
 )
 
-// entryLoad is the part of an entry's status that tells what is in flight.
+// entryLoad is the part of an entry's status that holds the requests in flight.
 type entryLoad struct {
 	Requests struct {
 		InFlight int `json:"in_flight"`
 	} `json:"requests"`
 }
 
-// sideLoad is the part of a side's status that tells what is in flight.
+// sideLoad is the part of a sidecar's status that holds the queued and in-flight work.
 type sideLoad struct {
 	Queued   int `json:"queued"`
 	InFlight int `json:"in_flight"`
 }
 
-// workerLoad is the part of a stand-in's status that tells what is in flight.
+// workerLoad is the part of a worker's status that holds the calls in flight.
 type workerLoad struct {
 	InFlight int `json:"in_flight"`
 }
 
-// Idle fails if the entry runs and has requests in flight.
+// Idle returns an error if the entry is running and has requests in flight.
 func (e *Entry) Idle(ctx context.Context) error {
 	if !e.Running() {
 		return nil
@@ -39,7 +39,8 @@
 	return nil
 }
 
-// Idle fails if the side or the worker runs and has work queued or in flight.
+// Idle returns an error if the sidecar or the worker is running and has work queued or
+// in flight.
 func (u *Upstream) Idle(ctx context.Context) error {
 	if u.Side.Running() {
 		var load sideLoad
--- a/standin/harness/intercept.go
+++ b/standin/harness/intercept.go
@@ -1,23 +1,24 @@
 package harness
 
-// Link names the connections that Intercept can stand in.
+// Link is a kind of connection that Intercept can redirect.
 type Link string
 
-// OperatorsCommand is the name of the operators' command on its links.
+// OperatorsCommand is the name with which Intercept is called for the operators'
+// command.
 const OperatorsCommand = "acaciawinch"
 
 // The links.
 const (
-	// LinkSide: from entries to the drpc listener of a side, named by its upstream.
+	// LinkSide: from entries to the drpc listener of a sidecar. The name is that of the
+	// sidecar's upstream.
 	LinkSide Link = "side"
-	// LinkObjects: from the named entry or side process, or from the operators'
-	// command, to the object API.
+	// LinkObjects: from an entry, a sidecar or the operators' command to the object API.
+	// The name is that of the process.
 	LinkObjects Link = "objects"
 )
 
-// Intercept is asked for what stands before target, the IP:port that it may
-// listen on being address. It returns the address to dial: target if nothing
-// stands there.
+// Intercept may place a proxy in front of target, an IP:port. The proxy may listen on
+// address. Intercept returns the address to dial, which is target if there is no proxy.
 type Intercept func(link Link, name, address, target string) (string, error)
 
 // intercept returns the address to dial for target.
--- a/standin/harness/prepare.go
+++ b/standin/harness/prepare.go
@@ -9,8 +9,8 @@
 	"acaciawinch/standin/deployment"
 )
 
-// prepare lays out the folder, the addresses and the settings of a trial and
-// starts nothing but its relays.
+// prepare creates the folder, the addresses and the settings of a trial. It starts
+// the relays, but no process.
 func prepare(options Options) (*Fleet, error) {
 	f := &Fleet{Options: options, Dir: options.Dir, ports: NewPorts()}
 	steps := []func() error{
@@ -18,9 +18,9 @@
 		f.preparePlatform,
 		f.prepareEntries,
 		f.prepareUpstreams,
-		f.linkZones,
+		f.addZoneLinks,
 		f.writeHosts,
-		f.writeCommand,
+		f.writeCommandSettings,
 	}
 	for _, step := range steps {
 		if err := step(); err != nil {
@@ -34,7 +34,7 @@
 	return f, nil
 }
 
-// makeDirs makes the trial's folder with its parts.
+// makeDirs creates the trial's folder and its subfolders.
 func (f *Fleet) makeDirs() error {
 	if f.Dir == "" {
 		dir, err := os.MkdirTemp("", "acaciawinch-trial-")
@@ -75,12 +75,12 @@
 	}
 }
 
-// settingsPath returns the path of a process's settings.
+// settingsPath returns the path of a file in the settings folder.
 func (f *Fleet) settingsPath(name string) string {
 	return filepath.Join(f.Dir, "settings", name)
 }
 
-// addresses returns free addresses for a process's listeners.
+// addresses reserves the addresses of a process's listeners.
 func (f *Fleet) addresses() (addresses, error) {
 	var a addresses
 	for _, address := range []*string{&a.callers, &a.fleet, &a.admin} {
@@ -92,7 +92,8 @@
 	return a, nil
 }
 
-// relay returns a relay to target if wanted, and the address to dial.
+// relay starts a relay to target if wanted is set. It returns the relay or nil, and
+// the address to dial.
 func (f *Fleet) relay(wanted bool, target string) (*Relay, string, error) {
 	if !wanted {
 		return nil, target, nil
@@ -109,7 +110,7 @@
 	return relay, address, nil
 }
 
-// preparePlatform lays out the object API and the host list.
+// preparePlatform prepares the processes of the object API and the host list.
 func (f *Fleet) preparePlatform() error {
 	objects, err := f.ports.Address()
 	if err != nil {
@@ -131,7 +132,7 @@
 	return f.prepareZones(hosts)
 }
 
-// prepareEntries lays out the entries.
+// prepareEntries prepares the processes of the entries.
 func (f *Fleet) prepareEntries() error {
 	for _, e := range f.Options.Deployment.EntryList() {
 		entry, err := f.prepareEntry(e)
@@ -143,7 +144,7 @@
 	return nil
 }
 
-// prepareEntry lays out one entry.
+// prepareEntry prepares the process of one entry and writes its settings.
 func (f *Fleet) prepareEntry(e deployment.Entry) (*Entry, error) {
 	listen, err := f.addresses()
 	if err != nil {
@@ -172,14 +173,15 @@
 	}, f.Options.EntrySettings)
 }
 
-// objectsFor returns the object API's URL for one process and sets its relay.
+// objectsFor returns the object API's URL for the named process. It stores the relay
+// on the way there, or nil, in *relay.
 func (f *Fleet) objectsFor(name string, relay **Relay) (string, error) {
 	target, err := f.intercept(LinkObjects, name, strings.TrimPrefix(f.objectsURL, "http://"))
 	if err != nil {
 		return "", err
 	}
-	made, address, err := f.relay(f.Options.Relays.Objects, target)
-	*relay = made
+	started, address, err := f.relay(f.Options.Relays.Objects, target)
+	*relay = started
 	return "http://" + address, err
 }
 
@@ -192,7 +194,7 @@
 	return processTable{Name: name, Zone: zone, Region: f.Options.Deployment.RegionOf(zone), LogLevel: level}
 }
 
-// prepareUpstreams lays out the workers with their sides.
+// prepareUpstreams prepares the processes of the workers and sidecars.
 func (f *Fleet) prepareUpstreams() error {
 	for _, u := range f.Options.Deployment.Upstreams() {
 		upstream, err := f.prepareUpstream(u)
@@ -204,7 +206,7 @@
 	return nil
 }
 
-// prepareUpstream lays out one worker with its side.
+// prepareUpstream prepares the processes of one upstream: its worker and its sidecar.
 func (f *Fleet) prepareUpstream(u deployment.Upstream) (*Upstream, error) {
 	listen, err := f.addresses()
 	if err != nil {
@@ -225,8 +227,8 @@
 	return upstream, f.prepareSide(upstream, worker, listen)
 }
 
-// prepareWorker lays out the worker of an upstream, or gives it that of the
-// group's first one if the group shares it.
+// prepareWorker prepares the worker of an upstream. If the upstream's group shares
+// one worker, all but the first upstream of the group reuse it.
 func (f *Fleet) prepareWorker(u *Upstream) error {
 	if first := f.Service(u.Group.Service); u.Group.Shared && len(first) > 0 {
 		u.Worker, u.WorkerURL, u.Ledger = first[0].Worker, first[0].WorkerURL, first[0].Ledger
@@ -243,7 +245,8 @@
 	return nil
 }
 
-// prepareSide lays out the side beside a worker.
+// prepareSide prepares an upstream's sidecar and writes its settings; worker is the
+// IP:port of the upstream's worker.
 func (f *Fleet) prepareSide(u *Upstream, worker string, listen addresses) error {
 	var err error
 	if u.Link, worker, err = f.relay(f.Options.Relays.Upstreams, worker); err != nil {
@@ -270,7 +273,7 @@
 	}, f.Options.SideSettings)
 }
 
-// workerArgs returns the command line of a stand-in upstream.
+// workerArgs returns the command-line arguments of a worker.
 func (f *Fleet) workerArgs(u deployment.Upstream, listen, ledger string) []string {
 	fencing := "honour"
 	if u.Group.IgnoreFencing {
@@ -295,5 +298,5 @@
 	}
 }
 
-// decimal formats a flag's value.
+// decimal formats a number as the value of a command-line flag.
 func decimal(value float64) string { return strconv.FormatFloat(value, 'f', -1, 64) }
--- a/standin/harness/process.go
+++ b/standin/harness/process.go
@@ -9,14 +9,15 @@
 	"syscall"
 )
 
-// Process is one real process of a trial. It can be killed, frozen, stopped and
-// started again. It may be used by many goroutines.
+// Process is one operating system process of a trial. It can be killed, frozen,
+// stopped and restarted. It is safe for concurrent use.
 type Process struct {
 	// Name is unique within the trial.
 	Name string
-	// Log is the file that receives the process's output, over restarts.
+	// Log is the path of the file to which the process's output is appended, also
+	// after restarts.
 	Log string
-	// ReadyURL answers 200 when the process serves.
+	// ReadyURL returns status 200 when the process serves.
 	ReadyURL string
 
 	path string
@@ -26,15 +27,15 @@
 	run *execution
 }
 
-// execution is one run of a process, from its start to its exit.
+// execution is one run of a process from start to exit.
 type execution struct {
 	command *exec.Cmd
-	// exited is closed when the process has ended; err is set before.
+	// exited is closed when the process has exited. err is set before that.
 	exited chan struct{}
 	err    error
 }
 
-// Start starts the process. It must not be running.
+// Start starts the process, which must not be running.
 func (p *Process) Start() error {
 	log, err := os.OpenFile(p.Log, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -44,7 +45,7 @@
 	command := exec.Command(p.path, p.args...)
 	command.Stdout = log
 	command.Stderr = log
-	// A trial that is killed must not leave its processes behind.
+	// The processes of a killed trial must not outlive it.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
 		return fmt.Errorf("start %s: %w", p.Name, err)
@@ -60,16 +61,16 @@
 	return nil
 }
 
-// current returns the last run, or nil if there was none.
-func (p *Process) current() *execution {
+// lastRun returns the last run, or nil if the process was never started.
+func (p *Process) lastRun() *execution {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.run
 }
 
-// Running tells whether the process has been started and has not ended.
+// Running reports whether the process has been started and has not exited.
 func (p *Process) Running() bool {
-	run := p.current()
+	run := p.lastRun()
 	if run == nil {
 		return false
 	}
@@ -81,14 +82,13 @@
 	}
 }
 
-// Exited returns a channel that is closed when the present run ends.
-func (p *Process) Exited() <-chan struct{} { return p.current().exited }
+// Exited returns a channel that is closed when the last run ends.
+func (p *Process) Exited() <-chan struct{} { return p.lastRun().exited }
 
 // PID returns the process id of the last run.
-func (p *Process) PID() int { return p.current().command.Process.Pid }
+func (p *Process) PID() int { return p.lastRun().command.Process.Pid }
 
-// Restart kills the process, if it runs, starts it again and waits until it is
-// ready.
+// Restart kills the process if it is running, starts it and waits until it is ready.
 func (p *Process) Restart(ctx context.Context) error {
 	p.Kill()
 	if err := p.Start(); err != nil {
@@ -97,36 +97,36 @@
 	return p.AwaitReady(ctx)
 }
 
-// signal sends a signal to the process, if it runs.
+// signal sends a signal to the process. It fails if the process is not running.
 func (p *Process) signal(s syscall.Signal) error {
 	if !p.Running() {
-		return fmt.Errorf("signal %s to %s: it does not run", s, p.Name)
+		return fmt.Errorf("signal %s to %s: process is not running", s, p.Name)
 	}
-	return p.current().command.Process.Signal(s)
+	return p.lastRun().command.Process.Signal(s)
 }
 
-// Kill ends the process with SIGKILL and waits for its end.
+// Kill ends the process with SIGKILL and waits for its exit.
 func (p *Process) Kill() {
-	run := p.current()
+	run := p.lastRun()
 	if run == nil {
 		return
 	}
-	// An error means that the process has ended already.
+	// An error means that the process has already exited.
 	_ = run.command.Process.Kill()
 	<-run.exited
 }
 
-// Freeze stops the process with SIGSTOP.
+// Freeze suspends the process with SIGSTOP.
 func (p *Process) Freeze() error { return p.signal(syscall.SIGSTOP) }
 
-// Wake lets a frozen process go on with SIGCONT.
+// Wake resumes a frozen process with SIGCONT.
 func (p *Process) Wake() error { return p.signal(syscall.SIGCONT) }
 
-// Interrupt asks the process to stop with SIGTERM and does not wait.
+// Interrupt sends SIGTERM to the process and does not wait for its exit.
 func (p *Process) Interrupt() error { return p.signal(syscall.SIGTERM) }
 
-// Terminate asks the process to stop with SIGTERM and waits for its end. It
-// fails if the exit code is not 0 or if ctx ends first.
+// Terminate sends SIGTERM to the process and waits for its exit. It fails if the exit
+// code is not 0 or if ctx ends first.
 func (p *Process) Terminate(ctx context.Context) error {
 	if err := p.Interrupt(); err != nil {
 		return err
@@ -134,10 +134,10 @@
 	return p.AwaitExit(ctx)
 }
 
-// AwaitExit waits for the process's end. It fails if the exit code is not 0 or
-// if ctx ends first.
+// AwaitExit waits for the process's exit. It fails if the exit code is not 0 or if
+// ctx ends first.
 func (p *Process) AwaitExit(ctx context.Context) error {
-	run := p.current()
+	run := p.lastRun()
 	select {
 	case <-run.exited:
 	case <-ctx.Done():
@@ -149,8 +149,9 @@
 	return nil
 }
 
-// NewProcess returns a process that does not run yet: the program at path with args,
-// whose output goes to the file log and which serves when readyURL answers 200.
+// NewProcess returns a process that has not been started. It runs the program at path
+// with args, appends its output to the file log, and is ready when readyURL returns
+// status 200.
 func NewProcess(name, log, readyURL, path string, args ...string) *Process {
 	return &Process{Name: name, Log: log, ReadyURL: readyURL, path: path, args: args}
 }
--- a/standin/harness/process_test.go
+++ b/standin/harness/process_test.go
@@ -16,8 +16,8 @@
 	"gotest.tools/v3/poll"
 )
 
-// Modes of the test binary as a process of a trial; the mode is the first
-// argument, the address to listen on the second.
+// Modes in which the test binary runs as a process of a trial. The mode is the first
+// argument, the listen address the second.
 const (
 	modeServe = "trial-serve"
 	modeFail  = "trial-fail"
@@ -34,7 +34,7 @@
 	os.Exit(m.Run())
 }
 
-// serveUntilTerminated answers HTTP until SIGTERM.
+// serveUntilTerminated serves HTTP with status 200 until SIGTERM.
 func serveUntilTerminated(address string) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
@@ -46,7 +46,8 @@
 	<-ctx.Done()
 }
 
-// newProcess returns a process in the given mode that ends with the test.
+// newProcess starts the test binary in the given mode. The process is killed when the
+// test ends.
 func newProcess(t *testing.T, mode string) *Process {
 	address, err := NewPorts().Address()
 	assert.NilError(t, err)
@@ -62,7 +63,7 @@
 	return process
 }
 
-// awaitState waits until the kernel reports one of the states for the process.
+// awaitState waits until /proc reports one of the states for the process.
 func awaitState(t *testing.T, process *Process, states string) {
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", process.PID()))
@@ -83,7 +84,7 @@
 	assert.Assert(t, process.Running())
 	assert.NilError(t, process.Terminate(t.Context()))
 	assert.Assert(t, !process.Running())
-	assert.ErrorContains(t, process.Terminate(t.Context()), "does not run")
+	assert.ErrorContains(t, process.Terminate(t.Context()), "is not running")
 }
 
 func TestProcessIsKilledAndStartedAgain(t *testing.T) {
--- a/standin/harness/relay.go
+++ b/standin/harness/relay.go
@@ -7,35 +7,35 @@
 	"time"
 )
 
-// Direction names one way through a relay.
+// Direction is one direction of a connection through a relay.
 type Direction int
 
 // The directions.
 const (
-	// ToTarget is from who dialled to the target.
+	// ToTarget is from the dialing side to the target.
 	ToTarget Direction = iota
-	// FromTarget is from the target to who dialled.
+	// FromTarget is from the target to the dialing side.
 	FromTarget
 )
 
-// relayBuffer is how many bytes a relay passes on at once.
+// relayBuffer is the largest number of bytes that a relay forwards at once.
 const relayBuffer = 32 << 10
 
-// Relay passes TCP connections on to a target and can cut, hold up or delay
-// them. It may be used by many goroutines.
+// Relay forwards TCP connections to a target and can close them, drop their data or
+// delay it. It is safe for concurrent use.
 type Relay struct {
 	target   string
 	listener net.Listener
 
 	mu sync.Mutex
-	// cut closes new connections at once; silent drops the bytes of a direction.
+	// cut closes new connections at once. silent drops the bytes of a direction.
 	cut    bool
 	silent [2]bool
 	delay  time.Duration
 	conns  map[net.Conn]struct{}
 }
 
-// NewRelay listens on address and passes connections on to target.
+// NewRelay listens on address and forwards connections to target.
 func NewRelay(address, target string) (*Relay, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -44,15 +44,15 @@
 	return RelayOn(listener, target), nil
 }
 
-// RelayOn passes connections that come in at a listener on to target. It closes the
-// listener in the end.
+// RelayOn forwards the connections that listener accepts to target. Close closes the
+// listener.
 func RelayOn(listener net.Listener, target string) *Relay {
 	r := &Relay{target: target, listener: listener, conns: map[net.Conn]struct{}{}}
 	go r.accept()
 	return r
 }
 
-// Cut closes all connections, and new ones as they come.
+// Cut closes all connections, and new ones as they are accepted, until Heal.
 func (r *Relay) Cut() {
 	r.mu.Lock()
 	r.cut = true
@@ -60,7 +60,7 @@
 	r.Break()
 }
 
-// Break closes all connections once; new ones are passed on.
+// Break closes all connections once. New connections are forwarded.
 func (r *Relay) Break() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -74,23 +74,22 @@
 	}
 }
 
-// Silence drops every byte of one direction from now on, and keeps the
-// connections open.
+// Silence drops all bytes of one direction until Heal and keeps the connections open.
 func (r *Relay) Silence(d Direction) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.silent[d] = true
 }
 
-// Delay holds up every piece of both directions by d.
+// Delay delays each chunk of data by d in both directions.
 func (r *Relay) Delay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = d
 }
 
-// Heal ends all faults. Connections that lost bytes are closed first, so that
-// their ends never take what comes behind a gap for the whole.
+// Heal ends all faults. If a direction was silenced, it closes the connections first:
+// their ends must not mistake the data after a gap for a complete stream.
 func (r *Relay) Heal() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -102,13 +101,13 @@
 	r.delay = 0
 }
 
-// Close ends the relay and its connections.
+// Close stops the relay and closes its connections.
 func (r *Relay) Close() {
 	r.listener.Close()
 	r.Cut()
 }
 
-// accept passes on connections until the listener is closed.
+// accept accepts and serves connections until the listener is closed.
 func (r *Relay) accept() {
 	for {
 		conn, err := r.listener.Accept()
@@ -119,26 +118,26 @@
 	}
 }
 
-// serve passes on one connection.
-func (r *Relay) serve(near net.Conn) {
-	defer near.Close()
-	far, err := net.Dial("tcp", r.target)
+// serve forwards one connection to the target.
+func (r *Relay) serve(client net.Conn) {
+	defer client.Close()
+	target, err := net.Dial("tcp", r.target)
 	if err != nil {
 		return
 	}
-	defer far.Close()
-	if !r.enter(near, far) {
+	defer target.Close()
+	if !r.track(client, target) {
 		return
 	}
-	defer r.leave(near, far)
+	defer r.untrack(client, target)
 	var done sync.WaitGroup
-	done.Go(func() { r.pass(far, near, ToTarget) })
-	done.Go(func() { r.pass(near, far, FromTarget) })
+	done.Go(func() { r.forward(target, client, ToTarget) })
+	done.Go(func() { r.forward(client, target, FromTarget) })
 	done.Wait()
 }
 
-// enter records two connections, or returns false if connections are cut.
-func (r *Relay) enter(conns ...net.Conn) bool {
+// track registers connections. It returns false if the relay is cut.
+func (r *Relay) track(conns ...net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.cut {
@@ -150,8 +149,8 @@
 	return true
 }
 
-// leave forgets two connections.
-func (r *Relay) leave(conns ...net.Conn) {
+// untrack unregisters connections.
+func (r *Relay) untrack(conns ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, conn := range conns {
@@ -159,30 +158,30 @@
 	}
 }
 
-// pass copies one direction until its source ends, then closes that direction
-// of its destination.
-func (r *Relay) pass(to, from net.Conn, d Direction) {
+// forward copies one direction until the source ends, then closes the writing side of
+// the destination. On any other error it closes both connections.
+func (r *Relay) forward(destination, source net.Conn, d Direction) {
 	buffer := make([]byte, relayBuffer)
 	for {
-		n, err := from.Read(buffer)
-		if n > 0 && !r.passPiece(to, buffer[:n], d) {
+		n, err := source.Read(buffer)
+		if n > 0 && !r.forwardChunk(destination, buffer[:n], d) {
 			break
 		}
 		if err == io.EOF {
-			closeWrite(to)
+			closeWrite(destination)
 			return
 		}
 		if err != nil {
 			break
 		}
 	}
-	to.Close()
-	from.Close()
+	destination.Close()
+	source.Close()
 }
 
-// passPiece writes one piece under the present faults. It returns false if the
-// destination is gone.
-func (r *Relay) passPiece(to net.Conn, piece []byte, d Direction) bool {
+// forwardChunk writes one chunk unless its direction is silenced, after the relay's
+// delay. It returns false if the write fails.
+func (r *Relay) forwardChunk(destination net.Conn, chunk []byte, d Direction) bool {
 	r.mu.Lock()
 	silent, delay := r.silent[d], r.delay
 	r.mu.Unlock()
@@ -192,14 +191,14 @@
 	if delay > 0 {
 		time.Sleep(delay)
 	}
-	_, err := to.Write(piece)
+	_, err := destination.Write(chunk)
 	return err == nil
 }
 
-// closeWrite ends the writing side of a TCP connection.
+// closeWrite closes the writing side of a TCP connection.
 func closeWrite(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		// An error means that the connection is gone already.
+		// An error means that the connection is already closed.
 		_ = tcp.CloseWrite()
 	}
 }
--- a/standin/harness/relay_test.go
+++ b/standin/harness/relay_test.go
@@ -8,27 +8,28 @@
 	"gotest.tools/v3/assert"
 )
 
-// echo answers every connection with what it sends, until the test ends. Each
-// byte that it got is reported on the channel, as far as that has room.
-func echo(t *testing.T) (string, <-chan byte) {
+// startEchoServer starts a TCP server that returns every byte it receives and runs
+// until the test ends. It returns the server's address and a channel of the received
+// bytes; bytes that exceed the channel's capacity are dropped.
+func startEchoServer(t *testing.T) (string, <-chan byte) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { listener.Close() })
-	got := make(chan byte, 64)
+	received := make(chan byte, 64)
 	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			go serveEcho(conn, got)
+			go serveEcho(conn, received)
 		}
 	}()
-	return listener.Addr().String(), got
+	return listener.Addr().String(), received
 }
 
-// serveEcho serves one connection of an echo.
-func serveEcho(conn net.Conn, got chan<- byte) {
+// serveEcho serves one connection of an echo server.
+func serveEcho(conn net.Conn, received chan<- byte) {
 	defer conn.Close()
 	buffer := make([]byte, 1)
 	for {
@@ -36,7 +37,7 @@
 			return
 		}
 		select {
-		case got <- buffer[0]:
+		case received <- buffer[0]:
 		default:
 		}
 		if _, err := conn.Write(buffer); err != nil {
@@ -45,16 +46,17 @@
 	}
 }
 
-// relayed returns a relay before an echo, its address, and what the echo got.
-func relayed(t *testing.T) (*Relay, string, <-chan byte) {
-	target, got := echo(t)
+// startRelay starts a relay to an echo server. It returns the relay, its address and
+// the bytes that the echo server received.
+func startRelay(t *testing.T) (*Relay, string, <-chan byte) {
+	target, received := startEchoServer(t)
 	relay, err := NewRelay("127.0.0.1:0", target)
 	assert.NilError(t, err)
 	t.Cleanup(relay.Close)
-	return relay, relay.listener.Addr().String(), got
+	return relay, relay.listener.Addr().String(), received
 }
 
-// dial opens a connection that ends with the test.
+// dial opens a connection that is closed when the test ends.
 func dial(t *testing.T, address string) net.Conn {
 	conn, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
@@ -62,8 +64,8 @@
 	return conn
 }
 
-// say sends a byte and waits for its echo.
-func say(conn net.Conn) error {
+// roundTrip sends one byte and waits for its echo.
+func roundTrip(conn net.Conn) error {
 	if _, err := conn.Write([]byte{'x'}); err != nil {
 		return err
 	}
@@ -72,44 +74,44 @@
 }
 
 func TestRelayPassesAndBreaks(t *testing.T) {
-	relay, address, _ := relayed(t)
+	relay, address, _ := startRelay(t)
 	conn := dial(t, address)
-	assert.NilError(t, say(conn))
+	assert.NilError(t, roundTrip(conn))
 	relay.Break()
-	assert.Assert(t, say(conn) != nil)
-	assert.NilError(t, say(dial(t, address)))
+	assert.Assert(t, roundTrip(conn) != nil)
+	assert.NilError(t, roundTrip(dial(t, address)))
 }
 
 func TestRelayStaysCutUntilHealed(t *testing.T) {
-	relay, address, _ := relayed(t)
+	relay, address, _ := startRelay(t)
 	conn := dial(t, address)
-	assert.NilError(t, say(conn))
+	assert.NilError(t, roundTrip(conn))
 	relay.Cut()
-	assert.Assert(t, say(conn) != nil)
-	assert.Assert(t, say(dial(t, address)) != nil)
+	assert.Assert(t, roundTrip(conn) != nil)
+	assert.Assert(t, roundTrip(dial(t, address)) != nil)
 	relay.Heal()
-	assert.NilError(t, say(dial(t, address)))
+	assert.NilError(t, roundTrip(dial(t, address)))
 }
 
 func TestRelaySilencesOneWay(t *testing.T) {
-	relay, address, got := relayed(t)
+	relay, address, received := startRelay(t)
 	conn := dial(t, address)
-	assert.NilError(t, say(conn))
-	<-got
+	assert.NilError(t, roundTrip(conn))
+	<-received
 	relay.Silence(FromTarget)
 	for range 2 {
 		_, err := conn.Write([]byte{'y'})
 		assert.NilError(t, err)
-		assert.Equal(t, <-got, byte('y'))
+		assert.Equal(t, <-received, byte('y'))
 	}
 	relay.Heal()
 	echoed, _ := io.ReadAll(conn)
 	assert.Equal(t, len(echoed), 0)
-	assert.NilError(t, say(dial(t, address)))
+	assert.NilError(t, roundTrip(dial(t, address)))
 }
 
 func TestRelayPassesTheEndOfAStream(t *testing.T) {
-	_, address, _ := relayed(t)
+	_, address, _ := startRelay(t)
 	conn := dial(t, address)
 	_, err := conn.Write([]byte("whole"))
 	assert.NilError(t, err)
--- a/standin/harness/replace.go
+++ b/standin/harness/replace.go
@@ -5,17 +5,16 @@
 	"strings"
 )
 
-// ReplaceSide starts another side beside an upstream, at addresses of its own,
-// puts it into the host list and waits until it is ready. It becomes the
-// upstream's Side. The one before stays as it is and is returned; it ends with
-// the trial.
+// ReplaceSide starts a second sidecar for an upstream at new addresses, waits until
+// it is ready, makes it the upstream's Side and puts it into the host list. It
+// returns the previous sidecar, which is left as it is and ends with the trial.
 func (f *Fleet) ReplaceSide(ctx context.Context, u *Upstream) (*Process, error) {
 	listen, err := f.addresses()
 	if err != nil {
 		return nil, err
 	}
-	old := u.Side
-	f.replaced = append(f.replaced, old)
+	previous := u.Side
+	f.replaced = append(f.replaced, previous)
 	u.SideURL = "http://" + listen.admin
 	if u.listen.fleet, err = f.intercept(LinkSide, u.Name, listen.fleet); err != nil {
 		return nil, err
@@ -26,5 +25,5 @@
 	if err := startAll(ctx, []*Process{u.Side}); err != nil {
 		return nil, err
 	}
-	return old, f.SetHosts(ctx, f.HostList())
+	return previous, f.SetHosts(ctx, f.HostList())
 }
--- a/standin/harness/settings.go
+++ b/standin/harness/settings.go
@@ -9,10 +9,10 @@
 	"acaciawinch/core/config"
 )
 
-// FleetKey is the shared key of every trial's fleet.
+// FleetKey is the shared key with which the processes of a trial authenticate.
 const FleetKey = "trial-key"
 
-// The tables of the processes' settings that a trial fills in.
+// The tables of the settings files that a trial generates.
 type (
 	processTable struct {
 		Name     string `toml:"name"`
@@ -51,7 +51,7 @@
 	Fleet    fleetTable    `toml:"fleet"`
 }
 
-// sideSettings are the settings of a side.
+// sideSettings are the settings of a sidecar.
 type sideSettings struct {
 	Process  processTable  `toml:"process"`
 	Listen   listenTable   `toml:"listen"`
--- a/standin/harness/wait.go
+++ b/standin/harness/wait.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// pollInterval is the pause between two looks at a condition.
+// pollInterval is the time between two checks of a condition.
 const pollInterval = 10 * time.Millisecond
 
-// Await waits until condition holds. It fails with what, and the condition's
-// last error, when ctx ends.
+// Await polls condition until it returns nil. When ctx ends first, the returned
+// error holds what, which names the awaited condition, and the condition's last error.
 func Await(ctx context.Context, what string, condition func(context.Context) error) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
@@ -25,16 +25,17 @@
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			return fmt.Errorf("%s: %w; last: %v", what, ctx.Err(), last)
+			return fmt.Errorf("%s: %w; last error: %v", what, ctx.Err(), last)
 		}
 	}
 }
 
-// probeClient asks for readiness; a frozen process must not hold it up.
-var probeClient = &http.Client{Timeout: time.Second}
+// httpClient sends readiness checks and control requests. Its timeout keeps a frozen
+// process from blocking the caller.
+var httpClient = &http.Client{Timeout: time.Second}
 
-// AwaitReady waits until the process answers 200 on its readiness URL. It fails
-// at once if the process ends.
+// AwaitReady waits until the process's readiness URL returns status 200. It fails
+// at once if the process exits.
 func (p *Process) AwaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -46,7 +47,7 @@
 		}
 	}()
 	err := Await(ctx, p.Name+" is not ready", func(ctx context.Context) error {
-		return probe(ctx, p.ReadyURL)
+		return checkReady(ctx, p.ReadyURL)
 	})
 	if cause := context.Cause(ctx); err != nil && cause != nil {
 		return fmt.Errorf("%w: %w", cause, err)
@@ -54,13 +55,13 @@
 	return err
 }
 
-// probe fails unless url answers 200.
-func probe(ctx context.Context, url string) error {
+// checkReady returns an error unless a GET of url returns status 200.
+func checkReady(ctx context.Context, url string) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
 	}
-	response, err := probeClient.Do(request)
+	response, err := httpClient.Do(request)
 	if err != nil {
 		return err
 	}
--- a/standin/harness/zones.go
+++ b/standin/harness/zones.go
@@ -8,7 +8,7 @@
 	"acaciawinch/standin/hostlist"
 )
 
-// Scope is a set of what an availability zone can be partitioned from.
+// Scope is a set of targets from which an availability zone can be partitioned.
 type Scope int
 
 // The scopes.
@@ -21,66 +21,68 @@
 	ObjectAPI
 )
 
-// Everything is all of it.
+// Everything is the set of all scopes.
 const Everything = OtherZones | HostList | ObjectAPI
 
-// Partition is how a zone is partitioned.
+// Partition is the kind of fault at the connections of a partitioned zone.
 type Partition int
 
 // The partitions.
 const (
-	// Refused breaks the zone's connections, and new ones as they come.
+	// Refused closes the zone's connections, and new ones as they are accepted.
 	Refused Partition = iota
-	// Lost loses every byte both ways and keeps the connections open.
+	// Lost drops all bytes in both directions and keeps the connections open.
 	Lost
-	// InboundLost loses what is sent to the zone, OutboundLost what the zone sends.
+	// InboundLost drops the bytes sent to the zone, OutboundLost those sent by it.
 	InboundLost
 	OutboundLost
-	// Slowed holds up every piece both ways.
+	// Slowed delays the data in both directions.
 	Slowed
 )
 
-// slowedBy is how long Slowed holds up each piece.
-const slowedBy = 100 * time.Millisecond
+// slowedDelay is the delay that Slowed adds to each chunk of data.
+const slowedDelay = 100 * time.Millisecond
 
-// zoneLink is a relay between a zone and something outside of it.
+// zoneLink is a relay between a zone and a target outside of the zone.
 type zoneLink struct {
 	*Relay
 	scope Scope
-	// from is the zone of who dials; to is that of who is dialled, empty for the
-	// platform.
+	// from is the zone of the dialing process, to the zone of the target host; to is
+	// empty if the target is the platform.
 	from, to string
-	// host is who is dialled, own its own address and seen that of the relay.
-	host, own, seen string
+	// host is the name of the target host, empty for the platform. targetAddr is the
+	// target's own address, relayAddr that of the relay.
+	host, targetAddr, relayAddr string
 }
 
-// joins tells whether the link is one of the zone's within the scope.
-func (l zoneLink) joins(zone string, scope Scope) bool {
+// matches reports whether the link belongs to the scope and starts or ends in the zone.
+func (l zoneLink) matches(zone string, scope Scope) bool {
 	return l.scope&scope != 0 && (l.from == zone || l.to == zone)
 }
 
-// partition partitions the zone at this link.
+// partition injects the fault into this link of the zone.
 func (l zoneLink) partition(zone string, how Partition) {
-	in, out := FromTarget, ToTarget
+	inbound, outbound := FromTarget, ToTarget
 	if l.to == zone {
-		in, out = out, in
+		inbound, outbound = outbound, inbound
 	}
 	switch how {
 	case Refused:
 		l.Cut()
 	case Slowed:
-		l.Delay(slowedBy)
+		l.Delay(slowedDelay)
 	case InboundLost:
-		l.Silence(in)
+		l.Silence(inbound)
 	case OutboundLost:
-		l.Silence(out)
+		l.Silence(outbound)
 	case Lost:
-		l.Silence(in)
-		l.Silence(out)
+		l.Silence(inbound)
+		l.Silence(outbound)
 	}
 }
 
-// PartitionZone cuts a zone off from what the scope names. Needs Relays.Zones.
+// PartitionZone partitions a zone from the targets of the scope. It requires
+// Relays.Zones.
 func (f *Fleet) PartitionZone(zone string, scope Scope, how Partition) {
 	for _, link := range f.linksOf(zone, scope) {
 		link.partition(zone, how)
@@ -98,22 +100,22 @@
 func (f *Fleet) linksOf(zone string, scope Scope) []zoneLink {
 	var found []zoneLink
 	for _, link := range f.zoneLinks {
-		if link.joins(zone, scope) {
+		if link.matches(zone, scope) {
 			found = append(found, link)
 		}
 	}
 	return found
 }
 
-// Views returns the host list's views of all zones: how each reaches the hosts
-// of the others.
+// Views returns the host list's views of all zones: the relay addresses at which each
+// zone reaches the hosts of the others.
 func (f *Fleet) Views() []hostlist.View {
 	var views []hostlist.View
 	for _, zone := range f.Options.Deployment.Zones {
 		view := hostlist.View{Zone: zone}
 		for _, link := range f.zoneLinks {
 			if link.from == zone && link.scope == OtherZones {
-				view.Addresses = append(view.Addresses, hostlist.Address{Host: link.host, Addr: link.seen, Own: link.own})
+				view.Addresses = append(view.Addresses, hostlist.Address{Host: link.host, Addr: link.relayAddr, Own: link.targetAddr})
 			}
 		}
 		views = append(views, view)
@@ -121,43 +123,44 @@
 	return views
 }
 
-// prepareZones puts a relay between each zone and the host list at address.
+// prepareZones starts a relay from each zone to the host list, whose address is hosts.
 func (f *Fleet) prepareZones(hosts string) error {
 	if !f.Options.Relays.Zones {
 		return nil
 	}
 	f.Hosts.args = append(f.Hosts.args, "--views", f.settingsPath("views.json"))
 	for _, zone := range f.Options.Deployment.Zones {
-		if err := f.linkZone(zoneLink{scope: HostList, from: zone, own: hosts}); err != nil {
+		if err := f.addZoneLink(zoneLink{scope: HostList, from: zone, targetAddr: hosts}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// hostsFor returns the host list's URL for the processes of a zone.
+// hostsFor returns the host list's URL for the processes of a zone: that of the zone's
+// view if zones have relays.
 func (f *Fleet) hostsFor(zone string) string {
 	for _, link := range f.zoneLinks {
 		if link.from == zone && link.scope == HostList {
-			return "http://" + link.seen + hostlist.ViewPath(zone)
+			return "http://" + link.relayAddr + hostlist.ViewPath(zone)
 		}
 	}
 	return f.hostsURL
 }
 
-// linkZone starts the relay of a link.
-func (f *Fleet) linkZone(link zoneLink) error {
+// addZoneLink starts the relay of a link and records the link.
+func (f *Fleet) addZoneLink(link zoneLink) error {
 	var err error
-	if link.Relay, link.seen, err = f.relay(true, link.own); err != nil {
+	if link.Relay, link.relayAddr, err = f.relay(true, link.targetAddr); err != nil {
 		return err
 	}
 	f.zoneLinks = append(f.zoneLinks, link)
 	return nil
 }
 
-// linkZones puts a relay between each zone and each host of another one, and
-// takes in those between the processes and the object API.
-func (f *Fleet) linkZones() error {
+// addZoneLinks starts a relay from each zone to each host of the other zones, and adds
+// the existing relays from the processes to the object API.
+func (f *Fleet) addZoneLinks() error {
 	if !f.Options.Relays.Zones {
 		return nil
 	}
@@ -166,27 +169,27 @@
 			if host.Zone == zone {
 				continue
 			}
-			link := zoneLink{scope: OtherZones, from: zone, to: host.Zone, host: host.Name, own: host.Addr}
-			if err := f.linkZone(link); err != nil {
+			link := zoneLink{scope: OtherZones, from: zone, to: host.Zone, host: host.Name, targetAddr: host.Addr}
+			if err := f.addZoneLink(link); err != nil {
 				return err
 			}
 		}
 	}
 	for i, e := range f.Options.Deployment.EntryList() {
-		f.zoneLinks = append(f.zoneLinks, storeLink(f.Entries[i].Objects, e.Zone))
+		f.zoneLinks = append(f.zoneLinks, objectAPILink(f.Entries[i].Objects, e.Zone))
 	}
 	for _, u := range f.Upstreams {
-		f.zoneLinks = append(f.zoneLinks, storeLink(u.Objects, u.Zone))
+		f.zoneLinks = append(f.zoneLinks, objectAPILink(u.Objects, u.Zone))
 	}
 	return nil
 }
 
-// storeLink is the way from one process to the object API.
-func storeLink(relay *Relay, zone string) zoneLink {
+// objectAPILink returns the link for the relay from one process to the object API.
+func objectAPILink(relay *Relay, zone string) zoneLink {
 	return zoneLink{Relay: relay, scope: ObjectAPI, from: zone}
 }
 
-// writeViews writes the views of the host list.
+// writeViews writes the host list's views if zones have relays.
 func (f *Fleet) writeViews() error {
 	if !f.Options.Relays.Zones {
 		return nil
--- a/standin/harness/zones_test.go
+++ b/standin/harness/zones_test.go
@@ -8,44 +8,46 @@
 	"acaciawinch/standin/deployment"
 )
 
-// twoZones is a fleet that consists of the links between two zones.
-func twoZones(t *testing.T) *Fleet {
-	out, _, _ := relayed(t)
-	in, _, _ := relayed(t)
-	store, _, _ := relayed(t)
+// newTwoZoneFleet returns a fleet that has nothing but the links of two zones.
+func newTwoZoneFleet(t *testing.T) *Fleet {
+	fromA, _, _ := startRelay(t)
+	fromB, _, _ := startRelay(t)
+	objectAPI, _, _ := startRelay(t)
 	return &Fleet{
 		Options: Options{Deployment: deployment.Deployment{Zones: []string{"a", "b"}}},
 		zoneLinks: []zoneLink{
-			{Relay: out, scope: OtherZones, from: "a", to: "b", host: "hb", own: "own-b", seen: "b-from-a"},
-			{Relay: in, scope: OtherZones, from: "b", to: "a", host: "ha", own: "own-a", seen: "a-from-b"},
-			{Relay: store, scope: ObjectAPI, from: "a"},
+			{Relay: fromA, scope: OtherZones, from: "a", to: "b", host: "hb", targetAddr: "own-b", relayAddr: "b-from-a"},
+			{Relay: fromB, scope: OtherZones, from: "b", to: "a", host: "ha", targetAddr: "own-a", relayAddr: "a-from-b"},
+			{Relay: objectAPI, scope: ObjectAPI, from: "a"},
 		},
 	}
 }
 
-// TestAPartitionLosesTheBytesOfItsDirection checks which way each link loses.
+// TestAPartitionLosesTheBytesOfItsDirection checks which direction of each link is
+// silenced by a one-way partition.
 func TestAPartitionLosesTheBytesOfItsDirection(t *testing.T) {
-	f := twoZones(t)
-	out, in, store := f.zoneLinks[0].Relay, f.zoneLinks[1].Relay, f.zoneLinks[2].Relay
+	f := newTwoZoneFleet(t)
+	fromA, fromB, objectAPI := f.zoneLinks[0].Relay, f.zoneLinks[1].Relay, f.zoneLinks[2].Relay
 	f.PartitionZone("a", OtherZones, InboundLost)
-	assert.DeepEqual(t, out.silent, [2]bool{FromTarget: true})
-	assert.DeepEqual(t, in.silent, [2]bool{ToTarget: true})
-	assert.DeepEqual(t, store.silent, [2]bool{})
+	assert.DeepEqual(t, fromA.silent, [2]bool{FromTarget: true})
+	assert.DeepEqual(t, fromB.silent, [2]bool{ToTarget: true})
+	assert.DeepEqual(t, objectAPI.silent, [2]bool{})
 	f.HealZone("a")
 	f.PartitionZone("a", Everything, OutboundLost)
-	assert.DeepEqual(t, out.silent, [2]bool{ToTarget: true})
-	assert.DeepEqual(t, in.silent, [2]bool{FromTarget: true})
-	assert.DeepEqual(t, store.silent, [2]bool{ToTarget: true})
+	assert.DeepEqual(t, fromA.silent, [2]bool{ToTarget: true})
+	assert.DeepEqual(t, fromB.silent, [2]bool{FromTarget: true})
+	assert.DeepEqual(t, objectAPI.silent, [2]bool{ToTarget: true})
 	f.HealZone("a")
 	f.PartitionZone("b", Everything, Refused)
-	assert.Assert(t, out.cut && in.cut && !store.cut, "the store is not behind zone b's links")
+	assert.Assert(t, fromA.cut && fromB.cut && !objectAPI.cut, "the partition of zone b cut zone a's link to the object API")
 	f.HealZone("b")
-	assert.Assert(t, !out.cut && !in.cut)
+	assert.Assert(t, !fromA.cut && !fromB.cut)
 }
 
-// TestViewsShowTheRelaysOfTheirZone checks how each zone reaches the other's host.
+// TestViewsShowTheRelaysOfTheirZone checks that each zone's view has the relay's
+// address for the other zone's host.
 func TestViewsShowTheRelaysOfTheirZone(t *testing.T) {
-	views := twoZones(t).Views()
+	views := newTwoZoneFleet(t).Views()
 	assert.Equal(t, len(views), 2)
 	assert.Equal(t, views[0].Zone, "a")
 	assert.Equal(t, len(views[0].Addresses), 1)
