--- a/standin/cmd/bench/load.go
+++ b/standin/cmd/bench/load.go
@@ -19,7 +19,7 @@
 	"acaciawinch/standin/internal/command"
 )
 
-// loadCommand runs the cases of load and faults.
+// loadCommand runs the benchmark cases, which combine load and faults.
 type loadCommand struct {
 	Bin      string `long:"bin" default:"bin" description:"folder of the built binaries"`
 	Examples string `long:"examples" default:"examples" description:"folder of the example configurations"`
@@ -33,14 +33,14 @@
 	Add      bool   `long:"add" description:"keep the results in the folder for cases that are not run"`
 	Out      string `long:"out" description:"folder for the JSON, the plots and the page; none if empty"`
 	Keep     bool   `long:"keep" description:"keep the folders with settings, logs and ledgers"`
-	// MinIdle and Repeats bound what other work on the machine may do to a trial.
+	// MinIdle and Repeats limit the influence of other work on the machine on a trial.
 	MinIdle float64 `long:"min-idle" default:"0.25" description:"a trial is repeated if less of the machine than this part was idle"`
 	Repeats int     `long:"repeats" default:"2" description:"how often a trial is repeated at most"`
 }
 
 // Execute implements flags.Commander.
 func (c *loadCommand) Execute([]string) error {
-	ctx, stop := command.StopSignals()
+	ctx, stop := command.SignalContext()
 	defer stop()
 	plan, err := c.plan()
 	if err != nil {
@@ -59,22 +59,22 @@
 	}
 	for i, trials := range plan {
 		group.Go(func() error {
-			results[i], failures[i] = c.inTurn(ctx, trials)
+			results[i], failures[i] = c.runSequentially(ctx, trials)
 			return nil
 		})
 	}
-	_ = group.Wait() // the functions never fail; their errors are kept apart
+	_ = group.Wait() // the functions return nil; their errors are in failures
 	run.Trials = slices.Concat(results...)
 	return errors.Join(append(failures, c.publish(run))...)
 }
 
-// inTurn runs trials one after the other. A trial that can't be run is left out
-// and its error returned.
-func (c *loadCommand) inTurn(ctx context.Context, trials []trial.Options) ([]report.Trial, error) {
+// runSequentially runs trials one after the other. A trial that can't be run has no
+// result; its error is returned.
+func (c *loadCommand) runSequentially(ctx context.Context, trials []trial.Options) ([]report.Trial, error) {
 	var results []report.Trial
 	var failures []error
 	for _, o := range trials {
-		result, err := c.calmTrial(ctx, o)
+		result, err := c.runWhenIdle(ctx, o)
 		if err != nil {
 			failures = append(failures, err)
 			continue
@@ -89,7 +89,7 @@
 	if err := printTables(run.Tables()); err != nil || c.Out == "" {
 		return err
 	}
-	if err := c.keep(&run); err != nil {
+	if err := c.mergeEarlier(&run); err != nil {
 		return err
 	}
 	if err := writeJSON(filepath.Join(c.Out, jsonName), run); err != nil {
@@ -98,8 +98,8 @@
 	return writePage(c.Out)
 }
 
-// keep adds the results of earlier runs, if they are to be kept.
-func (c *loadCommand) keep(run *report.Run) error {
+// mergeEarlier adds the results of earlier runs to run if c.Add is set.
+func (c *loadCommand) mergeEarlier(run *report.Run) error {
 	if !c.Add {
 		return nil
 	}
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// plan returns the trials of each size in order: the policies of a case run one
-// after the other, so that the machine's other work meets them alike.
+// plan returns the trials of each size in order. The policies of a case run one after
+// the other, so that other work on the machine affects them alike.
 func (c *loadCommand) plan() ([][]trial.Options, error) {
 	sizes, err := scene.Select(scene.Sizes(), c.Sizes, func(s scene.Size) string { return s.Name })
 	if err != nil {
@@ -129,13 +129,13 @@
 	var plan [][]trial.Options
 	for _, size := range sizes {
 		var trials []trial.Options
-		for _, one := range cases {
+		for _, benchCase := range cases {
 			for _, policy := range policies {
 				trials = append(trials, trial.Options{
 					Bin:      c.Bin,
 					Examples: c.Examples,
 					Size:     size,
-					Case:     one.Scaled(time.Duration(c.Seconds) * time.Second),
+					Case:     benchCase.Scaled(time.Duration(c.Seconds) * time.Second),
 					Policy:   policy,
 					Seed:     c.Seed,
 					Keep:     c.Keep,
@@ -147,10 +147,10 @@
 	return plan, nil
 }
 
-// jsonName is the file of a run's results.
+// jsonName is the name of the file with a run's results.
 const jsonName = "bench.json"
 
-// writeJSON writes results to a file, and makes its folder.
+// writeJSON writes results to a file and creates its folder.
 func writeJSON[T any](path string, results T) error {
 	data, err := json.Marshal(results)
 	if err != nil {
--- a/standin/cmd/bench/main.go
+++ b/standin/cmd/bench/main.go
@@ -1,6 +1,6 @@
-// Command bench measures the real processes under an open-loop load, in both of
-// the users' sizes, under the product's own policy and the baselines, and writes
-// tables, JSON, plots and a page.
+// Command bench measures the real processes under an open-loop load. It runs the
+// deployments of both users' sizes under the product's policy and under baseline
+// policies, and writes tables, JSON, plots and a page.
 package main
 
 import (
@@ -19,9 +19,9 @@
 	Page   pageCommand   `command:"page" description:"write the page and the plots from earlier results"`
 }
 
-func main() { command.Subcommands(flags.NewParser(&options{}, flags.Default)) }
+func main() { command.RunSubcommands(flags.NewParser(&options{}, flags.Default)) }
 
-// note prints a line of progress.
-func note(format string, args ...any) {
+// printProgress prints a line of progress to the standard error.
+func printProgress(format string, args ...any) {
 	fmt.Fprintf(os.Stderr, format+"\n", args...)
 }
--- a/standin/cmd/bench/page.go
+++ b/standin/cmd/bench/page.go
@@ -11,7 +11,7 @@
 	"acaciawinch/standin/bench/report"
 )
 
-// pageName is the page that is written from the results.
+// pageName is the name of the file with the generated page.
 const pageName = "README.md"
 
 // pageCommand writes the page and the plots from earlier results.
--- a/standin/cmd/bench/spread.go
+++ b/standin/cmd/bench/spread.go
@@ -9,7 +9,8 @@
 	"acaciawinch/standin/internal/command"
 )
 
-// spreadCommand measures how changes come into force in a large fleet.
+// spreadCommand measures how long changes of the configuration take to reach all
+// processes of a large fleet.
 type spreadCommand struct {
 	Bin        string `long:"bin" default:"bin" description:"folder of the built binaries"`
 	Entries    int    `long:"entries" default:"40" description:"how many entries run"`
@@ -20,12 +21,12 @@
 	Keep       bool   `long:"keep" description:"keep the folder with settings and logs"`
 }
 
-// spreadName is the file of the results.
+// spreadName is the name of the file with the results.
 const spreadName = "spread.json"
 
 // Execute implements flags.Commander.
 func (c *spreadCommand) Execute([]string) error {
-	ctx, stop := command.StopSignals()
+	ctx, stop := command.SignalContext()
 	defer stop()
 	result, err := spread.Run(ctx, spread.Options{
 		Bin:        c.Bin,
@@ -34,10 +35,10 @@
 		Workspaces: c.Workspaces,
 		Changes:    c.Changes,
 		Keep:       c.Keep,
-		Note:       note,
+		Note:       printProgress,
 	})
 	if err != nil {
-		note("spread: %v", err)
+		printProgress("spread: %v", err)
 		return err
 	}
 	if err := printTables(result.Tables()); err != nil || c.Out == "" {
--- a/standin/cmd/demo/demo.go
+++ b/standin/cmd/demo/demo.go
@@ -14,19 +14,19 @@
 	"acaciawinch/standin/verdict"
 )
 
-// demo is the demonstration's state. Its exchanges are guarded by mu.
+// demo is the state of the demonstration. mu guards the fields below it.
 type demo struct {
 	fleet  *harness.Fleet
 	client *caller.Client
 	pairs  pairs
 
-	mu        sync.Mutex
-	exchanges []verdict.Exchange
-	failed    []string
-	number    int
+	mu         sync.Mutex
+	exchanges  []verdict.Exchange
+	failed     []string
+	lastNumber int
 }
 
-// report prints one check and remembers a failed one.
+// report prints the result of one check and records a failure.
 func (d *demo) report(ok bool, format string, args ...any) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -47,48 +47,48 @@
 	return errors.New("failed: " + strings.Join(d.failed, "; "))
 }
 
-// request returns a request of a pair with a body that no other one has.
+// request returns a request for a pair with a unique body.
 func (d *demo) request(p pair) caller.Request {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.number++
+	d.lastNumber++
 	return caller.Request{
 		Workspace: p.workspace,
 		Pipeline:  p.pipeline,
-		Body:      fmt.Appendf(nil, `{"number":%d,"text":"demonstration"}`, d.number),
+		Body:      fmt.Appendf(nil, `{"number":%d,"text":"demonstration"}`, d.lastNumber),
 	}
 }
 
-// entry returns the URL of an entry, by turns.
-func (d *demo) entry(i int) string {
+// entryURL returns the URL of the entry for request i, in rotation.
+func (d *demo) entryURL(i int) string {
 	return d.fleet.Entries[i%len(d.fleet.Entries)].URL
 }
 
 // send sends a request to an entry and records the exchange.
 func (d *demo) send(ctx context.Context, entry int, r caller.Request, bad bool) caller.Result {
-	result := d.client.Send(ctx, d.entry(entry), r)
+	result := d.client.Send(ctx, d.entryURL(entry), r)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.exchanges = append(d.exchanges, verdict.Exchange{Request: r, Result: result, Bad: bad})
 	return result
 }
 
-// thin sends one streamed request.
-func (d *demo) thin(ctx context.Context) {
+// runThin sends one streamed request.
+func (d *demo) runThin(ctx context.Context) {
 	d.stream(ctx)
 }
 
-// full sends requests of every kind.
-func (d *demo) full(ctx context.Context) {
+// runFull sends requests of every kind.
+func (d *demo) runFull(ctx context.Context) {
 	d.idempotent(ctx)
 	d.nonIdempotent(ctx)
-	d.repeated(ctx)
+	d.repeatedKeys(ctx)
 	id := d.stream(ctx)
 	d.refused(ctx)
 	d.explain(ctx, id)
 }
 
-// describeResult says in one line what a caller got.
+// describeResult describes a caller's result in one line.
 func describeResult(r caller.Result) string {
 	text := fmt.Sprintf("%s %s, %d in %d ms", r.Verdict, r.Outcome, r.Status, r.Latency.Milliseconds())
 	if r.Detail != "" {
@@ -97,12 +97,13 @@
 	return text
 }
 
-// answered tells whether a whole answer came back.
+// answered reports whether the caller got a complete response.
 func answered(r caller.Result) bool {
 	return r.Verdict == caller.Whole && r.Outcome == core.OutcomeAnswered
 }
 
-// stream streams one answer to the terminal and returns the request's id.
+// stream sends one streamed request, prints its chunks as they arrive and returns the
+// request's ID.
 func (d *demo) stream(ctx context.Context) string {
 	fmt.Print("a streamed answer: ")
 	r := d.request(d.pairs.idempotent[0])
--- a/standin/cmd/demo/main.go
+++ b/standin/cmd/demo/main.go
@@ -1,6 +1,6 @@
-// Command demo runs a deployment with real processes on one machine, sends
-// requests of each kind, stops everything gracefully and judges the trial by the
-// callers' and the upstreams' own records. It exits 1 on any violation.
+// Command demo runs a deployment with real processes on one machine, sends requests of
+// each kind, stops all processes gracefully and checks the records of the callers and
+// the upstreams for violations. It exits 1 if it finds any.
 package main
 
 import (
@@ -26,10 +26,10 @@
 	stopTimeout = 20 * time.Second
 )
 
-// reportLag is how late the upstreams report their load.
+// reportLag is the delay of the upstreams' load reports.
 const reportLag = 200 * time.Millisecond
 
-// options are the command line.
+// options are the command-line flags.
 type options struct {
 	Bin      string `long:"bin" description:"folder of the built binaries"`
 	Examples string `long:"examples" default:"examples" description:"folder of the example configurations"`
@@ -40,12 +40,13 @@
 
 func main() {
 	var o options
-	command.Single(flags.NewParser(&o, flags.Default), func(ctx context.Context) error { return run(ctx, o) })
+	command.Run(flags.NewParser(&o, flags.Default), func(ctx context.Context) error { return run(ctx, o) })
 }
 
-// run starts the deployment, carries out the demonstration and judges it.
+// run starts the deployment, sends the requests, stops the processes and judges the
+// records.
 func run(ctx context.Context, o options) error {
-	began := time.Now()
+	started := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, runTimeout)
 	defer cancel()
 	files := []string{
@@ -57,7 +58,7 @@
 		return err
 	}
 	fleet, err := harness.Start(ctx, harness.Options{
-		Deployment:    chosen(o),
+		Deployment:    selectDeployment(o),
 		Bin:           o.Bin,
 		Configuration: files,
 		ReportLag:     reportLag,
@@ -66,23 +67,23 @@
 		return err
 	}
 	defer fleet.Kill()
-	describe(fleet, time.Since(began))
+	printDeployment(fleet, time.Since(started))
 	d := &demo{fleet: fleet, client: caller.New(configuration), pairs: pairsOf(configuration)}
 	defer d.client.Close()
 	if o.Thin {
-		d.thin(ctx)
+		d.runThin(ctx)
 	} else {
-		d.full(ctx)
+		d.runFull(ctx)
 	}
 	awaitStreams := func() {}
 	if !o.Thin {
-		awaitStreams = d.beginStreams(ctx)
+		awaitStreams = d.startStreams(ctx)
 	}
-	return finish(fleet, d, awaitStreams, o.Keep, began)
+	return stopAndJudge(fleet, d, awaitStreams, o.Keep, started)
 }
 
-// chosen returns the deployment that the options name.
-func chosen(o options) deployment.Deployment {
+// selectDeployment returns the deployment that the options select.
+func selectDeployment(o options) deployment.Deployment {
 	switch {
 	case o.Thin:
 		return deployment.Thin()
@@ -92,27 +93,27 @@
 	return deployment.Institute()
 }
 
-// describe prints what runs.
-func describe(fleet *harness.Fleet, startup time.Duration) {
+// printDeployment prints the size of the deployment and its startup time.
+func printDeployment(fleet *harness.Fleet, startup time.Duration) {
 	d := fleet.Options.Deployment
 	fmt.Printf("%s in %s: %d entries, %d upstreams each with its side, zones %v; ready after %.1f s\n",
 		d.Name, d.Region, len(fleet.Entries), len(fleet.Upstreams), d.Zones, startup.Seconds())
 }
 
-// finish stops all processes gracefully, judges the trial and prints a summary.
-func finish(fleet *harness.Fleet, d *demo, awaitStreams func(), keep bool, began time.Time) error {
+// stopAndJudge stops all processes gracefully, judges the trial and prints a summary.
+func stopAndJudge(fleet *harness.Fleet, d *demo, awaitStreams func(), keep bool, started time.Time) error {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	stopped := fleet.Stop(ctx)
+	stopErr := fleet.Stop(ctx)
 	awaitStreams()
-	d.report(stopped == nil, "every process stopped on SIGTERM with exit code 0")
+	d.report(stopErr == nil, "every process stopped on SIGTERM with exit code 0")
 	records, err := fleet.Records()
 	if err != nil {
 		return err
 	}
 	summary := verdict.Judge(d.client, d.exchanges, records)
-	printSummary(summary, time.Since(began))
-	if failure := errors.Join(stopped, d.failure(), violation(summary)); failure != nil {
+	printSummary(summary, time.Since(started))
+	if failure := errors.Join(stopErr, d.failure(), checkClean(summary)); failure != nil {
 		return fmt.Errorf("%w\nsettings, logs and ledgers: %s", failure, fleet.Dir)
 	}
 	if keep {
@@ -122,15 +123,15 @@
 	return fleet.RemoveDir()
 }
 
-// violation returns an error unless the summary is clean.
-func violation(s verdict.Summary) error {
+// checkClean returns an error unless the summary is clean.
+func checkClean(s verdict.Summary) error {
 	if s.Clean() {
 		return nil
 	}
 	return errors.New("something happened that must never happen")
 }
 
-// maxFindings bounds the findings that are printed.
+// maxFindings limits the number of findings that are printed.
 const maxFindings = 12
 
 // printSummary prints the counts and the first findings.
@@ -143,8 +144,8 @@
 	for _, finding := range s.Findings[:min(len(s.Findings), maxFindings)] {
 		fmt.Println("  !", finding)
 	}
-	if rest := len(s.Findings) - maxFindings; rest > 0 {
-		fmt.Printf("  ! and %d more\n", rest)
+	if remaining := len(s.Findings) - maxFindings; remaining > 0 {
+		fmt.Printf("  ! and %d more\n", remaining)
 	}
 	fmt.Printf("took %.1f s\n", total.Seconds())
 }
--- a/standin/cmd/demo/pairs.go
+++ b/standin/cmd/demo/pairs.go
@@ -7,23 +7,23 @@
 	"acaciawinch/standin/catalog"
 )
 
-// pair names a workspace with a pipeline.
+// pair names a workspace and a pipeline.
 type pair struct {
 	workspace string
 	pipeline  string
 }
 
-// pairs are the workspaces with their pipelines, by kind.
+// pairs holds the pairs of a configuration by kind.
 type pairs struct {
-	// idempotent pipelines may run again; nonIdempotent ones hold a stage that
-	// must run at most once.
+	// idempotent pipelines may be retried. nonIdempotent ones have a stage that must run
+	// at most once.
 	idempotent    []pair
 	nonIdempotent []pair
-	// foreign is a workspace with a pipeline that it may not call.
+	// foreign is a workspace and a pipeline that it may not call.
 	foreign pair
 }
 
-// pairsOf sorts the pairs of a configuration.
+// pairsOf returns the pairs of a configuration by kind.
 func pairsOf(c catalog.Catalog) pairs {
 	var all pairs
 	for _, workspace := range c.Workspaces {
@@ -42,5 +42,5 @@
 	return all
 }
 
-// runsOnce tells whether a stage must run at most once.
+// runsOnce reports whether a stage must run at most once.
 func runsOnce(stage config.Stage) bool { return stage.NonIdempotent }
--- a/standin/cmd/demo/requests.go
+++ b/standin/cmd/demo/requests.go
@@ -14,15 +14,15 @@
 	"acaciawinch/standin/upstream"
 )
 
-// roundsOfEachKind is how often each kind of good request is sent.
+// roundsOfEachKind is how many times each kind of valid request is sent.
 const roundsOfEachKind = 12
 
-// oversizeBody is above the entries' default limit on bodies, which is 1 MiB.
+// oversizeBody is the size of a body above the entries' default limit of 1 MiB.
 const oversizeBody = 1<<20 + 1<<10
 
-// together sends all requests at once, by turns through the entries, and
-// returns how many were answered whole, with the first other result.
-func (d *demo) together(ctx context.Context, requests []caller.Request) (int, string) {
+// sendConcurrently sends all requests concurrently, distributed over the entries. It
+// returns the number of complete responses and a description of the first other result.
+func (d *demo) sendConcurrently(ctx context.Context, requests []caller.Request) (int, string) {
 	results := make([]caller.Result, len(requests))
 	var group sync.WaitGroup
 	for i, request := range requests {
@@ -41,7 +41,8 @@
 	return count, other
 }
 
-// requestsOf returns rounds of requests of each pair, keyed if key is not empty.
+// requestsOf returns roundsOfEachKind requests for each pair, every second one streamed.
+// If key is not empty, each request gets an idempotency key that starts with it.
 func (d *demo) requestsOf(kind []pair, key string) []caller.Request {
 	var requests []caller.Request
 	for round := range roundsOfEachKind {
@@ -60,40 +61,40 @@
 // idempotent sends idempotent requests through all entries.
 func (d *demo) idempotent(ctx context.Context) {
 	requests := d.requestsOf(d.pairs.idempotent, "")
-	count, other := d.together(ctx, requests)
+	count, other := d.sendConcurrently(ctx, requests)
 	d.report(count == len(requests), "idempotent: %d of %d answered%s", count, len(requests), other)
 }
 
 // nonIdempotent sends requests whose pipelines have a non-idempotent stage.
 func (d *demo) nonIdempotent(ctx context.Context) {
 	requests := d.requestsOf(d.pairs.nonIdempotent, "demo")
-	count, other := d.together(ctx, requests)
+	count, other := d.sendConcurrently(ctx, requests)
 	d.report(count == len(requests), "non-idempotent with a key: %d of %d answered%s", count, len(requests), other)
 }
 
-// repeated asks again with the same keys, each through another entry, both after
-// the answer and at the same time.
-func (d *demo) repeated(ctx context.Context) {
+// repeatedKeys sends requests with the same idempotency key through different entries,
+// first one after the other, then concurrently.
+func (d *demo) repeatedKeys(ctx context.Context) {
 	first := d.request(d.pairs.nonIdempotent[0])
 	first.Key = "repeated-after"
 	d.send(ctx, 0, first, false)
-	again := d.send(ctx, 1, first, false)
-	d.report(answered(again), "repeated key through another entry: %s", describeResult(again))
+	repeat := d.send(ctx, 1, first, false)
+	d.report(answered(repeat), "repeated key through another entry: %s", describeResult(repeat))
 
-	second := d.request(d.pairs.nonIdempotent[0])
-	second.Key = "repeated-beside"
-	count, other := d.together(ctx, []caller.Request{second, second, second})
+	concurrent := d.request(d.pairs.nonIdempotent[0])
+	concurrent.Key = "repeated-beside"
+	count, other := d.sendConcurrently(ctx, []caller.Request{concurrent, concurrent, concurrent})
 	d.report(count == 3, "same key through three entries at once: %d of 3 answered%s", count, other)
 }
 
-// badRequest is a request that must be refused before any upstream sees it.
+// badRequest is an invalid request that must be refused before it reaches an upstream.
 type badRequest struct {
 	name    string
 	request caller.Request
 	status  int
 }
 
-// refused sends bad requests of every kind.
+// refused sends one invalid request of every kind.
 func (d *demo) refused(ctx context.Context) {
 	for _, b := range d.badRequests() {
 		result := d.send(ctx, 0, b.request, true)
@@ -103,22 +104,22 @@
 	}
 }
 
-// badRequests returns one bad request of every kind.
+// badRequests returns one invalid request of every kind.
 func (d *demo) badRequests() []badRequest {
-	good := func() caller.Request { return d.request(d.pairs.idempotent[0]) }
-	badJSON := good()
+	valid := func() caller.Request { return d.request(d.pairs.idempotent[0]) }
+	badJSON := valid()
 	badJSON.Body = bytes.TrimSuffix(badJSON.Body, []byte("}"))
-	unknownWorkspace := good()
+	unknownWorkspace := valid()
 	unknownWorkspace.Workspace = "nobody"
-	unknownPipeline := good()
+	unknownPipeline := valid()
 	unknownPipeline.Pipeline = "nothing"
 	foreign := d.request(d.pairs.foreign)
-	oversize := good()
+	oversize := valid()
 	oversize.Body = append(oversize.Body, bytes.Repeat([]byte{' '}, oversizeBody)...)
-	method := good()
+	method := valid()
 	method.Method = http.MethodPut
-	noTime := good()
-	noTime.DeadlineMS = "0"
+	zeroDeadline := valid()
+	zeroDeadline.DeadlineMS = "0"
 	return []badRequest{
 		{"bad JSON", badJSON, http.StatusBadRequest},
 		{"unknown workspace", unknownWorkspace, http.StatusNotFound},
@@ -126,11 +127,11 @@
 		{"another workspace's pipeline", foreign, http.StatusNotFound},
 		{"oversize body", oversize, http.StatusRequestEntityTooLarge},
 		{"wrong method", method, http.StatusMethodNotAllowed},
-		{"deadline 0", noTime, http.StatusBadRequest},
+		{"deadline 0", zeroDeadline, http.StatusBadRequest},
 	}
 }
 
-// explain prints what the operators' command tells about one request.
+// explain prints the output of the operators' explain command for one request.
 func (d *demo) explain(ctx context.Context, id string) {
 	output, err := d.fleet.Command(ctx, "explain", id)
 	if err != nil {
@@ -141,16 +142,17 @@
 	fmt.Println(strings.TrimSpace(output))
 }
 
-// The streams in flight when the planned stop begins: how many there are, and
-// how much slower the engines then are. A stream lasts about two seconds, longer
-// than anything by which an entry might let a short one end without waiting.
+// The number of streams in flight when the planned stop begins, the factor by which the
+// engines are slowed, and the deadline of the streams. A stream lasts about two seconds:
+// longer than any delay in an entry's stop that could let a shorter stream end even if
+// the entry did not wait for it.
 const (
 	streamsAtStop    = 9
 	slowdownAtStop   = 15
 	deadlineAtStopMS = "5000"
 )
 
-// slowEngines makes the engines slower.
+// slowEngines slows all engines by slowdownAtStop.
 func (d *demo) slowEngines(ctx context.Context) error {
 	for _, u := range d.fleet.Upstreams {
 		if u.Group.Kind != config.KindEngine {
@@ -163,27 +165,28 @@
 	return nil
 }
 
-// beginStreams starts streams through all entries and waits until each has its
-// first chunk, or its end. The returned function waits for all ends.
-func (d *demo) beginStreams(ctx context.Context) (wait func()) {
+// startStreams starts streams through all entries and waits until each has its first
+// chunk or has ended. The returned function waits until all have ended and reports
+// how many were complete.
+func (d *demo) startStreams(ctx context.Context) (wait func()) {
 	if err := d.slowEngines(ctx); err != nil {
 		d.report(false, "slow the engines down: %v", err)
 	}
-	var begun, ended sync.WaitGroup
+	var started, ended sync.WaitGroup
 	results := make([]caller.Result, streamsAtStop)
 	for i := range results {
-		begun.Add(1)
-		first := sync.OnceFunc(begun.Done)
+		started.Add(1)
+		markStarted := sync.OnceFunc(started.Done)
 		ended.Go(func() {
-			defer first()
+			defer markStarted()
 			r := d.request(d.pairs.idempotent[0])
 			r.DeadlineMS = deadlineAtStopMS
 			r.Stream = true
-			r.OnChunk = func([]byte) { first() }
+			r.OnChunk = func([]byte) { markStarted() }
 			results[i] = d.send(ctx, i, r, false)
 		})
 	}
-	begun.Wait()
+	started.Wait()
 	return func() {
 		ended.Wait()
 		count := 0
--- a/standin/cmd/faults/main.go
+++ b/standin/cmd/faults/main.go
@@ -1,5 +1,5 @@
-// Command faults runs the fault matrix and prints it as a table. It exits 1 if
-// any cell found a violation.
+// Command faults runs the fault matrix and prints the results as a table. A cell is one
+// fault injected at one step of a request. It exits 1 if any cell found a violation.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"acaciawinch/standin/internal/command"
 )
 
-// options are the command line.
+// options are the command-line flags.
 type options struct {
 	Bin      string `long:"bin" default:"bin" description:"folder of the built binaries"`
 	Fault    string `long:"fault" description:"only faults whose name contains this"`
@@ -29,15 +29,15 @@
 
 func main() {
 	var o options
-	command.Single(flags.NewParser(&o, flags.Default), func(ctx context.Context) error { return run(ctx, o) })
+	command.Run(flags.NewParser(&o, flags.Default), func(ctx context.Context) error { return run(ctx, o) })
 }
 
-// run plays the chosen cells and reports on them.
+// run runs the selected cells, prints the table and writes the page if asked to.
 func run(ctx context.Context, o options) error {
-	began := time.Now()
+	started := time.Now()
 	cells := slices.Repeat(faults.Filter(faults.Cells(), o.Fault, o.Step), o.Repeat)
 	reports := faults.Run(ctx, o.Bin, cells, o.Parallel, func(r faults.Report) { printCell(r, o.Verbose) })
-	page := faults.Page{Reports: reports, Commit: o.Commit, Took: time.Since(began)}
+	page := faults.Page{Reports: reports, Commit: o.Commit, Took: time.Since(started)}
 	fmt.Print(page.Table())
 	fmt.Println(page.Summary())
 	if o.Page != "" {
@@ -51,16 +51,17 @@
 	return nil
 }
 
-// printCell prints a cell that failed, or any cell if verbose.
+// printCell prints a failed cell. If verbose is set, it also prints the passed cells
+// that are not excluded.
 func printCell(r faults.Report, verbose bool) {
 	if r.Passed() && (!verbose || r.Excluded != "") {
 		return
 	}
-	word := "ok  "
+	status := "ok  "
 	if !r.Passed() {
-		word = "FAIL"
+		status = "FAIL"
 	}
-	fmt.Printf("%s %s / %s: first %s, last %s, %d ms, %+v\n", word, r.Fault, r.Step, r.First, r.Last, r.TookMS, r.Counts)
+	fmt.Printf("%s %s / %s: first %s, last %s, %d ms, %+v\n", status, r.Fault, r.Step, r.First, r.Last, r.TookMS, r.Counts)
 	for _, finding := range r.Findings {
 		fmt.Println("     !", finding)
 	}
--- a/standin/cmd/platformdemo/demo.go
+++ b/standin/cmd/platformdemo/demo.go
@@ -15,44 +15,46 @@
 	"acaciawinch/standin/platformfleet"
 )
 
-// clients is how many clients send at once, and patience how long one waits.
+// clients is the number of concurrent clients, clientTimeout the time after which a
+// client gives up on a request.
 const (
-	clients  = 6
-	patience = 8 * time.Second
+	clients       = 6
+	clientTimeout = 8 * time.Second
 )
 
-// streamEvents is how many events a whole stream has.
+// streamEvents is the number of events of a complete stream.
 const streamEvents = 5
 
-// demo sends requests and keeps what came back.
+// demo sends requests and records the responses. mu guards responses.
 type demo struct {
 	fleet *platformfleet.Fleet
 
-	mu      sync.Mutex
-	answers []answer
+	mu        sync.Mutex
+	responses []response
 }
 
-// answer is what a client got for a request.
-type answer struct {
+// response is the result of one send of a request. status is 0 if no response arrived.
+type response struct {
 	id, kind string
 	status   int
 	body     string
-	// whole is set if the answer came to its end.
-	whole bool
+	// complete is set if the whole body was read.
+	complete bool
 }
 
-// kinds are the kinds of requests in turn.
+// kinds are the kinds of requests, which are sent in rotation.
 var kinds = []string{"saldo", "cupon", "consulta"}
 
-// send sends requests from several clients. A third of the way a worker leaves, at two
-// thirds a gateway is killed and started again.
+// send sends requests from concurrent clients. After a third of the requests it removes
+// a worker, after two thirds it kills a gateway, after five sixths it restarts that
+// gateway.
 func (d *demo) send(ctx context.Context, requests int) {
 	numbers := make(chan int)
 	var senders sync.WaitGroup
 	for range clients {
 		senders.Go(func() {
 			for number := range numbers {
-				d.one(ctx, number)
+				d.sendWithRetries(ctx, number)
 			}
 		})
 	}
@@ -73,39 +75,40 @@
 	senders.Wait()
 }
 
-// one sends a request to the gateways in turn, as the platform's balancer would. An
-// idempotent one, or one whose connection could not be opened, goes to the next.
-func (d *demo) one(ctx context.Context, number int) {
+// sendWithRetries sends a request like the platform's load balancer would. It starts at
+// the gateway next in rotation and retries at the following ones if the connection could
+// not be opened, if the status is 503, or if a request of the idempotent kind failed.
+func (d *demo) sendWithRetries(ctx context.Context, number int) {
 	kind := kinds[number%len(kinds)]
-	var got answer
-	for try := range len(d.fleet.Gateways) {
-		id := fmt.Sprintf("r%d-%d", number, try)
-		gateway := d.fleet.Gateways[(number+try)%len(d.fleet.Gateways)]
-		got = answer{id: id, kind: kind}
-		err := ask(ctx, gateway.Clients, &got)
+	var result response
+	for attempt := range len(d.fleet.Gateways) {
+		id := fmt.Sprintf("r%d-%d", number, attempt)
+		gateway := d.fleet.Gateways[(number+attempt)%len(d.fleet.Gateways)]
+		result = response{id: id, kind: kind}
+		err := sendOnce(ctx, gateway.Clients, &result)
 		d.mu.Lock()
-		d.answers = append(d.answers, got)
+		d.responses = append(d.responses, result)
 		d.mu.Unlock()
-		var refused *net.OpError
-		again := errors.As(err, &refused) && refused.Op == "dial" || got.status == http.StatusServiceUnavailable || kind == "cupon" && got.status != http.StatusOK
-		if !again {
+		var dialError *net.OpError
+		retry := errors.As(err, &dialError) && dialError.Op == "dial" || result.status == http.StatusServiceUnavailable || kind == "cupon" && result.status != http.StatusOK
+		if !retry {
 			return
 		}
 	}
 }
 
-// ask sends one request on a connection of its own.
-func ask(ctx context.Context, address string, a *answer) error {
+// sendOnce sends one request on a new connection and fills in the response r.
+func sendOnce(ctx context.Context, address string, r *response) error {
 	dialer := net.Dialer{Timeout: time.Second}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(clientTimeout)); err != nil {
 		return err
 	}
-	if _, err := io.WriteString(conn, text(a)); err != nil {
+	if _, err := io.WriteString(conn, requestText(r)); err != nil {
 		return err
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -113,60 +116,61 @@
 		return err
 	}
 	body, err := io.ReadAll(resp.Body)
-	a.status, a.body, a.whole = resp.StatusCode, string(body), err == nil
+	r.status, r.body, r.complete = resp.StatusCode, string(body), err == nil
 	return nil
 }
 
-// text returns a request as it is sent.
-func text(a *answer) string {
+// requestText returns the HTTP request for r as it is written to the connection.
+func requestText(r *response) string {
 	method := "POST"
-	if a.kind == "cupon" {
+	if r.kind == "cupon" {
 		method = "GET"
 	}
 	head := fmt.Sprintf("%s /%s/x HTTP/1.1\r\nHost: %s\r\nX-Attempt-Id: %s\r\nX-Deadline-Ms: 6000\r\nAuthorization: Bearer %s\r\n",
-		method, a.kind, platformfleet.Host, a.id, platformfleet.Key)
-	if a.kind == "consulta" {
+		method, r.kind, platformfleet.Host, r.id, platformfleet.Key)
+	if r.kind == "consulta" {
 		head += "X-Pieces: 2,3\r\nX-Piece-Key: k\r\nX-Prompt-Prefix: aa:100,bb:20\r\nX-Token-Counts: 120,15\r\n"
 	}
 	return head + "\r\n"
 }
 
-// judge checks what clients got against what workers ran, and prints a summary.
+// judge checks the clients' responses against the runs at the workers and prints a
+// summary.
 func (d *demo) judge() error {
 	runs := d.fleet.Runs()
 	counts := make(map[string]int)
-	var wrong []error
-	for _, a := range d.answers {
+	var violations []error
+	for _, r := range d.responses {
 		switch {
-		case a.whole && a.status == http.StatusOK:
+		case r.complete && r.status == http.StatusOK:
 			counts["answered"]++
-		case a.status == 0:
+		case r.status == 0:
 			counts["no answer"]++
 		default:
-			counts[fmt.Sprintf("status %d", a.status)]++
+			counts[fmt.Sprintf("status %d", r.status)]++
 		}
-		wrong = append(wrong, check(a, runs[a.id]))
+		violations = append(violations, checkResponse(r, runs[r.id]))
 	}
-	fmt.Printf("%d sends: %v\n", len(d.answers), counts)
+	fmt.Printf("%d sends: %v\n", len(d.responses), counts)
 	if counts["answered"] == 0 {
-		wrong = append(wrong, errors.New("nothing was answered"))
+		violations = append(violations, errors.New("nothing was answered"))
 	}
-	return errors.Join(wrong...)
+	return errors.Join(violations...)
 }
 
-// check checks one answer against the runs of its request.
-func check(a answer, runs int) error {
+// checkResponse checks one response against the number of runs of its request.
+func checkResponse(r response, runs int) error {
 	switch {
-	case a.kind == "saldo" && runs > 1:
-		return fmt.Errorf("%s ran %d times", a.id, runs)
-	case a.status == http.StatusServiceUnavailable && runs > 0:
-		return fmt.Errorf("%s was refused with 503 and ran", a.id)
-	case a.whole && a.status == http.StatusOK && runs == 0:
-		return fmt.Errorf("%s was answered and never ran", a.id)
-	case a.whole && a.status == http.StatusOK && !strings.Contains(a.body, a.id):
-		return fmt.Errorf("%s got another answer: %q", a.id, a.body)
-	case a.whole && a.status == http.StatusOK && a.kind == "consulta" && strings.Count(a.body, "id: ") != streamEvents:
-		return fmt.Errorf("%s got a stream with gaps: %q", a.id, a.body)
+	case r.kind == "saldo" && runs > 1:
+		return fmt.Errorf("%s ran %d times", r.id, runs)
+	case r.status == http.StatusServiceUnavailable && runs > 0:
+		return fmt.Errorf("%s was refused with 503 and ran", r.id)
+	case r.complete && r.status == http.StatusOK && runs == 0:
+		return fmt.Errorf("%s was answered and never ran", r.id)
+	case r.complete && r.status == http.StatusOK && !strings.Contains(r.body, r.id):
+		return fmt.Errorf("%s got another answer: %q", r.id, r.body)
+	case r.complete && r.status == http.StatusOK && r.kind == "consulta" && strings.Count(r.body, "id: ") != streamEvents:
+		return fmt.Errorf("%s got a stream with gaps: %q", r.id, r.body)
 	}
 	return nil
 }
--- a/standin/cmd/platformdemo/main.go
+++ b/standin/cmd/platformdemo/main.go
@@ -1,7 +1,7 @@
 // Command platformdemo runs gateways as real processes against stand-ins of the users'
-// platform, sends requests of each kind from several clients while a worker leaves and
-// a gateway is killed, stops everything gracefully and judges what clients got and
-// workers ran. It exits 1 on any violation.
+// platform. It sends requests of each kind from several clients; meanwhile it removes a
+// worker, and kills and restarts a gateway. It checks the clients' responses against the
+// runs at the workers, then stops all gateways gracefully. It exits 1 on any violation.
 package main
 
 import (
@@ -21,7 +21,7 @@
 	stopTimeout = 10 * time.Second
 )
 
-// options are the command line.
+// options are the command-line flags.
 type options struct {
 	Bin      string `long:"bin" default:"bin" description:"folder of the built binaries"`
 	Gateways int    `long:"gateways" default:"3" description:"gateways to run"`
@@ -30,10 +30,11 @@
 
 func main() {
 	var o options
-	command.Single(flags.NewParser(&o, flags.Default), func(ctx context.Context) error { return run(ctx, o) })
+	command.Run(flags.NewParser(&o, flags.Default), func(ctx context.Context) error { return run(ctx, o) })
 }
 
-// run starts the deployment, sends the requests and judges them.
+// run starts the deployment, sends the requests, judges the responses and stops the
+// deployment.
 func run(ctx context.Context, o options) error {
 	ctx, cancel := context.WithTimeout(ctx, runTimeout)
 	defer cancel()
@@ -48,9 +49,9 @@
 	if err := d.judge(); err != nil {
 		return err
 	}
-	stop, cancelStop := context.WithTimeout(context.Background(), stopTimeout)
+	stopCtx, cancelStop := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancelStop()
-	if err := fleet.Stop(stop); err != nil {
+	if err := fleet.Stop(stopCtx); err != nil {
 		return err
 	}
 	fmt.Println("all gateways stopped with exit code 0")
--- a/standin/cmd/soak/main.go
+++ b/standin/cmd/soak/main.go
@@ -1,6 +1,7 @@
-// Command soak runs gateways as real processes before stand-ins of the users' platform
-// under random faults, a run for each seed, and checks what clients and workers saw. It
-// exits 1 if a promise was broken, and prints the seeds and what was seen.
+// Command soak runs gateways as real processes against stand-ins of the users' platform
+// and injects random faults, one run per seed. It checks the system's guarantees against
+// the records of clients and workers. If one is violated, it prints the seeds and the
+// violations and exits 1.
 package main
 
 import (
@@ -17,36 +18,36 @@
 	"acaciawinch/standin/soak"
 )
 
-// runTimeout bounds one run: 7 s of faults, the ends of the last ones, recovery and a
-// planned stop of each gateway.
+// runTimeout limits one run: 7 s in which faults start, the rest of the last faults,
+// recovery, and a planned stop of each gateway.
 const runTimeout = 2 * time.Minute
 
-// options are the command line.
+// options are the command-line flags.
 type options struct {
-	Bin      string `long:"bin" default:"bin" description:"folder of the built binaries"`
-	Seed     uint64 `long:"seed" default:"1" description:"first seed"`
-	Seeds    int    `long:"seeds" default:"1" description:"number of seeds"`
-	Fresh    bool   `long:"fresh" description:"take the first seed from the clock"`
-	Again    bool   `long:"regressions" description:"play the seeds that failed once, in place of others"`
-	Jobs     int    `long:"jobs" default:"1" description:"runs at the same time"`
-	Gateways int    `long:"gateways" default:"3" description:"gateways of a run"`
-	Clients  int    `long:"clients" default:"12" description:"clients of a run"`
-	Steps    int    `long:"steps" default:"24" description:"faults and changes of a run"`
-	Keep     string `long:"keep" default:"soak-logs" description:"folder for the logs of runs in which a promise was broken"`
-	Verbose  bool   `long:"verbose" description:"print the steps as they are made"`
+	Bin         string `long:"bin" default:"bin" description:"folder of the built binaries"`
+	Seed        uint64 `long:"seed" default:"1" description:"first seed"`
+	Seeds       int    `long:"seeds" default:"1" description:"number of seeds"`
+	Fresh       bool   `long:"fresh" description:"take the first seed from the clock"`
+	Regressions bool   `long:"regressions" description:"play the seeds that failed once, in place of others"`
+	Jobs        int    `long:"jobs" default:"1" description:"runs at the same time"`
+	Gateways    int    `long:"gateways" default:"3" description:"gateways of a run"`
+	Clients     int    `long:"clients" default:"12" description:"clients of a run"`
+	Steps       int    `long:"steps" default:"24" description:"faults and changes of a run"`
+	Keep        string `long:"keep" default:"soak-logs" description:"folder for the logs of runs in which a promise was broken"`
+	Verbose     bool   `long:"verbose" description:"print the steps as they are made"`
 }
 
 func main() {
 	var o options
-	command.Single(flags.NewParser(&o, flags.Default), func(ctx context.Context) error { return run(ctx, o) })
+	command.Run(flags.NewParser(&o, flags.Default), func(ctx context.Context) error { return run(ctx, o) })
 }
 
-// chosen returns the seeds to play.
-func chosen(o options) []uint64 {
+// selectSeeds returns the seeds to run.
+func selectSeeds(o options) []uint64 {
 	var seeds []uint64
-	if o.Again {
-		for _, one := range soak.Regressions {
-			seeds = append(seeds, one.Seed)
+	if o.Regressions {
+		for _, regression := range soak.Regressions {
+			seeds = append(seeds, regression.Seed)
 		}
 		return seeds
 	}
@@ -60,28 +61,28 @@
 	return seeds
 }
 
-// run plays all seeds and prints what came of each.
+// run runs all seeds, prints the result of each and fails if any violated a guarantee.
 func run(ctx context.Context, o options) error {
-	seeds := chosen(o)
-	broken := make(chan uint64, len(seeds))
+	seeds := selectSeeds(o)
+	failing := make(chan uint64, len(seeds))
 	var group errgroup.Group
 	group.SetLimit(o.Jobs)
 	for _, seed := range seeds {
 		group.Go(func() error {
-			held, err := one(ctx, o, seed)
-			if !held {
-				broken <- seed
+			passed, err := runSeed(ctx, o, seed)
+			if !passed {
+				failing <- seed
 			}
 			return err
 		})
 	}
 	err := group.Wait()
-	close(broken)
+	close(failing)
 	if err != nil {
 		return err
 	}
 	var failed []uint64
-	for seed := range broken {
+	for seed := range failing {
 		failed = append(failed, seed)
 	}
 	if len(failed) > 0 {
@@ -91,22 +92,22 @@
 	return nil
 }
 
-// one plays one seed and tells whether all promises held.
-func one(ctx context.Context, o options, seed uint64) (bool, error) {
+// runSeed runs one seed and reports whether all guarantees held.
+func runSeed(ctx context.Context, o options, seed uint64) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, runTimeout)
 	defer cancel()
-	settings := soak.Options{Bin: o.Bin, Seed: seed, Gateways: o.Gateways, Clients: o.Clients, Steps: o.Steps,
+	runOptions := soak.Options{Bin: o.Bin, Seed: seed, Gateways: o.Gateways, Clients: o.Clients, Steps: o.Steps,
 		Keep: filepath.Join(o.Keep, fmt.Sprint(seed))}
 	if o.Verbose {
-		settings.Out = os.Stdout
+		runOptions.Out = os.Stdout
 	}
-	report, err := soak.Run(ctx, settings)
+	report, err := soak.Run(ctx, runOptions)
 	if err != nil {
 		return false, fmt.Errorf("seed %d: %w", seed, err)
 	}
 	fmt.Printf("seed %d: %d requests, %d served, %d promises broken\n", seed, report.Sent, report.Served, len(report.Violations))
-	for _, one := range report.Violations {
-		fmt.Println("   ", one)
+	for _, violation := range report.Violations {
+		fmt.Println("   ", violation)
 	}
 	return len(report.Violations) == 0, nil
 }
--- a/standin/cmd/standin/main.go
+++ b/standin/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs one small stand-in of what surrounds the system: the
-// platform's object API, its host list, or an upstream.
+// Command standin runs one stand-in of a system that the gateways depend on: the
+// platform's object API, the platform's host list, or an upstream.
 package main
 
 import (
@@ -16,7 +16,7 @@
 // Time limits of the HTTP servers.
 const (
 	headerTimeout = 5 * time.Second
-	// stopTimeout bounds how long a planned stop waits for calls in flight.
+	// stopTimeout limits the time for which a planned stop waits for calls in flight.
 	stopTimeout = 30 * time.Second
 )
 
@@ -27,12 +27,12 @@
 	Upstream upstreamCommand `command:"upstream" description:"a model engine, a pool worker or a plain service"`
 }
 
-func main() { command.Subcommands(flags.NewParser(&options{}, flags.Default)) }
+func main() { command.RunSubcommands(flags.NewParser(&options{}, flags.Default)) }
 
-// serve answers HTTP at address until a stop signal. Then it calls stopping,
-// lets the calls in flight end and returns.
-func serve(address string, handler http.Handler, stopping func()) error {
-	ctx, cancel := command.StopSignals()
+// serve serves HTTP at address until SIGTERM or SIGINT. Then it calls beforeShutdown and
+// waits for the calls in flight.
+func serve(address string, handler http.Handler, beforeShutdown func()) error {
+	ctx, cancel := command.SignalContext()
 	defer cancel()
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -46,8 +46,8 @@
 		return err
 	case <-ctx.Done():
 	}
-	stopping()
-	limit, cancelLimit := context.WithTimeout(context.Background(), stopTimeout)
-	defer cancelLimit()
-	return server.Shutdown(limit)
+	beforeShutdown()
+	shutdownCtx, cancelShutdown := context.WithTimeout(context.Background(), stopTimeout)
+	defer cancelShutdown()
+	return server.Shutdown(shutdownCtx)
 }
--- a/standin/cmd/standin/platform.go
+++ b/standin/cmd/standin/platform.go
@@ -45,7 +45,7 @@
 	}
 	server := hostlist.NewServer(list, c.Lag)
 	for _, view := range views {
-		server.Show(view)
+		server.AddView(view)
 	}
 	return serve(c.Listen, server, func() {})
 }
--- a/standin/cmd/standin/upstream.go
+++ b/standin/cmd/standin/upstream.go
@@ -34,24 +34,24 @@
 
 // Execute implements flags.Commander.
 func (c *upstreamCommand) Execute([]string) error {
-	book, err := ledger.Open(c.Ledger, c.Name, c.Service)
+	records, err := ledger.Open(c.Ledger, c.Name, c.Service)
 	if err != nil {
 		return err
 	}
-	defer book.Close()
+	defer records.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	conditions := upstream.NewConditions()
 	server := upstream.NewServer(upstream.Options{
 		Worker:     c.worker(ctx, conditions),
 		Conditions: conditions,
-		Ledger:     book,
+		Ledger:     records,
 		ReportLag:  c.ReportLag,
 	})
 	return serve(c.Listen, server, server.Refuse)
 }
 
-// worker returns what carries out the calls.
+// worker returns the worker of the upstream's kind.
 func (c *upstreamCommand) worker(ctx context.Context, conditions *upstream.Conditions) upstream.Worker {
 	if c.Kind != "engine" {
 		return pool.New(pool.Options{
@@ -77,7 +77,7 @@
 	})
 }
 
-// milliseconds converts a flag's value.
+// milliseconds converts the value of a flag to a duration.
 func milliseconds(ms float64) time.Duration {
 	return time.Duration(ms * float64(time.Millisecond))
 }
--- a/standin/hostlist/gzip.go
+++ b/standin/hostlist/gzip.go
@@ -6,29 +6,29 @@
 	"strings"
 )
 
-// gzipped compresses the body of a good answer if the reader takes that. Entity tags
-// must be weak, as both forms have the same.
-func gzipped(next http.HandlerFunc) http.HandlerFunc {
+// withGzip compresses the body of a response with status 200 if the reader accepts gzip.
+// Entity tags must be weak because the compressed and the plain body share them.
+func withGzip(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Vary", "Accept-Encoding")
 		if !strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
 			next(w, r)
 			return
 		}
-		z := &zipped{ResponseWriter: w}
-		next(z, r)
-		z.close()
+		response := &gzipResponse{ResponseWriter: w}
+		next(response, r)
+		response.close()
 	}
 }
 
-// zipped is an answer whose body is compressed from a good status on.
-type zipped struct {
+// gzipResponse is a response writer that compresses the body once status 200 is written.
+type gzipResponse struct {
 	http.ResponseWriter
 	body *gzip.Writer
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (z *zipped) WriteHeader(status int) {
+func (z *gzipResponse) WriteHeader(status int) {
 	if status == http.StatusOK {
 		z.Header().Set("Content-Encoding", "gzip")
 		z.body = gzip.NewWriter(z.ResponseWriter)
@@ -37,17 +37,16 @@
 }
 
 // Write implements http.ResponseWriter.
-func (z *zipped) Write(p []byte) (int, error) {
+func (z *gzipResponse) Write(p []byte) (int, error) {
 	if z.body == nil {
 		return z.ResponseWriter.Write(p)
 	}
 	return z.body.Write(p)
 }
 
-// close ends the body. A failure means that the reader has gone, which it notices
-// itself.
-func (z *zipped) close() {
+// close ends the compressed body. An error means that the reader has disconnected.
+func (z *gzipResponse) close() {
 	if z.body != nil {
-		_ = z.body.Close() // what was read is whole already
+		_ = z.body.Close() // the handler has already written the whole body
 	}
 }
--- a/standin/hostlist/hostlist_test.go
+++ b/standin/hostlist/hostlist_test.go
@@ -14,14 +14,14 @@
 	"acaciawinch/core/fleet"
 )
 
-// initial is a list of two hosts.
+// initial is a host list with two hosts.
 var initial = fleet.List{Hosts: []fleet.Host{{Name: "a"}, {Name: "b"}}}
 
-// do calls the server and returns the status and body.
+// do sends a request to the server and returns the response's status and body.
 func do(s *Server, method, path, body string) (int, string) {
-	answer := httptest.NewRecorder()
-	s.ServeHTTP(answer, httptest.NewRequest(method, path, strings.NewReader(body)))
-	return answer.Code, answer.Body.String()
+	response := httptest.NewRecorder()
+	s.ServeHTTP(response, httptest.NewRequest(method, path, strings.NewReader(body)))
+	return response.Code, response.Body.String()
 }
 
 // visible returns the list that readers see.
@@ -40,7 +40,7 @@
 	second := visible(t, s)
 	assert.Assert(t, second.Version > first.Version)
 	assert.Assert(t, second.Hosts[1].Leaving && !second.Hosts[0].Leaving)
-	assert.Assert(t, !initial.Hosts[1].Leaving, "the first list was changed in place")
+	assert.Assert(t, !initial.Hosts[1].Leaving, "the initial list was changed in place")
 	status, _ = do(s, http.MethodPost, "/control/remove", `{"name":"a"}`)
 	assert.Equal(t, status, http.StatusOK)
 	third := visible(t, s)
@@ -65,19 +65,19 @@
 	s := NewServer(long, 0)
 	request := httptest.NewRequest(http.MethodGet, "/v1/hosts", nil)
 	request.Header.Set("Accept-Encoding", "gzip")
-	answer := httptest.NewRecorder()
-	s.ServeHTTP(answer, request)
-	assert.Equal(t, answer.Header().Get("Content-Encoding"), "gzip")
-	assert.Assert(t, answer.Body.Len() < 1000)
-	body, err := gzip.NewReader(answer.Body)
+	response := httptest.NewRecorder()
+	s.ServeHTTP(response, request)
+	assert.Equal(t, response.Header().Get("Content-Encoding"), "gzip")
+	assert.Assert(t, response.Body.Len() < 1000)
+	body, err := gzip.NewReader(response.Body)
 	assert.NilError(t, err)
 	var list fleet.List
 	assert.NilError(t, json.NewDecoder(body).Decode(&list))
 	assert.DeepEqual(t, list.Hosts, long.Hosts)
 
-	request.Header.Set("If-None-Match", answer.Header().Get("ETag"))
-	again := httptest.NewRecorder()
-	s.ServeHTTP(again, request)
-	assert.Equal(t, again.Code, http.StatusNotModified)
-	assert.Equal(t, again.Body.Len(), 0)
+	request.Header.Set("If-None-Match", response.Header().Get("ETag"))
+	revalidation := httptest.NewRecorder()
+	s.ServeHTTP(revalidation, request)
+	assert.Equal(t, revalidation.Code, http.StatusNotModified)
+	assert.Equal(t, revalidation.Body.Len(), 0)
 }
--- a/standin/hostlist/view.go
+++ b/standin/hostlist/view.go
@@ -6,41 +6,43 @@
 	"acaciawinch/core/fleet"
 )
 
-// View is the list as the readers of one availability zone see it: with other
-// addresses for the hosts that they reach another way.
+// View is the host list for the readers of one availability zone. It replaces the
+// addresses of the hosts that the zone reaches through relays.
 type View struct {
 	Zone      string    `json:"zone"`
 	Addresses []Address `json:"addresses"`
 }
 
-// Address is where the readers of a view reach a host.
+// Address replaces the address of one host in a view.
 type Address struct {
 	Host string `json:"host"`
-	// Addr and Own are IP:port pairs: the view's, and the host's own.
+	// Addr is the IP:port in the view. Own is the host's own; the entry applies only
+	// while the host list has this address for the host.
 	Addr string `json:"addr"`
 	Own  string `json:"own"`
 }
 
-// Show adds a view, served under its own path, ViewPath. Call it before serving.
-func (s *Server) Show(view View) {
-	s.mux.HandleFunc("GET "+ViewPath(view.Zone)+"/v1/hosts", gzipped(func(w http.ResponseWriter, r *http.Request) {
-		s.write(w, r, view.apply)
+// AddView adds a view and serves it below ViewPath. It must be called before the server
+// handles requests.
+func (s *Server) AddView(view View) {
+	s.mux.HandleFunc("GET "+ViewPath(view.Zone)+"/v1/hosts", withGzip(func(w http.ResponseWriter, r *http.Request) {
+		s.writeList(w, r, view.apply)
 	}))
 }
 
-// ViewPath is the path below which a zone's view is served.
+// ViewPath returns the path below which a zone's view is served.
 func ViewPath(zone string) string { return "/views/" + zone }
 
-// apply returns the list with the view's addresses.
+// apply returns a copy of the list with the view's addresses.
 func (v View) apply(list fleet.List) fleet.List {
-	seen := fleet.List{Version: list.Version}
+	viewed := fleet.List{Version: list.Version}
 	for _, host := range list.Hosts {
 		for _, address := range v.Addresses {
 			if address.Host == host.Name && address.Own == host.Addr {
 				host.Addr = address.Addr
 			}
 		}
-		seen.Hosts = append(seen.Hosts, host)
+		viewed.Hosts = append(viewed.Hosts, host)
 	}
-	return seen
+	return viewed
 }
--- a/standin/internal/command/command.go
+++ b/standin/internal/command/command.go
@@ -1,5 +1,5 @@
-// Package command runs the programs of the stand-ins and measurements: one way to
-// parse a command line, to stop at a signal, and to end with an exit code.
+// Package command holds what the programs of the stand-ins and measurements share:
+// command-line parsing, stopping at a signal, and exit codes.
 package command
 
 import (
@@ -13,28 +13,28 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// Exit codes beside 0.
+// Exit codes of failures. Success is 0.
 const (
 	exitFailed = 1
 	exitUsage  = 2
 )
 
-// Subcommands parses the command line and carries out the subcommand that it
-// names. It ends the process if that fails; the parser has printed why.
-func Subcommands(parser *flags.Parser) {
+// RunSubcommands parses the command line and executes the subcommand that it names. On
+// failure it exits the process; the parser has printed the error.
+func RunSubcommands(parser *flags.Parser) {
 	_, err := parser.Parse()
 	if code := exitCode(err); code != 0 {
 		os.Exit(code)
 	}
 }
 
-// Single parses the command line of a program without subcommands and calls run
-// with a context that ends at a stop signal. It ends the process if that fails.
-func Single(parser *flags.Parser, run func(context.Context) error) {
+// Run parses the command line of a program without subcommands and calls run with a
+// context that ends at SIGTERM or SIGINT. On failure it exits the process.
+func Run(parser *flags.Parser, run func(context.Context) error) {
 	if _, err := parser.Parse(); err != nil {
 		os.Exit(exitCode(err))
 	}
-	ctx, stop := StopSignals()
+	ctx, stop := SignalContext()
 	defer stop()
 	if err := run(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, parser.Name+":", err)
@@ -42,8 +42,8 @@
 	}
 }
 
-// exitCode returns the exit code for what the parser returned. Asking for help is
-// no failure.
+// exitCode returns the exit code for the parser's error. A request for help is not a
+// failure.
 func exitCode(err error) int {
 	var usage *flags.Error
 	switch {
@@ -57,7 +57,7 @@
 	return exitFailed
 }
 
-// StopSignals returns a context that ends at SIGTERM or SIGINT.
-func StopSignals() (context.Context, context.CancelFunc) {
+// SignalContext returns a context that ends at SIGTERM or SIGINT.
+func SignalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 }
--- a/standin/internal/jsonhttp/jsonhttp.go
+++ b/standin/internal/jsonhttp/jsonhttp.go
@@ -1,4 +1,4 @@
-// Package jsonhttp reads and writes the small JSON bodies of the stand-ins.
+// Package jsonhttp reads and writes the JSON bodies of the stand-ins' HTTP endpoints.
 package jsonhttp
 
 import (
@@ -6,10 +6,10 @@
 	"net/http"
 )
 
-// maxBodyBytes bounds what a stand-in reads of one request.
+// maxBodyBytes limits the body of one request.
 const maxBodyBytes = 16 << 20
 
-// Read decodes the request's body into value. On failure it answers 400 and
+// Read decodes the request's body into value. On failure it writes status 400 and
 // returns false.
 func Read(w http.ResponseWriter, r *http.Request, value any) bool {
 	body := http.MaxBytesReader(w, r.Body, maxBodyBytes)
@@ -20,10 +20,10 @@
 	return true
 }
 
-// Write answers with value as JSON.
+// Write writes a response with the status and value as JSON.
 func Write(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A failure here means that the client has gone, which it notices itself.
+	// An error here means that the client has disconnected.
 	_ = json.NewEncoder(w).Encode(value)
 }
--- a/standin/internal/lag/lag.go
+++ b/standin/internal/lag/lag.go
@@ -1,5 +1,5 @@
-// Package lag holds values that readers see only some time after they were set,
-// as the platform's host list and the engines' load reports do.
+// Package lag holds values that become visible to readers some time after they were
+// set, like the platform's host list and the engines' load reports.
 package lag
 
 import (
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Value is a value that becomes visible a fixed time after Set. It may be used
-// by many goroutines.
+// Value is a value whose changes become visible a fixed time after Set. It is safe for
+// concurrent use.
 type Value[T any] struct {
 	delay time.Duration
 	now   func() time.Time
@@ -17,14 +17,14 @@
 	entries []entry[T]
 }
 
-// entry is one value with the time at which readers begin to see it.
+// entry is one value with the time from which it is visible.
 type entry[T any] struct {
 	visible time.Time
 	value   T
 }
 
-// New returns a Value that shows initial at once and each later value after delay.
-// The clock now is time.Now but in tests.
+// New returns a Value that holds initial at once and each later value after delay.
+// The clock now is time.Now except in tests.
 func New[T any](initial T, delay time.Duration, now func() time.Time) *Value[T] {
 	return &Value[T]{
 		delay:   delay,
@@ -49,8 +49,8 @@
 	return v.entries[0].value
 }
 
-// prune drops the entries that a newer visible one hides, so that the first
-// entry is the visible one.
+// prune drops the entries that a newer visible one supersedes, so that the first entry
+// is the visible one. The caller holds mu.
 func (v *Value[T]) prune() {
 	now := v.now()
 	for len(v.entries) > 1 && !v.entries[1].visible.After(now) {
