--- a/standin/ledger/ledger.go
+++ b/standin/ledger/ledger.go
@@ -1,5 +1,5 @@
-// Package ledger keeps what a stand-in upstream did, as JSON lines in a file.
-// Verdicts on the system are taken from ledgers, never from its own logs.
+// Package ledger records the calls and orders of a stand-in upstream as JSON lines in a
+// file. Tests judge the system by ledgers, never by the system's own logs.
 package ledger
 
 import (
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Event is the kind of one record.
+// Event is the kind of a record.
 type Event string
 
 // The events of an upstream.
@@ -26,24 +26,24 @@
 
 // Record is one line of a ledger.
 type Record struct {
-	// TimeUS is the machine's clock in microseconds since 1970.
+	// TimeUS is the wall clock in microseconds since 1970.
 	TimeUS   int64  `json:"t_us"`
 	Upstream string `json:"upstream"`
 	Service  string `json:"service"`
 	Event    Event  `json:"event"`
-	// ID is the attempt's id as the system named it.
+	// ID is the attempt's ID as sent by the system.
 	ID          string `json:"id,omitempty"`
 	Workspace   string `json:"workspace,omitempty"`
 	InputDigest string `json:"input_digest,omitempty"`
-	// Cost is the work spent so far: tokens, or 1 for a call that ended.
+	// Cost is the work done so far: the number of tokens, or 1 for a call that ended.
 	Cost    uint64 `json:"cost"`
 	Fencing uint64 `json:"fencing,omitempty"`
-	// Detail names an order's action and model, or an error.
+	// Detail holds the action and model of an order, or the text of an error.
 	Detail string `json:"detail,omitempty"`
 }
 
-// Ledger appends records to a file. Each record is one write, so that a killed
-// process loses none. It may be used by many goroutines.
+// Ledger appends records to a file. Each record is one write without a buffer, so that
+// a killed process loses none. It is safe for concurrent use.
 type Ledger struct {
 	upstream string
 	service  string
@@ -51,8 +51,8 @@
 	file     *os.File
 }
 
-// Open returns a ledger that appends to the file at path. An empty path keeps
-// no records.
+// Open returns a ledger that appends to the file at path. With an empty path it
+// discards all records.
 func Open(path, upstream, service string) (*Ledger, error) {
 	l := &Ledger{upstream: upstream, service: service}
 	if path == "" {
@@ -63,8 +63,8 @@
 	return l, err
 }
 
-// Write appends one record and fills in its time, upstream and service. It
-// fails only if the file can't be written.
+// Write appends one record and sets its time, upstream and service. It fails only if the
+// file can't be written.
 func (l *Ledger) Write(r Record) error {
 	if l.file == nil {
 		return nil
@@ -90,8 +90,8 @@
 	return l.file.Close()
 }
 
-// Read returns the records of one file. A last line without its end is left
-// out: its process was killed within the write.
+// Read returns the records of one file. It skips a last line without a newline: its
+// process was killed during the write.
 func Read(path string) ([]Record, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/standin/load/load_test.go
+++ b/standin/load/load_test.go
@@ -11,8 +11,9 @@
 	"acaciawinch/standin/caller"
 )
 
-// surged is a flow with a rate of 100, tenfold in the second of four seconds.
-var surged = Flow{
+// surgingFlow is a flow with a rate of 100 per second, and ten times that between the first
+// and the second second.
+var surgingFlow = Flow{
 	Workspace: "w",
 	Pipeline:  "p",
 	Rate:      100,
@@ -22,37 +23,37 @@
 }
 
 func TestScheduleIsFixedBySeed(t *testing.T) {
-	first := Schedule(1, 4*time.Second, []Flow{surged, surged})
-	assert.DeepEqual(t, first, Schedule(1, 4*time.Second, []Flow{surged, surged}))
-	other := Schedule(2, 4*time.Second, []Flow{surged, surged})
+	first := Schedule(1, 4*time.Second, []Flow{surgingFlow, surgingFlow})
+	assert.DeepEqual(t, first, Schedule(1, 4*time.Second, []Flow{surgingFlow, surgingFlow}))
+	other := Schedule(2, 4*time.Second, []Flow{surgingFlow, surgingFlow})
 	assert.Assert(t, first[0].At != other[0].At)
 }
 
 func TestScheduleFollowsTheRate(t *testing.T) {
 	counts := make([]float64, 4)
-	names := map[string]bool{}
+	keys := map[string]bool{}
 	last := time.Duration(0)
-	for _, a := range Schedule(1, 4*time.Second, []Flow{surged}) {
+	for _, a := range Schedule(1, 4*time.Second, []Flow{surgingFlow}) {
 		assert.Assert(t, a.At >= last)
 		last = a.At
 		counts[a.At/time.Second]++
-		names[a.Request.Key] = true
+		keys[a.Request.Key] = true
 	}
 	total := 0.0
 	for second, want := range []float64{100, 1000, 100, 100} {
-		// Five standard deviations of a Poisson count.
+		// The tolerance is five standard deviations of a Poisson count.
 		assert.Assert(t, math.Abs(counts[second]-want) < 5*math.Sqrt(want), "second %d: %v", second, counts[second])
 		total += counts[second]
 	}
-	assert.Equal(t, len(names), int(total), "keys are not unique")
+	assert.Equal(t, len(keys), int(total), "idempotency keys are not unique")
 }
 
 func TestSummaryCountsFromTheScheduledTime(t *testing.T) {
 	arrival := Arrival{Deadline: time.Second, Request: caller.Request{Workspace: "w"}}
-	whole := caller.Result{Verdict: caller.Whole, Outcome: core.OutcomeAnswered}
+	complete := caller.Result{Verdict: caller.Whole, Outcome: core.OutcomeAnswered}
 	records := []Record{
-		{Arrival: arrival, Result: whole, Latency: time.Second},
-		{Arrival: arrival, Result: whole, Latency: time.Second + 1},
+		{Arrival: arrival, Result: complete, Latency: time.Second},
+		{Arrival: arrival, Result: complete, Latency: time.Second + 1},
 		{Arrival: arrival, Result: caller.Result{Verdict: caller.Problem, Outcome: core.OutcomeNotRun}},
 		{Arrival: arrival, Result: caller.Result{Verdict: caller.Cut}},
 	}
--- a/standin/load/report.go
+++ b/standin/load/report.go
@@ -9,14 +9,14 @@
 	"acaciawinch/standin/caller"
 )
 
-// Range and precision of the histograms, in microseconds and digits.
+// Range of the histograms in microseconds, and their precision.
 const (
-	lowestUS  = 1
-	highestUS = int64(10 * time.Minute / time.Microsecond)
-	digits    = 3
+	lowestUS          = 1
+	highestUS         = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
-// Quantiles of one measure, in milliseconds.
+// Quantiles summarizes one measure, in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -25,30 +25,30 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// Report sums up the records of one workspace, or of all.
+// Report summarizes the records of one workspace or of all workspaces.
 type Report struct {
 	Sent int `json:"sent"`
-	// Attained counts the whole answers within the deadline.
+	// Attained counts the complete responses within the deadline.
 	Attained   int     `json:"attained"`
 	Attainment float64 `json:"attainment"`
 	Answered   int     `json:"answered"`
 	NotRun     int     `json:"not_run"`
 	Failed     int     `json:"failed"`
 	Unknown    int     `json:"unknown"`
-	// Other counts cut, broken and mismatched answers.
+	// Other counts truncated, broken and mismatched responses.
 	Other int `json:"other"`
-	// First, Gap and Latency are the time until the first chunk, between chunks,
-	// and until the whole answer, of whole answers. Refusal is the time until a
+	// First, Gap and Latency cover complete responses: the time until the first chunk,
+	// between chunks, and until the end of the response. Refusal is the time until a
 	// refusal.
 	First   Quantiles `json:"first"`
 	Gap     Quantiles `json:"gap"`
 	Latency Quantiles `json:"latency"`
 	Refusal Quantiles `json:"refusal"`
-	// Late is how much later than due requests were sent.
+	// Late is the delay between the time at which a request was due and its sending.
 	Late Quantiles `json:"late"`
 }
 
-// Summarize reports on all records together.
+// Summarize returns one report on all records.
 func Summarize(records []Record) Report {
 	s := newSummary()
 	for _, r := range records {
@@ -57,7 +57,7 @@
 	return s.report()
 }
 
-// SummarizeByWorkspace reports on each workspace.
+// SummarizeByWorkspace returns one report for each workspace.
 func SummarizeByWorkspace(records []Record) map[string]Report {
 	summaries := map[string]*summary{}
 	for _, r := range records {
@@ -74,7 +74,7 @@
 	return reports
 }
 
-// summary gathers a Report.
+// summary accumulates the records of a Report.
 type summary struct {
 	counts                             Report
 	first, gap, latency, refusal, late *hdrhistogram.Histogram
@@ -83,7 +83,7 @@
 // newSummary returns an empty summary.
 func newSummary() *summary {
 	histogram := func() *hdrhistogram.Histogram {
-		return hdrhistogram.New(lowestUS, highestUS, digits)
+		return hdrhistogram.New(lowestUS, highestUS, significantDigits)
 	}
 	return &summary{
 		first:   histogram(),
@@ -94,7 +94,7 @@
 	}
 }
 
-// add takes one record into account.
+// add adds one record to the summary.
 func (s *summary) add(r Record) {
 	s.counts.Sent++
 	record(s.late, r.Late)
@@ -104,7 +104,7 @@
 	switch {
 	case r.Result.Verdict == caller.Whole:
 		s.counts.Answered++
-		s.addTimes(r)
+		s.addLatencies(r)
 	case r.Result.Verdict != caller.Problem:
 		s.counts.Other++
 	case r.Result.Outcome == core.OutcomeNotRun:
@@ -117,8 +117,8 @@
 	}
 }
 
-// addTimes takes the times of a whole answer into account.
-func (s *summary) addTimes(r Record) {
+// addLatencies adds the times of a complete response to the summary.
+func (s *summary) addLatencies(r Record) {
 	record(s.latency, r.Latency)
 	if r.First > 0 {
 		record(s.first, r.First)
@@ -128,10 +128,10 @@
 	}
 }
 
-// record adds a duration, held within the histogram's range.
+// record adds a duration to a histogram, clamped to the histogram's range.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	us := min(max(d.Microseconds(), lowestUS), highestUS)
-	// A value within the range is never refused.
+	// RecordValue fails only for values outside of the range.
 	_ = h.RecordValue(us)
 }
 
@@ -149,7 +149,7 @@
 	return r
 }
 
-// quantiles reads a histogram.
+// quantiles returns the quantiles of a histogram.
 func quantiles(h *hdrhistogram.Histogram) Quantiles {
 	ms := func(us int64) float64 { return float64(us) / 1000 }
 	if h.TotalCount() == 0 {
--- a/standin/load/run.go
+++ b/standin/load/run.go
@@ -9,20 +9,20 @@
 	"acaciawinch/standin/verdict"
 )
 
-// Record is one arrival with what came of it.
+// Record is one arrival with its result.
 type Record struct {
 	Arrival Arrival
 	Result  caller.Result
-	// Late is how much later than due the request was sent: the generator's own
-	// fault, to be looked at before figures are believed.
+	// Late is the delay between the time at which the request was due and its sending.
+	// It is the generator's own fault and must be checked before figures are trusted.
 	Late time.Duration
-	// Latency and First count from when the request was due; First is zero for
-	// answers that are not streams.
+	// Latency and First count from the time at which the request was due. First is zero
+	// for responses that are not streams.
 	Latency time.Duration
 	First   time.Duration
 }
 
-// Attained tells whether the whole answer came within the deadline.
+// Attained reports whether the response completed within the deadline.
 func (r Record) Attained() bool {
 	return r.Result.Verdict == caller.Whole && r.Latency <= r.Arrival.Deadline
 }
@@ -30,23 +30,23 @@
 // Options configure a run.
 type Options struct {
 	Client *caller.Client
-	// Entry returns the URL of the entry for the arrival with number i, as the
-	// platform's balancer would.
+	// Entry returns the URL of the entry for arrival i. It stands in for the platform's
+	// load balancer.
 	Entry func(i int) string
-	// Patience is how long behind its deadline a caller waits for an answer.
+	// Patience is the time beyond its deadline for which a caller waits for a response.
 	Patience time.Duration
 }
 
-// Run sends every arrival when it is due and returns the records in the order of
-// the arrivals, when all are answered. It ends early if ctx does; arrivals that
-// were not sent have no record.
+// Run sends every arrival when it is due, waits for all results and returns the records
+// in the order of the arrivals. If ctx ends early, the arrivals that were not sent have
+// no record.
 func Run(ctx context.Context, arrivals []Arrival, o Options) []Record {
 	records := make([]Record, len(arrivals))
 	start := time.Now()
 	sent := 0
 	var group sync.WaitGroup
 	for i, arrival := range arrivals {
-		if !await(ctx, start.Add(arrival.At)) {
+		if !waitUntil(ctx, start.Add(arrival.At)) {
 			break
 		}
 		sent++
@@ -56,8 +56,8 @@
 	return records[:sent]
 }
 
-// await waits until a time. It returns false if ctx ends first.
-func await(ctx context.Context, until time.Time) bool {
+// waitUntil waits until a time. It returns false if ctx ends first.
+func waitUntil(ctx context.Context, until time.Time) bool {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
 	select {
@@ -68,7 +68,7 @@
 	}
 }
 
-// send sends one arrival.
+// send sends the request of arrival i and returns its record.
 func send(ctx context.Context, start time.Time, i int, arrival Arrival, o Options) Record {
 	due := start.Add(arrival.At)
 	ctx, cancel := context.WithDeadline(ctx, due.Add(arrival.Deadline+o.Patience))
@@ -82,7 +82,7 @@
 	return record
 }
 
-// Exchanges returns the records for a verdict.
+// Exchanges converts records to the input of package verdict.
 func Exchanges(records []Record) []verdict.Exchange {
 	exchanges := make([]verdict.Exchange, len(records))
 	for i, r := range records {
--- a/standin/load/schedule.go
+++ b/standin/load/schedule.go
@@ -1,6 +1,6 @@
-// Package load is an open-loop load generator: requests are sent at times drawn
-// beforehand, whether or not earlier ones have been answered, and latencies
-// count from those times. A slow system can't slow its own load down.
+// Package load is an open-loop load generator. Requests are sent at times drawn
+// beforehand, whether or not earlier requests have completed, and latencies count from
+// those times. A slow system therefore can't reduce its own load.
 package load
 
 import (
@@ -12,23 +12,24 @@
 	"acaciawinch/standin/caller"
 )
 
-// Flow is the requests of one workspace for one pipeline.
+// Flow is the stream of requests of one workspace for one pipeline.
 type Flow struct {
 	Workspace string
 	Pipeline  string
-	// Rate is the mean arrivals in a second.
+	// Rate is the mean number of arrivals per second.
 	Rate float64
-	// Surges change the rate for a time; they must be in order and apart.
+	// Surges change the rate for a time. They must be sorted and must not overlap.
 	Surges []Surge
 	// Keyed gives each request an idempotency key.
 	Keyed bool
-	// Stream asks for server-sent events.
+	// Stream requests server-sent events.
 	Stream bool
-	// Deadline is the request's deadline, which attainment is measured by.
+	// Deadline is the deadline of each request, by which attainment is measured.
 	Deadline time.Duration
 }
 
-// Surge multiplies a flow's rate from From up to To, counted from the start.
+// Surge multiplies a flow's rate from From up to To, both counted from the start of
+// the run.
 type Surge struct {
 	From   time.Duration
 	To     time.Duration
@@ -37,14 +38,14 @@
 
 // Arrival is one request with the time at which it is due.
 type Arrival struct {
-	// At counts from the start of the run.
+	// At is the due time, counted from the start of the run.
 	At       time.Duration
 	Deadline time.Duration
 	Request  caller.Request
 }
 
-// Schedule draws the arrivals of all flows up to duration as Poisson processes,
-// in order of time. Equal seeds give equal schedules.
+// Schedule draws the arrivals of all flows up to duration as Poisson processes and
+// returns them in order of time. Equal seeds give equal schedules.
 func Schedule(seed uint64, duration time.Duration, flows []Flow) []Arrival {
 	var all []Arrival
 	for i, flow := range flows {
@@ -61,7 +62,8 @@
 	return all
 }
 
-// request returns the flow's request with a body that no other one has.
+// request returns a request of the flow. The name makes its body, and its idempotency
+// key if it has one, unique.
 func (f Flow) request(name string) caller.Request {
 	request := caller.Request{
 		Workspace:  f.Workspace,
@@ -76,8 +78,8 @@
 	return request
 }
 
-// arrivals draws the times of one flow. A Poisson process has no memory, so that
-// drawing anew at each change of the rate keeps the process exact.
+// arrivals draws the arrival times of one flow. A Poisson process is memoryless, so a
+// new draw at each change of the rate keeps the process exact.
 func arrivals(random *rand.Rand, duration time.Duration, flow Flow) []time.Duration {
 	var times []time.Duration
 	now := time.Duration(0)
@@ -98,7 +100,7 @@
 	return times
 }
 
-// rateAt returns the rate at a time and until when it holds.
+// rateAt returns the rate at the time now and the end of the period in which it holds.
 func (f Flow) rateAt(now, end time.Duration) (float64, time.Duration) {
 	for _, surge := range f.Surges {
 		if now < surge.From {
--- a/standin/pages/doc.go
+++ b/standin/pages/doc.go
@@ -1,2 +1,2 @@
-// Package pages holds the tests of the project's pages.
+// Package pages holds the tests of the project's Markdown pages.
 package pages
--- a/standin/pages/pages_test.go
+++ b/standin/pages/pages_test.go
@@ -10,12 +10,13 @@
 	"gotest.tools/v3/assert"
 )
 
+// root is the project's root folder, relative to this package.
 const root = "../.."
 
 // link matches the target of a Markdown link.
 var link = regexp.MustCompile(`\]\(([^)#\s]+)(?:#[^)]*)?\)`)
 
-// pages returns the Markdown pages of the tree.
+// pages returns the paths of the project's Markdown pages.
 func pages(t *testing.T) []string {
 	t.Helper()
 	var found []string
@@ -37,7 +38,7 @@
 				continue
 			}
 			_, err := os.Stat(filepath.Join(filepath.Dir(page), match[1]))
-			assert.Check(t, err == nil, "%s links to %s, which is not there", page, match[1])
+			assert.Check(t, err == nil, "%s links to %s, which does not exist", page, match[1])
 		}
 	}
 }
--- a/standin/pool/pool.go
+++ b/standin/pool/pool.go
@@ -1,5 +1,5 @@
-// Package pool is a stand-in worker of a stage pool or of a plain service: a
-// fixed number of calls at once, each of a fixed duration.
+// Package pool is a stand-in worker of a stage pool or of a plain service. It runs a
+// bounded number of concurrent calls, each of a duration drawn around a nominal one.
 package pool
 
 import (
@@ -14,9 +14,9 @@
 type Options struct {
 	Service  string
 	Capacity int
-	// Duration is the nominal time of one call.
+	// Duration is the nominal duration of one call.
 	Duration time.Duration
-	// Spread draws the times of calls around Duration.
+	// Spread draws the durations of calls around Duration.
 	Spread     *upstream.Spread
 	Conditions *upstream.Conditions
 }
@@ -55,8 +55,8 @@
 	return upstream.Status{Capacity: p.options.Capacity, Models: []string{}}
 }
 
-// Order implements upstream.Worker: pools and plain services take no orders.
+// Order implements upstream.Worker. Pools and plain services accept no orders.
 func (p *Pool) Order(upstream.Order) error { return upstream.ErrNoOrders }
 
-// CacheEvents implements upstream.Worker: there is no cache.
+// CacheEvents implements upstream.Worker. Pools and plain services have no cache.
 func (p *Pool) CacheEvents(uint64) []upstream.CacheEvent { return []upstream.CacheEvent{} }
