--- a/standin/upstream/conditions.go
+++ b/standin/upstream/conditions.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// Control is the body of POST /control. It replaces all switches.
+// Control is the body of POST /control. It replaces all fault switches.
 type Control struct {
 	// SlowFactor multiplies all work times; 0 means 1.
 	SlowFactor float64 `json:"slow_factor"`
-	// Leaving sets the notice that the upstream is about to go. Work is still
-	// taken, so that the ledger shows who ignores the notice.
+	// Leaving announces that the upstream is about to shut down. Calls are still
+	// accepted, so that the ledger shows which callers ignore the announcement.
 	Leaving bool `json:"leaving"`
-	// FailNext is how many of the next calls fail after their work is done.
+	// FailNext is the number of next calls that fail after their work is done.
 	FailNext int `json:"fail_next"`
-	// Hang stops all work until it is switched off.
+	// Hang stalls all work until it is reset.
 	Hang bool `json:"hang"`
-	// LateMS delays each answer's first chunk, in milliseconds.
+	// LateMS delays the first chunk of each response, in milliseconds.
 	LateMS int `json:"late_ms"`
 }
 
-// Conditions holds the switches. It may be used by many goroutines.
+// Conditions holds the fault switches. It is safe for concurrent use.
 type Conditions struct {
 	mu      sync.Mutex
 	control Control
-	// changed is closed at the next change and then replaced.
+	// changed is closed and replaced whenever the switches change.
 	changed chan struct{}
 }
 
-// NewConditions returns switches that are all off.
+// NewConditions returns Conditions with all fault switches off.
 func NewConditions() *Conditions {
 	return &Conditions{changed: make(chan struct{})}
 }
 
-// Set replaces the switches.
+// Set replaces the fault switches.
 func (c *Conditions) Set(control Control) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -43,15 +43,16 @@
 	c.changed = make(chan struct{})
 }
 
-// Get returns the switches, and a channel that is closed at the next change.
+// Get returns the fault switches and a channel that is closed when they next change.
 func (c *Conditions) Get() (Control, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.control, c.changed
 }
 
-// FailThis tells whether the call that ends now is to fail.
-func (c *Conditions) FailThis() bool {
+// ConsumeFailure reports whether the call that is ending must fail, and counts it
+// against FailNext.
+func (c *Conditions) ConsumeFailure() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.control.FailNext == 0 {
@@ -61,8 +62,8 @@
 	return true
 }
 
-// Work waits for as long as work of the given nominal duration takes, and while
-// the upstream hangs. It fails if ctx ends first.
+// Work simulates work of the given nominal duration: it waits for that duration,
+// scaled by SlowFactor, and then while Hang is set. It fails if ctx ends first.
 func (c *Conditions) Work(ctx context.Context, nominal time.Duration) error {
 	control, _ := c.Get()
 	if control.SlowFactor > 0 {
@@ -71,11 +72,11 @@
 	if err := sleep(ctx, nominal); err != nil {
 		return err
 	}
-	return c.awaitMotion(ctx)
+	return c.waitWhileHung(ctx)
 }
 
-// awaitMotion waits while the upstream hangs.
-func (c *Conditions) awaitMotion(ctx context.Context) error {
+// waitWhileHung waits until Hang is reset or ctx ends.
+func (c *Conditions) waitWhileHung(ctx context.Context) error {
 	for {
 		control, changed := c.Get()
 		if !control.Hang {
--- a/standin/upstream/run.go
+++ b/standin/upstream/run.go
@@ -12,20 +12,20 @@
 	"acaciawinch/standin/ledger"
 )
 
-// line is one line of the answer of POST /v1/run.
-type line struct {
+// responseLine is one line of the response to POST /v1/run.
+type responseLine struct {
 	Chunk []byte  `json:"chunk,omitempty"`
 	Done  bool    `json:"done,omitempty"`
 	Cost  *uint64 `json:"cost,omitempty"`
 	Error string  `json:"error,omitempty"`
 }
 
-// refusal is the answer of a call that was not run.
-type refusal struct {
+// rejection is the response to a call that was not run.
+type rejection struct {
 	Refused string `json:"refused"`
 }
 
-// run answers POST /v1/run.
+// run handles POST /v1/run.
 func (s *Server) run(w http.ResponseWriter, r *http.Request) {
 	var call Call
 	if !jsonhttp.Read(w, r, &call) {
@@ -33,17 +33,17 @@
 	}
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
-	if !s.enter(call.ID, cancel) {
-		jsonhttp.Write(w, http.StatusConflict, refusal{Refused: "leaving"})
+	if !s.addCall(call.ID, cancel) {
+		jsonhttp.Write(w, http.StatusConflict, rejection{Refused: "leaving"})
 		return
 	}
-	defer s.leave(call.ID)
-	s.noteStatus()
-	s.carryOut(ctx, call, &stream{writer: w, late: s.late})
+	defer s.removeCall(call.ID)
+	s.publishStatus()
+	s.execute(ctx, call, &stream{writer: w, delay: s.firstChunkDelay})
 }
 
-// carryOut runs the call and records its course.
-func (s *Server) carryOut(ctx context.Context, call Call, out *stream) {
+// execute runs the call and records its start and end in the ledger.
+func (s *Server) execute(ctx context.Context, call Call, out *stream) {
 	record := ledger.Record{
 		ID:          call.ID,
 		Workspace:   call.Workspace,
@@ -58,60 +58,60 @@
 		Emit:    func(chunk []byte) error { return out.emit(ctx, chunk) },
 	})
 	if errors.Is(err, ErrNotRun) {
-		jsonhttp.Write(out.writer, http.StatusConflict, refusal{Refused: err.Error()})
+		jsonhttp.Write(out.writer, http.StatusConflict, rejection{Refused: err.Error()})
 		return
 	}
 	record.Cost = cost
-	s.close(record, err, out)
+	s.finishCall(record, err, out)
 }
 
-// close records how a call that started ended, and ends its answer.
-func (s *Server) close(record ledger.Record, err error, out *stream) {
+// finishCall records the end of a started call and completes its response.
+func (s *Server) finishCall(record ledger.Record, err error, out *stream) {
 	switch {
 	case err != nil && record.Event == "":
-		// Cancelled before it started: nothing was run.
+		// The call was cancelled before it started, so there is nothing to record.
 		return
 	case err != nil:
 		record.Event = ledger.Cancel
 		s.record(record)
-	case s.conditions.FailThis():
+	case s.conditions.ConsumeFailure():
 		record.Event = ledger.Error
 		s.record(record)
-		_ = out.write(line{Error: "the upstream failed"}) // the ledger has it; a caller that is gone needs no answer
+		_ = out.write(responseLine{Error: "the upstream failed"}) // the ledger has the failure; a disconnected caller needs no response
 	default:
 		record.Event = ledger.End
 		s.record(record)
-		_ = out.write(line{Done: true, Cost: &record.Cost}) // as above
+		_ = out.write(responseLine{Done: true, Cost: &record.Cost}) // the ledger has the end; a disconnected caller needs no response
 	}
 }
 
-// late returns how long an answer's first chunk is held back.
-func (s *Server) late() time.Duration {
+// firstChunkDelay returns the delay before the first chunk of a response.
+func (s *Server) firstChunkDelay() time.Duration {
 	control, _ := s.conditions.Get()
 	return time.Duration(control.LateMS) * time.Millisecond
 }
 
-// stream writes one call's answer as JSON lines.
+// stream writes the response to one call as JSON lines.
 type stream struct {
-	writer http.ResponseWriter
-	late   func() time.Duration
-	began  bool
+	writer  http.ResponseWriter
+	delay   func() time.Duration
+	started bool
 }
 
-// emit writes one chunk; the first is held back by the switch for late answers.
+// emit writes one chunk. The first chunk is delayed as Control.LateMS demands.
 func (s *stream) emit(ctx context.Context, chunk []byte) error {
-	if !s.began {
-		if err := sleep(ctx, s.late()); err != nil {
+	if !s.started {
+		if err := sleep(ctx, s.delay()); err != nil {
 			return err
 		}
 	}
-	return s.write(line{Chunk: chunk})
+	return s.write(responseLine{Chunk: chunk})
 }
 
-// write writes one line and sends it off.
-func (s *stream) write(l line) error {
-	if !s.began {
-		s.began = true
+// write writes one line and flushes it.
+func (s *stream) write(l responseLine) error {
+	if !s.started {
+		s.started = true
 		s.writer.Header().Set("Content-Type", "application/x-ndjson")
 	}
 	if err := json.NewEncoder(s.writer).Encode(l); err != nil {
--- a/standin/upstream/server.go
+++ b/standin/upstream/server.go
@@ -18,11 +18,11 @@
 	Worker     Worker
 	Conditions *Conditions
 	Ledger     *ledger.Ledger
-	// ReportLag is how late GET /v1/status is.
+	// ReportLag is how far GET /v1/status lags behind the worker's state.
 	ReportLag time.Duration
 }
 
-// Server speaks the upstream's protocol over HTTP.
+// Server serves the HTTP protocol of an upstream.
 type Server struct {
 	worker     Worker
 	conditions *Conditions
@@ -32,11 +32,11 @@
 
 	mu      sync.Mutex
 	running map[string]context.CancelFunc
-	// closed is set when a planned stop began: new calls are refused.
-	closed bool
+	// stopping is set once a planned stop has begun: new calls are rejected.
+	stopping bool
 }
 
-// NewServer returns a server in front of a worker.
+// NewServer returns a Server that runs its calls on o.Worker.
 func NewServer(o Options) *Server {
 	s := &Server{
 		worker:     o.Worker,
@@ -58,45 +58,45 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// Refuse makes the server refuse all new calls: a planned stop began.
+// Refuse begins a planned stop: the server rejects all new calls from now on.
 func (s *Server) Refuse() {
 	s.mu.Lock()
-	s.closed = true
+	s.stopping = true
 	s.mu.Unlock()
-	s.noteStatus()
+	s.publishStatus()
 }
 
-// noteStatus puts the worker's present state into the lagging report.
-func (s *Server) noteStatus() {
+// publishStatus stores the worker's current state in the lagging status report.
+func (s *Server) publishStatus() {
 	control, _ := s.conditions.Get()
 	status := s.worker.Status()
 	s.mu.Lock()
 	status.InFlight = len(s.running)
-	status.Leaving = control.Leaving || s.closed
+	status.Leaving = control.Leaving || s.stopping
 	s.mu.Unlock()
 	s.report.Set(status)
 }
 
-// enter records a call as running, or returns false if none is taken any more.
-func (s *Server) enter(id string, cancel context.CancelFunc) bool {
+// addCall records a call as running. It returns false if the server is stopping.
+func (s *Server) addCall(id string, cancel context.CancelFunc) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed {
+	if s.stopping {
 		return false
 	}
 	s.running[id] = cancel
 	return true
 }
 
-// leave removes a call.
-func (s *Server) leave(id string) {
+// removeCall removes a call that ended.
+func (s *Server) removeCall(id string) {
 	s.mu.Lock()
 	delete(s.running, id)
 	s.mu.Unlock()
-	s.noteStatus()
+	s.publishStatus()
 }
 
-// cancel answers POST /v1/cancel.
+// cancel handles POST /v1/cancel.
 func (s *Server) cancel(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		ID string `json:"id"`
@@ -114,14 +114,14 @@
 	cancel()
 }
 
-// status answers GET /v1/status. It samples the state as well, since a model
-// that has just been loaded is no event of this server.
+// status handles GET /v1/status. It also samples the worker's state, because the
+// server is not notified when a model finishes loading.
 func (s *Server) status(w http.ResponseWriter, _ *http.Request) {
-	s.noteStatus()
+	s.publishStatus()
 	jsonhttp.Write(w, http.StatusOK, s.report.Get())
 }
 
-// order answers POST /v1/orders and records the orders that were obeyed.
+// order handles POST /v1/orders and records the orders that were carried out.
 func (s *Server) order(w http.ResponseWriter, r *http.Request) {
 	var order Order
 	if !jsonhttp.Read(w, r, &order) {
@@ -141,38 +141,38 @@
 		Fencing: order.Fencing,
 		Detail:  order.Action + " " + order.Model + "@" + order.Version,
 	})
-	s.noteStatus()
+	s.publishStatus()
 }
 
-// cacheEvents answers GET /v1/cache-events.
+// cacheEvents handles GET /v1/cache-events.
 func (s *Server) cacheEvents(w http.ResponseWriter, r *http.Request) {
 	cursor, _ := strconv.ParseUint(r.URL.Query().Get("cursor"), 10, 64)
 	events := s.worker.CacheEvents(cursor)
-	answer := cacheEventsAnswer{Events: events, Next: cursor}
+	response := cacheEventsResponse{Events: events, Next: cursor}
 	if len(events) > 0 {
-		answer.Next = events[len(events)-1].Number + 1
+		response.Next = events[len(events)-1].Number + 1
 	}
-	jsonhttp.Write(w, http.StatusOK, answer)
+	jsonhttp.Write(w, http.StatusOK, response)
 }
 
-// cacheEventsAnswer is the answer of GET /v1/cache-events.
-type cacheEventsAnswer struct {
+// cacheEventsResponse is the response to GET /v1/cache-events.
+type cacheEventsResponse struct {
 	Events []CacheEvent `json:"events"`
 	Next   uint64       `json:"next"`
 }
 
-// control answers POST /control.
+// control handles POST /control.
 func (s *Server) control(w http.ResponseWriter, r *http.Request) {
 	var control Control
 	if !jsonhttp.Read(w, r, &control) {
 		return
 	}
 	s.conditions.Set(control)
-	s.noteStatus()
+	s.publishStatus()
 }
 
-// record writes to the ledger. An upstream that can't keep its ledger must not
-// go on, since verdicts would be wrong.
+// record writes to the ledger. It panics if the write fails, because a ledger with
+// missing records would make the verdicts of the tests wrong.
 func (s *Server) record(r ledger.Record) {
 	if err := s.ledger.Write(r); err != nil {
 		panic(err)
--- a/standin/upstream/server_test.go
+++ b/standin/upstream/server_test.go
@@ -20,8 +20,8 @@
 	"acaciawinch/standin/upstream"
 )
 
-// trial is one plain service with its ledger.
-type trial struct {
+// testServer is a plain service that listens on loopback and keeps a ledger.
+type testServer struct {
 	t          *testing.T
 	url        string
 	ledger     string
@@ -29,31 +29,31 @@
 	conditions *upstream.Conditions
 }
 
-// newTrial starts a service that ends with the test.
-func newTrial(t *testing.T) *trial {
+// newTestServer starts a service that is stopped at the end of the test.
+func newTestServer(t *testing.T) *testServer {
 	path := filepath.Join(t.TempDir(), "u.ledger")
-	book, err := ledger.Open(path, "u", "s")
+	ledgerFile, err := ledger.Open(path, "u", "s")
 	assert.NilError(t, err)
 	conditions := upstream.NewConditions()
 	server := upstream.NewServer(upstream.Options{
 		Worker:     pool.New(pool.Options{Service: "s", Capacity: 1, Conditions: conditions}),
 		Conditions: conditions,
-		Ledger:     book,
+		Ledger:     ledgerFile,
 	})
-	listening := httptest.NewServer(server)
+	httpServer := httptest.NewServer(server)
 	t.Cleanup(func() {
-		listening.Close()
-		_ = book.Close()
+		httpServer.Close()
+		_ = ledgerFile.Close()
 	})
-	return &trial{t: t, url: listening.URL, ledger: path, server: server, conditions: conditions}
+	return &testServer{t: t, url: httpServer.URL, ledger: path, server: server, conditions: conditions}
 }
 
-// post sends a call and returns the status and the answer.
-func (tr *trial) post(ctx context.Context, call upstream.Call) (int, string, error) {
+// post sends a call and returns the status and the body of the response.
+func (ts *testServer) post(ctx context.Context, call upstream.Call) (int, string, error) {
 	body, err := json.Marshal(call)
-	assert.NilError(tr.t, err)
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, tr.url+"/v1/run", bytes.NewReader(body))
-	assert.NilError(tr.t, err)
+	assert.NilError(ts.t, err)
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, ts.url+"/v1/run", bytes.NewReader(body))
+	assert.NilError(ts.t, err)
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return 0, "", err
@@ -63,13 +63,13 @@
 	return response.StatusCode, string(text), err
 }
 
-// awaitEvents waits until the ledger holds as many events as given, and checks
-// that it holds just these.
-func (tr *trial) awaitEvents(want ...ledger.Event) []ledger.Record {
+// awaitEvents waits until the ledger holds at least as many events as want, and
+// checks that it holds exactly those.
+func (ts *testServer) awaitEvents(want ...ledger.Event) []ledger.Record {
 	var records []ledger.Record
-	poll.WaitOn(tr.t, func(poll.LogT) poll.Result {
+	poll.WaitOn(ts.t, func(poll.LogT) poll.Result {
 		var err error
-		if records, err = ledger.Read(tr.ledger); err != nil {
+		if records, err = ledger.Read(ts.ledger); err != nil {
 			return poll.Error(err)
 		}
 		if len(records) >= len(want) {
@@ -77,79 +77,79 @@
 		}
 		return poll.Continue("%d records", len(records))
 	}, poll.WithDelay(time.Millisecond))
-	assert.Equal(tr.t, len(records), len(want))
+	assert.Equal(ts.t, len(records), len(want))
 	for i, record := range records {
-		assert.Equal(tr.t, record.Event, want[i])
+		assert.Equal(ts.t, record.Event, want[i])
 	}
 	return records
 }
 
 func TestCallIsAnsweredAndRecorded(t *testing.T) {
-	tr := newTrial(t)
-	status, text, err := tr.post(t.Context(), upstream.Call{ID: "r/s/1", Input: []byte("x")})
+	ts := newTestServer(t)
+	status, text, err := ts.post(t.Context(), upstream.Call{ID: "r/s/1", Input: []byte("x")})
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusOK)
 	assert.Assert(t, strings.HasSuffix(text, `{"done":true,"cost":1}`+"\n"), text)
-	records := tr.awaitEvents(ledger.Start, ledger.End)
+	records := ts.awaitEvents(ledger.Start, ledger.End)
 	assert.Equal(t, records[0].ID, "r/s/1")
 	assert.Equal(t, records[0].InputDigest, records[1].InputDigest)
 }
 
-func TestFailedCallSaysSoAndIsRecorded(t *testing.T) {
-	tr := newTrial(t)
-	tr.conditions.Set(upstream.Control{FailNext: 1})
-	_, text, err := tr.post(t.Context(), upstream.Call{ID: "r/s/1"})
+func TestFailedCallReportsErrorAndIsRecorded(t *testing.T) {
+	ts := newTestServer(t)
+	ts.conditions.Set(upstream.Control{FailNext: 1})
+	_, text, err := ts.post(t.Context(), upstream.Call{ID: "r/s/1"})
 	assert.NilError(t, err)
 	assert.Assert(t, strings.Contains(text, `"error"`), text)
-	tr.awaitEvents(ledger.Start, ledger.Error)
+	ts.awaitEvents(ledger.Start, ledger.Error)
 }
 
 func TestDisconnectCancelsTheWork(t *testing.T) {
-	tr := newTrial(t)
-	tr.conditions.Set(upstream.Control{Hang: true})
+	ts := newTestServer(t)
+	ts.conditions.Set(upstream.Control{Hang: true})
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
-		_, _, _ = tr.post(ctx, upstream.Call{ID: "r/s/1"})
+		_, _, _ = ts.post(ctx, upstream.Call{ID: "r/s/1"})
 		close(ended)
 	}()
-	tr.awaitEvents(ledger.Start)
+	ts.awaitEvents(ledger.Start)
 	cancel()
 	<-ended
-	tr.awaitEvents(ledger.Start, ledger.Cancel)
+	ts.awaitEvents(ledger.Start, ledger.Cancel)
 }
 
 func TestCancelByIDEndsOneCall(t *testing.T) {
-	tr := newTrial(t)
-	tr.conditions.Set(upstream.Control{Hang: true})
+	ts := newTestServer(t)
+	ts.conditions.Set(upstream.Control{Hang: true})
 	ended := make(chan struct{})
 	go func() {
-		_, _, _ = tr.post(t.Context(), upstream.Call{ID: "r/s/1"})
+		_, _, _ = ts.post(t.Context(), upstream.Call{ID: "r/s/1"})
 		close(ended)
 	}()
-	tr.awaitEvents(ledger.Start)
+	ts.awaitEvents(ledger.Start)
 	for id, want := range map[string]int{"other": http.StatusNotFound, "r/s/1": http.StatusOK} {
-		response, err := http.Post(tr.url+"/v1/cancel", "application/json", strings.NewReader(`{"id":"`+id+`"}`))
+		response, err := http.Post(ts.url+"/v1/cancel", "application/json", strings.NewReader(`{"id":"`+id+`"}`))
 		assert.NilError(t, err)
 		response.Body.Close()
 		assert.Equal(t, response.StatusCode, want)
 	}
 	<-ended
-	tr.awaitEvents(ledger.Start, ledger.Cancel)
+	ts.awaitEvents(ledger.Start, ledger.Cancel)
 }
 
-func TestStoppingUpstreamRefuses(t *testing.T) {
-	tr := newTrial(t)
-	tr.server.Refuse()
-	status, _, err := tr.post(t.Context(), upstream.Call{ID: "r/s/1"})
+func TestStoppingUpstreamRejectsCalls(t *testing.T) {
+	ts := newTestServer(t)
+	ts.server.Refuse()
+	status, _, err := ts.post(t.Context(), upstream.Call{ID: "r/s/1"})
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusConflict)
-	tr.awaitEvents()
+	ts.awaitEvents()
 }
 
 func TestPlainServiceTakesNoOrders(t *testing.T) {
-	tr := newTrial(t)
-	response, err := http.Post(tr.url+"/v1/orders", "application/json", strings.NewReader(`{"fencing":1}`))
+	ts := newTestServer(t)
+	response, err := http.Post(ts.url+"/v1/orders", "application/json", strings.NewReader(`{"fencing":1}`))
 	assert.NilError(t, err)
 	response.Body.Close()
 	assert.Equal(t, response.StatusCode, http.StatusNotFound)
--- a/standin/upstream/spread_test.go
+++ b/standin/upstream/spread_test.go
@@ -13,11 +13,11 @@
 func TestSpreadKeepsTheMean(t *testing.T) {
 	const draws = 10_000
 	spread := upstream.NewSpread(0.5, "u")
-	again := upstream.NewSpread(0.5, "u")
+	same := upstream.NewSpread(0.5, "u")
 	total := time.Duration(0)
 	for range draws {
 		drawn := spread.Draw(time.Second)
-		assert.Equal(t, drawn, again.Draw(time.Second))
+		assert.Equal(t, drawn, same.Draw(time.Second))
 		assert.Assert(t, drawn >= time.Second/2)
 		total += drawn
 	}
--- a/standin/upstream/worker.go
+++ b/standin/upstream/worker.go
@@ -1,5 +1,5 @@
 // Package upstream is the part that all stand-in upstreams share: the HTTP
-// protocol that side processes speak to them, the ledger and the fault switches.
+// protocol that sidecars use, the ledger of calls and the fault switches.
 package upstream
 
 import (
@@ -38,7 +38,7 @@
 	Version string `json:"version"`
 }
 
-// CacheEvent tells that the engine stored or evicted a prompt prefix.
+// CacheEvent reports that the engine stored or evicted a prompt prefix.
 type CacheEvent struct {
 	Number uint64 `json:"number"`
 	Prefix uint64 `json:"prefix"`
@@ -48,31 +48,31 @@
 
 // Errors of a Worker.
 var (
-	// ErrNotRun means that the call was refused and did not start.
+	// ErrNotRun means that the call was rejected before it started.
 	ErrNotRun = errors.New("not run")
-	// ErrStaleFencing means that the order's fencing number is too old.
-	ErrStaleFencing = errors.New("stale fencing number")
-	// ErrNoOrders means that the upstream takes no orders.
-	ErrNoOrders = errors.New("takes no orders")
+	// ErrStaleFencing means that the order's fencing token is stale.
+	ErrStaleFencing = errors.New("stale fencing token")
+	// ErrNoOrders means that the upstream does not support orders.
+	ErrNoOrders = errors.New("orders are not supported")
 )
 
-// Output receives what a call does. Both functions are called by one goroutine.
+// Output receives the progress of a call. One goroutine calls both functions.
 type Output struct {
-	// Started is called once, when the work begins.
+	// Started is called once, when the work starts.
 	Started func()
 	// Emit is called with each chunk, in order.
 	Emit func(chunk []byte) error
 }
 
-// Worker carries out calls. It is used by many goroutines.
+// Worker runs calls. Implementations must be safe for concurrent use.
 type Worker interface {
-	// Run carries out call and returns the work spent. It fails with ErrNotRun,
-	// or with ctx's error when the call is cancelled.
+	// Run runs call and returns the work spent on it. It fails with ErrNotRun,
+	// with the error of out.Emit, or with ctx's error if the call is cancelled.
 	Run(ctx context.Context, call Call, out Output) (cost uint64, err error)
-	// Status returns the state at this moment.
+	// Status returns the current state.
 	Status() Status
-	// Order obeys an order or fails with ErrStaleFencing or ErrNoOrders.
+	// Order carries out an order, or fails with ErrStaleFencing or ErrNoOrders.
 	Order(order Order) error
-	// CacheEvents returns the events from cursor on that are known by now.
+	// CacheEvents returns the visible events whose numbers are at least cursor.
 	CacheEvents(cursor uint64) []CacheEvent
 }
