--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -8,24 +8,24 @@
 	"acaciawinch/standin/upstream"
 )
 
-// gapEvery is how many cache events come for each one that is lost.
-const gapEvery = 7
+// lossInterval is the number of cache events of which the last is not reported.
+const lossInterval = 7
 
-// keptEvents bounds the history of cache events.
-const keptEvents = 1024
+// maxHistory is the maximum number of cache events kept for readers.
+const maxHistory = 1024
 
-// cache is a bounded set of prompt prefixes, the least recently used evicted
-// first. Its events are reported late and with gaps. It may be used by many
-// goroutines.
+// cache is an LRU cache of prompt prefixes. Its events are reported with a delay and
+// with gaps. It is safe for concurrent use.
 type cache struct {
 	capacity int
 	lag      time.Duration
 
 	mu sync.Mutex
-	// prefixes is in order of use, the latest last.
+	// prefixes is ordered by last use, the most recently used last.
 	prefixes []uint64
-	number   uint64
-	history  []timedEvent
+	// number is the number of the last event, reported or lost.
+	number  uint64
+	history []timedEvent
 }
 
 // timedEvent is a cache event with the time at which it happened.
@@ -34,12 +34,13 @@
 	event upstream.CacheEvent
 }
 
-// newCache returns an empty cache.
+// newCache returns an empty cache whose events are visible after lag.
 func newCache(capacity int, lag time.Duration) *cache {
 	return &cache{capacity: capacity, lag: lag}
 }
 
-// touch uses a prefix and tells whether it was cached. Prefix 0 means none.
+// touch marks a prefix as used, caches it, and reports whether it was cached
+// before. Prefix 0 means that the prompt has no prefix.
 func (c *cache) touch(prefix uint64, now time.Time) bool {
 	if prefix == 0 || c.capacity == 0 {
 		return false
@@ -51,28 +52,30 @@
 		return true
 	}
 	if len(c.prefixes) == c.capacity {
-		c.note(c.prefixes[0], "evicted", now)
+		c.record(c.prefixes[0], "evicted", now)
 		c.prefixes = c.prefixes[1:]
 	}
 	c.prefixes = append(c.prefixes, prefix)
-	c.note(prefix, "stored", now)
+	c.record(prefix, "stored", now)
 	return false
 }
 
-// note records an event, or loses it. The caller holds mu.
-func (c *cache) note(prefix uint64, action string, now time.Time) {
+// record adds an event to the history, except for every event that is to be lost
+// (see lossInterval). The caller holds mu.
+func (c *cache) record(prefix uint64, action string, now time.Time) {
 	c.number++
-	if c.number%gapEvery == 0 {
+	if c.number%lossInterval == 0 {
 		return
 	}
 	event := upstream.CacheEvent{Number: c.number, Prefix: prefix, Action: action}
 	c.history = append(c.history, timedEvent{at: now, event: event})
-	if len(c.history) > keptEvents {
+	if len(c.history) > maxHistory {
 		c.history = c.history[1:]
 	}
 }
 
-// events returns the events from cursor on that are old enough to be reported.
+// events returns the visible events whose numbers are at least cursor: those that
+// happened at least lag ago.
 func (c *cache) events(cursor uint64, now time.Time) []upstream.CacheEvent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine is a stand-in model engine: continuous batching whose token time
-// grows with the batch, priorities, cancel, resume, a bounded prefix cache, and
-// orders whose fencing numbers are honoured or ignored.
+// Package engine is a stand-in model engine. It has continuous batching whose step
+// time grows with the batch, priorities, cancellation, resumption, a bounded prefix
+// cache, and orders whose fencing tokens it enforces or ignores.
 package engine
 
 import (
@@ -17,25 +17,26 @@
 
 // Options configure an Engine.
 type Options struct {
-	// Capacity is the largest batch.
+	// Capacity is the maximum batch size.
 	Capacity int
-	// TokenTime is the time of one decoding step of a batch of one.
+	// TokenTime is the duration of one decoding step of a batch of one sequence.
 	TokenTime time.Duration
-	// FirstTime is the time of prefilling a prompt whose prefix is not cached.
+	// FirstTime is the prefill time of a prompt whose prefix is not cached.
 	FirstTime time.Duration
-	// BatchSlope is the part of TokenTime that each further member adds to a step.
+	// BatchSlope is the fraction of TokenTime that each further sequence of the
+	// batch adds to a step.
 	BatchSlope float64
-	// HonourFencing makes the engine refuse orders with old fencing numbers.
+	// HonourFencing makes the engine reject orders with stale fencing tokens.
 	HonourFencing bool
-	// Models are loaded from the start, as "model@version".
+	// Models are the models loaded at startup, as "model@version".
 	Models []string
 	// LoadTime is how long a model version takes to load.
 	LoadTime time.Duration
 	// CacheEntries bounds the prefix cache.
 	CacheEntries int
-	// CacheLag is how late cache events are.
+	// CacheLag is the delay after which cache events are visible.
 	CacheLag time.Duration
-	// Spread draws the times of prompts around FirstTime.
+	// Spread varies the prefill times around FirstTime.
 	Spread     *upstream.Spread
 	Conditions *upstream.Conditions
 }
@@ -47,25 +48,29 @@
 	cache   *cache
 
 	mu sync.Mutex
-	// waiting and batch hold the sequences that wait and that decode.
+	// waiting holds the queued sequences by descending priority, batch those that
+	// are being decoded.
 	waiting []*sequence
 	batch   []*sequence
-	wake    chan struct{}
+	// wake signals decode that a sequence was queued.
+	wake chan struct{}
 }
 
 // sequence is one call on the engine.
 type sequence struct {
 	call upstream.Call
-	// prefilled is when the first token may come.
+	// prefilled is when the prefill ends and the first token can be emitted.
 	prefilled time.Time
-	next      int
-	admitted  chan struct{}
-	// tokens receives each token and is closed after the last. Its buffer holds
-	// all of them, so that a slow reader does not hold up the batch.
+	// next is the index of the next token.
+	next int
+	// admitted is closed when the sequence joins the batch.
+	admitted chan struct{}
+	// tokens receives each token and is closed after the last one. Its buffer
+	// holds all of them, so that a slow reader does not block the batch.
 	tokens chan []byte
 }
 
-// New returns an Engine whose decoding ends with ctx.
+// New returns an Engine that decodes until ctx ends.
 func New(ctx context.Context, o Options) *Engine {
 	e := &Engine{
 		options: o,
@@ -79,7 +84,7 @@
 
 // Run implements upstream.Worker.
 func (e *Engine) Run(ctx context.Context, call upstream.Call, out upstream.Output) (uint64, error) {
-	if err := e.check(call); err != nil {
+	if err := e.validate(call); err != nil {
 		return 0, err
 	}
 	s := &sequence{
@@ -96,11 +101,12 @@
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	}
-	return follow(ctx, s, out)
+	return forwardTokens(ctx, s, out)
 }
 
-// follow passes the sequence's tokens on until the last.
-func follow(ctx context.Context, s *sequence, out upstream.Output) (uint64, error) {
+// forwardTokens emits the sequence's tokens until the last one and returns their
+// number as the cost.
+func forwardTokens(ctx context.Context, s *sequence, out upstream.Output) (uint64, error) {
 	cost := uint64(0)
 	for {
 		select {
@@ -118,8 +124,8 @@
 	}
 }
 
-// check refuses a call that the engine can't carry out.
-func (e *Engine) check(call upstream.Call) error {
+// validate returns ErrNotRun, with the reason, for a call that the engine can't run.
+func (e *Engine) validate(call upstream.Call) error {
 	if !e.models.loaded(call.Model, call.Version) {
 		return fmt.Errorf("%w: %s@%s is not loaded", upstream.ErrNotRun, call.Model, call.Version)
 	}
@@ -128,13 +134,13 @@
 	}
 	for i, chunk := range call.Resume {
 		if !bytes.Equal(chunk, answer.Token(call.Input, i)) {
-			return fmt.Errorf("%w: resume chunk %d is not of this input", upstream.ErrNotRun, i)
+			return fmt.Errorf("%w: resume chunk %d does not belong to this input", upstream.ErrNotRun, i)
 		}
 	}
 	return nil
 }
 
-// enqueue puts a sequence behind those of its own or a higher priority.
+// enqueue inserts a sequence behind those of the same or a higher priority.
 func (e *Engine) enqueue(s *sequence) {
 	e.mu.Lock()
 	i := slices.IndexFunc(e.waiting, func(w *sequence) bool {
@@ -151,7 +157,7 @@
 	}
 }
 
-// remove takes a sequence out, wherever it is.
+// remove removes a sequence from the queue or the batch.
 func (e *Engine) remove(s *sequence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -160,7 +166,7 @@
 	e.batch = slices.DeleteFunc(e.batch, same)
 }
 
-// decode runs one step of the batch after another until ctx ends.
+// decode admits sequences and runs decoding steps of the batch until ctx ends.
 func (e *Engine) decode(ctx context.Context) {
 	for {
 		size := e.admit()
@@ -181,7 +187,7 @@
 	}
 }
 
-// admit fills the batch from the waiting sequences and returns its size.
+// admit fills the batch from the queue and returns the size of the batch.
 func (e *Engine) admit() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -195,10 +201,11 @@
 	return len(e.batch)
 }
 
-// cachedPrefill is the part of the prefill time left when the prefix is cached.
+// cachedPrefill is the fraction of the prefill time that a cached prefix leaves.
 const cachedPrefill = 0.25
 
-// prefill returns how long the prompt of a call takes, and caches its prefix.
+// prefill returns the prefill time of a prompt with the given prefix, and caches
+// the prefix.
 func (e *Engine) prefill(prefix uint64) time.Duration {
 	duration := e.options.Spread.Draw(e.options.FirstTime)
 	if control, _ := e.options.Conditions.Get(); control.SlowFactor > 0 {
@@ -210,7 +217,8 @@
 	return duration
 }
 
-// emit gives each member of the batch that is prefilled its next token.
+// emit sends the next token of each prefilled sequence of the batch, and removes
+// the sequences that are complete.
 func (e *Engine) emit(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -14,8 +14,9 @@
 	"acaciawinch/standin/upstream"
 )
 
-// start returns an engine that ends with the test, and its switches.
-func start(t *testing.T, capacity int) (*Engine, *upstream.Conditions) {
+// newEngine returns an engine that stops at the end of the test, and its fault
+// switches.
+func newEngine(t *testing.T, capacity int) (*Engine, *upstream.Conditions) {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	conditions := upstream.NewConditions()
@@ -30,17 +31,17 @@
 	return e, conditions
 }
 
-// run is one call in progress.
-type run struct {
+// runningCall is a call in progress.
+type runningCall struct {
 	started chan struct{}
 	chunks  chan []byte
 	done    chan error
 }
 
-// begin starts a call.
-func begin(ctx context.Context, e *Engine, call upstream.Call) *run {
+// startCall runs a call for model m@1 in the background.
+func startCall(ctx context.Context, e *Engine, call upstream.Call) *runningCall {
 	call.Model, call.Version = "m", "1"
-	r := &run{
+	r := &runningCall{
 		started: make(chan struct{}),
 		chunks:  make(chan []byte, call.MaxTokens+1),
 		done:    make(chan error, 1),
@@ -59,8 +60,8 @@
 	return r
 }
 
-// output waits for the end of a call and returns its joined chunks.
-func (r *run) output() []byte {
+// output waits until the call ends and returns its joined chunks.
+func (r *runningCall) output() []byte {
 	var chunks [][]byte
 	for chunk := range r.chunks {
 		chunks = append(chunks, chunk)
@@ -68,7 +69,7 @@
 	return answer.Join(chunks)
 }
 
-// expected returns the joined tokens from the given one on.
+// expected returns the joined tokens of input whose indexes are in [from, to).
 func expected(input string, from, to int) []byte {
 	var all []byte
 	for i := from; i < to; i++ {
@@ -78,11 +79,11 @@
 }
 
 func TestBatchMembersGetTheirOwnTokens(t *testing.T) {
-	e, _ := start(t, 3)
-	var runs []*run
+	e, _ := newEngine(t, 3)
+	var runs []*runningCall
 	inputs := []string{"a", "b", "c", "d", "e"}
 	for _, input := range inputs {
-		runs = append(runs, begin(t.Context(), e, upstream.Call{Input: []byte(input), MaxTokens: 5}))
+		runs = append(runs, startCall(t.Context(), e, upstream.Call{Input: []byte(input), MaxTokens: 5}))
 	}
 	for i, r := range runs {
 		assert.Assert(t, bytes.Equal(r.output(), expected(inputs[i], 0, 5)))
@@ -91,78 +92,78 @@
 }
 
 func TestResumeSkipsWhatTheCallerHas(t *testing.T) {
-	e, _ := start(t, 1)
+	e, _ := newEngine(t, 1)
 	call := upstream.Call{Input: []byte("a"), MaxTokens: 4}
 	call.Resume = [][]byte{answer.Token(call.Input, 0), answer.Token(call.Input, 1)}
-	assert.Assert(t, bytes.Equal(begin(t.Context(), e, call).output(), expected("a", 2, 4)))
+	assert.Assert(t, bytes.Equal(startCall(t.Context(), e, call).output(), expected("a", 2, 4)))
 	call.Resume = call.Resume[1:]
-	r := begin(t.Context(), e, call)
-	assert.Assert(t, errors.Is(<-r.done, upstream.ErrNotRun), "foreign chunks were taken")
+	r := startCall(t.Context(), e, call)
+	assert.Assert(t, errors.Is(<-r.done, upstream.ErrNotRun), "resume chunks of another input were accepted")
 }
 
 func TestHigherPriorityIsAdmittedFirst(t *testing.T) {
-	e, conditions := start(t, 1)
+	e, conditions := newEngine(t, 1)
 	conditions.Set(upstream.Control{Hang: true})
-	first := begin(t.Context(), e, upstream.Call{Input: []byte("a"), MaxTokens: 1})
+	first := startCall(t.Context(), e, upstream.Call{Input: []byte("a"), MaxTokens: 1})
 	<-first.started
-	low := begin(t.Context(), e, upstream.Call{Input: []byte("b"), MaxTokens: 1})
-	awaitWaiting(t, e, 1)
-	high := begin(t.Context(), e, upstream.Call{Input: []byte("c"), MaxTokens: 1, Priority: 1})
-	awaitWaiting(t, e, 2)
+	low := startCall(t.Context(), e, upstream.Call{Input: []byte("b"), MaxTokens: 1})
+	awaitQueued(t, e, 1)
+	high := startCall(t.Context(), e, upstream.Call{Input: []byte("c"), MaxTokens: 1, Priority: 1})
+	awaitQueued(t, e, 2)
 	e.mu.Lock()
 	next := string(e.waiting[0].call.Input)
 	e.mu.Unlock()
 	assert.Equal(t, next, "c")
 	conditions.Set(upstream.Control{})
-	for _, r := range []*run{first, low, high} {
+	for _, r := range []*runningCall{first, low, high} {
 		assert.NilError(t, <-r.done)
 	}
 }
 
-// awaitWaiting waits until so many calls wait.
-func awaitWaiting(t *testing.T, e *Engine, count int) {
+// awaitQueued waits until count calls are queued.
+func awaitQueued(t *testing.T, e *Engine, count int) {
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		if len(e.waiting) == count {
 			return poll.Success()
 		}
-		return poll.Continue("%d calls wait", len(e.waiting))
+		return poll.Continue("%d calls are queued", len(e.waiting))
 	}, poll.WithDelay(time.Millisecond))
 }
 
-func TestCancelFreesThePlaceInTheBatch(t *testing.T) {
-	e, _ := start(t, 1)
+func TestCancelFreesBatchSlot(t *testing.T) {
+	e, _ := newEngine(t, 1)
 	ctx, cancel := context.WithCancel(t.Context())
-	long := begin(ctx, e, upstream.Call{Input: []byte("a"), MaxTokens: 100_000})
+	long := startCall(ctx, e, upstream.Call{Input: []byte("a"), MaxTokens: 100_000})
 	<-long.started
-	next := begin(t.Context(), e, upstream.Call{Input: []byte("b"), MaxTokens: 1})
+	next := startCall(t.Context(), e, upstream.Call{Input: []byte("b"), MaxTokens: 1})
 	cancel()
 	assert.Assert(t, errors.Is(<-long.done, context.Canceled))
 	assert.Assert(t, bytes.Equal(next.output(), expected("b", 0, 1)))
 }
 
 func TestUnloadedModelIsNotRun(t *testing.T) {
-	e, _ := start(t, 1)
+	e, _ := newEngine(t, 1)
 	_, err := e.Run(t.Context(), upstream.Call{Model: "m", Version: "2", MaxTokens: 1}, upstream.Output{})
 	assert.Assert(t, errors.Is(err, upstream.ErrNotRun))
 	assert.NilError(t, e.Order(upstream.Order{Fencing: 1, Action: "load", Model: "m", Version: "2"}))
-	r := begin(t.Context(), e, upstream.Call{Input: []byte("a"), MaxTokens: 1})
+	r := startCall(t.Context(), e, upstream.Call{Input: []byte("a"), MaxTokens: 1})
 	assert.NilError(t, <-r.done)
 }
 
-func TestFencingIsHonouredOrIgnored(t *testing.T) {
-	for _, honour := range []bool{true, false} {
-		m := newModels(nil, 0, honour)
+func TestStaleFencingTokenIsRejectedOrIgnored(t *testing.T) {
+	for _, enforce := range []bool{true, false} {
+		m := newModels(nil, 0, enforce)
 		assert.NilError(t, m.order(upstream.Order{Fencing: 5, Action: "load", Model: "m", Version: "1"}))
 		err := m.order(upstream.Order{Fencing: 4, Action: "unload", Model: "m", Version: "1"})
-		assert.Equal(t, errors.Is(err, upstream.ErrStaleFencing), honour)
-		assert.Equal(t, m.loaded("m", "1"), honour)
+		assert.Equal(t, errors.Is(err, upstream.ErrStaleFencing), enforce)
+		assert.Equal(t, m.loaded("m", "1"), enforce)
 		assert.NilError(t, m.order(upstream.Order{Fencing: 5, Action: "load", Model: "m", Version: "1"}))
 	}
 }
 
-func TestCacheIsBoundedAndItsEventsLateWithGaps(t *testing.T) {
+func TestCacheIsBoundedAndEventsAreDelayedWithGaps(t *testing.T) {
 	c := newCache(2, time.Second)
 	now := time.Unix(100, 0)
 	assert.Assert(t, !c.touch(1, now))
--- a/standin/engine/models.go
+++ b/standin/engine/models.go
@@ -8,61 +8,62 @@
 	"acaciawinch/standin/upstream"
 )
 
-// models holds the model versions that an engine has loaded. It may be used by
-// many goroutines.
+// models holds the model versions that an engine has loaded or is loading. It is
+// safe for concurrent use.
 type models struct {
-	loadTime time.Duration
-	honour   bool
+	loadTime       time.Duration
+	enforceFencing bool
 
 	mu sync.Mutex
-	// ready tells from when on each "model@version" is loaded.
-	ready       map[string]time.Time
+	// readyAt holds the time at which each "model@version" finishes loading.
+	readyAt     map[string]time.Time
 	lastFencing uint64
 }
 
-// newModels returns a table with the given names loaded.
-func newModels(names []string, loadTime time.Duration, honour bool) *models {
-	m := &models{loadTime: loadTime, honour: honour, ready: map[string]time.Time{}}
+// newModels returns a table in which the models with the given names are loaded.
+func newModels(names []string, loadTime time.Duration, enforceFencing bool) *models {
+	m := &models{loadTime: loadTime, enforceFencing: enforceFencing, readyAt: map[string]time.Time{}}
 	for _, name := range names {
-		m.ready[name] = time.Time{}
+		m.readyAt[name] = time.Time{}
 	}
 	return m
 }
 
-// loaded tells whether the model version is loaded by now.
+// loaded reports whether the model version has finished loading.
 func (m *models) loaded(model, version string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	ready, ok := m.ready[model+"@"+version]
+	ready, ok := m.readyAt[model+"@"+version]
 	return ok && !time.Now().Before(ready)
 }
 
-// order obeys an order, unless fencing numbers are honoured and its own is old.
+// order carries out an order. It rejects a stale fencing token if the engine
+// enforces fencing.
 func (m *models) order(order upstream.Order) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.honour && order.Fencing < m.lastFencing {
+	if m.enforceFencing && order.Fencing < m.lastFencing {
 		return upstream.ErrStaleFencing
 	}
 	m.lastFencing = order.Fencing
 	name := order.Model + "@" + order.Version
 	if order.Action == "unload" {
-		delete(m.ready, name)
+		delete(m.readyAt, name)
 		return nil
 	}
-	if _, ok := m.ready[name]; !ok {
-		m.ready[name] = time.Now().Add(m.loadTime)
+	if _, ok := m.readyAt[name]; !ok {
+		m.readyAt[name] = time.Now().Add(m.loadTime)
 	}
 	return nil
 }
 
-// snapshot returns the names loaded by now and the last fencing number.
+// snapshot returns the names of the loaded models and the last fencing token.
 func (m *models) snapshot() ([]string, uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
 	names := []string{}
-	for name, ready := range m.ready {
+	for name, ready := range m.readyAt {
 		if !now.Before(ready) {
 			names = append(names, name)
 		}
