--- a/standin/objectstore/faults.go
+++ b/standin/objectstore/faults.go
@@ -7,58 +7,59 @@
 	"golang.org/x/time/rate"
 )
 
-// Limits bound the calls that the object API takes. Zero means no bound.
+// Limits are the rate limits of the object API. Zero means unlimited.
 type Limits struct {
-	// ReadsPerSecond counts reads and watches together, as the platform does.
+	// ReadsPerSecond limits reads and watches together, as the platform does.
 	ReadsPerSecond  int
 	WritesPerSecond int
 }
 
-// limiter returns the limiter of one bound, which lets a second's calls come at
-// once, or nil if there is none.
-func limiter(perSecond int) *rate.Limiter {
+// newLimiter returns a token bucket for the rate, whose burst is the calls of one
+// second, or nil if the rate is 0.
+func newLimiter(perSecond int) *rate.Limiter {
 	if perSecond == 0 {
 		return nil
 	}
 	return rate.NewLimiter(rate.Limit(perSecond), perSecond)
 }
 
-// Control is the body of POST /control. It replaces all switches.
+// Control is the body of POST /control. It replaces all fault switches.
 type Control struct {
-	// Down makes every call fail with 503 and without effect.
+	// Down makes every call fail with status 503 and without effect.
 	Down bool `json:"down"`
-	// DelayMS is added to every call, in milliseconds.
+	// DelayMS is the delay added to every call, in milliseconds.
 	DelayMS int `json:"delay_ms"`
-	// LoseAnswers is how many of the next writes take effect without an answer.
+	// LoseAnswers is the number of next writes that take effect but whose
+	// connection is closed without a response.
 	LoseAnswers int `json:"lose_answers"`
 }
 
-// Stats counts the calls since the start.
+// Stats counts the calls since the server was started.
 type Stats struct {
 	Reads   uint64 `json:"reads"`
 	Writes  uint64 `json:"writes"`
 	Watches uint64 `json:"watches"`
-	// Waiting is how many watches wait now.
+	// Waiting is the number of watches in progress.
 	Waiting int `json:"waiting"`
-	// Limited counts the calls refused because a rate was passed.
+	// Limited counts the calls refused by a rate limit.
 	Limited uint64 `json:"limited"`
 }
 
-// faults holds the switches and the counts. It may be used by many goroutines.
+// faults holds the fault switches and the counters. It is safe for concurrent use.
 type faults struct {
 	mu      sync.Mutex
 	control Control
 	stats   Stats
-	// outage is closed when the store goes down, so that waiting watches end.
+	// outage is closed when an outage starts, so that watches in progress end.
 	outage chan struct{}
 }
 
-// newFaults returns switches that are all off.
+// newFaults returns faults with all switches off.
 func newFaults() *faults {
 	return &faults{outage: make(chan struct{})}
 }
 
-// set replaces the switches.
+// set replaces the fault switches.
 func (f *faults) set(control Control) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -71,29 +72,30 @@
 	f.control = control
 }
 
-// outageBegins returns a channel that is closed while the store is down.
-func (f *faults) outageBegins() <-chan struct{} {
+// outageStarted returns a channel that is closed once the store is down.
+func (f *faults) outageStarted() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.outage
 }
 
-// delay returns what is added to each call.
+// delay returns the delay added to every call.
 func (f *faults) delay() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return time.Duration(f.control.DelayMS) * time.Millisecond
 }
 
-// down tells whether the store is in an outage.
+// down reports whether the store is in an outage.
 func (f *faults) down() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.control.Down
 }
 
-// loseAnswer tells whether the answer of the write just done is lost.
-func (f *faults) loseAnswer() bool {
+// consumeLostResponse reports whether the write that was just done gets no
+// response, and counts it against LoseAnswers.
+func (f *faults) consumeLostResponse() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.control.LoseAnswers == 0 {
@@ -103,14 +105,14 @@
 	return true
 }
 
-// count applies change to the counts.
+// count applies change to the counters.
 func (f *faults) count(change func(*Stats)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change(&f.stats)
 }
 
-// snapshot returns the counts.
+// snapshot returns a copy of the counters.
 func (f *faults) snapshot() Stats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/standin/objectstore/objectstore_test.go
+++ b/standin/objectstore/objectstore_test.go
@@ -14,25 +14,25 @@
 	"gotest.tools/v3/poll"
 )
 
-// client calls a stand-in of its own.
+// client calls its own object store over HTTP.
 type client struct {
 	t      *testing.T
 	server *Server
 	url    string
 }
 
-// newClient starts a stand-in that ends with the test.
+// newClient starts an object store that is stopped at the end of the test.
 func newClient(t *testing.T) *client {
 	server := NewServer(Limits{})
-	listening := httptest.NewServer(server)
+	httpServer := httptest.NewServer(server)
 	t.Cleanup(func() {
 		server.Stop()
-		listening.Close()
+		httpServer.Close()
 	})
-	return &client{t: t, server: server, url: listening.URL}
+	return &client{t: t, server: server, url: httpServer.URL}
 }
 
-// write sends a write with one condition and returns its status and version.
+// write sends a conditional write and returns the status and the new version.
 func (c *client) write(method, key, header, condition, value string) (int, string) {
 	request, err := http.NewRequest(method, c.url+"/v1/objects/"+key, bytes.NewBufferString(value))
 	assert.NilError(c.t, err)
@@ -60,7 +60,7 @@
 	assert.Equal(c.t, response.StatusCode, http.StatusOK)
 }
 
-// read returns the status and body of a GET.
+// read sends a GET and returns the status and the body.
 func (c *client) read(path string) (int, string) {
 	response, err := http.Get(c.url + path)
 	assert.NilError(c.t, err)
@@ -70,7 +70,7 @@
 	return response.StatusCode, string(body)
 }
 
-// watch returns the answer of one watch call.
+// watch returns the result of one watch call.
 func (c *client) watch(prefix string, cursor uint64) WatchResult {
 	status, body := c.read(fmt.Sprintf("/v1/watch?prefix=%s&cursor=%d", prefix, cursor))
 	assert.Equal(c.t, status, http.StatusOK)
@@ -94,14 +94,14 @@
 	assert.Assert(t, third > second && second > first, "versions %s %s %s", first, second, third)
 }
 
-func TestLostAnswerTakesEffect(t *testing.T) {
+func TestWriteWithLostResponseTakesEffect(t *testing.T) {
 	c := newClient(t)
 	c.control(Control{LoseAnswers: 1})
 	request, err := http.NewRequest(http.MethodPut, c.url+"/v1/objects/a", bytes.NewBufferString("1"))
 	assert.NilError(t, err)
 	request.Header.Set("If-None-Match", "*")
 	_, err = http.DefaultClient.Do(request)
-	assert.Assert(t, err != nil, "the answer was not lost")
+	assert.Assert(t, err != nil, "the response was not lost")
 	_, body := c.read("/v1/objects/a")
 	assert.Equal(t, body, "1")
 	c.create("b", "2")
@@ -115,7 +115,7 @@
 		code, _ := c.read("/v1/watch?prefix=a&cursor=2")
 		status <- code
 	}()
-	c.awaitWaiting(1)
+	c.awaitWatches(1)
 	c.control(Control{Down: true})
 	assert.Equal(t, <-status, http.StatusServiceUnavailable)
 	code, _ := c.write(http.MethodPut, "b", "If-None-Match", "*", "1")
@@ -125,8 +125,8 @@
 	assert.Equal(t, code, http.StatusNotFound)
 }
 
-// awaitWaiting waits until so many watches wait.
-func (c *client) awaitWaiting(count int) {
+// awaitWatches waits until count watches are in progress.
+func (c *client) awaitWatches(count int) {
 	poll.WaitOn(c.t, func(poll.LogT) poll.Result {
 		_, body := c.read("/control/stats")
 		var stats Stats
@@ -136,7 +136,7 @@
 		if stats.Waiting == count {
 			return poll.Success()
 		}
-		return poll.Continue("%d watches wait", stats.Waiting)
+		return poll.Continue("%d watches are in progress", stats.Waiting)
 	}, poll.WithDelay(time.Millisecond))
 }
 
@@ -160,41 +160,41 @@
 func TestWatchWakesAtAChange(t *testing.T) {
 	c := newClient(t)
 	start := c.watch("a/", 0)
-	woken := make(chan WatchResult, 1)
-	go func() { woken <- c.watch("a/", start.Next) }()
-	c.awaitWaiting(1)
+	results := make(chan WatchResult, 1)
+	go func() { results <- c.watch("a/", start.Next) }()
+	c.awaitWatches(1)
 	c.create("b/1", "other")
 	c.create("a/1", "x")
-	result := <-woken
+	result := <-results
 	assert.Equal(t, len(result.Changes), 1)
 	assert.Equal(t, result.Changes[0].Key, "a/1")
 }
 
-func TestOldCursorIsReset(t *testing.T) {
+func TestStaleCursorIsReset(t *testing.T) {
 	store := NewStore()
-	for range keptChanges + 2 {
+	for range maxChanges + 2 {
 		version := store.objects["a"].Version
 		_, ok := store.Put("a", nil, version)
 		assert.Assert(t, ok)
 	}
 	result, _ := store.Since("a", 1)
 	assert.Assert(t, result.Reset)
-	result, _ = store.Since("a", store.sequence-1)
+	result, _ = store.Since("a", store.lastVersion-1)
 	assert.Assert(t, !result.Reset)
 	assert.Equal(t, len(result.Changes), 1)
 }
 
-func TestCallsAboveTheBoundHaveNoEffect(t *testing.T) {
+func TestRateLimitedCallsHaveNoEffect(t *testing.T) {
 	server := NewServer(Limits{WritesPerSecond: 1})
 	statuses := map[int]int{}
 	for i := range 50 {
 		request := httptest.NewRequest(http.MethodPut, fmt.Sprintf("/v1/objects/%d", i), nil)
 		request.Header.Set("If-None-Match", "*")
-		answer := httptest.NewRecorder()
-		server.ServeHTTP(answer, request)
-		statuses[answer.Code]++
+		response := httptest.NewRecorder()
+		server.ServeHTTP(response, request)
+		statuses[response.Code]++
 	}
-	assert.Assert(t, statuses[http.StatusServiceUnavailable] > 0, "nothing was refused")
+	assert.Assert(t, statuses[http.StatusServiceUnavailable] > 0, "no write was refused")
 	assert.Equal(t, statuses[http.StatusOK], len(server.store.List("", "", 0)))
 	assert.Equal(t, statuses[http.StatusServiceUnavailable], int(server.faults.snapshot().Limited))
 }
--- a/standin/objectstore/server.go
+++ b/standin/objectstore/server.go
@@ -13,32 +13,32 @@
 	"acaciawinch/standin/internal/jsonhttp"
 )
 
-// Bounds of one watch's wait.
+// Default and maximum of the timeout of a watch call.
 const (
-	defaultWatch = 30 * time.Second
-	maxWatch     = 60 * time.Second
+	defaultWatchTimeout = 30 * time.Second
+	maxWatchTimeout     = 60 * time.Second
 )
 
-// versionHeader carries an object's version.
+// versionHeader is the response header that carries an object's version.
 const versionHeader = "Object-Version"
 
-// Server speaks the object API over HTTP.
+// Server serves the object API over HTTP.
 type Server struct {
 	store  *Store
 	faults *faults
 	mux    *http.ServeMux
 }
 
-// NewServer returns a server over an empty store.
+// NewServer returns a Server with an empty store.
 func NewServer(limits Limits) *Server {
 	s := &Server{store: NewStore(), faults: newFaults(), mux: http.NewServeMux()}
-	reads := limiter(limits.ReadsPerSecond)
-	writes := limiter(limits.WritesPerSecond)
-	s.mux.HandleFunc("GET /v1/objects/{key...}", s.guard(reads, s.get))
-	s.mux.HandleFunc("PUT /v1/objects/{key...}", s.guard(writes, s.put))
-	s.mux.HandleFunc("DELETE /v1/objects/{key...}", s.guard(writes, s.delete))
-	s.mux.HandleFunc("GET /v1/list", s.guard(reads, s.list))
-	s.mux.HandleFunc("GET /v1/watch", s.guard(reads, s.watch))
+	reads := newLimiter(limits.ReadsPerSecond)
+	writes := newLimiter(limits.WritesPerSecond)
+	s.mux.HandleFunc("GET /v1/objects/{key...}", s.withFaults(reads, s.get))
+	s.mux.HandleFunc("PUT /v1/objects/{key...}", s.withFaults(writes, s.put))
+	s.mux.HandleFunc("DELETE /v1/objects/{key...}", s.withFaults(writes, s.delete))
+	s.mux.HandleFunc("GET /v1/list", s.withFaults(reads, s.list))
+	s.mux.HandleFunc("GET /v1/watch", s.withFaults(reads, s.watch))
 	s.mux.HandleFunc("POST /control", s.control)
 	s.mux.HandleFunc("GET /control/stats", s.stats)
 	return s
@@ -47,20 +47,20 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// Stop ends the waiting watches, so that a planned stop need not wait for them.
+// Stop ends the watches in progress, so that a planned stop need not wait for them.
 func (s *Server) Stop() { s.faults.set(Control{Down: true}) }
 
-// guard adds the delay, the outage and the bound on calls to a handler.
-func (s *Server) guard(bound *rate.Limiter, next http.HandlerFunc) http.HandlerFunc {
+// withFaults adds the delay, the outage and the rate limit to a handler.
+func (s *Server) withFaults(rateLimit *rate.Limiter, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if !pause(r.Context(), s.faults.delay()) {
+		if !sleep(r.Context(), s.faults.delay()) {
 			return
 		}
 		if s.faults.down() {
 			http.Error(w, "outage", http.StatusServiceUnavailable)
 			return
 		}
-		if bound != nil && !bound.Allow() {
+		if rateLimit != nil && !rateLimit.Allow() {
 			s.faults.count(func(c *Stats) { c.Limited++ })
 			http.Error(w, "too many calls", http.StatusServiceUnavailable)
 			return
@@ -69,8 +69,8 @@
 	}
 }
 
-// pause waits for delay and tells whether ctx still lives.
-func pause(ctx context.Context, delay time.Duration) bool {
+// sleep waits for delay. It returns false if ctx ends first.
+func sleep(ctx context.Context, delay time.Duration) bool {
 	if delay <= 0 {
 		return true
 	}
@@ -84,7 +84,7 @@
 	}
 }
 
-// get answers GET /v1/objects/{key}.
+// get handles GET /v1/objects/{key}.
 func (s *Server) get(w http.ResponseWriter, r *http.Request) {
 	s.faults.count(func(c *Stats) { c.Reads++ })
 	object, ok := s.store.Get(r.PathValue("key"))
@@ -94,10 +94,10 @@
 	}
 	w.Header().Set(versionHeader, strconv.FormatUint(object.Version, 10))
 	w.Header().Set("Content-Type", "application/octet-stream")
-	_, _ = w.Write(object.Value) // a caller that is gone needs no answer
+	_, _ = w.Write(object.Value) // a disconnected caller needs no response
 }
 
-// put answers PUT /v1/objects/{key}.
+// put handles PUT /v1/objects/{key}.
 func (s *Server) put(w http.ResponseWriter, r *http.Request) {
 	s.faults.count(func(c *Stats) { c.Writes++ })
 	expected, ok := expectedVersion(r)
@@ -118,10 +118,10 @@
 		http.Error(w, "condition failed", http.StatusPreconditionFailed)
 		return
 	}
-	s.answerWrite(w, version)
+	s.respondToWrite(w, version)
 }
 
-// delete answers DELETE /v1/objects/{key}.
+// delete handles DELETE /v1/objects/{key}.
 func (s *Server) delete(w http.ResponseWriter, r *http.Request) {
 	s.faults.count(func(c *Stats) { c.Writes++ })
 	expected, ok := expectedVersion(r)
@@ -133,12 +133,13 @@
 		http.Error(w, "condition failed", http.StatusPreconditionFailed)
 		return
 	}
-	s.answerWrite(w, 0)
+	s.respondToWrite(w, 0)
 }
 
-// answerWrite answers a write that took effect, or cuts the connection instead.
-func (s *Server) answerWrite(w http.ResponseWriter, version uint64) {
-	if s.faults.loseAnswer() {
+// respondToWrite sends the response to a write that took effect, or closes the
+// connection if LoseAnswers demands it.
+func (s *Server) respondToWrite(w http.ResponseWriter, version uint64) {
+	if s.faults.consumeLostResponse() {
 		panic(http.ErrAbortHandler)
 	}
 	if version != 0 {
@@ -147,7 +148,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// expectedVersion reads the condition: 0 means that the key must not exist.
+// expectedVersion returns the version that the request's condition names, where 0
+// means that the key must not exist. It returns false if there is no valid condition.
 func expectedVersion(r *http.Request) (uint64, bool) {
 	if r.Header.Get("If-None-Match") == "*" {
 		return 0, true
@@ -157,21 +159,21 @@
 	return version, err == nil && version > 0
 }
 
-// list answers GET /v1/list.
+// list handles GET /v1/list.
 func (s *Server) list(w http.ResponseWriter, r *http.Request) {
 	s.faults.count(func(c *Stats) { c.Reads++ })
 	query := r.URL.Query()
 	limit, _ := strconv.Atoi(query.Get("limit"))
 	objects := s.store.List(query.Get("prefix"), query.Get("after"), limit)
-	jsonhttp.Write(w, http.StatusOK, listResult{Objects: objects})
+	jsonhttp.Write(w, http.StatusOK, listResponse{Objects: objects})
 }
 
-// listResult is the answer of GET /v1/list.
-type listResult struct {
+// listResponse is the response to GET /v1/list.
+type listResponse struct {
 	Objects []Object `json:"objects"`
 }
 
-// watch answers GET /v1/watch: it waits for a change below the prefix.
+// watch handles GET /v1/watch: it waits for a change of a key with the prefix.
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
 	s.faults.count(func(c *Stats) { c.Watches++; c.Waiting++ })
 	defer s.faults.count(func(c *Stats) { c.Waiting-- })
@@ -183,7 +185,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), watchTimeout(query.Get("timeout_ms")))
 	defer cancel()
-	result, outage := s.await(ctx, query.Get("prefix"), cursor)
+	result, outage := s.awaitChange(ctx, query.Get("prefix"), cursor)
 	if outage {
 		http.Error(w, "outage", http.StatusServiceUnavailable)
 		return
@@ -191,19 +193,19 @@
 	jsonhttp.Write(w, http.StatusOK, result)
 }
 
-// watchTimeout bounds the wait that a watch asked for.
+// watchTimeout parses the requested timeout of a watch and limits it to the maximum.
 func watchTimeout(text string) time.Duration {
 	ms, err := strconv.Atoi(text)
 	if err != nil || ms <= 0 {
-		return defaultWatch
+		return defaultWatchTimeout
 	}
-	return min(time.Duration(ms)*time.Millisecond, maxWatch)
+	return min(time.Duration(ms)*time.Millisecond, maxWatchTimeout)
 }
 
-// await returns at the first change behind cursor, when ctx ends, or with true
-// when an outage begins.
-func (s *Server) await(ctx context.Context, prefix string, cursor uint64) (WatchResult, bool) {
-	outage := s.faults.outageBegins()
+// awaitChange returns when there is a change after cursor or when ctx ends. It
+// returns true if an outage ended the wait.
+func (s *Server) awaitChange(ctx context.Context, prefix string, cursor uint64) (WatchResult, bool) {
+	outage := s.faults.outageStarted()
 	for {
 		result, changed := s.store.Since(prefix, cursor)
 		if cursor == 0 || result.Reset || len(result.Changes) > 0 {
@@ -219,7 +221,7 @@
 	}
 }
 
-// control answers POST /control.
+// control handles POST /control.
 func (s *Server) control(w http.ResponseWriter, r *http.Request) {
 	var control Control
 	if jsonhttp.Read(w, r, &control) {
@@ -227,7 +229,7 @@
 	}
 }
 
-// stats answers GET /control/stats.
+// stats handles GET /control/stats.
 func (s *Server) stats(w http.ResponseWriter, _ *http.Request) {
 	jsonhttp.Write(w, http.StatusOK, s.faults.snapshot())
 }
--- a/standin/objectstore/store.go
+++ b/standin/objectstore/store.go
@@ -1,6 +1,6 @@
-// Package objectstore is a small stand-in of the platform's object API: versions,
-// conditional updates and watches, with a switch for outage, slowness and
-// answers that are lost after the write took effect.
+// Package objectstore is a small stand-in for the platform's object API: versions,
+// conditional updates and watches. Its fault switches simulate outages, delays and
+// responses that are lost after the write took effect.
 package objectstore
 
 import (
@@ -9,11 +9,11 @@
 	"sync"
 )
 
-// Limits of the stand-in.
+// Limits on the size of a value, of a list and of the history of changes.
 const (
 	maxValueBytes = 1 << 20
 	maxListLimit  = 1000
-	keptChanges   = 1 << 16
+	maxChanges    = 1 << 16
 )
 
 // Object is one value with its version.
@@ -29,29 +29,31 @@
 	Deleted bool `json:"deleted"`
 }
 
-// WatchResult answers one watch call.
+// WatchResult is the response to one watch call. Reset means that changes after the
+// cursor are no longer kept, so that the caller has to list the objects.
 type WatchResult struct {
 	Changes []Change `json:"changes"`
 	Next    uint64   `json:"next"`
 	Reset   bool     `json:"reset"`
 }
 
-// Store holds the objects in memory. A single sequence numbers all writes, so a
-// key's versions rise also over a deletion. It may be used by many goroutines.
+// Store holds the objects in memory. All writes share one version counter, so the
+// versions of a key also increase across a deletion. It is safe for concurrent use.
 type Store struct {
-	mu       sync.Mutex
-	objects  map[string]Object
-	sequence uint64
-	// changes holds the last keptChanges changes in order.
+	mu          sync.Mutex
+	objects     map[string]Object
+	lastVersion uint64
+	// changes holds the latest changes in order, at most maxChanges of them.
 	changes []Change
-	// changed is closed at the next change and then replaced.
+	// changed is closed and replaced at every change.
 	changed chan struct{}
 }
 
 // NewStore returns an empty store.
 func NewStore() *Store {
-	// The sequence begins at 1: cursor 0 asks a watch for the present cursor.
-	return &Store{objects: map[string]Object{}, sequence: 1, changed: make(chan struct{})}
+	// Versions begin after 1, because a watch with cursor 0 requests the current
+	// cursor.
+	return &Store{objects: map[string]Object{}, lastVersion: 1, changed: make(chan struct{})}
 }
 
 // Get returns the object at key.
@@ -63,21 +65,23 @@
 }
 
 // Put writes value if the object's version equals version, where 0 means that
-// the key must not exist. It returns the new version, or false.
+// the key must not exist. It returns the new version, or false if the condition
+// failed.
 func (s *Store) Put(key string, value []byte, version uint64) (uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.objects[key].Version != version {
 		return 0, false
 	}
-	s.sequence++
-	object := Object{Key: key, Version: s.sequence, Value: value}
+	s.lastVersion++
+	object := Object{Key: key, Version: s.lastVersion, Value: value}
 	s.objects[key] = object
-	s.note(Change{Object: object})
-	return s.sequence, true
+	s.recordChange(Change{Object: object})
+	return s.lastVersion, true
 }
 
-// Delete removes the object if it exists with the given version.
+// Delete removes the object if it exists with the given version, and reports
+// whether it did.
 func (s *Store) Delete(key string, version uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,24 +89,24 @@
 	if !ok || object.Version != version {
 		return false
 	}
-	s.sequence++
+	s.lastVersion++
 	delete(s.objects, key)
-	s.note(Change{Object: Object{Key: key, Version: s.sequence}, Deleted: true})
+	s.recordChange(Change{Object: Object{Key: key, Version: s.lastVersion}, Deleted: true})
 	return true
 }
 
-// note records a change and wakes the watches. The caller holds mu.
-func (s *Store) note(change Change) {
+// recordChange records a change and wakes the watches. The caller holds mu.
+func (s *Store) recordChange(change Change) {
 	s.changes = append(s.changes, change)
-	if len(s.changes) > keptChanges {
-		s.changes = append([]Change(nil), s.changes[keptChanges/2:]...)
+	if len(s.changes) > maxChanges {
+		s.changes = append([]Change(nil), s.changes[maxChanges/2:]...)
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// List returns at most limit objects below prefix, in order of key, from after
-// the key after.
+// List returns the objects whose keys have prefix and sort after the key after, in
+// key order and at most limit of them.
 func (s *Store) List(prefix, after string, limit int) []Object {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,17 +123,17 @@
 	return found[:min(limit, len(found))]
 }
 
-// Since returns the changes below prefix behind cursor, and a channel that is
-// closed at the next change of any key. Cursor 0 returns no change but the
-// present cursor.
+// Since returns the changes after cursor of the keys with prefix, and a channel
+// that is closed at the next change of any key. For cursor 0 it returns no changes,
+// only the current cursor.
 func (s *Store) Since(prefix string, cursor uint64) (WatchResult, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	result := WatchResult{Changes: []Change{}, Next: s.sequence}
+	result := WatchResult{Changes: []Change{}, Next: s.lastVersion}
 	if cursor == 0 {
 		return result, s.changed
 	}
-	if cursor > s.sequence || s.oldest() > cursor+1 {
+	if cursor > s.lastVersion || s.oldest() > cursor+1 {
 		result.Reset = true
 		return result, s.changed
 	}
@@ -142,10 +146,11 @@
 	return result, s.changed
 }
 
-// oldest returns the version of the oldest change kept. The caller holds mu.
+// oldest returns the version of the oldest change that is kept, or the next version
+// if there is none. The caller holds mu.
 func (s *Store) oldest() uint64 {
 	if len(s.changes) == 0 {
-		return s.sequence + 1
+		return s.lastVersion + 1
 	}
 	return s.changes[0].Version
 }
