--- a/standin/verdict/verdict.go
+++ b/standin/verdict/verdict.go
@@ -1,5 +1,5 @@
-// Package verdict judges a trial by what the callers and the stand-in upstreams
-// recorded themselves. It never looks at the system's own logs.
+// Package verdict judges a test run by the records of the callers and the ledgers of
+// the stand-in upstreams. It never reads the logs of the system under test.
 package verdict
 
 import (
@@ -11,7 +11,7 @@
 	"acaciawinch/standin/ledger"
 )
 
-// Exchange is one request with its result.
+// Exchange is one request and its result.
 type Exchange struct {
 	Request caller.Request
 	Result  caller.Result
@@ -19,71 +19,72 @@
 	Bad bool
 }
 
-// Summary counts a trial's outcomes.
+// Summary counts the outcomes and the violations of a test run.
 type Summary struct {
 	Sent     int `json:"sent"`
 	Answered int `json:"answered"`
 	NotRun   int `json:"not_run"`
 	Failed   int `json:"failed"`
 	Unknown  int `json:"unknown"`
-	// Lost counts requests without a final answer, and answers without the
+	// Lost counts requests without a final response, and responses without the
 	// execution of their non-idempotent stage.
 	Lost int `json:"lost"`
 	// Doubled counts non-idempotent stages that were started more than once.
 	Doubled int `json:"doubled"`
-	// Crossed counts answers that are not their request's own.
+	// Crossed counts responses that do not belong to their request.
 	Crossed int `json:"crossed"`
-	// Stray counts executions whose input belongs to no good request: a bad
-	// request reached an upstream, or a stage got what was not its own.
+	// Stray counts executions whose input belongs to no valid request: a bad request
+	// reached an upstream, or a stage got an input that was not its own.
 	Stray int `json:"stray"`
-	// FalseNotRun counts requests that were told "not run" or "failed", and
-	// nothing else on any attempt, although their non-idempotent stage was started.
+	// FalseNotRun counts requests whose attempts all had the outcome "not run" or
+	// "failed" although their non-idempotent stage was started.
 	FalseNotRun int `json:"false_not_run"`
 	// Findings describes each violation.
 	Findings []string `json:"findings,omitempty"`
 }
 
-// Clean tells whether nothing that must never happen did happen.
+// Clean reports whether there was no violation.
 func (s Summary) Clean() bool {
 	return s.Lost+s.Doubled+s.Crossed+s.Stray+s.FalseNotRun == 0
 }
 
-// Expecter works out the steps that a request must take.
+// Expecter computes the steps that a request must take.
 type Expecter interface {
 	Expected(caller.Request) ([]answer.Step, bool)
 }
 
-// execution names one stage's execution by who must have run it on what.
+// execution identifies the execution of a stage by its service and the digest of its
+// input.
 type execution struct {
 	service string
 	digest  string
 }
 
-// judge holds what is worked out on the way to a summary.
+// judge holds the intermediate state of a verdict.
 type judge struct {
 	summary  Summary
 	expecter Expecter
-	// starts counts the executions that began.
+	// starts counts the starts of each execution.
 	starts map[execution]int
-	// known holds the executions that belong to good requests.
-	known map[execution]bool
-	// settled holds the non-idempotent executions whose request was answered, is
-	// unknown or got no answer on some attempt: they may have run.
-	settled map[execution]bool
+	// expected holds the executions that belong to valid requests.
+	expected map[execution]bool
+	// possiblyRun holds the non-idempotent executions that may have run: some attempt
+	// at their request succeeded, had an unknown outcome or got no response.
+	possiblyRun map[execution]bool
 }
 
-// Judge sums up a trial. Requests with equal bodies count as one request that
-// was asked again, so bodies must be unique otherwise.
+// Judge returns the summary of a test run. Requests with equal bodies count as
+// retries of one request, so distinct requests must have distinct bodies.
 func Judge(expecter Expecter, exchanges []Exchange, records []ledger.Record) Summary {
 	j := &judge{
-		expecter: expecter,
-		starts:   map[execution]int{},
-		known:    map[execution]bool{},
-		settled:  map[execution]bool{},
+		expecter:    expecter,
+		starts:      map[execution]int{},
+		expected:    map[execution]bool{},
+		possiblyRun: map[execution]bool{},
 	}
 	j.countStarts(records)
 	for _, e := range exchanges {
-		j.note(e)
+		j.countExchange(e)
 	}
 	for _, e := range exchanges {
 		j.checkExecution(e)
@@ -93,13 +94,13 @@
 	return j.summary
 }
 
-// find records a violation.
-func (j *judge) find(count *int, format string, args ...any) {
+// addFinding records a violation.
+func (j *judge) addFinding(count *int, format string, args ...any) {
 	*count++
 	j.summary.Findings = append(j.summary.Findings, fmt.Sprintf(format, args...))
 }
 
-// countStarts counts the executions that began.
+// countStarts counts the starts of each execution.
 func (j *judge) countStarts(records []ledger.Record) {
 	for _, r := range records {
 		if r.Event == ledger.Start {
@@ -108,8 +109,8 @@
 	}
 }
 
-// note counts one exchange and records the executions that it accounts for.
-func (j *judge) note(e Exchange) {
+// countExchange counts one exchange and records the executions that belong to it.
+func (j *judge) countExchange(e Exchange) {
 	j.summary.Sent++
 	j.countOutcome(e)
 	if e.Bad {
@@ -118,24 +119,25 @@
 	steps, _ := j.expecter.Expected(e.Request)
 	for _, step := range steps {
 		x := executionOf(step)
-		j.known[x] = true
+		j.expected[x] = true
 		if step.Stage.NonIdempotent && mayHaveRun(e.Result.Outcome) {
-			j.settled[x] = true
+			j.possiblyRun[x] = true
 		}
 	}
 }
 
-// mayHaveRun tells whether an outcome leaves room for a non-idempotent execution.
+// mayHaveRun reports whether a non-idempotent stage may have run in a request with
+// this outcome.
 func mayHaveRun(outcome core.Outcome) bool {
 	return outcome != core.OutcomeNotRun && outcome != core.OutcomeFailed
 }
 
-// executionOf returns the execution that a step must be.
+// executionOf returns the execution that a step must have.
 func executionOf(step answer.Step) execution {
 	return execution{step.Stage.Service, answer.Digest(step.Input)}
 }
 
-// countOutcome counts what the caller got.
+// countOutcome counts the result that the caller got.
 func (j *judge) countOutcome(e Exchange) {
 	s := &j.summary
 	name := e.Request.Workspace + "/" + e.Request.Pipeline + " " + e.Result.RequestID
@@ -143,9 +145,9 @@
 	case caller.Whole:
 		s.Answered++
 	case caller.Mismatch:
-		j.find(&s.Crossed, "crossed: %s: %s", name, e.Result.Detail)
+		j.addFinding(&s.Crossed, "crossed: %s: %s", name, e.Result.Detail)
 	case caller.Cut, caller.Broken:
-		j.find(&s.Lost, "lost: %s: %s", name, e.Result.Detail)
+		j.addFinding(&s.Lost, "lost: %s: %s", name, e.Result.Detail)
 	case caller.Problem:
 		j.countProblem(e, name)
 	}
@@ -162,12 +164,12 @@
 	case core.OutcomeUnknown, core.OutcomeRunning:
 		s.Unknown++
 	default:
-		j.find(&s.Lost, "lost: %s: a problem with outcome %q", name, e.Result.Outcome)
+		j.addFinding(&s.Lost, "lost: %s: a problem with outcome %q", name, e.Result.Outcome)
 	}
 }
 
-// checkExecution checks what the caller was told against the executions of its
-// non-idempotent stages.
+// checkExecution checks the outcome that the caller got against the executions of
+// the request's non-idempotent stages.
 func (j *judge) checkExecution(e Exchange) {
 	if e.Bad {
 		return
@@ -180,15 +182,15 @@
 		x := executionOf(step)
 		ran := j.starts[x] > 0
 		if e.Result.Verdict == caller.Whole && !ran {
-			j.find(&j.summary.Lost, "lost: %s was answered but %s never ran", e.Result.RequestID, x.service)
+			j.addFinding(&j.summary.Lost, "lost: %s was answered but %s never ran", e.Result.RequestID, x.service)
 		}
-		if !mayHaveRun(e.Result.Outcome) && ran && !j.settled[x] {
-			j.find(&j.summary.FalseNotRun, "false %s: %s: %s ran", e.Result.Outcome, e.Result.RequestID, x.service)
+		if !mayHaveRun(e.Result.Outcome) && ran && !j.possiblyRun[x] {
+			j.addFinding(&j.summary.FalseNotRun, "false %s: %s: %s ran", e.Result.Outcome, e.Result.RequestID, x.service)
 		}
 	}
 }
 
-// checkDoubled counts the non-idempotent executions that began more than once.
+// checkDoubled counts the non-idempotent executions that were started more than once.
 func (j *judge) checkDoubled(exchanges []Exchange) {
 	seen := map[execution]bool{}
 	for _, e := range exchanges {
@@ -200,17 +202,17 @@
 			}
 			seen[x] = true
 			if j.starts[x] > 1 {
-				j.find(&j.summary.Doubled, "doubled: %s ran %d times on %s", x.service, j.starts[x], x.digest)
+				j.addFinding(&j.summary.Doubled, "doubled: %s ran %d times on %s", x.service, j.starts[x], x.digest)
 			}
 		}
 	}
 }
 
-// checkStray counts the executions that belong to no good request.
+// checkStray counts the executions that belong to no valid request.
 func (j *judge) checkStray() {
 	for x, count := range j.starts {
-		if !j.known[x] {
-			j.find(&j.summary.Stray, "stray: %s ran %d times on %s", x.service, count, x.digest)
+		if !j.expected[x] {
+			j.addFinding(&j.summary.Stray, "stray: %s ran %d times on %s", x.service, count, x.digest)
 		}
 	}
 }
--- a/standin/verdict/verdict_test.go
+++ b/standin/verdict/verdict_test.go
@@ -13,7 +13,7 @@
 	"acaciawinch/standin/ledger"
 )
 
-// expecter knows one pipeline whose only stage must run at most once.
+// expecter expects one pipeline whose only stage is non-idempotent.
 var expecter = caller.New(catalog.Catalog{
 	Templates: []config.Template{{
 		Name:   "p",
@@ -25,23 +25,23 @@
 // request is a request for the pipeline.
 var request = caller.Request{Workspace: "w", Pipeline: "p", Body: []byte("a")}
 
-// start is the record of the stage's execution on a body.
-func start(body string) ledger.Record {
+// startRecord returns the ledger record of the stage's start with the given body.
+func startRecord(body string) ledger.Record {
 	return ledger.Record{Event: ledger.Start, Service: "s", InputDigest: answer.Digest([]byte(body))}
 }
 
-// got is an exchange of the request.
-func got(v caller.Verdict, outcome core.Outcome) Exchange {
+// exchange returns an exchange of request with the given result.
+func exchange(v caller.Verdict, outcome core.Outcome) Exchange {
 	return Exchange{Request: request, Result: caller.Result{Verdict: v, Outcome: outcome}}
 }
 
 func TestJudge(t *testing.T) {
-	whole := got(caller.Whole, core.OutcomeAnswered)
-	notRun := got(caller.Problem, core.OutcomeNotRun)
+	whole := exchange(caller.Whole, core.OutcomeAnswered)
+	notRun := exchange(caller.Problem, core.OutcomeNotRun)
 	bad := notRun
 	bad.Bad = true
-	once := []ledger.Record{start("a")}
-	twice := []ledger.Record{start("a"), start("a")}
+	once := []ledger.Record{startRecord("a")}
+	twice := []ledger.Record{startRecord("a"), startRecord("a")}
 	cases := []struct {
 		name      string
 		exchanges []Exchange
@@ -49,20 +49,20 @@
 		want      Summary
 	}{
 		{"answered", []Exchange{whole}, once, Summary{Answered: 1}},
-		{"asked twice, run once", []Exchange{whole, whole}, once, Summary{Answered: 2}},
+		{"sent twice, run once", []Exchange{whole, whole}, once, Summary{Answered: 2}},
 		{"doubled", []Exchange{whole}, twice, Summary{Answered: 1, Doubled: 1}},
-		{"doubled over two askings", []Exchange{whole, whole}, twice, Summary{Answered: 2, Doubled: 1}},
+		{"doubled over two attempts", []Exchange{whole, whole}, twice, Summary{Answered: 2, Doubled: 1}},
 		{"answered without running", []Exchange{whole}, nil, Summary{Answered: 1, Lost: 1}},
 		{"not run", []Exchange{notRun}, nil, Summary{NotRun: 1}},
 		{"falsely not run", []Exchange{notRun}, once, Summary{NotRun: 1, FalseNotRun: 1}},
-		{"not run, then asked again", []Exchange{notRun, whole}, once, Summary{NotRun: 1, Answered: 1}},
-		{"falsely failed", []Exchange{got(caller.Problem, core.OutcomeFailed)}, once, Summary{Failed: 1, FalseNotRun: 1}},
-		{"unknown", []Exchange{got(caller.Problem, core.OutcomeUnknown)}, once, Summary{Unknown: 1}},
-		{"cut", []Exchange{got(caller.Cut, "")}, once, Summary{Lost: 1}},
-		{"broken", []Exchange{got(caller.Broken, "")}, nil, Summary{Lost: 1}},
-		{"problem without outcome", []Exchange{got(caller.Problem, "")}, nil, Summary{Lost: 1}},
-		{"crossed", []Exchange{got(caller.Mismatch, core.OutcomeAnswered)}, once, Summary{Crossed: 1}},
-		{"foreign input", []Exchange{whole}, append(once, start("b")), Summary{Answered: 1, Stray: 1}},
+		{"not run, then retried", []Exchange{notRun, whole}, once, Summary{NotRun: 1, Answered: 1}},
+		{"falsely failed", []Exchange{exchange(caller.Problem, core.OutcomeFailed)}, once, Summary{Failed: 1, FalseNotRun: 1}},
+		{"unknown", []Exchange{exchange(caller.Problem, core.OutcomeUnknown)}, once, Summary{Unknown: 1}},
+		{"cut", []Exchange{exchange(caller.Cut, "")}, once, Summary{Lost: 1}},
+		{"broken", []Exchange{exchange(caller.Broken, "")}, nil, Summary{Lost: 1}},
+		{"problem without outcome", []Exchange{exchange(caller.Problem, "")}, nil, Summary{Lost: 1}},
+		{"crossed", []Exchange{exchange(caller.Mismatch, core.OutcomeAnswered)}, once, Summary{Crossed: 1}},
+		{"foreign input", []Exchange{whole}, append(once, startRecord("b")), Summary{Answered: 1, Stray: 1}},
 		{"bad request refused", []Exchange{bad}, nil, Summary{NotRun: 1}},
 		{"bad request reached an upstream", []Exchange{bad}, once, Summary{NotRun: 1, Stray: 1}},
 	}
