--- a/standin/trials/doc.go
+++ b/standin/trials/doc.go
@@ -1,4 +1,4 @@
-// Package trials tests the real binaries as separate processes. Its tests build
-// them, wait on events only, and take their verdicts from the callers' records
-// and the stand-ins' ledgers.
+// Package trials holds end-to-end tests that run the real binaries as separate
+// processes. The tests build the binaries, wait for events rather than for fixed
+// times, and judge by the records of the callers and the ledgers of the stand-ins.
 package trials
--- a/standin/trials/limits_test.go
+++ b/standin/trials/limits_test.go
@@ -22,15 +22,16 @@
 	"acaciawinch/standin/ledger"
 )
 
-// The workspace whose bound is tried, and its costly stage.
+// The workspace whose limit on requests in flight is tested, the limit, and the
+// service of the workspace's most expensive stage.
 const (
-	limited     = "pensionistas"
-	limit       = 6
-	limitedWork = "asistente-llm"
+	limitedWorkspace = "pensionistas"
+	maxInFlight      = 6
+	limitedService   = "asistente-llm"
 )
 
-// startLimited starts three entries before few upstreams with slow streams, and
-// sets the workspace's bound.
+// startLimited starts three entries and a few upstreams with slow streams, and sets
+// the workspace's limit to maxInFlight.
 func startLimited(t *testing.T) *trial {
 	d := deployment.Institute()
 	for i := range d.Groups {
@@ -38,39 +39,41 @@
 		d.Groups[i].TokenMS = slowTokenMS
 		d.Groups[i].BatchSlope = 0
 	}
-	tr := start(t, d)
+	tr := startTrial(t, d)
 	text, err := os.ReadFile(filepath.Join(root, "examples", "institute", "workspaces.toml"))
 	assert.NilError(t, err)
-	before := "max_in_flight = 2000"
-	assert.Assert(t, strings.Contains(string(text), before))
+	setting := "max_in_flight = 2000"
+	assert.Assert(t, strings.Contains(string(text), setting))
 	file := filepath.Join(t.TempDir(), "workspaces.toml")
-	assert.NilError(t, os.WriteFile(file, []byte(strings.Replace(string(text), before, "max_in_flight = 6", 1)), 0o600))
+	assert.NilError(t, os.WriteFile(file, []byte(strings.Replace(string(text), setting, "max_in_flight = 6", 1)), 0o600))
 	assert.NilError(t, tr.fleet.Apply(tr.ctx, file))
 	return tr
 }
 
-// home returns the number of the entry that is the home of the bound.
+// home returns the index of the entry that is the home of the workspace's permits:
+// the one that counts its requests in flight.
 func (tr *trial) home() int {
-	first := share.NewHomes(tr.fleet.HostList().Hosts, tr.fleet.Options.Deployment.Region).Of(limited, 0)[0]
+	first := share.NewHomes(tr.fleet.HostList().Hosts, tr.fleet.Options.Deployment.Region).Of(limitedWorkspace, 0)[0]
 	return slices.IndexFunc(tr.fleet.HostList().Hosts, func(h fleet.Host) bool { return h.Name == first.Name })
 }
 
-// burst is requests that run side by side.
+// burst is a group of concurrent requests.
 type burst struct {
 	mu      sync.Mutex
 	results []caller.Result
 	group   sync.WaitGroup
-	// begun counts those that have neither a first chunk nor their end.
-	begun sync.WaitGroup
+	// firstChunks counts the requests that have neither received a first chunk nor
+	// ended.
+	firstChunks sync.WaitGroup
 }
 
-// stream sends a streamed request to an entry.
+// stream starts a streamed request to an entry.
 func (b *burst) stream(tr *trial, entry int) {
-	r := tr.request(limited, "consulta")
+	r := tr.request(limitedWorkspace, "consulta")
 	r.Stream = true
 	r.DeadlineMS = "5000"
-	b.begun.Add(1)
-	first := sync.OnceFunc(b.begun.Done)
+	b.firstChunks.Add(1)
+	first := sync.OnceFunc(b.firstChunks.Done)
 	r.OnChunk = func([]byte) { first() }
 	b.group.Go(func() {
 		defer first()
@@ -81,9 +84,9 @@
 	})
 }
 
-// whole waits for the ends and returns how many were answered. The others were
-// refused for the bound.
-func (b *burst) whole(t *testing.T) int {
+// countAnswered waits until all requests end and returns how many succeeded. It
+// checks that the others were refused because of the limit.
+func (b *burst) countAnswered(t *testing.T) int {
 	b.group.Wait()
 	count := 0
 	for _, result := range b.results {
@@ -98,16 +101,16 @@
 	return count
 }
 
-// mostAtOnce returns the most requests that were in the costly stage at one time,
-// from a moment on, by the ledgers.
-func (tr *trial) mostAtOnce(sinceUS int64) int {
+// maxConcurrent returns the maximum number of requests that ran in the most expensive
+// stage at the same time, by the records of the ledgers from sinceUS on.
+func (tr *trial) maxConcurrent(sinceUS int64) int {
 	records, err := tr.fleet.Records()
 	assert.NilError(tr.t, err)
 	slices.SortStableFunc(records, func(a, b ledger.Record) int { return int(a.TimeUS - b.TimeUS) })
 	running := map[string]int{}
 	most := 0
 	for _, r := range records {
-		if r.Service != limitedWork || r.Event == ledger.Order || r.TimeUS < sinceUS {
+		if r.Service != limitedService || r.Event == ledger.Order || r.TimeUS < sinceUS {
 			continue
 		}
 		request, _, _ := strings.Cut(r.ID, "/")
@@ -124,98 +127,101 @@
 	return most
 }
 
-func TestOneEntryMayUseAWorkspacesWholeBound(t *testing.T) {
+func TestOneEntryMayUseWholeWorkspaceLimit(t *testing.T) {
 	tr := startLimited(t)
 	entry := (tr.home() + 1) % len(tr.fleet.Entries)
 	var all burst
-	for range limit {
+	for range maxInFlight {
 		all.stream(tr, entry)
 	}
-	all.begun.Wait()
-	r := tr.request(limited, "consulta")
+	all.firstChunks.Wait()
+	r := tr.request(limitedWorkspace, "consulta")
 	refused := tr.send(entry, r, false)
 	assert.Equal(t, refused.Status, http.StatusTooManyRequests, refused.Detail)
 	assert.Equal(t, refused.Outcome, core.OutcomeNotRun)
-	assert.Equal(t, all.whole(t), limit)
+	assert.Equal(t, all.countAnswered(t), maxInFlight)
 	tr.stop()
-	assert.Equal(t, tr.mostAtOnce(0), limit)
+	assert.Equal(t, tr.maxConcurrent(0), maxInFlight)
 	tr.judge()
 }
 
-// TestAWorkspacesBoundHoldsOverAllEntries asks through three entries at once, then
-// through two while the home is dead, and again when all that it had granted is over.
-func TestAWorkspacesBoundHoldsOverAllEntries(t *testing.T) {
+// TestWorkspaceLimitHoldsAcrossEntries sends requests through three entries at once,
+// then through two while the home is down, and once more when all requests that the
+// home had granted have ended. Up to twice the limit may run while the deputy takes
+// over from the home; after that, the limit holds exactly.
+func TestWorkspaceLimitHoldsAcrossEntries(t *testing.T) {
 	tr := startLimited(t)
 	home := tr.home()
 	var first, second, third burst
-	for range limit {
+	for range maxInFlight {
 		for entry := range tr.fleet.Entries {
 			first.stream(tr, entry)
 		}
 	}
-	whole := first.whole(t)
-	assert.Assert(t, whole > 0 && whole <= limit, "%d answered", whole)
-	assert.Assert(t, tr.mostAtOnce(0) <= limit)
+	answered := first.countAnswered(t)
+	assert.Assert(t, answered > 0 && answered <= maxInFlight, "%d answered", answered)
+	assert.Assert(t, tr.maxConcurrent(0) <= maxInFlight)
 
 	others := []int{(home + 1) % 3, (home + 2) % 3}
-	for range limit {
+	for range maxInFlight {
 		second.stream(tr, others[0])
 	}
-	second.begun.Wait()
+	second.firstChunks.Wait()
 	tr.fleet.Entries[home].Kill()
-	for range limit {
+	for range maxInFlight {
 		second.stream(tr, others[0])
 		second.stream(tr, others[1])
 	}
-	assert.Assert(t, second.whole(t) >= limit)
-	assert.Assert(t, tr.mostAtOnce(0) <= 2*limit, "beyond the stated overshoot")
+	assert.Assert(t, second.countAnswered(t) >= maxInFlight)
+	assert.Assert(t, tr.maxConcurrent(0) <= 2*maxInFlight, "more than the documented overshoot")
 
-	assert.NilError(t, harness.Await(tr.ctx, "the deputy grants nothing", func(context.Context) error {
+	assert.NilError(t, harness.Await(tr.ctx, "the deputy grants no permit", func(context.Context) error {
 		return tr.sendOne(others[1])
 	}))
-	since := lastUS(t, tr)
-	for range limit {
+	since := timeAfterRecords(t, tr)
+	for range maxInFlight {
 		third.stream(tr, others[0])
 		third.stream(tr, others[1])
 	}
-	third.whole(t)
-	assert.Assert(t, tr.mostAtOnce(since) <= limit)
+	third.countAnswered(t)
+	assert.Assert(t, tr.maxConcurrent(since) <= maxInFlight)
 	assert.NilError(t, tr.fleet.Entries[home].Restart(tr.ctx))
 	tr.stop()
 	tr.judge()
 }
 
-// TestAFrozenHomeRefusesNobody freezes the home: its deputy is asked instead. The
-// bound holds also when it wakes.
-func TestAFrozenHomeRefusesNobody(t *testing.T) {
+// TestFrozenHomeDoesNotRefuseRequests freezes the home, so that its deputy grants the
+// permits instead. At most twice the limit runs, also after the home resumes.
+func TestFrozenHomeDoesNotRefuseRequests(t *testing.T) {
 	tr := startLimited(t)
 	home := tr.home()
 	assert.NilError(t, tr.fleet.Entries[home].Freeze())
 	var all burst
-	for range limit {
+	for range maxInFlight {
 		all.stream(tr, (home+1)%len(tr.fleet.Entries))
 	}
-	all.begun.Wait()
+	all.firstChunks.Wait()
 	assert.NilError(t, tr.fleet.Entries[home].Wake())
-	for range limit {
+	for range maxInFlight {
 		all.stream(tr, (home+2)%len(tr.fleet.Entries))
 	}
-	assert.Assert(t, all.whole(t) >= limit)
+	assert.Assert(t, all.countAnswered(t) >= maxInFlight)
 	tr.stop()
-	assert.Assert(t, tr.mostAtOnce(0) <= 2*limit)
+	assert.Assert(t, tr.maxConcurrent(0) <= 2*maxInFlight)
 	tr.judge()
 }
 
-// sendOne sends a request and fails unless it is answered.
+// sendOne sends a request and returns an error unless it succeeds.
 func (tr *trial) sendOne(entry int) error {
-	if result := tr.send(entry, tr.request(limited, "consulta"), false); result.Verdict != caller.Whole {
+	if result := tr.send(entry, tr.request(limitedWorkspace, "consulta"), false); result.Verdict != caller.Whole {
 		return errors.New(result.Detail)
 	}
 	return nil
 }
 
-// lastUS returns the time of the newest record.
-func lastUS(t *testing.T, tr *trial) int64 {
+// timeAfterRecords returns a time just after the newest record of the ledgers, in
+// microseconds.
+func timeAfterRecords(t *testing.T, tr *trial) int64 {
 	records, err := tr.fleet.Records()
 	assert.NilError(t, err)
 	last := int64(0)
--- a/standin/trials/trials_test.go
+++ b/standin/trials/trials_test.go
@@ -22,23 +22,23 @@
 	"acaciawinch/standin/verdict"
 )
 
-// root is the folder of the workspace.
+// root is the root of the Go workspace.
 const root = "../.."
 
-// trialTimeout bounds one trial; stopTimeout bounds its planned stop.
+// trialTimeout limits one test; stopTimeout limits the planned stop of its processes.
 const (
 	trialTimeout = 2 * time.Minute
 	stopTimeout  = time.Minute
 )
 
-// binaries is the folder that the programs were built into.
+// binaries is the folder into which TestMain builds the programs.
 var binaries string
 
 func TestMain(m *testing.M) {
 	os.Exit(buildAndRun(m))
 }
 
-// buildAndRun builds the programs into a folder of their own and runs the tests.
+// buildAndRun builds the programs into a temporary folder and runs the tests.
 func buildAndRun(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "acaciawinch-bin-")
 	if err != nil {
@@ -57,7 +57,7 @@
 	return m.Run()
 }
 
-// trial is a running fleet with a caller that records what it got.
+// trial is a running fleet with a client that records its exchanges.
 type trial struct {
 	t      *testing.T
 	ctx    context.Context
@@ -69,13 +69,13 @@
 	number    int
 }
 
-// start starts the Institute's configuration on a deployment. What it starts
-// ends with the test; the logs stay if the test failed.
-func start(t *testing.T, d deployment.Deployment) *trial {
+// startTrial starts a fleet on a deployment with the configuration of the Institute
+// example. The processes end with the test; their logs are kept if the test fails.
+func startTrial(t *testing.T, d deployment.Deployment) *trial {
 	ctx, cancel := context.WithTimeout(t.Context(), trialTimeout)
 	t.Cleanup(cancel)
 	files := []string{
-		patientPipelines(t),
+		pipelinesWithLongDeadlines(t),
 		filepath.Join(root, "examples", "institute", "workspaces.toml"),
 	}
 	configuration, err := catalog.Load(files...)
@@ -95,20 +95,20 @@
 	return tr
 }
 
-// patientPipelines returns the file of the Institute's pipelines with deadlines of
-// a minute: these trials are about what becomes of a request, not about how fast
-// the machine is.
-func patientPipelines(t *testing.T) string {
+// pipelinesWithLongDeadlines returns a file with the pipelines of the Institute
+// example and deadlines of a minute: these tests check the outcomes of requests and
+// must not depend on the speed of the machine.
+func pipelinesWithLongDeadlines(t *testing.T) string {
 	declared, err := os.ReadFile(filepath.Join(root, "examples", "institute", "pipelines.toml"))
 	assert.NilError(t, err)
-	patient := strings.ReplaceAll(string(declared), "\ndeadline_ms = 3000\n", "\ndeadline_ms = 60000\n")
-	patient = strings.ReplaceAll(patient, "\nmax_deadline_ms = 5000\n", "\nmax_deadline_ms = 60000\n")
+	relaxed := strings.ReplaceAll(string(declared), "\ndeadline_ms = 3000\n", "\ndeadline_ms = 60000\n")
+	relaxed = strings.ReplaceAll(relaxed, "\nmax_deadline_ms = 5000\n", "\nmax_deadline_ms = 60000\n")
 	path := filepath.Join(t.TempDir(), "pipelines.toml")
-	assert.NilError(t, os.WriteFile(path, []byte(patient), 0o600))
+	assert.NilError(t, os.WriteFile(path, []byte(relaxed), 0o600))
 	return path
 }
 
-// request returns a request whose body no other one of the trial has.
+// request returns a request with a body that is unique in the trial.
 func (tr *trial) request(workspace, pipeline string) caller.Request {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -129,7 +129,7 @@
 	return result
 }
 
-// judge returns the trial's summary and fails the test on any violation.
+// judge returns the summary of the trial and fails the test on any violation.
 func (tr *trial) judge() verdict.Summary {
 	records, err := tr.fleet.Records()
 	assert.NilError(tr.t, err)
@@ -145,8 +145,8 @@
 	assert.NilError(tr.t, tr.fleet.Stop(ctx))
 }
 
-func TestOneStreamedRequestTravelsTheWholePath(t *testing.T) {
-	tr := start(t, deployment.Thin())
+func TestStreamedRequestEndToEnd(t *testing.T) {
+	tr := startTrial(t, deployment.Thin())
 	r := tr.request("pensionistas", "consulta")
 	r.Stream = true
 	result := tr.send(0, r, false)
@@ -157,17 +157,17 @@
 }
 
 func TestBadRequestsReachNoUpstream(t *testing.T) {
-	tr := start(t, deployment.Thin())
+	tr := startTrial(t, deployment.Thin())
 	badJSON := tr.request("pensionistas", "consulta")
 	badJSON.Body = badJSON.Body[1:]
 	unknown := tr.request("nobody", "consulta")
 	wrongMethod := tr.request("pensionistas", "consulta")
 	wrongMethod.Method = "PUT"
-	noTime := tr.request("pensionistas", "consulta")
-	noTime.DeadlineMS = "0"
+	zeroDeadline := tr.request("pensionistas", "consulta")
+	zeroDeadline.DeadlineMS = "0"
 	oversize := tr.request("pensionistas", "consulta")
 	oversize.Body = append(oversize.Body, make([]byte, 1<<20)...)
-	for _, r := range []caller.Request{badJSON, unknown, wrongMethod, noTime, oversize} {
+	for _, r := range []caller.Request{badJSON, unknown, wrongMethod, zeroDeadline, oversize} {
 		result := tr.send(0, r, true)
 		assert.Equal(t, result.Verdict, caller.Problem, result.Detail)
 		assert.Equal(t, result.Outcome, core.OutcomeNotRun)
@@ -176,14 +176,14 @@
 	records, err := tr.fleet.Records()
 	assert.NilError(t, err)
 	for _, record := range records {
-		// Orders follow from the placement, not from requests.
+		// Orders come from the placement of models, not from requests.
 		assert.Equal(t, record.Event, ledger.Order, "%+v", record)
 	}
 	assert.Equal(t, tr.judge().NotRun, 5)
 }
 
-// slowTokenMS makes a stream of 32 tokens last about two seconds: longer than
-// anything by which an entry might let a short one end without waiting for it.
+// slowTokenMS makes a stream of 32 tokens last about two seconds, so that no stream
+// can end by itself before the entry stops without waiting for it.
 const slowTokenMS = 60
 
 func TestPlannedStopCutsNoStream(t *testing.T) {
@@ -193,11 +193,11 @@
 		slow.Groups[i].TokenMS = slowTokenMS
 		slow.Groups[i].BatchSlope = 0
 	}
-	tr := start(t, slow)
-	var begun, ended sync.WaitGroup
+	tr := startTrial(t, slow)
+	var firstChunks, ended sync.WaitGroup
 	for range streams {
-		begun.Add(1)
-		first := sync.OnceFunc(begun.Done)
+		firstChunks.Add(1)
+		first := sync.OnceFunc(firstChunks.Done)
 		r := tr.request("pensionistas", "consulta")
 		r.Stream = true
 		r.OnChunk = func([]byte) { first() }
@@ -206,7 +206,7 @@
 			tr.send(0, r, false)
 		})
 	}
-	begun.Wait()
+	firstChunks.Wait()
 	tr.stop()
 	ended.Wait()
 	assert.Equal(t, tr.judge().Answered, streams)
@@ -217,7 +217,7 @@
 	for i := range small.Groups {
 		small.Groups[i].Workers = 2
 	}
-	tr := start(t, small)
+	tr := startTrial(t, small)
 	r := tr.request("pensionistas", "redencion")
 	r.Key = "one"
 	var group sync.WaitGroup
@@ -225,8 +225,8 @@
 		group.Go(func() { tr.send(entry, r, false) })
 	}
 	group.Wait()
-	again := tr.send(0, r, false)
-	assert.Equal(t, again.Verdict, caller.Whole, again.Detail)
+	retried := tr.send(0, r, false)
+	assert.Equal(t, retried.Verdict, caller.Whole, retried.Detail)
 	tr.stop()
 	assert.Equal(t, tr.judge().Answered, len(tr.fleet.Entries)+1)
 }
