--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -8,7 +8,7 @@
 	"acaciawinch/standin/upstream"
 )
 
-// lossInterval is the number of cache events of which the last is not reported.
+// lossInterval is how often a cache event is lost: one of this many is not reported.
 const lossInterval = 7
 
 // maxHistory is the maximum number of cache events kept for readers.
@@ -60,8 +60,8 @@
 	return false
 }
 
-// record adds an event to the history, except for every event that is to be lost
-// (see lossInterval). The caller holds mu.
+// record numbers an event and adds it to the history, unless it is one of those that
+// are lost (see lossInterval). The caller holds mu.
 func (c *cache) record(prefix uint64, action string, now time.Time) {
 	c.number++
 	if c.number%lossInterval == 0 {
--- a/standin/objectstore/store.go
+++ b/standin/objectstore/store.go
@@ -29,8 +29,8 @@
 	Deleted bool `json:"deleted"`
 }
 
-// WatchResult is the response to one watch call. Reset means that changes after the
-// cursor are no longer kept, so that the caller has to list the objects.
+// WatchResult is the response to one watch call. Reset means that the store can't
+// return all changes after the cursor, so that the caller has to list the objects.
 type WatchResult struct {
 	Changes []Change `json:"changes"`
 	Next    uint64   `json:"next"`
--- a/standin/trials/limits_test.go
+++ b/standin/trials/limits_test.go
@@ -148,7 +148,7 @@
 // TestWorkspaceLimitHoldsAcrossEntries sends requests through three entries at once,
 // then through two while the home is down, and once more when all requests that the
 // home had granted have ended. Up to twice the limit may run while the deputy takes
-// over from the home; after that, the limit holds exactly.
+// over from the home; once those requests have ended, the limit holds again.
 func TestWorkspaceLimitHoldsAcrossEntries(t *testing.T) {
 	tr := startLimited(t)
 	home := tr.home()
--- a/standin/trials/trials_test.go
+++ b/standin/trials/trials_test.go
@@ -182,8 +182,9 @@
 	assert.Equal(t, tr.judge().NotRun, 5)
 }
 
-// slowTokenMS makes a stream of 32 tokens last about two seconds, so that no stream
-// can end by itself before the entry stops without waiting for it.
+// slowTokenMS makes a stream of 32 tokens last about two seconds: longer than any
+// delay in an entry's shutdown in which a shorter stream could end although the
+// entry did not wait for it.
 const slowTokenMS = 60
 
 func TestPlannedStopCutsNoStream(t *testing.T) {
