--- a/standin/gatewaytest/fleet_test.go
+++ b/standin/gatewaytest/fleet_test.go
@@ -1,4 +1,4 @@
-// Package gatewaytest runs whole gateways against stand-ins of the platform's store
+// Package gatewaytest runs complete gateways against stand-ins of the platform's store
 // and workers, and checks what clients and workers see.
 package gatewaytest
 
@@ -26,44 +26,44 @@
 	"acaciawinch/standin/worker"
 )
 
-// fleet is a store, workers and gateways.
+// fleet is a store with its workers and gateways.
 type fleet struct {
 	t       *testing.T
 	store   *metastore.Store
 	address string
-	log     *logbook
+	log     *logBuffer
 	ports   *harness.Ports
 
 	mu       sync.Mutex
-	gateways []*running
+	gateways []*runningGateway
 }
 
-// running is one gateway.
-type running struct {
+// runningGateway is one gateway, which runs in the process of the test.
+type runningGateway struct {
 	settings gateway.Settings
 	stop     context.CancelFunc
 	ended    chan error
 }
 
-// logbook takes log lines and wakes who waits for one.
-type logbook struct {
-	mu    sync.Mutex
-	text  bytes.Buffer
-	grown chan struct{}
+// logBuffer collects log lines and wakes those that wait for one.
+type logBuffer struct {
+	mu       sync.Mutex
+	text     bytes.Buffer
+	appended chan struct{}
 }
 
 // Write implements io.Writer.
-func (l *logbook) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	close(l.grown)
-	l.grown = make(chan struct{})
+	close(l.appended)
+	l.appended = make(chan struct{})
 	return l.text.Write(p)
 }
 
-// lines returns the lines that hold all of the texts, and what is closed when there
-// are more.
-func (l *logbook) lines(texts ...string) ([]string, <-chan struct{}) {
+// lines returns the lines that contain all of the texts, and a channel that is closed when
+// more text is written.
+func (l *logBuffer) lines(texts ...string) ([]string, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var found []string
@@ -72,10 +72,10 @@
 			found = append(found, line)
 		}
 	}
-	return found, l.grown
+	return found, l.appended
 }
 
-// containsAll tells whether text holds all of the parts.
+// containsAll reports whether text contains all of the parts.
 func containsAll(text string, parts []string) bool {
 	for _, part := range parts {
 		if !strings.Contains(text, part) {
@@ -85,10 +85,10 @@
 	return true
 }
 
-// waitLines waits until count lines hold all of the texts.
+// waitLines waits until count lines contain all of the texts.
 func (f *fleet) waitLines(count int, texts ...string) []string {
 	f.t.Helper()
-	limit := time.NewTimer(patience)
+	limit := time.NewTimer(waitTimeout)
 	defer limit.Stop()
 	for {
 		found, grown := f.log.lines(texts...)
@@ -98,20 +98,20 @@
 		select {
 		case <-grown:
 		case <-limit.C:
-			f.t.Fatalf("%d lines with %q, not %d", len(found), texts, count)
+			f.t.Fatalf("got %d lines with %q, want %d", len(found), texts, count)
 		}
 	}
 }
 
-// patience bounds waits that only a broken program reaches.
-const patience = 20 * time.Second
+// waitTimeout bounds the waits of tests; only a broken program reaches it.
+const waitTimeout = 20 * time.Second
 
-// newFleet returns a fleet with a store and no gateway.
+// newFleet returns a fleet that has a store and no gateways yet.
 func newFleet(t *testing.T) *fleet {
 	t.Parallel()
 	store := metastore.New()
 	server := httptest.NewServer(store)
-	f := &fleet{t: t, store: store, address: strings.TrimPrefix(server.URL, "http://"), log: &logbook{grown: make(chan struct{})}, ports: harness.NewPorts()}
+	f := &fleet{t: t, store: store, address: strings.TrimPrefix(server.URL, "http://"), log: &logBuffer{appended: make(chan struct{})}, ports: harness.NewPorts()}
 	t.Cleanup(func() {
 		f.stopAll()
 		assert.Check(t, f.ports.Close())
@@ -121,8 +121,8 @@
 	return f
 }
 
-// worker starts a worker and registers it.
-func (f *fleet) worker(id, service string, kind worker.Kind) *worker.Worker {
+// startWorker starts a worker in zone z1 and registers it.
+func (f *fleet) startWorker(id, service string, kind worker.Kind) *worker.Worker {
 	f.t.Helper()
 	w, err := worker.Start(id, kind)
 	assert.NilError(f.t, err)
@@ -131,7 +131,7 @@
 	return w
 }
 
-// register writes a worker's entry.
+// register writes the entry of a worker in zone z1.
 func (f *fleet) register(w *worker.Worker, service, state string) {
 	f.registerIn("z1", w, service, state)
 }
@@ -141,8 +141,8 @@
 	f.store.Put("servers", w.ID, platformdoc.Worker{Service: service, Address: w.Address(), Zone: zone, Slots: 8, State: state})
 }
 
-// base returns a configuration with a route of each kind.
-func base(version int64) platformdoc.Document {
+// baseConfig returns a configuration with a route of each kind.
+func baseConfig(version int64) platformdoc.Document {
 	return platformdoc.Document{
 		Version: version,
 		Routes: []platformdoc.Route{
@@ -157,49 +157,49 @@
 	}
 }
 
-// apply puts a configuration in force.
+// apply writes a configuration to the store.
 func (f *fleet) apply(d platformdoc.Document) { f.store.Put("config", "main", d) }
 
-// free returns an address on which nobody listens, outside the range from which outgoing
-// connections take theirs: one of those had taken it before the gateway listened.
-func (f *fleet) free() string {
+// freeAddress returns an address on which nobody listens. Its port lies outside the ephemeral range:
+// an outgoing connection once took a port of that range before the gateway listened on it.
+func (f *fleet) freeAddress() string {
 	f.t.Helper()
 	address, err := f.ports.Address()
 	assert.NilError(f.t, err)
 	return address
 }
 
-// graceSeconds is short: a planned stop takes requests for a good part of it, and each
-// test ends with one.
+// graceSeconds is short: a stopping gateway accepts requests for a good part of it, and each
+// test ends with a stop.
 const graceSeconds = 1.5
 
-// start starts a gateway in zone z1 and waits until it knows the configuration and the
-// workers.
-func (f *fleet) start(name string) *running {
+// start starts a gateway in zone z1 and waits until it is ready.
+func (f *fleet) start(name string) *runningGateway {
 	f.t.Helper()
 	return f.startIn(name, "z1")
 }
 
-// startIn starts a gateway in a zone. One of each zone reads the store.
-func (f *fleet) startIn(name, zone string) *running {
+// startIn starts a gateway in a zone and waits until it is ready. One gateway of each zone reads the
+// store.
+func (f *fleet) startIn(name, zone string) *runningGateway {
 	f.t.Helper()
-	g := f.begin(name, zone)
+	g := f.launchIn(name, zone)
 	f.waitLines(1, `"process":"`+name+`"`, "table_in_force")
 	f.waitReady(g)
 	return g
 }
 
-// begin starts a gateway and waits for nothing.
-func (f *fleet) begin(name, zone string) *running {
+// launchIn starts a gateway in a zone and does not wait for it.
+func (f *fleet) launchIn(name, zone string) *runningGateway {
 	f.t.Helper()
 	settings := gateway.Defaults()
 	settings.Process = gateway.ProcessSettings{Name: name, Zone: zone, MemoryMB: 256, Regions: "z1=r1,z2=r2"}
-	settings.Listen = gateway.ListenSettings{Clients: f.free(), Readiness: f.free(), Fleet: f.free(), Metrics: f.free()}
+	settings.Listen = gateway.ListenSettings{Clients: f.freeAddress(), Readiness: f.freeAddress(), Fleet: f.freeAddress(), Metrics: f.freeAddress()}
 	settings.Store.Address = f.address
 	settings.Bounds = gateway.BoundSettings{RevokeMS: 5000, ConfigApplyMS: 2000, EvacuateMS: 5000, ColdOverrun: 1.5, ColdSlack: 5, GraceSeconds: graceSeconds, RetryRatio: 0.2, RetrySlack: 50}
 	settings.Fleet.Key = "test"
 	ctx, stop := context.WithCancel(context.Background())
-	g := &running{settings: settings, stop: stop, ended: make(chan error, 1)}
+	g := &runningGateway{settings: settings, stop: stop, ended: make(chan error, 1)}
 	go func() {
 		g.ended <- gateway.Run(ctx, settings, func() (gateway.Settings, error) { return settings, nil }, f.log)
 	}()
@@ -209,10 +209,10 @@
 	return g
 }
 
-// waitReady waits until a gateway says that it is ready.
-func (f *fleet) waitReady(g *running) {
+// waitReady waits until the readiness check of a gateway succeeds.
+func (f *fleet) waitReady(g *runningGateway) {
 	f.t.Helper()
-	limit := time.Now().Add(patience)
+	limit := time.Now().Add(waitTimeout)
 	for time.Now().Before(limit) {
 		resp, err := http.Get("http://" + g.settings.Listen.Readiness + "/readyz")
 		if err != nil {
@@ -223,10 +223,10 @@
 			return
 		}
 	}
-	f.t.Fatal("the gateway does not get ready")
+	f.t.Fatal("the gateway did not become ready")
 }
 
-// stopAll ends all gateways and waits for their end.
+// stopAll stops all gateways and waits until they have ended.
 func (f *fleet) stopAll() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -239,24 +239,24 @@
 	f.gateways = nil
 }
 
-// answer is what a client got.
-type answer struct {
+// response is what a client received.
+type response struct {
 	status int
 	header http.Header
 	body   string
-	// last is set if the connection ends with the answer.
-	last bool
-	// cut is set if the connection ended before the whole answer.
-	cut bool
+	// closesConn is set if the response says that its connection is closed.
+	closesConn bool
+	// truncated is set if the connection ended before the complete response.
+	truncated bool
 }
 
-// ask sends a request with an id on a connection of its own and reads the answer.
-func (f *fleet) ask(g *running, id, method, target, body string, headers ...string) answer {
+// send sends a request with an id on a new connection and reads the response.
+func (f *fleet) send(g *runningGateway, id, method, target, body string, headers ...string) response {
 	f.t.Helper()
 	conn, err := net.Dial("tcp", g.settings.Listen.Clients)
 	assert.NilError(f.t, err)
 	defer func() { _ = conn.Close() }()
-	assert.NilError(f.t, conn.SetDeadline(time.Now().Add(patience)))
+	assert.NilError(f.t, conn.SetDeadline(time.Now().Add(waitTimeout)))
 	text := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: %s\r\nX-Deadline-Ms: 5000\r\n", method, target, id)
 	for i := 0; i < len(headers); i += 2 {
 		text += headers[i] + ": " + headers[i+1] + "\r\n"
@@ -266,21 +266,21 @@
 	}
 	_, err = io.WriteString(conn, text+"\r\n"+body)
 	assert.NilError(f.t, err)
-	return read(bufio.NewReader(conn))
+	return readResponse(bufio.NewReader(conn))
 }
 
-// read reads one answer.
-func read(from *bufio.Reader) answer {
+// readResponse reads one response.
+func readResponse(from *bufio.Reader) response {
 	resp, err := http.ReadResponse(from, nil)
 	if err != nil {
-		return answer{cut: true}
+		return response{truncated: true}
 	}
 	content, err := io.ReadAll(resp.Body)
-	return answer{status: resp.StatusCode, header: resp.Header, body: string(content), last: resp.Close, cut: err != nil}
+	return response{status: resp.StatusCode, header: resp.Header, body: string(content), closesConn: resp.Close, truncated: err != nil}
 }
 
-// stream returns the body of a whole stream of five events.
-func stream(id string) string {
+// streamBody returns the body of a complete stream of five events.
+func streamBody(id string) string {
 	text := ""
 	for n := 1; n <= 5; n++ {
 		text += fmt.Sprintf("id: %d\ndata: %s %d\n\n", n, id, n)
@@ -288,7 +288,7 @@
 	return text
 }
 
-// runsOf counts the runs of a request at workers.
+// runsOf counts how often workers ran a request.
 func runsOf(id string, workers ...*worker.Worker) int {
 	count := 0
 	for _, w := range workers {
@@ -301,8 +301,8 @@
 	return count
 }
 
-// decode reads a log line's fields of one name.
-func decode(t *testing.T, line, field string) any {
+// logField returns the value of a field of a log line.
+func logField(t *testing.T, line, field string) any {
 	t.Helper()
 	var parsed struct {
 		Fields map[string]json.RawMessage `json:"fields"`
--- a/standin/gatewaytest/fleetwide_test.go
+++ b/standin/gatewaytest/fleetwide_test.go
@@ -18,24 +18,24 @@
 
 // Faults of the store.
 var (
-	faultsNone     = metastore.Faults{}
-	faultsRefusing = metastore.Faults{Refuse: 503}
+	noFaults    = metastore.Faults{}
+	refuseCalls = metastore.Faults{Refuse: 503}
 )
 
-// askStream asks for a stream with a piece in each stage.
-func (f *fleet) askStream(g *running, id string) answer {
-	return f.ask(g, id, "POST", "/stream/x", "p", "X-Pieces", "1,1", "X-Piece-Key", "k")
+// sendStream requests a stream with one item in each stage.
+func (f *fleet) sendStream(g *runningGateway, id string) response {
+	return f.send(g, id, "POST", "/stream/x", "p", "X-Pieces", "1,1", "X-Piece-Key", "k")
 }
 
-// TestBatchesAreFilledFromAllGateways: while a pool's only worker is busy, what all
-// gateways ask for gathers, and leaves in few calls.
+// TestBatchesAreFilledFromAllGateways: while the only worker of a pool is busy, the items of all
+// gateways are queued at one owner and sent in few calls.
 func TestBatchesAreFilledFromAllGateways(t *testing.T) {
 	f := newFleet(t)
-	f.worker("llm-1", "llm", worker.Engine)
-	enc := f.worker("enc-1", "enc", worker.Stage)
+	f.startWorker("llm-1", "llm", worker.Engine)
+	enc := f.startWorker("enc-1", "enc", worker.Stage)
 	enc.CallTime = 50 * time.Millisecond
-	f.apply(base(1))
-	gateways := []*running{f.start("g1"), f.start("g2"), f.start("g3")}
+	f.apply(baseConfig(1))
+	gateways := []*runningGateway{f.start("g1"), f.start("g2"), f.start("g3")}
 	f.waitLines(1, "members_changed", `"process":"g1"`, `["g2","g3"]`)
 	f.waitLines(1, "members_changed", `"process":"g2"`, `["g1","g3"]`)
 	f.waitLines(1, "members_changed", `"process":"g3"`, `["g1","g2"]`)
@@ -43,7 +43,7 @@
 	for i := range 24 {
 		clients.Go(func() {
 			id := fmt.Sprintf("r%d", i)
-			assert.Check(t, f.askStream(gateways[i%3], id).body == stream(id))
+			assert.Check(t, f.sendStream(gateways[i%3], id).body == streamBody(id))
 		})
 	}
 	clients.Wait()
@@ -52,23 +52,24 @@
 		items += len(batch)
 	}
 	for _, line := range f.waitLines(48, "stage_done") {
-		owners[decode(t, line, "owner").(string)] = true
+		owners[logField(t, line, "owner").(string)] = true
 	}
 	assert.Equal(t, items, 48)
 	assert.Equal(t, len(owners), 1)
 	assert.Assert(t, len(enc.Batches()) <= 24, "%d calls for 48 items", len(enc.Batches()))
 }
 
-// TestTheNextOwnerTakesOver: the owner of a pool stops while its queue is full.
+// TestTheNextOwnerTakesOver: the owner of a pool stops while its queue is full; the next owner must
+// do the queued work.
 func TestTheNextOwnerTakesOver(t *testing.T) {
 	f := newFleet(t)
-	f.worker("llm-1", "llm", worker.Engine)
-	enc := f.worker("enc-1", "enc", worker.Stage)
-	f.apply(base(1))
-	gateways := map[string]*running{"g1": f.start("g1"), "g2": f.start("g2")}
+	f.startWorker("llm-1", "llm", worker.Engine)
+	enc := f.startWorker("enc-1", "enc", worker.Stage)
+	f.apply(baseConfig(1))
+	gateways := map[string]*runningGateway{"g1": f.start("g1"), "g2": f.start("g2")}
 	f.waitLines(1, "members_changed", `"process":"g1"`, `["g2"]`)
-	assert.Equal(t, f.askStream(gateways["g1"], "first").body, stream("first"))
-	owner := decode(t, f.waitLines(1, "stage_done", "first")[0], "owner").(string)
+	assert.Equal(t, f.sendStream(gateways["g1"], "first").body, streamBody("first"))
+	owner := logField(t, f.waitLines(1, "stage_done", "first")[0], "owner").(string)
 	other := "g1"
 	if owner == "g1" {
 		other = "g2"
@@ -78,10 +79,10 @@
 	for i := range 12 {
 		clients.Go(func() {
 			id := fmt.Sprintf("r%d", i)
-			assert.Check(t, f.askStream(gateways[other], id).body == stream(id), id)
+			assert.Check(t, f.sendStream(gateways[other], id).body == streamBody(id), id)
 		})
 	}
-	f.waitUntil(func() bool { return len(enc.Batches()) > 2 }, "the pool works")
+	f.waitUntil(func() bool { return len(enc.Batches()) > 2 }, "the pool runs items")
 	gateways[owner].stop()
 	clients.Wait()
 	for _, batch := range enc.Batches() {
@@ -91,25 +92,25 @@
 	}
 }
 
-func TestWantOfRoomAndLostInputsAreMadeGood(t *testing.T) {
+func TestRejectedItemsAndLostInputsAreRetried(t *testing.T) {
 	f := newFleet(t)
-	f.worker("llm-1", "llm", worker.Engine)
-	enc := f.worker("enc-1", "enc", worker.Stage)
-	f.apply(base(1))
+	f.startWorker("llm-1", "llm", worker.Engine)
+	enc := f.startWorker("enc-1", "enc", worker.Stage)
+	f.apply(baseConfig(1))
 	g := f.start("g1")
 	for name, faults := range map[string]worker.Faults{"room": {NoRoom: 2}, "gone": {Gone: 1}, "full": {Reject: 1}} {
 		enc.Set(faults)
-		assert.Equal(t, f.askStream(g, name).body, stream(name))
+		assert.Equal(t, f.sendStream(g, name).body, streamBody(name))
 	}
 	f.waitUntil(func() bool { return enc.Kept() == 0 }, "all results are freed")
 }
 
-// TestAPlannedStopFinishesWhatWasRead: requests in flight are answered, kept
-// connections are told to close, the balancer is told at once, the process ends.
+// TestAPlannedStopFinishesWhatWasRead: on a planned stop, requests in flight are answered, clients
+// are told to close kept connections, the load balancer is told at once, and the process ends.
 func TestAPlannedStopFinishesWhatWasRead(t *testing.T) {
 	f := newFleet(t)
-	desk := f.worker("desk-1", "desk", worker.Plain)
-	f.apply(base(1))
+	desk := f.startWorker("desk-1", "desk", worker.Plain)
+	f.apply(baseConfig(1))
 	g := f.start("g1")
 	release := desk.Hold()
 	kept, err := net.Dial("tcp", g.settings.Listen.Clients)
@@ -120,87 +121,88 @@
 	f.waitUntil(func() bool { return len(desk.Runs()) == 1 }, "the request runs")
 	g.stop()
 	f.waitLines(1, "process_draining")
-	late := make(chan answer)
-	go func() { late <- f.ask(g, "r2", "POST", "/once/x", "b") }()
-	f.waitUntil(func() bool { return len(desk.Runs()) == 2 }, "a request that was on its way runs")
+	late := make(chan response)
+	go func() { late <- f.send(g, "r2", "POST", "/once/x", "b") }()
+	f.waitUntil(func() bool { return len(desk.Runs()) == 2 }, "a request that was already on its way runs")
 	release()
-	for id, got := range map[string]answer{"r1": read(bufio.NewReader(kept)), "r2": <-late} {
+	for id, got := range map[string]response{"r1": readResponse(bufio.NewReader(kept)), "r2": <-late} {
 		assert.Equal(t, got.body, "answer of "+id)
-		assert.Assert(t, got.last, "%s leaves its connection open", id)
+		assert.Assert(t, got.closesConn, "%s leaves its connection open", id)
 	}
 	f.stopAll()
 	f.waitLines(1, "process_stopped")
 }
 
-// TestForgottenHistoryAndLostWritesAreOvercome: a gateway that starts while answers of
-// writes are lost is a member all the same, and after the history is gone the newest
-// configuration comes into force.
-func TestForgottenHistoryAndLostWritesAreOvercome(t *testing.T) {
+// TestAGatewayRecoversFromLostHistoryAndLostWrites: a gateway that starts while the responses to
+// its writes are lost becomes a member all the same, and after the history of the store is gone the
+// newest configuration comes into force.
+func TestAGatewayRecoversFromLostHistoryAndLostWrites(t *testing.T) {
 	f := newFleet(t)
-	f.apply(base(1))
+	f.apply(baseConfig(1))
 	f.start("g1")
 	f.store.SetFaults(metastore.Faults{LoseWrites: true})
-	f.startIn("g2", "z2") // so that g1 goes on reading the store itself
+	f.startIn("g2", "z2") // in another zone, so that g1 keeps reading the store itself
 	f.waitLines(1, "members_changed", `"process":"g1"`, `["g2"]`)
-	f.store.SetFaults(faultsRefusing)
+	f.store.SetFaults(refuseCalls)
 	f.waitLines(1, "watch_lost", `"process":"g1"`, `"kind":"config"`)
-	f.apply(base(2))
+	f.apply(baseConfig(2))
 	f.store.Forget()
-	f.store.SetFaults(faultsNone)
+	f.store.SetFaults(noFaults)
 	f.waitLines(1, "watch_history_gone", `"process":"g1"`, `"kind":"config"`)
 	f.waitLines(1, "table_in_force", `"process":"g1"`, `"version":2`)
 }
 
-// TestAStoreThatWasSilentIsReadAnewAtOnce: the long watches of that time are never
-// answered, and must not be waited for.
-func TestAStoreThatWasSilentIsReadAnewAtOnce(t *testing.T) {
+// TestAStoreThatWasSilentIsWatchedAnewAtOnce: watches that were sent while the store was silent
+// never get a response; a gateway must not wait for their timeout.
+func TestAStoreThatWasSilentIsWatchedAnewAtOnce(t *testing.T) {
 	f := newFleet(t)
-	f.apply(base(1))
+	f.apply(baseConfig(1))
 	f.start("g1")
 	f.waitLines(1, "members_changed", `"process":"g1"`)
 	f.store.SetFaults(metastore.Faults{Silent: true})
 	f.waitLines(1, "watch_lost", `"process":"g1"`, `"kind":"config"`)
-	f.store.SetFaults(faultsNone)
+	f.store.SetFaults(noFaults)
 	f.waitLines(1, "watch_regained", `"process":"g1"`, `"kind":"config"`)
-	f.startIn("g2", "z2") // so that g1 goes on reading the store itself
+	f.startIn("g2", "z2") // in another zone, so that g1 keeps reading the store itself
 	f.waitLines(1, "members_changed", `"process":"g1"`, `["g2"]`)
 	timedOut, _ := f.log.lines("watch_lost", `"process":"g1"`, `"kind":"acaciawinch-gateways"`)
-	assert.Equal(t, len(timedOut), 0, "the watch of that time was waited for")
+	assert.Equal(t, len(timedOut), 0, "the gateway waited for a watch from the silent time")
 }
 
-// TestTheIdLeadsThroughAllLogs follows one request of each kind by its id alone.
-func TestTheIdLeadsThroughAllLogs(t *testing.T) {
+// TestARequestCanBeFollowedByItsIdInAllLogs: the id alone is enough to find all log lines of a
+// request, for a request of each kind.
+func TestARequestCanBeFollowedByItsIdInAllLogs(t *testing.T) {
 	f := newFleet(t)
-	f.worker("desk-1", "desk", worker.Plain)
-	f.worker("llm-1", "llm", worker.Engine)
-	f.worker("enc-1", "enc", worker.Stage)
-	f.apply(base(1))
+	f.startWorker("desk-1", "desk", worker.Plain)
+	f.startWorker("llm-1", "llm", worker.Engine)
+	f.startWorker("enc-1", "enc", worker.Stage)
+	f.apply(baseConfig(1))
 	g := f.start("g1")
-	f.ask(g, "id-once", "POST", "/once/x", "b")
-	f.ask(g, "id-safe", "GET", "/safe/x", "")
-	f.askStream(g, "id-stream")
+	f.send(g, "id-once", "POST", "/once/x", "b")
+	f.send(g, "id-safe", "GET", "/safe/x", "")
+	f.sendStream(g, "id-stream")
 	for _, id := range []string{"id-once", "id-safe", "id-stream"} {
 		sent := f.waitLines(1, `"`+id+`"`, "gateway_sent")[0]
 		for _, field := range []string{"upstream", "reason", "load", "remaining_ms", "version"} {
-			decode(t, sent, field)
+			logField(t, sent, field)
 		}
 		answered := f.waitLines(1, `"`+id+`"`, "gateway_answered")[0]
-		assert.Equal(t, decode(t, answered, "upstream"), decode(t, sent, "upstream"))
+		assert.Equal(t, logField(t, answered, "upstream"), logField(t, sent, "upstream"))
 	}
 	f.waitLines(2, `"id-stream"`, "stage_done")
 }
 
-// TestALargePoolIsUsedInAllItsParts: a pool above the size of one part is queued for in
-// parts; upstreams of both work, and all results are freed.
-func TestALargePoolIsUsedInAllItsParts(t *testing.T) {
+// TestALargePoolIsUsedInAllItsPartitions: a pool above the size of one partition is split;
+// upstreams of both partitions must get work, and all results must be freed.
+func TestALargePoolIsUsedInAllItsPartitions(t *testing.T) {
 	f := newFleet(t)
-	f.worker("llm-1", "llm", worker.Engine)
+	f.startWorker("llm-1", "llm", worker.Engine)
 	var pool []*worker.Worker
 	for i := range 60 {
-		pool = append(pool, f.worker(fmt.Sprintf("enc-%d", i), "enc", worker.Stage))
+		pool = append(pool, f.startWorker(fmt.Sprintf("enc-%d", i), "enc", worker.Stage))
 	}
-	f.apply(base(1))
-	gateways := []*running{f.start("g1"), f.start("g2"), f.start("g3"), f.start("g4")}
+	f.apply(baseConfig(1))
+	gateways := []*runningGateway{f.start("g1"), f.start("g2"), f.start("g3"), f.start("g4")}
 	for _, name := range []string{"g1", "g2", "g3", "g4"} {
 		f.waitLines(1, "members_changed", `"process":"`+name+`"`)
 	}
@@ -208,7 +210,7 @@
 	for i := range 40 {
 		clients.Go(func() {
 			id := fmt.Sprintf("r%d", i)
-			assert.Check(t, f.askStream(gateways[i%4], id).body == stream(id))
+			assert.Check(t, f.sendStream(gateways[i%4], id).body == streamBody(id))
 		})
 	}
 	clients.Wait()
@@ -220,7 +222,7 @@
 			}
 		}
 	}
-	assert.Assert(t, used[0] > 0 && used[1] > 0, "workers used in the parts: %v", used)
+	assert.Assert(t, used[0] > 0 && used[1] > 0, "workers used by partition: %v", used)
 	f.waitUntil(func() bool {
 		kept := 0
 		for _, w := range pool {
--- a/standin/gatewaytest/relay_test.go
+++ b/standin/gatewaytest/relay_test.go
@@ -14,18 +14,18 @@
 	"acaciawinch/standin/worker"
 )
 
-// door is another address of the fleet's store, which can turn away those that use it
-// while others are served.
-type door struct {
+// storeProxy forwards to the fleet's store under a second address. It can refuse its callers
+// while the callers of the store itself are served.
+type storeProxy struct {
 	address string
 	closed  atomic.Bool
 	calls   atomic.Int64
 	server  *httptest.Server
 }
 
-// newDoor opens a door to a store.
-func newDoor(t *testing.T, store *metastore.Store) *door {
-	d := &door{}
+// newStoreProxy starts a proxy in front of a store.
+func newStoreProxy(t *testing.T, store *metastore.Store) *storeProxy {
+	d := &storeProxy{}
 	d.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.calls.Add(1)
 		if d.closed.Load() {
@@ -42,17 +42,19 @@
 	return d
 }
 
-// close turns away all who use the door, watches that wait among them.
-func (d *door) close() {
+// close refuses all callers from now on and closes their connections, those of waiting watches
+// included.
+func (d *storeProxy) close() {
 	d.closed.Store(true)
 	d.server.CloseClientConnections()
 }
 
-// TestOneOfAZoneReadsTheStoreAndTheOthersFollow: each learns of a change all the same.
-func TestOneOfAZoneReadsTheStoreAndTheOthersFollow(t *testing.T) {
+// TestOneGatewayOfAZoneReadsTheStoreAndTheOthersFollow: one reader a zone is enough: its followers
+// must learn of changes of the configuration and of the upstreams just the same.
+func TestOneGatewayOfAZoneReadsTheStoreAndTheOthersFollow(t *testing.T) {
 	f := newFleet(t)
-	f.worker("desk-1", "desk", worker.Plain)
-	f.apply(base(1))
+	f.startWorker("desk-1", "desk", worker.Plain)
+	f.apply(baseConfig(1))
 	names := []string{"g1", "g2", "g3", "g4"}
 	for _, name := range names {
 		f.start(name)
@@ -61,29 +63,29 @@
 	for _, name := range names {
 		f.waitLines(1, "members_changed", `"process":"`+name+`"`)
 	}
-	f.apply(base(2))
-	f.worker("desk-2", "desk", worker.Plain)
+	f.apply(baseConfig(2))
+	f.startWorker("desk-2", "desk", worker.Plain)
 	for _, name := range names {
 		f.waitLines(1, "table_in_force", `"process":"`+name+`"`, `"version":2`)
 		f.waitLines(1, "upstream_changed", `"process":"`+name+`"`, `"desk-2"`)
 	}
 }
 
-// TestFollowersGoOnWhenTheirSourceStops: the next one of the zone reads, and the others
-// follow that one.
+// TestFollowersGoOnWhenTheirSourceStops: when the reader of a zone stops, another gateway of the
+// zone must become the reader, and the remaining ones must follow that one.
 func TestFollowersGoOnWhenTheirSourceStops(t *testing.T) {
 	f := newFleet(t)
-	f.apply(base(1))
-	gateways := map[string]*running{}
+	f.apply(baseConfig(1))
+	gateways := map[string]*runningGateway{}
 	for _, name := range []string{"g1", "g2", "g3"} {
 		gateways[name] = f.start(name)
 	}
 	follows := f.waitLines(2, "source_changed", `"reason":"follower"`)
-	reader, _ := decode(t, follows[len(follows)-1], "follows").(string)
+	reader, _ := logField(t, follows[len(follows)-1], "follows").(string)
 	assert.Assert(t, gateways[reader] != nil, "no reader in %v", follows)
 	gateways[reader].stop()
 	f.waitLines(1, "process_stopped", `"process":"`+reader+`"`)
-	f.apply(base(2))
+	f.apply(baseConfig(2))
 	for name := range gateways {
 		if name != reader {
 			f.waitLines(1, "table_in_force", `"process":"`+name+`"`, `"version":2`)
@@ -91,49 +93,50 @@
 	}
 }
 
-// keyed returns a configuration with a workspace that has a key.
-func keyed(version int64, key string) platformdoc.Document {
-	d := base(version)
+// configWithKey returns a configuration with one workspace that has an API key.
+func configWithKey(version int64, key string) platformdoc.Document {
+	d := baseConfig(version)
 	d.Tenants = []platformdoc.Tenant{{Name: "w", APIKeys: []string{key}}}
 	return d
 }
 
-// TestAGatewayThatTheStoreTurnsAwayLearnsFromAnother: configurations come into force there,
-// and its proof of the keys comes through the other one and no longer from the store.
-func TestAGatewayThatTheStoreTurnsAwayLearnsFromAnother(t *testing.T) {
+// TestAGatewayThatTheStoreRefusesFollowsAnother: a gateway that the store refuses must follow a
+// gateway of another zone: it puts new configurations in force, and its freshness proof for API
+// keys comes through that gateway instead of from the store.
+func TestAGatewayThatTheStoreRefusesFollowsAnother(t *testing.T) {
 	f := newFleet(t)
-	f.worker("desk-1", "desk", worker.Plain)
-	f.apply(keyed(1, "k1"))
-	away := newDoor(t, f.store)
+	f.startWorker("desk-1", "desk", worker.Plain)
+	f.apply(configWithKey(1, "k1"))
+	proxy := newStoreProxy(t, f.store)
 	f.startIn("g2", "z2")
-	open := f.address
-	f.address = away.address
+	direct := f.address
+	f.address = proxy.address
 	g1 := f.startIn("g1", "z1")
-	f.address = open
+	f.address = direct
 	f.waitLines(1, "members_changed", `"process":"g1"`, `["g2"]`)
-	away.close()
+	proxy.close()
 	f.waitLines(1, "source_changed", `"process":"g1"`, `"follows":"g2"`)
-	f.apply(keyed(2, "k2"))
+	f.apply(configWithKey(2, "k2"))
 	f.waitLines(1, "table_in_force", `"process":"g1"`, `"version":2`)
 	f.waitUntil(func() bool {
-		got := f.ask(g1, "r-new", "GET", "/safe/x", "", "Authorization", "Bearer k2")
+		got := f.send(g1, "r-new", "GET", "/safe/x", "", "Authorization", "Bearer k2")
 		return got.status == http.StatusOK
 	}, "the new key is served")
-	got := f.ask(g1, "r-old", "GET", "/safe/x", "", "Authorization", "Bearer k1")
+	got := f.send(g1, "r-old", "GET", "/safe/x", "", "Authorization", "Bearer k1")
 	assert.Equal(t, got.status, http.StatusUnauthorized)
 }
 
-// TestAStoreThatForgetsItsHistoryIsListedByItsReadersOnly: those that follow a reader get
-// what they lack from it.
+// TestAStoreThatForgetsItsHistoryIsListedByItsReadersOnly: when a watch learns that the history is
+// gone, only the reader lists the store; its followers get what they miss from the reader.
 func TestAStoreThatForgetsItsHistoryIsListedByItsReadersOnly(t *testing.T) {
 	f := newFleet(t)
-	f.apply(base(1))
+	f.apply(baseConfig(1))
 	names := []string{"g1", "g2", "g3", "g4"}
 	for _, name := range names {
 		f.start(name)
 	}
 	f.waitLines(3, "source_changed", `"reason":"follower"`, `"reads":false`)
-	f.store.PutForgotten("config", "main", base(2))
+	f.store.PutForgotten("config", "main", baseConfig(2))
 	for _, name := range names {
 		f.waitLines(1, "table_in_force", `"process":"`+name+`"`, `"version":2`)
 	}
