--- a/standin/metastore/serve.go
+++ b/standin/metastore/serve.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// maxBody bounds what is read of a call.
+// maxBody bounds how much of a request body is read.
 const maxBody = 2 << 20
 
 // ServeHTTP implements http.Handler.
@@ -21,16 +21,16 @@
 	s.mu.Unlock()
 	switch {
 	case faults.Silent:
-		beSilent(r)
+		hang(r)
 		return
 	case faults.Refuse != 0:
 		w.WriteHeader(faults.Refuse)
 		return
 	}
-	kind, name, found := split(r.URL.Path)
+	kind, name, found := splitPath(r.URL.Path)
 	switch {
 	case faults.SilentKind != "" && kind == faults.SilentKind:
-		beSilent(r)
+		hang(r)
 	case !found:
 		w.WriteHeader(http.StatusNotFound)
 	case r.Method == http.MethodGet && name == "" && r.URL.Query().Has("watch"):
@@ -44,40 +44,40 @@
 	}
 }
 
-// beSilent keeps a call without an answer until its caller goes. The server sees that
-// only once it has read the whole body.
-func beSilent(r *http.Request) {
-	_, _ = io.Copy(io.Discard, r.Body) // a body that breaks off ends the call too
+// hang leaves a call without a response until its caller disconnects. The server notices that
+// only after it has read the whole body.
+func hang(r *http.Request) {
+	_, _ = io.Copy(io.Discard, r.Body) // an incomplete body ends the call too
 	<-r.Context().Done()
 }
 
-// split returns the kind and the name of a path; the name is empty for a whole kind.
-func split(path string) (kind, name string, found bool) {
+// splitPath returns the kind and the name of a path; the name is empty if the path is that of a kind.
+func splitPath(path string) (kind, name string, found bool) {
 	rest, found := strings.CutPrefix(path, "/objects/")
 	kind, name, _ = strings.Cut(rest, "/") // without a slash there is no name
 	return kind, name, found && kind != ""
 }
 
-// listAnswer is a page of a kind.
-type listAnswer struct {
+// listResponse is the response to a list: one page of a kind.
+type listResponse struct {
 	Items    []Object `json:"items"`
 	HasMore  bool     `json:"has_more"`
 	Revision int64    `json:"store_revision"`
 }
 
-// watchAnswer is the answer to a watch.
-type watchAnswer struct {
+// watchResponse is the response to a watch.
+type watchResponse struct {
 	Events   []Event `json:"events"`
 	Revision int64   `json:"store_revision"`
 }
 
-// serveList answers a list call.
+// serveList handles a list.
 func (s *Store) serveList(w http.ResponseWriter, r *http.Request, kind string) {
 	items, more, revision := s.list(kind, r.URL.Query().Get("after"))
-	write(w, http.StatusOK, listAnswer{Items: items, HasMore: more, Revision: revision})
+	writeJSON(w, http.StatusOK, listResponse{Items: items, HasMore: more, Revision: revision})
 }
 
-// serveWatch answers a watch.
+// serveWatch handles a watch.
 func (s *Store) serveWatch(w http.ResponseWriter, r *http.Request, kind string) {
 	revision, err := strconv.ParseInt(r.URL.Query().Get("watch"), 10, 64)
 	if err != nil {
@@ -100,11 +100,11 @@
 	case gone:
 		w.WriteHeader(http.StatusGone)
 	default:
-		write(w, http.StatusOK, watchAnswer{Events: found, Revision: at})
+		writeJSON(w, http.StatusOK, watchResponse{Events: found, Revision: at})
 	}
 }
 
-// serveGet answers with one object.
+// serveGet handles a read of one object.
 func (s *Store) serveGet(w http.ResponseWriter, kind, name string) {
 	s.mu.Lock()
 	o, exists := s.objects[kind][name]
@@ -113,10 +113,10 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	write(w, http.StatusOK, o)
+	writeJSON(w, http.StatusOK, o)
 }
 
-// serveWrite carries out a write; with lose set its answer does not arrive.
+// serveWrite handles a write; if lose is set, the write is carried out and its response is lost.
 func (s *Store) serveWrite(w http.ResponseWriter, r *http.Request, kind, name string, lose bool) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
 	if err != nil {
@@ -127,10 +127,10 @@
 	if lose {
 		panic(http.ErrAbortHandler)
 	}
-	write(w, status, o)
+	writeJSON(w, status, o)
 }
 
-// write carries out a write and returns its status and the object.
+// write carries out a write and returns the status of the response and the object.
 func (s *Store) write(r *http.Request, body []byte, kind, name string) (int, Object) {
 	var sent Object
 	if len(body) > 0 && json.Unmarshal(body, &sent) != nil {
@@ -144,7 +144,7 @@
 	old, exists := s.objects[kind][name]
 	condition := sent.Metadata.Revision
 	if text := r.URL.Query().Get("revision"); text != "" {
-		condition, _ = strconv.ParseInt(text, 10, 64) // 0 is no object's revision
+		condition, _ = strconv.ParseInt(text, 10, 64) // on an error 0, which is the revision of no object
 	}
 	switch {
 	case r.Method == http.MethodPost && exists, r.Method != http.MethodPost && exists && condition != 0 && condition != old.Metadata.Revision:
@@ -160,9 +160,9 @@
 	}
 }
 
-// write writes an answer.
-func write(w http.ResponseWriter, status int, content any) {
+// writeJSON writes a response.
+func writeJSON(w http.ResponseWriter, status int, content any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(content) // a caller that is gone needs no answer
+	_ = json.NewEncoder(w).Encode(content) // a caller that has disconnected needs no response
 }
--- a/standin/metastore/store.go
+++ b/standin/metastore/store.go
@@ -1,5 +1,6 @@
-// Package metastore is a stand-in of the platform's metadata store: objects by kind
-// and name over HTTP, with pages, watches, revisions and the faults that tests need.
+// Package metastore is a stand-in of the platform's metadata store. It serves objects by kind
+// and name over HTTP, with paged lists, watches and revisions, and injects the faults that tests
+// need.
 package metastore
 
 import (
@@ -9,14 +10,14 @@
 	"sync"
 )
 
-// Object is one object as it stands on the wire.
+// Object is an object in the format of the wire.
 type Object struct {
 	Metadata Metadata        `json:"metadata"`
 	Spec     json.RawMessage `json:"spec"`
 	Status   json.RawMessage `json:"status"`
 }
 
-// Metadata is what the store keeps of an object.
+// Metadata is the metadata of an object.
 type Metadata struct {
 	Name            string   `json:"name"`
 	Revision        int64    `json:"revision"`
@@ -25,7 +26,7 @@
 	DeletionPending bool     `json:"deletion_pending"`
 }
 
-// Event is one change.
+// Event is a change of an object.
 type Event struct {
 	Object  Object `json:"object"`
 	Deleted bool   `json:"deleted"`
@@ -33,28 +34,28 @@
 	kind string
 }
 
-// Store holds objects. It may be used by many goroutines.
+// Store holds objects. It is safe for concurrent use.
 type Store struct {
 	mu       sync.Mutex
 	revision int64
 	objects  map[string]map[string]Object
 	events   []Event
-	// forgotten is the newest revision of which the history is gone.
+	// forgotten is the newest revision up to which the history is gone.
 	forgotten int64
 	changed   chan struct{}
 	faults    Faults
 	calls     int
 }
 
-// Faults are what goes wrong with calls.
+// Faults are the faults that the store injects into calls.
 type Faults struct {
-	// Refuse answers each call with this status, unless it is 0.
+	// Refuse is the status with which every call fails; 0 for none.
 	Refuse int
-	// Silent keeps calls without an answer.
+	// Silent leaves all calls without a response.
 	Silent bool
-	// SilentKind keeps calls for one kind of objects without an answer; empty for none.
+	// SilentKind leaves the calls for one kind of objects without a response; empty for none.
 	SilentKind string
-	// LoseWrites carries writes out and ends their connections without an answer.
+	// LoseWrites carries out writes and closes their connections without a response.
 	LoseWrites bool
 }
 
@@ -63,29 +64,29 @@
 	return &Store{revision: 1, objects: make(map[string]map[string]Object), changed: make(chan struct{})}
 }
 
-// SetFaults replaces the faults; waiting watches end with them.
+// SetFaults replaces the faults and ends the waiting watches.
 func (s *Store) SetFaults(faults Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = faults
-	s.wake()
+	s.notifyWatches()
 }
 
-// Forget drops the history up to now.
+// Forget drops the history of all changes so far.
 func (s *Store) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.forgotten = s.revision
 	s.events = nil
-	s.wake()
+	s.notifyWatches()
 }
 
-// PutForgotten writes an object as Put does, and drops the history with it, so that a watch
-// that waits learns only that its history is gone.
+// PutForgotten writes an object as Put does and drops the history with it, so that a waiting watch
+// learns only that its history is gone.
 func (s *Store) PutForgotten(kind, name string, spec any) {
 	content, err := json.Marshal(spec)
 	if err != nil {
-		panic("metastore: a spec that can't be encoded: " + err.Error())
+		panic("metastore: cannot encode the spec: " + err.Error())
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,38 +95,38 @@
 	s.events = nil
 }
 
-// Calls returns how many calls came.
+// Calls returns the number of calls so far.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// wake ends the waits of watches. The lock is held.
-func (s *Store) wake() {
+// notifyWatches wakes the waiting watches. The caller holds the lock.
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Put writes an object as the operator or a worker does, without a condition.
+// Put writes an object unconditionally, as the operator and the workers do, and returns its revision.
 func (s *Store) Put(kind, name string, spec any) int64 {
 	content, err := json.Marshal(spec)
 	if err != nil {
-		panic("metastore: a spec that can't be encoded: " + err.Error())
+		panic("metastore: cannot encode the spec: " + err.Error())
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.put(kind, Object{Metadata: Metadata{Name: name}, Spec: content}).Metadata.Revision
 }
 
-// Remove removes an object as its writer does.
+// Remove removes an object unconditionally.
 func (s *Store) Remove(kind, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.remove(kind, name)
 }
 
-// put stores an object under the next revision. The lock is held.
+// put stores an object under the next revision. The caller holds the lock.
 func (s *Store) put(kind string, o Object) Object {
 	s.revision++
 	if s.objects[kind] == nil {
@@ -138,11 +139,11 @@
 	o.Metadata.Revision = s.revision
 	s.objects[kind][o.Metadata.Name] = o
 	s.events = append(s.events, Event{Object: o, kind: kind})
-	s.wake()
+	s.notifyWatches()
 	return o
 }
 
-// remove removes an object. The lock is held.
+// remove removes an object. The caller holds the lock.
 func (s *Store) remove(kind, name string) {
 	o, exists := s.objects[kind][name]
 	if !exists {
@@ -152,13 +153,13 @@
 	s.revision++
 	o.Metadata.Revision = s.revision
 	s.events = append(s.events, Event{Object: o, Deleted: true, kind: kind})
-	s.wake()
+	s.notifyWatches()
 }
 
-// pageSize is how many objects one page holds; small, so that tests see several.
+// pageSize is the maximum number of objects of a page; small, so that tests see several pages.
 const pageSize = 3
 
-// list returns one page of a kind.
+// list returns one page of the objects of a kind: those with names after the given one.
 func (s *Store) list(kind, after string) (items []Object, more bool, revision int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -176,9 +177,9 @@
 	return items, more, s.revision
 }
 
-// since returns the events of a kind after a revision; gone is set if the history does
-// not reach back. Changed is closed at the next change.
-func (s *Store) since(kind string, revision int64) (found []Event, at int64, gone bool, changed <-chan struct{}) {
+// eventsSince returns the events of a kind after a revision; gone is set if the history does
+// not reach back that far. The channel is closed at the next change.
+func (s *Store) eventsSince(kind string, revision int64) (found []Event, at int64, gone bool, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, event := range s.events {
@@ -189,10 +190,10 @@
 	return found, s.revision, revision < s.forgotten, s.changed
 }
 
-// watch waits for events of a kind until ctx ends.
+// watch waits for events of a kind until ctx ends. It returns early if the history is gone or calls fail.
 func (s *Store) watch(ctx context.Context, kind string, revision int64) ([]Event, int64, bool) {
 	for {
-		found, at, gone, changed := s.since(kind, revision)
+		found, at, gone, changed := s.eventsSince(kind, revision)
 		if gone || len(found) > 0 || s.faulty() {
 			return found, at, gone
 		}
@@ -204,14 +205,14 @@
 	}
 }
 
-// faulty tells whether calls fail now.
+// faulty reports whether calls fail now.
 func (s *Store) faulty() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults.Refuse != 0 || s.faults.Silent
 }
 
-// silent tells whether calls get no answer now.
+// silent reports whether calls get no response now.
 func (s *Store) silent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
