--- a/standin/platformdoc/document.go
+++ b/standin/platformdoc/document.go
@@ -1,19 +1,19 @@
-// Package platformdoc has the documents that stand-ins write into the platform's store
-// as the operator and the workers do, in the platform's own names.
+// Package platformdoc defines the documents that the operator and the workers write into the
+// platform's store. They use the platform's own field names.
 package platformdoc
 
-// Worker is a worker's entry in discovery.
+// Worker is the entry of a worker in discovery.
 type Worker struct {
 	Service string `json:"service"`
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 	Slots   int    `json:"slots"`
 	State   string `json:"state"`
-	// ColdLeftMS is how much longer it is cold, in ms.
+	// ColdLeftMS is for how many more ms the worker is cold.
 	ColdLeftMS int `json:"cold_left_ms"`
 }
 
-// Document is the operator's configuration.
+// Document is the configuration that the operator writes.
 type Document struct {
 	Version  int64     `json:"version"`
 	Routes   []Route   `json:"routes"`
@@ -22,7 +22,7 @@
 	Tenants  []Tenant  `json:"tenants,omitempty"`
 }
 
-// Route is one route.
+// Route is a route of the configuration.
 type Route struct {
 	Name        string `json:"name"`
 	Host        string `json:"host"`
@@ -34,7 +34,7 @@
 	Service     string `json:"service"`
 	MaxAttempts int    `json:"max_attempts"`
 	Resumable   bool   `json:"resumable"`
-	// AllowedRegions are those that may process its requests; none allows all.
+	// AllowedRegions are the regions that may process its requests; empty for all.
 	AllowedRegions []string `json:"allowed_regions,omitempty"`
 	Stages         []Stage  `json:"stages,omitempty"`
 }
@@ -46,18 +46,18 @@
 	ByteCount int    `json:"byte_count"`
 }
 
-// Service is one service.
+// Service is a service of the configuration.
 type Service struct {
 	Name string `json:"name"`
-	// ColdStartS is how long a worker is cold after its start, in s, and ColdPerS what it takes
-	// meanwhile, in requests a second.
+	// ColdStartS is for how many seconds a worker is cold after its start, and ColdPerS how many
+	// requests a second it takes while it is cold.
 	ColdStartS float64 `json:"cold_start_s"`
 	ColdPerS   float64 `json:"cold_per_s"`
 	Pieces     *Pieces `json:"pieces,omitempty"`
 	Engine     *Engine `json:"engine,omitempty"`
 }
 
-// Pieces is how a stage service works.
+// Pieces describes the workers of a stage service.
 type Pieces struct {
 	Slots      int     `json:"slots"`
 	Queue      int     `json:"queue"`
@@ -68,12 +68,12 @@
 	HandleS    float64 `json:"handle_s"`
 }
 
-// Engine is how a model service works.
+// Engine describes the workers of a model service.
 type Engine struct {
 	Slots int `json:"slots"`
 }
 
-// Limits bound what clients send.
+// Limits bound the requests of clients.
 type Limits struct {
 	MaxHeaderBytes  int `json:"max_header_bytes"`
 	MaxBodyBytes    int `json:"max_body_bytes"`
@@ -85,7 +85,7 @@
 type Tenant struct {
 	Name    string   `json:"name"`
 	APIKeys []string `json:"api_keys"`
-	// AllowedRegions are those that may process its requests; none allows all.
+	// AllowedRegions are the regions that may process its requests; empty for all.
 	AllowedRegions []string `json:"allowed_regions,omitempty"`
 	Priority       int      `json:"priority"`
 }
