--- a/standin/gatewaytest/asked_test.go
+++ b/standin/gatewaytest/asked_test.go
@@ -78,7 +78,7 @@
 	f.apply(baseConfig(1))
 	g := f.start("g1")
 	for _, w := range first {
-		w.Set(worker.Faults{Reject: 1 << 20, RetryAfter: longBackoff})
+		w.SetFaults(worker.Faults{Reject: 1 << 20, RetryAfter: longBackoff})
 	}
 	for i := range 12 {
 		id := fmt.Sprintf("r%d", i)
@@ -88,10 +88,10 @@
 		assert.Equal(t, f.send(g, id+"-safe", "GET", "/safe/x", "").status, http.StatusOK)
 	}
 	for _, w := range first {
-		assert.Equal(t, len(w.Refusals()), 1, w.ID)
+		assert.Equal(t, len(w.Rejections()), 1, w.ID)
 	}
 	for _, w := range second {
-		w.Set(worker.Faults{Reject: 1 << 20, RetryAfter: longBackoff})
+		w.SetFaults(worker.Faults{Reject: 1 << 20, RetryAfter: longBackoff})
 	}
 	f.send(g, "last", "POST", "/once/x", "b")
 	for i := range 4 {
@@ -100,7 +100,7 @@
 		assert.Assert(t, refused.header.Get("Retry-After") != "")
 	}
 	for _, w := range second {
-		assert.Assert(t, len(w.Refusals()) <= 1, w.ID)
+		assert.Assert(t, len(w.Rejections()) <= 1, w.ID)
 	}
 }
 
@@ -110,12 +110,12 @@
 	desk := f.startWorker("desk-1", "desk", worker.Plain)
 	f.apply(baseConfig(1))
 	g := f.start("g1")
-	desk.Set(worker.Faults{Reject: 1, RetryAfter: 700 * time.Millisecond})
+	desk.SetFaults(worker.Faults{Reject: 1, RetryAfter: 700 * time.Millisecond})
 	assert.Equal(t, f.send(g, "first", "POST", "/once/x", "b").status, http.StatusServiceUnavailable)
 	for i := 0; f.send(g, fmt.Sprintf("r%d", i), "POST", "/once/x", "b").status != http.StatusOK; i++ {
 	}
 	first := desk.Runs()[0]
-	assert.Assert(t, first.At.Sub(desk.Refusals()[0].At) >= 600*time.Millisecond)
+	assert.Assert(t, first.At.Sub(desk.Rejections()[0].At) >= 600*time.Millisecond)
 }
 
 // TestARequestWhoseStagesAreDoneWaitsForAShortPause: a request whose stages are done waits for the
@@ -126,12 +126,12 @@
 	llm, enc := f.startWorker("llm-1", "llm", worker.Engine), f.startWorker("enc-1", "enc", worker.Stage)
 	f.apply(baseConfig(1))
 	g := f.start("g1")
-	llm.Set(worker.Faults{Reject: 1, RetryAfter: 700 * time.Millisecond})
+	llm.SetFaults(worker.Faults{Reject: 1, RetryAfter: 700 * time.Millisecond})
 	assert.Equal(t, f.sendStream(g, "turned-away").status, http.StatusServiceUnavailable)
 	assert.Equal(t, f.sendStream(g, "waits").body, streamBody("waits"))
-	assert.Assert(t, llm.Runs()[0].At.Sub(llm.Refusals()[0].At) >= 600*time.Millisecond)
+	assert.Assert(t, llm.Runs()[0].At.Sub(llm.Rejections()[0].At) >= 600*time.Millisecond)
 
-	llm.Set(worker.Faults{Reject: 1, RetryAfter: longBackoff})
+	llm.SetFaults(worker.Faults{Reject: 1, RetryAfter: longBackoff})
 	assert.Equal(t, f.sendStream(g, "turned-away-again").status, http.StatusServiceUnavailable)
 	before := len(enc.Batches())
 	refused := f.sendStream(g, "refused")
--- a/standin/gatewaytest/fleetwide_test.go
+++ b/standin/gatewaytest/fleetwide_test.go
@@ -99,7 +99,7 @@
 	f.apply(baseConfig(1))
 	g := f.start("g1")
 	for name, faults := range map[string]worker.Faults{"room": {NoRoom: 2}, "gone": {Gone: 1}, "full": {Reject: 1}} {
-		enc.Set(faults)
+		enc.SetFaults(faults)
 		assert.Equal(t, f.sendStream(g, name).body, streamBody(name))
 	}
 	f.waitUntil(func() bool { return enc.Kept() == 0 }, "all results are freed")
--- a/standin/gatewaytest/requests_test.go
+++ b/standin/gatewaytest/requests_test.go
@@ -63,15 +63,15 @@
 	f.apply(baseConfig(1))
 	g := f.start("g1")
 	for i, faults := range []worker.Faults{{Cut: 1}, {Fail: 1}, {Foreign: 1}, {Unsigned: 1}} {
-		one.Set(faults)
-		two.Set(faults)
+		one.SetFaults(faults)
+		two.SetFaults(faults)
 		id := "u" + strconv.Itoa(i)
 		got := f.send(g, id, "POST", "/once/x", "b")
 		assert.Equal(t, runsOf(id, one, two), 1, "%+v", faults)
 		assert.Assert(t, got.status == 502 || got.status == 500, "%+v: %d", faults, got.status)
 		assert.Equal(t, got.status == 500, got.header.Get("X-Response-Stamp") != "", "only the worker's own failure has a signature")
-		one.Set(worker.Faults{})
-		two.Set(worker.Faults{})
+		one.SetFaults(worker.Faults{})
+		two.SetFaults(worker.Faults{})
 	}
 }
 
@@ -80,16 +80,16 @@
 	one, two := f.startWorker("desk-1", "desk", worker.Plain), f.startWorker("desk-2", "desk", worker.Plain)
 	f.apply(baseConfig(1))
 	g := f.start("g1")
-	one.Set(worker.Faults{Reject: 1})
-	two.Set(worker.Faults{Reject: 1})
+	one.SetFaults(worker.Faults{Reject: 1})
+	two.SetFaults(worker.Faults{Reject: 1})
 	got := f.send(g, "r1", "POST", "/once/x", "b")
 	assert.Equal(t, got.status, 503)
 	assert.Assert(t, got.header.Get("Retry-After") != "")
 	assert.Equal(t, got.header.Get("X-Attempt-Id"), "r1")
 	assert.Equal(t, runsOf("r1", one, two), 0)
 
-	one.Set(worker.Faults{Reject: 1})
-	two.Set(worker.Faults{})
+	one.SetFaults(worker.Faults{Reject: 1})
+	two.SetFaults(worker.Faults{})
 	for i := range 4 {
 		assert.Equal(t, f.send(g, fmt.Sprintf("s%d", i), "POST", "/once/x", "b").status, 200)
 	}
@@ -128,8 +128,8 @@
 	f.apply(baseConfig(1))
 	g := f.start("g1")
 	for i, faults := range []worker.Faults{{Cut: 1}, {Fail: 1}, {Foreign: 1}, {Unsigned: 1}} {
-		one.Set(faults)
-		two.Set(worker.Faults{})
+		one.SetFaults(faults)
+		two.SetFaults(worker.Faults{})
 		for j := range 2 {
 			id := fmt.Sprintf("i%d-%d", i, j)
 			got := f.send(g, id, "GET", "/safe/x", "")
@@ -144,13 +144,13 @@
 	f.startWorker("enc-1", "enc", worker.Stage)
 	f.apply(baseConfig(1))
 	g := f.start("g1")
-	one.Set(worker.Faults{Cut: 1})
-	two.Set(worker.Faults{Cut: 1})
+	one.SetFaults(worker.Faults{Cut: 1})
+	two.SetFaults(worker.Faults{Cut: 1})
 	got := f.send(g, "r1", "POST", "/stream/x", "p", "X-Pieces", "1,1", "X-Piece-Key", "k")
 	assert.Assert(t, got.truncated, "both engines cut the stream")
 
-	one.Set(worker.Faults{Cut: 1})
-	two.Set(worker.Faults{})
+	one.SetFaults(worker.Faults{Cut: 1})
+	two.SetFaults(worker.Faults{})
 	for _, id := range []string{"r2", "r3", "r4", "r5"} {
 		got := f.send(g, id, "POST", "/stream/x", "p", "X-Pieces", "1,1", "X-Piece-Key", "k")
 		assert.Assert(t, !got.truncated)
@@ -163,8 +163,8 @@
 	one, two := f.startWorker("llm-1", "llm", worker.Engine), f.startWorker("llm-2", "llm", worker.Engine)
 	f.apply(baseConfig(1))
 	g := f.start("g1")
-	one.Set(worker.Faults{Cut: 1})
-	two.Set(worker.Faults{Cut: 1})
+	one.SetFaults(worker.Faults{Cut: 1})
+	two.SetFaults(worker.Faults{Cut: 1})
 	got := f.send(g, "r1", "POST", "/strict/x", "p")
 	assert.Assert(t, got.truncated)
 	assert.Equal(t, runsOf("r1", one, two), 1)
@@ -268,7 +268,7 @@
 	assert.NilError(t, err)
 	f.waitUntil(func() bool { return len(desk.Runs()) == 1 }, "the request runs")
 	assert.NilError(t, conn.Close())
-	f.waitUntil(func() bool { return desk.Left() == 1 }, "the worker sees its caller disconnect")
+	f.waitUntil(func() bool { return desk.Abandoned() == 1 }, "the worker sees its caller disconnect")
 	f.waitLines(1, "gateway_left", "r1")
 }
 
--- a/standin/platformfleet/documents.go
+++ b/standin/platformfleet/documents.go
@@ -6,7 +6,7 @@
 	"acaciawinch/standin/platformdoc"
 )
 
-// Configuration returns the deployment's first configuration: a route of each kind.
+// Configuration returns the first configuration of the deployment: a route of each kind.
 func Configuration() platformdoc.Document {
 	pool := &platformdoc.Pieces{Slots: 1, Queue: 2, Batch: 8, CallMS: 20, ItemMS: 1, HeadroomMB: 1, HandleS: 4}
 	return platformdoc.Document{
@@ -26,9 +26,9 @@
 	}
 }
 
-// settings returns a gateway's settings file; ports are those for clients, readiness,
-// the fleet and metrics.
-func settings(name, store string, ports [4]string) string {
+// settings returns the settings file of a gateway. The addresses are those for clients, readiness, the
+// fleet and metrics, in this order.
+func settings(name, store string, addresses [4]string) string {
 	return fmt.Sprintf(`[process]
 name = %q
 zone = "sala-inaquito"
@@ -51,5 +51,5 @@
 
 [fleet]
 key = "demo"
-`, name, ports[0], ports[1], ports[2], ports[3], store)
+`, name, addresses[0], addresses[1], addresses[2], addresses[3], store)
 }
--- a/standin/platformfleet/fleet.go
+++ b/standin/platformfleet/fleet.go
@@ -1,5 +1,5 @@
 // Package platformfleet runs gateways as real processes against stand-ins of the
-// users' platform: its store and the workers of a small deployment.
+// platform: its store and the workers of a small deployment.
 package platformfleet
 
 import (
@@ -38,7 +38,7 @@
 	Gateways []*Gateway
 
 	mu sync.Mutex
-	// workers holds the workers by service, those that have ended too.
+	// workers holds all workers by service, also those that have ended.
 	workers map[string][]*worker.Worker
 
 	folder string
@@ -49,35 +49,35 @@
 // Gateway is one gateway process.
 type Gateway struct {
 	*harness.Process
-	// Clients is the address for clients.
+	// Clients is the address on which the gateway listens for clients.
 	Clients string
 }
 
-// Options say what to start.
+// Options are the settings of a fleet.
 type Options struct {
 	// Bin is the folder of the built programs.
 	Bin string
-	// Gateways is how many gateways run.
+	// Gateways is the number of gateways.
 	Gateways int
-	// WorkTime is what a request takes at a plain service or an engine.
+	// WorkTime is how long a request takes at a plain service or an engine.
 	WorkTime time.Duration
-	// CrashBody is the body of requests under which workers crash, empty for none.
+	// CrashBody is the body of requests that crash the workers that run them; empty for none.
 	CrashBody string
-	// Through puts something before a target and returns its address: before each worker,
-	// under its id, and before the store for each gateway, under the gateway's name. Nil
-	// puts nothing there.
-	Through func(name, target string) (string, error)
+	// Proxy starts a proxy in front of a target and returns the address of the proxy. It is called
+	// for each worker with the id of the worker, and for the store once for each gateway with the name
+	// of the gateway. Nil for no proxies.
+	Proxy func(name, target string) (string, error)
 }
 
-// through returns the address that is used for a target.
-func (o Options) through(name, target string) (string, error) {
-	if o.Through == nil {
+// proxied returns the address at which callers reach a target.
+func (o Options) proxied(name, target string) (string, error) {
+	if o.Proxy == nil {
 		return target, nil
 	}
-	return o.Through(name, target)
+	return o.Proxy(name, target)
 }
 
-// Start starts the store, the workers and the gateways and waits until all serve.
+// Start starts the store, the workers and the gateways and waits until all gateways are ready.
 func Start(ctx context.Context, o Options) (*Fleet, error) {
 	folder, err := os.MkdirTemp("", "acaciawinch-platform-")
 	if err != nil {
@@ -85,35 +85,36 @@
 	}
 	f := &Fleet{Store: metastore.New(), workers: make(map[string][]*worker.Worker), folder: folder, ports: harness.NewPorts()}
 	if err := f.start(ctx, o); err != nil {
-		err = errors.Join(err, f.lastWords())
+		err = errors.Join(err, f.lastLogLines())
 		f.Kill()
 		return nil, err
 	}
 	return f, nil
 }
 
-// lastWords returns the last log lines of the gateways that have ended, nil if none has.
-func (f *Fleet) lastWords() error {
-	var said []error
+// lastLogLines returns an error with the last log line of each gateway that has ended, nil if none
+// has.
+func (f *Fleet) lastLogLines() error {
+	var failed []error
 	for _, g := range f.Gateways {
 		if g.Running() {
 			continue
 		}
 		content, err := os.ReadFile(g.Log)
 		lines := strings.Split(strings.TrimSpace(string(content)), "\n")
-		said = append(said, err, fmt.Errorf("%s ended and said last: %s", g.Name, lines[len(lines)-1]))
+		failed = append(failed, err, fmt.Errorf("%s exited; its last log line: %s", g.Name, lines[len(lines)-1]))
 	}
-	return errors.Join(said...)
+	return errors.Join(failed...)
 }
 
-// start starts all parts.
+// start starts all parts of the fleet.
 func (f *Fleet) start(ctx context.Context, o Options) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	f.server = &http.Server{Handler: f.Store, ReadHeaderTimeout: 5 * time.Second}
-	go func() { _ = f.server.Serve(listener) }() // it ends with Kill
+	go func() { _ = f.server.Serve(listener) }() // it returns when Kill closes the server
 	for service, kind := range map[string]worker.Kind{engines: worker.Engine, desks: worker.Plain, encoders: worker.Stage, rankers: worker.Stage} {
 		if err := f.startWorkers(o, service, kind); err != nil {
 			return err
@@ -133,35 +134,36 @@
 	return nil
 }
 
-// workersEach is how many workers each service has.
-const workersEach = 2
+// workersPerService is the number of workers of each service.
+const workersPerService = 2
 
 // startWorkers starts and registers the workers of a service.
 func (f *Fleet) startWorkers(o Options, service string, kind worker.Kind) error {
-	for i := range workersEach {
-		listener, err := f.ports.Listen() // at a port that no outgoing connection takes while the worker is down
+	for i := range workersPerService {
+		listener, err := f.ports.Listen() // on a port that no outgoing connection takes while the worker is down
 		if err != nil {
 			return err
 		}
 		w := worker.StartOn(listener, fmt.Sprintf("%s-%d", service, i+1), kind)
 		w.CallTime, w.WorkTime, w.CrashBody = 20*time.Millisecond, o.WorkTime, o.CrashBody
 		f.Add(service, w)
-		if w.Advertised, err = o.through(w.ID, w.Listens()); err != nil {
+		if w.Advertised, err = o.proxied(w.ID, w.ListenAddress()); err != nil {
 			return err
 		}
-		f.Enter(service, w, "ready")
+		f.Register(service, w, "ready")
 	}
 	return nil
 }
 
-// Add adds a worker of a service, such as one that comes back under another id. It is not entered.
+// Add adds a worker of a service, such as one that restarted under another id. It does not register
+// the worker.
 func (f *Fleet) Add(service string, w *worker.Worker) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.workers[service] = append(f.workers[service], w)
 }
 
-// Each calls visit for each worker that there was, with its service.
+// Each calls visit for each worker of the fleet, also those that have ended, with its service.
 func (f *Fleet) Each(visit func(service string, w *worker.Worker)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -172,12 +174,12 @@
 	}
 }
 
-// Enter writes a worker's entry with a state.
-func (f *Fleet) Enter(service string, w *worker.Worker, state string) {
+// Register writes the entry of a worker with a state.
+func (f *Fleet) Register(service string, w *worker.Worker, state string) {
 	f.Store.Put("servers", w.ID, platformdoc.Worker{Service: service, Address: w.Address(), Zone: "sala-inaquito", Slots: 8, State: state})
 }
 
-// startGateway writes a gateway's settings and starts its process.
+// startGateway writes the settings of a gateway and starts its process.
 func (f *Fleet) startGateway(o Options, number int, store string) error {
 	var ports [4]string
 	for i := range ports {
@@ -188,7 +190,7 @@
 		ports[i] = address
 	}
 	name := fmt.Sprintf("gateway-%d", number+1)
-	store, err := o.through(name, store)
+	store, err := o.proxied(name, store)
 	if err != nil {
 		return err
 	}
@@ -202,8 +204,8 @@
 	return process.Start()
 }
 
-// Stop stops the gateways with SIGTERM and waits for their end. An error tells of one
-// that did not exit with 0.
+// Stop stops the gateways with SIGTERM and waits until they have ended. It returns an error if one did
+// not exit with status 0.
 func (f *Fleet) Stop(ctx context.Context) error {
 	var failed []error
 	for _, g := range f.Gateways {
@@ -215,30 +217,30 @@
 	return errors.Join(failed...)
 }
 
-// Kill ends everything at once and removes the folder.
+// Kill stops everything at once and removes the folder of the fleet.
 func (f *Fleet) Kill() {
 	for _, g := range f.Gateways {
 		g.Kill()
 	}
 	f.Each(func(_ string, w *worker.Worker) { w.Close() })
 	if f.server != nil {
-		_ = f.server.Close() // nobody needs its last answers
+		_ = f.server.Close() // nobody needs its last responses
 	}
-	_ = f.ports.Close()        // a port that stays taken harms nobody: it ends with this process
-	_ = os.RemoveAll(f.folder) // a folder that stays harms nobody
+	_ = f.ports.Close()        // a port that stays taken does no harm: the end of this process releases it
+	_ = os.RemoveAll(f.folder) // a folder that stays does no harm
 }
 
-// ServiceOf returns the service of a route without stages.
+// ServiceOf returns the service of a route; empty for an unknown route.
 func (f *Fleet) ServiceOf(route string) string {
-	for _, one := range Configuration().Routes {
-		if one.Name == route {
-			return one.Service
+	for _, r := range Configuration().Routes {
+		if r.Name == route {
+			return r.Service
 		}
 	}
 	return ""
 }
 
-// KeepLogs copies the gateways' logs to a folder.
+// KeepLogs copies the logs of the gateways to a folder.
 func (f *Fleet) KeepLogs(folder string) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
@@ -255,7 +257,7 @@
 	return nil
 }
 
-// RemoveWorker makes the first worker of a service leave: its entry goes, and it ends.
+// RemoveWorker removes the entry of the first worker of a service and stops that worker.
 func (f *Fleet) RemoveWorker(service string) {
 	f.mu.Lock()
 	w := f.workers[service][0]
@@ -264,7 +266,7 @@
 	w.Close()
 }
 
-// Runs returns how often each request ran, by its id.
+// Runs counts the runs of each request, by its id.
 func (f *Fleet) Runs() map[string]int {
 	runs := make(map[string]int)
 	f.Each(func(_ string, w *worker.Worker) {
--- a/standin/soak/calm.go
+++ b/standin/soak/calm.go
@@ -12,25 +12,25 @@
 	"acaciawinch/standin/worker"
 )
 
-// Times of the calm that follows the faults.
+// Timing of the checks that follow the last fault.
 const (
-	// recoverWithin is within which every gateway serves every route again.
+	// recoverWithin bounds the time until every gateway serves every route again.
 	recoverWithin = 8 * time.Second
-	// probePause is between two probes of a gateway.
-	probePause = 100 * time.Millisecond
-	// drainedFor is how long a drained worker is watched.
+	// probeInterval is the time between two probes of a gateway.
+	probeInterval = 100 * time.Millisecond
+	// drainedFor is how long a drained worker is observed.
 	drainedFor = time.Second
-	// stopWithin bounds a planned stop and the start that follows.
+	// stopWithin bounds a planned stop together with the start that follows.
 	stopWithin = 10 * time.Second
 )
 
-// probePrefix begins the ids of the requests that the run itself sends.
+// probePrefix begins the ids of the requests that the run sends itself.
 const probePrefix = "probe-"
 
-// calm checks what must hold once nothing is wrong any more: all gateways serve all
-// routes with the newest configuration, a worker that is drained gets nothing new, and
-// planned stops lose nothing.
-func (s *soak) calm(ctx context.Context) error {
+// verifyRecovery checks what must hold when no fault is active any more: all gateways serve all
+// routes of the newest configuration, a drained worker and a worker that is backed off get nothing
+// new, and planned stops lose no request.
+func (s *soak) verifyRecovery(ctx context.Context) error {
 	for i, g := range s.fleet.Gateways {
 		s.checkAlive(i)
 		if !g.Running() {
@@ -46,12 +46,12 @@
 		s.awaitService(limit, i)
 	}
 	s.drainOne(ctx)
-	s.pauseOne(ctx)
+	s.backOffOne(ctx)
 	return s.rollingStop(ctx)
 }
 
-// awaitService waits until a gateway serves every route, that of the newest
-// configuration too.
+// awaitService waits until a gateway serves every route, also the one that only the newest
+// configuration has.
 func (s *soak) awaitService(ctx context.Context, number int) {
 	newest := fmt.Sprintf("extra-%d", s.version)
 	for _, route := range append([]string{newest}, routes...) {
@@ -60,12 +60,13 @@
 				s.violate("gateway %d does not serve %s %v after the last fault", number+1, route, recoverWithin)
 				return
 			}
-			sleep(ctx, probePause)
+			sleep(ctx, probeInterval)
 		}
 	}
 }
 
-// probe sends one request past the relay and tells whether it was served.
+// probe sends one request directly to a gateway, not through its relay, and reports whether it was
+// served.
 func (s *soak) probe(number int, route string, try int) bool {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.Dial("tcp", s.fleet.Gateways[number].Clients)
@@ -74,43 +75,42 @@
 	}
 	c := &client{conn: conn}
 	defer c.close()
-	c.open()
+	c.resetReader()
 	o := Outcome{ID: fmt.Sprintf("%s%d-%s-%d", probePrefix, number, route, try), Route: route, Key: platformfleet.Key}
 	c.exchange(&o)
 	return o.Status == http.StatusOK && o.Whole
 }
 
-// drainOne drains a plain worker and checks that it gets nothing new after the time
-// within which that must be known.
+// drainOne drains a plain worker and checks that it gets nothing new once drainWithin is over.
 func (s *soak) drainOne(ctx context.Context) {
 	drained := s.workerOf(s.fleet.ServiceOf(unsafeRoute))
-	s.enter(drained, "draining")
+	s.register(drained, "draining")
 	sleep(ctx, drainWithin)
 	before := len(drained.Runs())
 	sleep(ctx, drainedFor)
 	if after := len(drained.Runs()); after > before {
 		s.violate("%s got %d requests later than %v after it was drained", drained.ID, after-before, drainWithin)
 	}
-	s.enter(drained, "ready")
+	s.register(drained, "ready")
 }
 
-// calmPause is the pause that a worker asks for while nothing else is wrong: longer than gateways
-// leave an upstream alone that failed a request.
-const calmPause = 3500 * time.Millisecond
+// finalBackoff is the Retry-After of a worker while no fault is active: longer than gateways avoid an
+// upstream that failed a request.
+const finalBackoff = 3500 * time.Millisecond
 
-// pauseOne lets a plain worker turn requests away for as long as it wants none.
-func (s *soak) pauseOne(ctx context.Context) {
-	paused := s.workerOf(s.fleet.ServiceOf(unsafeRoute))
-	paused.Set(worker.Faults{Reject: 1 << 20, RetryAfter: calmPause})
-	sleep(ctx, calmPause)
-	paused.Set(worker.Faults{})
+// backOffOne makes a plain worker reject requests for as long as its Retry-After says.
+func (s *soak) backOffOne(ctx context.Context) {
+	limited := s.workerOf(s.fleet.ServiceOf(unsafeRoute))
+	limited.SetFaults(worker.Faults{Reject: 1 << 20, RetryAfter: finalBackoff})
+	sleep(ctx, finalBackoff)
+	limited.SetFaults(worker.Faults{})
 }
 
-// workerOf returns the last worker of a service, as it runs now.
-func (s *soak) workerOf(service string) entered {
+// workerOf returns the current incarnation of the last worker of a service.
+func (s *soak) workerOf(service string) registeredWorker {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var last entered
+	var last registeredWorker
 	for _, w := range s.workers {
 		if w.service == service {
 			last = w
@@ -119,7 +119,7 @@
 	return last
 }
 
-// rollingStop stops and starts the gateways in turn while clients send.
+// rollingStop stops and starts the gateways one after the other while clients send requests.
 func (s *soak) rollingStop(ctx context.Context) error {
 	for number, g := range s.fleet.Gateways {
 		limit, cancel := context.WithTimeout(ctx, stopWithin)
@@ -134,7 +134,7 @@
 
 // stopOne stops a gateway and starts it again.
 func (s *soak) stopOne(ctx context.Context, number int, process *harness.Process) error {
-	defer s.troubled(number, true)()
+	defer s.beginDisruption(number, true)()
 	s.mu.Lock()
 	s.evidence.stops = append(s.evidence.stops, stop{gateway: number, at: time.Now()})
 	s.mu.Unlock()
--- a/standin/soak/client.go
+++ b/standin/soak/client.go
@@ -16,12 +16,12 @@
 
 // Timing of a client.
 const (
-	// patience is above the longest timeout of a route, 6 s.
-	patience    = 7 * time.Second
-	dialTimeout = time.Second
-	// thinkTime is between two requests at most; with 12 clients a run of some 17 s sends
+	// responseTimeout is above the longest timeout of a route, 6 s.
+	responseTimeout = 7 * time.Second
+	dialTimeout     = time.Second
+	// maxThinkTime bounds the time between two requests; with 12 clients a run of some 17 s sends
 	// 2,300 to 3,700 requests.
-	thinkTime = 40 * time.Millisecond
+	maxThinkTime = 40 * time.Millisecond
 )
 
 // Routes that clients use, by the first part of their path.
@@ -31,55 +31,55 @@
 	streamingRoute = "consulta"
 )
 
-// routes are the routes in the order in which a client uses them.
+// routes are the routes that clients and probes choose from.
 var routes = []string{unsafeRoute, safeRoute, streamingRoute}
 
-// streamEvents is how many events a whole stream has.
+// streamEvents is how many events a complete stream has.
 const streamEvents = 5
 
 // Outcome is what a client saw of one request.
 type Outcome struct {
 	ID, Route, Key string
-	// Asked is the body of the request.
-	Asked string
+	// RequestBody is the body of the request.
+	RequestBody string
 	// Gateway is the number of the gateway that the client's connection leads to.
 	Gateway     int
 	Sent, Ended time.Time
-	// Status is 0 if no answer came.
+	// Status is 0 if no response arrived.
 	Status int
 	Body   string
-	// Whole is set if the answer came to its end, Signed if it has an upstream's signature.
+	// Whole is set if the response is complete, Signed if it has the signature of an upstream.
 	Whole, Signed bool
-	// Err says why there is no whole answer.
+	// Err says why the response is missing or incomplete.
 	Err string
 }
 
-// client sends requests one after the other on connections that it keeps open.
+// client sends requests one after the other and keeps its connection open between them.
 type client struct {
 	number   int
 	random   *rand.Rand
 	gateways []string
 	report   func(Outcome)
 
-	at     int
-	conn   net.Conn
-	reader *bufio.Reader
+	gateway int
+	conn    net.Conn
+	reader  *bufio.Reader
 }
 
 // run sends requests until ctx ends.
 func (c *client) run(ctx context.Context) {
-	c.at = c.number % len(c.gateways)
+	c.gateway = c.number % len(c.gateways)
 	for sent := 0; ctx.Err() == nil; sent++ {
-		c.one(ctx, sent)
-		pause, cancel := context.WithTimeout(ctx, time.Duration(c.random.Int64N(int64(thinkTime))))
+		c.sendNext(ctx, sent)
+		pause, cancel := context.WithTimeout(ctx, time.Duration(c.random.Int64N(int64(maxThinkTime))))
 		<-pause.Done()
 		cancel()
 	}
 	c.close()
 }
 
-// one sends one request.
-func (c *client) one(ctx context.Context, sent int) {
+// sendNext sends a request with a random route and key.
+func (c *client) sendNext(ctx context.Context, sent int) {
 	o := Outcome{ID: fmt.Sprintf("c%d-%d", c.number, sent), Route: routes[c.random.IntN(len(routes))], Key: platformfleet.Key}
 	if c.random.IntN(6) == 0 {
 		o.Key = spareKey
@@ -87,56 +87,55 @@
 	c.send(ctx, o)
 }
 
-// send sends a request. Where no connection can be opened the client goes to the next gateway, as the
-// balancer would send it there.
+// send sends a request. If it can't connect, the client switches to the next gateway, as a load balancer
+// would.
 func (c *client) send(ctx context.Context, o Outcome) {
 	if c.conn == nil {
-		conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", c.gateways[c.at])
+		conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", c.gateways[c.gateway])
 		if err != nil {
-			c.at = (c.at + 1) % len(c.gateways)
+			c.gateway = (c.gateway + 1) % len(c.gateways)
 			return
 		}
 		c.conn = conn
-		c.open()
+		c.resetReader()
 	}
-	o.Gateway, o.Sent = c.at, time.Now()
-	again := c.exchange(&o)
+	o.Gateway, o.Sent = c.gateway, time.Now()
+	reusable := c.exchange(&o)
 	o.Ended = time.Now()
 	c.report(o)
-	if !again {
+	if !reusable {
 		c.close()
-		c.at = (c.at + 1) % len(c.gateways)
+		c.gateway = (c.gateway + 1) % len(c.gateways)
 	}
 }
 
-// open prepares a new connection.
-func (c *client) open() { c.reader = bufio.NewReader(c.conn) }
+// resetReader sets the reader of a new connection.
+func (c *client) resetReader() { c.reader = bufio.NewReader(c.conn) }
 
-// exchange sends a request and reads its answer. It tells whether the connection may be
-// used again.
+// exchange sends a request and reads its response. It reports whether the connection can be reused.
 func (c *client) exchange(o *Outcome) bool {
-	err := c.conn.SetDeadline(time.Now().Add(patience))
+	err := c.conn.SetDeadline(time.Now().Add(responseTimeout))
 	if err == nil {
-		_, err = io.WriteString(c.conn, text(o))
+		_, err = io.WriteString(c.conn, requestText(o))
 	}
-	var answer *http.Response
+	var response *http.Response
 	if err == nil {
-		answer, err = http.ReadResponse(c.reader, nil)
+		response, err = http.ReadResponse(c.reader, nil)
 	}
 	if err != nil {
 		o.Err = err.Error()
 		return false
 	}
-	o.Status, o.Signed = answer.StatusCode, answer.Header.Get("X-Response-Stamp") != ""
-	body, err := io.ReadAll(answer.Body)
+	o.Status, o.Signed = response.StatusCode, response.Header.Get("X-Response-Stamp") != ""
+	body, err := io.ReadAll(response.Body)
 	o.Body, o.Whole = string(body), err == nil
 	if err != nil {
 		o.Err = err.Error()
 	}
-	return err == nil && !answer.Close
+	return err == nil && !response.Close
 }
 
-// close ends the connection.
+// close closes the connection.
 func (c *client) close() {
 	if c.conn != nil {
 		c.conn.Close()
@@ -144,8 +143,8 @@
 	}
 }
 
-// text returns a request as it is sent.
-func text(o *Outcome) string {
+// requestText returns a request as it is sent.
+func requestText(o *Outcome) string {
 	method := "POST"
 	if o.Route == safeRoute {
 		method = "GET"
@@ -161,13 +160,13 @@
 		head = append(head, fmt.Sprintf("X-Pieces: %d,%d", encodePieces, rankPieces), "X-Piece-Key: k",
 			"X-Prompt-Prefix: aa:100,bb:20", "X-Token-Counts: 120,15")
 	}
-	if o.Asked != "" {
-		head = append(head, fmt.Sprintf("Content-Length: %d", len(o.Asked)))
+	if o.RequestBody != "" {
+		head = append(head, fmt.Sprintf("Content-Length: %d", len(o.RequestBody)))
 	}
-	return strings.Join(head, "\r\n") + "\r\n\r\n" + o.Asked
+	return strings.Join(head, "\r\n") + "\r\n\r\n" + o.RequestBody
 }
 
-// Pieces of the stages of a streaming request.
+// Number of items in each stage of a streaming request.
 const (
 	encodePieces = 2
 	rankPieces   = 3
--- a/standin/soak/faults.go
+++ b/standin/soak/faults.go
@@ -13,13 +13,13 @@
 	"acaciawinch/standin/worker"
 )
 
-// spareKey is the key that the operator takes away.
+// spareKey is the API key that the operator revokes.
 const spareKey = "key-to-be-revoked"
 
-// linkDelay holds up each piece on a slow link; a store call takes some ms otherwise.
+// linkDelay delays each chunk on a slow link; a store call takes some ms otherwise.
 const linkDelay = 150 * time.Millisecond
 
-// configuration returns a configuration of a version, without the spare key if revoked.
+// configuration returns the configuration of a version, without the spare key if revoked is set.
 func configuration(version int64, revoked bool) platformdoc.Document {
 	document := platformfleet.Configuration()
 	document.Version = version
@@ -32,11 +32,11 @@
 	return document
 }
 
-// apply carries out a step and returns when its time is over and what it broke is mended.
+// apply runs a step and returns when its time is over and its fault is removed.
 func (s *soak) apply(ctx context.Context, step Step) error {
 	switch step.Kind {
 	case KillGateway, FreezeGateway, StopGateway:
-		defer s.troubled(step.Target%len(s.fleet.Gateways), true)()
+		defer s.beginDisruption(step.Target%len(s.fleet.Gateways), true)()
 		return s.onGateway(ctx, step)
 	case BreakLink, CutLink, SilenceLink, DelayLink:
 		s.onLink(ctx, step)
@@ -45,7 +45,7 @@
 	case LeaveWorker:
 		s.leaveWorker(ctx, step)
 	case PauseWorker:
-		s.pauseWorker(ctx, step)
+		s.backOffWorker(ctx, step)
 	case ChangeConfiguration, RevokeKey:
 		s.configure(step.Kind == RevokeKey)
 	default:
@@ -54,37 +54,37 @@
 	return nil
 }
 
-// troubled notes that a gateway is not in touch from now on, until the returned function is called;
-// process is set if that is its own process.
-func (s *soak) troubled(gateway int, process bool) (over func()) {
+// beginDisruption records a disruption of a gateway that lasts until the returned function is called;
+// process is set if the process of the gateway itself is affected.
+func (s *soak) beginDisruption(gateway int, process bool) (over func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at := len(s.evidence.troubles)
-	s.evidence.troubles = append(s.evidence.troubles, trouble{gateway: gateway, from: time.Now(), to: endless, process: process})
+	index := len(s.evidence.disruptions)
+	s.evidence.disruptions = append(s.evidence.disruptions, disruption{gateway: gateway, from: time.Now(), to: farFuture, process: process})
 	return func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.evidence.troubles[at].to = time.Now()
+		s.evidence.disruptions[index].to = time.Now()
 	}
 }
 
-// endless is the end of a trouble that goes on.
-var endless = time.Unix(1<<40, 0)
+// farFuture is the end of a disruption that has not ended yet.
+var farFuture = time.Unix(1<<40, 0)
 
-// sleep waits for a time, or until ctx ends.
+// sleep waits for a duration, or until ctx ends.
 func sleep(ctx context.Context, length time.Duration) {
 	wait, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
 	<-wait.Done()
 }
 
-// onGateway carries out a step on a gateway's process. Steps on one gateway follow one
-// another; only a kill may strike while it is frozen or stops.
+// onGateway runs a step on the process of a gateway. The steps on one gateway run one after
+// another; only a kill may strike while the gateway is frozen or stopping.
 func (s *soak) onGateway(ctx context.Context, step Step) error {
 	number := step.Target % len(s.fleet.Gateways)
 	process := s.fleet.Gateways[number].Process
 	if step.Kind == KillGateway && process.Running() {
-		s.ended[number].Store(true)
+		s.endedBySteps[number].Store(true)
 		process.Kill()
 	}
 	s.processes[number].Lock()
@@ -93,13 +93,13 @@
 	switch step.Kind {
 	case FreezeGateway:
 		if err := process.Freeze(); err != nil {
-			return nil // it was killed meanwhile: there is nothing to freeze
+			return nil // the process was killed meanwhile: there is nothing to freeze
 		}
 		sleep(ctx, step.For)
-		_ = process.Wake() // one that was killed needs none
+		_ = process.Wake() // fails if the process was killed meanwhile
 		return nil
 	case StopGateway:
-		s.ended[number].Store(true)
+		s.endedBySteps[number].Store(true)
 		if process.Interrupt() == nil {
 			s.awaitEnd(ctx, process)
 		}
@@ -108,21 +108,21 @@
 	if process.Running() {
 		return nil
 	}
-	s.ended[number].Store(false)
+	s.endedBySteps[number].Store(false)
 	return process.Start()
 }
 
-// checkAlive checks that a gateway runs, unless a step has ended it.
+// checkAlive records a violation if a gateway has ended and no step ended it.
 func (s *soak) checkAlive(number int) {
-	if !s.fleet.Gateways[number].Running() && !s.ended[number].Load() {
+	if !s.fleet.Gateways[number].Running() && !s.endedBySteps[number].Load() {
 		s.violate("gateway %d ended by itself", number+1)
 	}
 }
 
-// graceTime is how long a gateway may take to stop, as its settings say.
+// graceTime is how long a gateway may take to stop, as in its settings.
 const graceTime = 4 * time.Second
 
-// awaitEnd waits for a gateway's end, and kills it after its grace time.
+// awaitEnd waits until a gateway has ended, and kills it after graceTime.
 func (s *soak) awaitEnd(ctx context.Context, process *harness.Process) {
 	limit, cancel := context.WithTimeout(ctx, graceTime)
 	defer cancel()
@@ -133,11 +133,11 @@
 	}
 }
 
-// onLink carries out a step on one link.
+// onLink runs a step on one link.
 func (s *soak) onLink(ctx context.Context, step Step) {
 	name := s.names[step.Target%len(s.names)]
 	relay := s.links[name]
-	defer s.troubled(everyone, false)()
+	defer s.beginDisruption(allGateways, false)()
 	switch step.Kind {
 	case BreakLink:
 		relay.Break()
@@ -145,7 +145,7 @@
 	case CutLink:
 		relay.Cut()
 	case SilenceLink:
-		relay.Silence(step.Way)
+		relay.Silence(step.Direction)
 	case DelayLink:
 		relay.Delay(linkDelay)
 	}
@@ -158,31 +158,32 @@
 	{Reject: 5}, {Fail: 5}, {Cut: 5}, {Foreign: 3}, {Unsigned: 3}, {NoRoom: 4}, {Gone: 4}, {Cut: 2, Fail: 2, Reject: 2},
 }
 
-// onWorker carries out a step on a worker or its entry.
+// onWorker runs a step on a worker or its entry in the store.
 func (s *soak) onWorker(ctx context.Context, step Step) {
 	at := s.worker(step.Target)
 	switch step.Kind {
 	case FaultyWorker:
-		at.Set(workerFaults[step.Choice%len(workerFaults)])
+		at.SetFaults(workerFaults[step.Choice%len(workerFaults)])
 		sleep(ctx, step.For)
-		at.Set(worker.Faults{})
+		at.SetFaults(worker.Faults{})
 	case ForgetWorker:
 		s.fleet.Store.Remove("servers", at.ID)
 		sleep(ctx, step.For)
-		s.enter(at, "ready")
+		s.register(at, "ready")
 	case DrainWorker:
-		s.enter(at, "draining")
+		s.register(at, "draining")
 		sleep(ctx, step.For)
-		s.enter(at, "ready")
+		s.register(at, "ready")
 	}
 }
 
-// storeStatuses are what a store answers that turns calls away.
+// storeStatuses are the statuses of a store that refuses calls.
 var storeStatuses = []int{http.StatusServiceUnavailable, http.StatusTooManyRequests}
 
-// onStore carries out a step on the store. The later of two that overlap counts.
+// onStore runs a step on the store. Of two steps that overlap, the faults of the later one are in
+// force.
 func (s *soak) onStore(ctx context.Context, step Step) {
-	defer s.troubled(everyone, false)()
+	defer s.beginDisruption(allGateways, false)()
 	var faults metastore.Faults
 	switch step.Kind {
 	case ForgetHistory:
@@ -200,15 +201,15 @@
 	s.fleet.Store.SetFaults(metastore.Faults{})
 }
 
-// configure writes the next configuration, from now on without the spare key if revoke
-// is set. The time counts from the store's acknowledgement.
+// configure writes the next configuration. If revoke is set, this and all later ones are without the
+// spare key; the time of the revocation is that of the acknowledgement by the store.
 func (s *soak) configure(revoke bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
-	s.noSpare = s.noSpare || revoke
-	s.fleet.Store.Put("config", "main", configuration(s.version, s.noSpare))
-	if s.noSpare && s.evidence.revoked.IsZero() {
+	s.spareRevoked = s.spareRevoked || revoke
+	s.fleet.Store.Put("config", "main", configuration(s.version, s.spareRevoked))
+	if s.spareRevoked && s.evidence.revoked.IsZero() {
 		s.evidence.revoked = time.Now()
 	}
 }
--- a/standin/soak/judge.go
+++ b/standin/soak/judge.go
@@ -11,28 +11,28 @@
 	"acaciawinch/standin/worker"
 )
 
-// Times within which what the operator changed is in force.
+// Bounds on the time until a change by the operator is in force everywhere.
 const (
 	revokeWithin = 5 * time.Second
 	drainWithin  = 2 * time.Second
 )
 
-// evidence is what there is to judge: what clients saw and what workers did.
+// evidence is what a run is judged by: what clients saw and what workers did.
 type evidence struct {
 	outcomes []Outcome
-	// runs holds how often a request ran, by its id, and routeOf by which route.
+	// runs counts the runs of each request, by its id.
 	runs map[string]int
-	// made holds what each result was made for, by its handle, and calls all items.
+	// made holds the item that each result was made for, by its handle; calls holds all items.
 	made  map[string]worker.Item
 	calls []worker.Item
-	// revoked is when the store took a configuration without the spare key; zero if never.
+	// revoked is when the store acknowledged a configuration without the spare key; zero if never.
 	revoked time.Time
-	// stops are the planned stops of gateways while nothing else was wrong.
+	// stops are the planned stops of gateways during which no fault was active.
 	stops []stop
-	// workers is what each start of a worker did.
+	// workers is what each incarnation of a worker did.
 	workers []workerEvidence
-	// troubles are the spans in which gateways were not in touch.
-	troubles []trouble
+	// disruptions are the time spans in which gateways were not in contact with the other parts.
+	disruptions []disruption
 }
 
 // stop is a planned stop of a gateway.
@@ -41,7 +41,7 @@
 	at      time.Time
 }
 
-// gather reads what the workers did.
+// gather reads from the workers what they did.
 func (e *evidence) gather(fleet *platformfleet.Fleet) {
 	e.runs, e.made, e.calls = fleet.Runs(), make(map[string]worker.Item), nil
 	e.workers = nil
@@ -54,29 +54,29 @@
 	})
 }
 
-// violations returns what broke a promise. With all set every request has its outcome,
-// so that what ran beyond these was asked by nobody.
+// violations returns the broken promises. If all is set, the outcomes of all requests are known, and
+// work for a request without an outcome is a violation too.
 func (e *evidence) violations(all bool) []string {
 	var found []string
-	asked := make(map[string]Outcome, len(e.outcomes))
+	outcomes := make(map[string]Outcome, len(e.outcomes))
 	for _, o := range e.outcomes {
-		asked[o.ID] = o
-		if wrong := e.judge(o); wrong != "" {
-			found = append(found, fmt.Sprintf("%s (%s, gateway %d, status %d, %s): %s", o.ID, o.Route, o.Gateway+1, o.Status, o.Err, wrong))
+		outcomes[o.ID] = o
+		if fault := e.judge(o); fault != "" {
+			found = append(found, fmt.Sprintf("%s (%s, gateway %d, status %d, %s): %s", o.ID, o.Route, o.Gateway+1, o.Status, o.Err, fault))
 		}
 	}
 	for _, item := range e.calls {
-		wrong := e.judgeItem(item)
-		if _, known := asked[item.ID]; wrong == "" && all && !known && !strings.HasPrefix(item.ID, probePrefix) {
-			wrong = "no client had the outcome of its request"
+		fault := e.judgeItem(item)
+		if _, known := outcomes[item.ID]; fault == "" && all && !known && !strings.HasPrefix(item.ID, probePrefix) {
+			fault = "no client had the outcome of its request"
 		}
-		if wrong != "" {
-			found = append(found, fmt.Sprintf("stage %d piece %d of %s: %s", item.Stage, item.Piece, item.ID, wrong))
+		if fault != "" {
+			found = append(found, fmt.Sprintf("stage %d piece %d of %s: %s", item.Stage, item.Piece, item.ID, fault))
 		}
 	}
-	found = append(found, e.judgeWorkers(asked)...)
+	found = append(found, e.judgeWorkers(outcomes)...)
 	for id := range e.runs {
-		if _, known := asked[id]; all && !known && !strings.HasPrefix(id, probePrefix) {
+		if _, known := outcomes[id]; all && !known && !strings.HasPrefix(id, probePrefix) {
 			found = append(found, id+" ran and no client had its outcome")
 		}
 	}
@@ -96,7 +96,7 @@
 		return "is allowed by every configuration"
 	case runs > 0 && o.Key == spareKey && !e.revoked.IsZero() && o.Sent.After(e.revoked.Add(revokeWithin)):
 		return "ran with a key that had been taken away"
-	case e.lostAtStop(o) && !e.brokenOff(o):
+	case e.lostAtStop(o) && !e.endedByCrash(o):
 		return "was read before a planned stop and got no answer"
 	case o.Status == http.StatusOK && o.Whole:
 		return judgeSuccess(o, runs)
@@ -104,7 +104,7 @@
 	return ""
 }
 
-// judgeSuccess returns what is wrong with a whole success, or "".
+// judgeSuccess returns what is wrong with a complete successful response, or "".
 func judgeSuccess(o Outcome, runs int) string {
 	switch {
 	case runs == 0:
@@ -119,7 +119,7 @@
 	return ""
 }
 
-// wholeStream returns the events of a request.
+// wholeStream returns the events of the complete stream of a request.
 func wholeStream(id string) string {
 	var text strings.Builder
 	for number := 1; number <= streamEvents; number++ {
@@ -128,12 +128,12 @@
 	return text.String()
 }
 
-// stopSlack is how long before a planned stop a request must have been sent to have been
-// read for certain.
+// stopSlack is how long before a planned stop a request must have been sent for it to be certain that
+// the gateway had read it.
 const stopSlack = 100 * time.Millisecond
 
-// lostAtStop tells whether a request was in flight at a planned stop of a calm gateway
-// and got no whole answer.
+// lostAtStop reports whether a request was in flight at a planned stop of its gateway and got no complete
+// response.
 func (e *evidence) lostAtStop(o Outcome) bool {
 	for _, s := range e.stops {
 		inFlight := o.Sent.Before(s.at.Add(-stopSlack)) && o.Ended.After(s.at)
@@ -144,7 +144,7 @@
 	return false
 }
 
-// judgeItem returns what is wrong with what a stage worker was asked for, or "".
+// judgeItem returns what is wrong with an item that a stage worker got, or "".
 func (e *evidence) judgeItem(item worker.Item) string {
 	if item.ID == "" {
 		return "belongs to no request"
--- a/standin/soak/judge_test.go
+++ b/standin/soak/judge_test.go
@@ -14,7 +14,7 @@
 // began is when the requests of these tests were sent.
 var began = time.Unix(1000, 0)
 
-// served returns the outcome of a request that was served as it should.
+// served returns the outcome of a request that was served correctly.
 func served(route string) Outcome {
 	o := Outcome{ID: "r", Route: route, Key: platformfleet.Key, Sent: began, Ended: began.Add(time.Second),
 		Status: 200, Body: "answer of r", Whole: true, Signed: true}
@@ -24,8 +24,8 @@
 	return o
 }
 
-// judged returns the violations of one outcome whose request ran some times.
-func judged(o Outcome, runs int, e evidence) string {
+// violationsOf returns the violations of one outcome whose request ran a number of times.
+func violationsOf(o Outcome, runs int, e evidence) string {
 	e.outcomes, e.runs = []Outcome{o}, map[string]int{}
 	if runs > 0 {
 		e.runs[o.ID] = runs
@@ -33,13 +33,13 @@
 	return strings.Join(e.violations(true), "; ")
 }
 
-// TestEachBrokenPromiseIsSeen breaks each promise in turn, as no check may be one that
-// can't fail.
-func TestEachBrokenPromiseIsSeen(t *testing.T) {
+// TestEachBrokenPromiseIsFound: each promise is broken in turn, so that a check that can't fail is
+// noticed.
+func TestEachBrokenPromiseIsFound(t *testing.T) {
 	revoked := evidence{revoked: began.Add(-revokeWithin - time.Second)}
 	stopped := evidence{stops: []stop{{gateway: 0, at: began.Add(500 * time.Millisecond)}}}
-	for _, one := range []struct {
-		says   string
+	for _, test := range []struct {
+		want   string
 		runs   int
 		change func(*Outcome)
 		around evidence
@@ -57,20 +57,20 @@
 		{"key that had been taken away", 1, func(o *Outcome) { o.Key = spareKey }, revoked, safeRoute},
 		{"planned stop", 1, func(o *Outcome) { o.Whole, o.Status = false, 0 }, stopped, safeRoute},
 	} {
-		o := served(one.route)
-		assert.Equal(t, judged(o, 1, evidence{}), "", one.route)
-		one.change(&o)
-		assert.Assert(t, strings.Contains(judged(o, one.runs, one.around), one.says), "%s: %q", one.says, judged(o, one.runs, one.around))
+		o := served(test.route)
+		assert.Equal(t, violationsOf(o, 1, evidence{}), "", test.route)
+		test.change(&o)
+		assert.Assert(t, strings.Contains(violationsOf(o, test.runs, test.around), test.want), "%s: %q", test.want, violationsOf(o, test.runs, test.around))
 	}
-	unasked := evidence{runs: map[string]int{"x": 1}}
-	assert.Equal(t, len(unasked.violations(true)), 1)
-	assert.Equal(t, len(unasked.violations(false)), 0, "its client may still wait for it")
+	unknown := evidence{runs: map[string]int{"x": 1}}
+	assert.Equal(t, len(unknown.violations(true)), 1)
+	assert.Equal(t, len(unknown.violations(false)), 0, "the outcome may still be pending at its client")
 	item := evidence{calls: []worker.Item{{ID: "x", Key: "k"}}}
 	assert.Equal(t, len(item.violations(true)), 1)
-	assert.Equal(t, len(item.violations(false)), 0, "as above")
+	assert.Equal(t, len(item.violations(false)), 0, "the outcome of its request may still be pending")
 }
 
-func TestWrongInputsOfStagesAreSeen(t *testing.T) {
+func TestWrongInputsOfStagesAreFound(t *testing.T) {
 	e := evidence{made: map[string]worker.Item{
 		"a/1": {ID: "r", Stage: 0, Piece: 0}, "a/2": {ID: "r", Stage: 0, Piece: 1}, "a/3": {ID: "q", Stage: 0, Piece: 1},
 	}}
@@ -90,5 +90,5 @@
 		seen[step.Kind] = true
 		assert.Assert(t, step.At >= 0 && step.For >= shortestStep && step.For < longestStep, "%v", step)
 	}
-	assert.Equal(t, len(seen), len(kinds), "every kind is drawn")
+	assert.Equal(t, len(seen), len(kinds), "every kind must be drawn")
 }
--- a/standin/soak/judge_workers.go
+++ b/standin/soak/judge_workers.go
@@ -9,61 +9,63 @@
 	"acaciawinch/standin/worker"
 )
 
-// What is promised of requests under which workers crash, and of what workers ask for.
+// Promises about requests that crash workers, and about workers that ask for a backoff.
 const (
-	// crashesBefore is how many crashes of one request are allowed, and crashesAfter how many
-	// attempts may reach workers that are sent later than contactTime after the last of these.
-	crashesBefore = 3
-	crashesAfter  = 3
-	contactTime   = 3 * time.Second
-	// pauseSlack is how long after a worker asked for a pause requests may still reach it, and
-	// mostInPause how many later.
-	pauseSlack  = 500 * time.Millisecond
-	mostInPause = 2
+	// maxCrashes is how many crashes one request may cause. After the last of these, the state of the
+	// gateways takes propagationTime to spread; of the attempts that are sent later, at most
+	// maxLaterAttempts may reach workers.
+	maxCrashes       = 3
+	maxLaterAttempts = 3
+	propagationTime  = 3 * time.Second
+	// backoffSlack is how long requests may still reach a worker after it asked for a backoff;
+	// maxInBackoff is how many may reach it later.
+	backoffSlack = 500 * time.Millisecond
+	maxInBackoff = 2
 )
 
-// trouble is a span in which a gateway was not in touch.
-type trouble struct {
-	// gateway is its number, everyone for all.
+// disruption is a time span in which a gateway was not in contact with the other parts.
+type disruption struct {
+	// gateway is the number of the gateway, or allGateways.
 	gateway  int
 	from, to time.Time
-	// process is set if the gateway's own process was stopped, killed or frozen.
+	// process is set if the process of the gateway was stopped, killed or frozen.
 	process bool
 }
 
-// everyone stands for all gateways.
-const everyone = -1
+// allGateways stands for every gateway.
+const allGateways = -1
 
-// workerEvidence is what one start of a worker did.
+// workerEvidence is what one incarnation of a worker did.
 type workerEvidence struct {
-	id       string
-	runs     []worker.Run
-	refusals []worker.Refusal
-	// crash is the request under which it crashed, if crashed is set.
+	id         string
+	runs       []worker.Run
+	rejections []worker.Rejection
+	// crash is the request that crashed the worker, if crashed is set.
 	crash   worker.Run
 	crashed bool
 }
 
-// workerEvidenceOf reads what a worker did.
+// workerEvidenceOf reads from a worker what it did.
 func workerEvidenceOf(w *worker.Worker) workerEvidence {
 	crash, crashed := w.CrashedBy()
-	return workerEvidence{id: w.ID, runs: w.Runs(), refusals: w.Refusals(), crash: crash, crashed: crashed}
+	return workerEvidence{id: w.ID, runs: w.Runs(), rejections: w.Rejections(), crash: crash, crashed: crashed}
 }
 
-// inTouch tells whether nothing was wrong with a gateway for contactTime before a moment.
-func (e *evidence) inTouch(gateway int, at time.Time) bool {
-	for _, t := range e.troubles {
-		if (t.gateway == gateway || t.gateway == everyone) && !t.from.After(at) && t.to.After(at.Add(-contactTime)) {
+// undisturbed reports whether a gateway had no disruption during propagationTime before a time.
+func (e *evidence) undisturbed(gateway int, at time.Time) bool {
+	for _, t := range e.disruptions {
+		if (t.gateway == gateway || t.gateway == allGateways) && !t.from.After(at) && t.to.After(at.Add(-propagationTime)) {
 			return false
 		}
 	}
 	return true
 }
 
-// disturbed tells whether a gateway had trouble in a span, of its process only if that is set.
-func (e *evidence) disturbed(gateway int, from, to time.Time, processOnly bool) bool {
-	for _, t := range e.troubles {
-		if t.gateway != gateway && (t.gateway != everyone || processOnly) || processOnly && !t.process {
+// disrupted reports whether a gateway had a disruption in a time span; with processOnly set, only
+// disruptions of its process count.
+func (e *evidence) disrupted(gateway int, from, to time.Time, processOnly bool) bool {
+	for _, t := range e.disruptions {
+		if t.gateway != gateway && (t.gateway != allGateways || processOnly) || processOnly && !t.process {
 			continue
 		}
 		if t.from.Before(to) && t.to.After(from) {
@@ -73,8 +75,8 @@
 	return false
 }
 
-// brokenOff tells whether the worker that ran a request crashed before the request's end.
-func (e *evidence) brokenOff(o Outcome) bool {
+// endedByCrash reports whether the worker that ran a request crashed before the request ended.
+func (e *evidence) endedByCrash(o Outcome) bool {
 	for _, w := range e.workers {
 		if !w.crashed || w.crash.At.Before(o.Sent) || w.crash.At.After(o.Ended) {
 			continue
@@ -88,50 +90,51 @@
 	return false
 }
 
-// judgeWorkers returns what workers saw that broke a promise. Asked holds the outcomes by their ids.
-func (e *evidence) judgeWorkers(asked map[string]Outcome) []string {
-	found := e.judgeCrashes(asked)
+// judgeWorkers returns the broken promises that show at workers. The outcomes are by id.
+func (e *evidence) judgeWorkers(outcomes map[string]Outcome) []string {
+	found := e.judgeCrashes(outcomes)
 	for _, w := range e.workers {
-		found = append(found, e.judgeLeaving(w, asked)...)
-		found = append(found, e.judgePauses(w, asked)...)
+		found = append(found, e.judgeLeaving(w, outcomes)...)
+		found = append(found, e.judgeBackoffs(w, outcomes)...)
 	}
 	return found
 }
 
-// judgeCrashes counts the attempts that reached workers after the request had crashed enough.
-func (e *evidence) judgeCrashes(asked map[string]Outcome) []string {
+// judgeCrashes counts the attempts that reached workers although the request had caused maxCrashes
+// crashes.
+func (e *evidence) judgeCrashes(outcomes map[string]Outcome) []string {
 	var crashes []time.Time
 	for _, w := range e.workers {
 		if w.crashed {
 			crashes = append(crashes, w.crash.At)
 		}
 	}
-	if len(crashes) < crashesBefore {
+	if len(crashes) < maxCrashes {
 		return nil
 	}
 	sort.Slice(crashes, func(i, j int) bool { return crashes[i].Before(crashes[j]) })
-	known := crashes[crashesBefore-1].Add(contactTime)
+	known := crashes[maxCrashes-1].Add(propagationTime)
 	later := 0
 	for _, w := range e.workers {
 		for _, run := range w.runs {
-			o, has := asked[run.ID]
-			if has && strings.HasPrefix(run.ID, crashPrefix) && o.Sent.After(known) && e.inTouch(o.Gateway, o.Sent) {
+			o, has := outcomes[run.ID]
+			if has && strings.HasPrefix(run.ID, crashPrefix) && o.Sent.After(known) && e.undisturbed(o.Gateway, o.Sent) {
 				later++
 			}
 		}
 	}
-	if later <= crashesAfter {
+	if later <= maxLaterAttempts {
 		return nil
 	}
-	return []string{fmt.Sprintf("a request under which %d workers had crashed reached workers %d times more; %d crashed in all", crashesBefore, later, len(crashes))}
+	return []string{fmt.Sprintf("a request under which %d workers had crashed reached workers %d times more; %d crashed in all", maxCrashes, later, len(crashes))}
 }
 
-// judgeLeaving finds requests that reached a worker long after an answer had told their gateway that
-// it leaves.
-func (e *evidence) judgeLeaving(w workerEvidence, asked map[string]Outcome) []string {
+// judgeLeaving finds requests that reached a worker later than drainWithin after a response had told
+// their gateway that the worker leaves.
+func (e *evidence) judgeLeaving(w workerEvidence, outcomes map[string]Outcome) []string {
 	told := make(map[int]time.Time)
 	for _, run := range w.runs {
-		o, has := asked[run.ID]
+		o, has := outcomes[run.ID]
 		if !has || !run.Leaving || !o.Whole || !o.Signed {
 			continue
 		}
@@ -141,9 +144,9 @@
 	}
 	var found []string
 	for _, run := range w.runs {
-		o, has := asked[run.ID]
+		o, has := outcomes[run.ID]
 		at, known := told[o.Gateway]
-		if has && known && o.Sent.After(at.Add(drainWithin)) && !e.disturbed(o.Gateway, at, run.At, true) {
+		if has && known && o.Sent.After(at.Add(drainWithin)) && !e.disrupted(o.Gateway, at, run.At, true) {
 			found = append(found, fmt.Sprintf("%s reached %s through gateway %d, %v after an answer had told it that the worker leaves",
 				run.ID, w.id, o.Gateway+1, o.Sent.Sub(at).Round(time.Millisecond)))
 		}
@@ -151,38 +154,39 @@
 	return found
 }
 
-// judgePauses finds the first pause of each gateway in which a worker got more from it than it may.
-func (e *evidence) judgePauses(w workerEvidence, asked map[string]Outcome) []string {
+// judgeBackoffs finds, for each gateway, the first backoff in which a worker got more than maxInBackoff
+// requests from it.
+func (e *evidence) judgeBackoffs(w workerEvidence, outcomes map[string]Outcome) []string {
 	var found []string
 	told := make(map[int]bool)
-	for _, refusal := range w.refusals {
-		o, has := asked[refusal.ID]
-		from, to := refusal.At.Add(pauseSlack), refusal.At.Add(refusal.RetryAfter)
-		if !has || told[o.Gateway] || !from.Before(to) || e.disturbed(o.Gateway, refusal.At, to, false) {
+	for _, rejection := range w.rejections {
+		o, has := outcomes[rejection.ID]
+		from, to := rejection.At.Add(backoffSlack), rejection.At.Add(rejection.RetryAfter)
+		if !has || told[o.Gateway] || !from.Before(to) || e.disrupted(o.Gateway, rejection.At, to, false) {
 			continue
 		}
-		if count := w.arrivedFrom(o.Gateway, from, to, asked); count > mostInPause {
+		if count := w.arrivedFrom(o.Gateway, from, to, outcomes); count > maxInBackoff {
 			told[o.Gateway] = true
 			found = append(found, fmt.Sprintf("%s got %d requests through gateway %d in the pause of %v that it had asked for with %s",
-				w.id, count, o.Gateway+1, refusal.RetryAfter, refusal.ID))
+				w.id, count, o.Gateway+1, rejection.RetryAfter, rejection.ID))
 		}
 	}
 	return found
 }
 
-// arrivedFrom counts the requests that reached a worker through a gateway in a span.
-func (w workerEvidence) arrivedFrom(gateway int, from, to time.Time, asked map[string]Outcome) int {
+// arrivedFrom counts the requests that reached a worker through a gateway in a time span.
+func (w workerEvidence) arrivedFrom(gateway int, from, to time.Time, outcomes map[string]Outcome) int {
 	count := 0
 	arrived := func(id string, at time.Time) {
-		if o, has := asked[id]; has && o.Gateway == gateway && at.After(from) && at.Before(to) {
+		if o, has := outcomes[id]; has && o.Gateway == gateway && at.After(from) && at.Before(to) {
 			count++
 		}
 	}
 	for _, run := range w.runs {
 		arrived(run.ID, run.At)
 	}
-	for _, refusal := range w.refusals {
-		arrived(refusal.ID, refusal.At)
+	for _, rejection := range w.rejections {
+		arrived(rejection.ID, rejection.At)
 	}
 	return count
 }
--- a/standin/soak/judge_workers_test.go
+++ b/standin/soak/judge_workers_test.go
@@ -11,11 +11,11 @@
 	"acaciawinch/standin/worker"
 )
 
-// second returns a moment of these tests.
+// second returns the time that lies a number of seconds after began.
 func second(s float64) time.Time { return began.Add(time.Duration(s * float64(time.Second))) }
 
-// crashing returns evidence of a request that has crashed a worker at each of some seconds, and of
-// later attempts that reached a worker, all through gateway 0.
+// crashing returns evidence of a request that crashed one worker at each of the given seconds, and of
+// later attempts that reached another worker, all through gateway 0.
 func crashing(crashes, later []float64) *evidence {
 	e := &evidence{runs: map[string]int{}}
 	attempt := func(w *workerEvidence, at float64, ends time.Duration) worker.Run {
@@ -31,28 +31,28 @@
 		w.crash = attempt(&w, at, time.Millisecond)
 		e.workers = append(e.workers, w)
 	}
-	var sound workerEvidence
+	var healthy workerEvidence
 	for _, at := range later {
-		attempt(&sound, at, time.Millisecond)
+		attempt(&healthy, at, time.Millisecond)
 	}
-	e.workers = append(e.workers, sound)
+	e.workers = append(e.workers, healthy)
 	return e
 }
 
-func TestTooManyAttemptsAfterCrashesAreSeen(t *testing.T) {
-	bound := 2 + contactTime.Seconds()
+func TestTooManyAttemptsAfterCrashesAreFound(t *testing.T) {
+	bound := 2 + propagationTime.Seconds()
 	allowed := crashing([]float64{0, 1, 2, 2.5, bound}, []float64{bound + 1, bound + 2, bound + 3})
 	assert.Equal(t, strings.Join(allowed.violations(true), "; "), "")
 	broken := crashing([]float64{0, 1, 2}, []float64{bound + 1, bound + 2, bound + 3, bound + 4})
 	assert.Equal(t, strings.Join(broken.violations(true), "; "), "a request under which 3 workers had crashed reached workers 4 times more; 3 crashed in all")
-	broken.troubles = []trouble{{gateway: everyone, from: second(bound), to: second(bound + 0.5)}}
-	assert.Equal(t, len(broken.violations(true)), 0, "the gateways were not in touch")
-	broken.troubles = []trouble{{gateway: 1, from: second(0), to: second(60)}, {gateway: everyone, from: second(0), to: second(bound - 3)}}
-	assert.Equal(t, len(broken.violations(true)), 1, "another gateway's trouble, or one long ago, excuses nothing")
+	broken.disruptions = []disruption{{gateway: allGateways, from: second(bound), to: second(bound + 0.5)}}
+	assert.Equal(t, len(broken.violations(true)), 0, "attempts after a disruption of all gateways must not count")
+	broken.disruptions = []disruption{{gateway: 1, from: second(0), to: second(60)}, {gateway: allGateways, from: second(0), to: second(bound - 3)}}
+	assert.Equal(t, len(broken.violations(true)), 1, "disruptions of another gateway, or long ago, must not excuse the attempts")
 }
 
-// leaving returns evidence of a worker that leaves, and of a request sent to it a while after an
-// answer that says so was passed on.
+// leaving returns evidence of a worker that announces in a response that it leaves, and of a request
+// that was sent to it some time after that response.
 func leaving(after time.Duration) *evidence {
 	first, second := served(safeRoute), served(safeRoute)
 	first.ID, first.Body = "first", "answer of first"
@@ -67,27 +67,27 @@
 	}
 }
 
-func TestRequestsToWorkersThatSaidThatTheyLeaveAreSeen(t *testing.T) {
+func TestRequestsToLeavingWorkersAreFound(t *testing.T) {
 	assert.Equal(t, len(leaving(drainWithin).violations(true)), 0)
 	late := leaving(drainWithin + time.Millisecond)
 	assert.Assert(t, strings.Contains(strings.Join(late.violations(true), "; "), "second reached w through gateway 1"))
-	told := late.outcomes[0].Ended
-	late.troubles = []trouble{{gateway: everyone, from: told, to: told.Add(time.Second)}}
-	assert.Equal(t, len(late.violations(true)), 1, "a cut excuses nothing")
-	late.troubles = []trouble{{gateway: 0, from: told, to: told.Add(time.Second), process: true}}
-	assert.Equal(t, len(late.violations(true)), 0, "the gateway was started again")
+	announced := late.outcomes[0].Ended
+	late.disruptions = []disruption{{gateway: allGateways, from: announced, to: announced.Add(time.Second)}}
+	assert.Equal(t, len(late.violations(true)), 1, "a disrupted connection must not excuse the request")
+	late.disruptions = []disruption{{gateway: 0, from: announced, to: announced.Add(time.Second), process: true}}
+	assert.Equal(t, len(late.violations(true)), 0, "the gateway has restarted since the response")
 	other := leaving(drainWithin + time.Millisecond)
 	other.outcomes[1].Gateway = 1
-	assert.Equal(t, len(other.violations(true)), 0, "another gateway was not told")
+	assert.Equal(t, len(other.violations(true)), 0, "the other gateway got no such response")
 }
 
-// paused returns evidence of a worker that has asked for a pause, and of requests that reached it a
-// while later.
-func paused(pause time.Duration, arrivals ...float64) *evidence {
-	asked := served(safeRoute)
-	asked.ID, asked.Status, asked.Signed, asked.Body = "asked", 503, false, ""
-	e := &evidence{outcomes: []Outcome{asked}, runs: map[string]int{}}
-	w := workerEvidence{id: "w", refusals: []worker.Refusal{{ID: "asked", At: began, RetryAfter: pause}}}
+// backedOff returns evidence of a worker that asked for a backoff, and of requests that reached it at the
+// given seconds.
+func backedOff(length time.Duration, arrivals ...float64) *evidence {
+	rejected := served(safeRoute)
+	rejected.ID, rejected.Status, rejected.Signed, rejected.Body = "asked", 503, false, ""
+	e := &evidence{outcomes: []Outcome{rejected}, runs: map[string]int{}}
+	w := workerEvidence{id: "w", rejections: []worker.Rejection{{ID: "asked", At: began, RetryAfter: length}}}
 	for i, at := range arrivals {
 		o := served(safeRoute)
 		o.ID = fmt.Sprint("r", i)
@@ -99,16 +99,16 @@
 	return e
 }
 
-func TestRequestsInPausesAreSeen(t *testing.T) {
-	assert.Equal(t, len(paused(2*time.Second, 0.4, 0.45, 0.9, 1.9, 2.1).violations(true)), 0)
-	broken := paused(2*time.Second, 0.6, 0.9, 1.9)
+func TestRequestsDuringBackoffsAreFound(t *testing.T) {
+	assert.Equal(t, len(backedOff(2*time.Second, 0.4, 0.45, 0.9, 1.9, 2.1).violations(true)), 0)
+	broken := backedOff(2*time.Second, 0.6, 0.9, 1.9)
 	assert.Assert(t, strings.Contains(strings.Join(broken.violations(true), "; "), "w got 3 requests through gateway 1 in the pause of 2s"))
-	broken.troubles = []trouble{{gateway: everyone, from: second(1), to: second(1.1)}}
-	assert.Equal(t, len(broken.violations(true)), 0, "the gateway was cut off")
-	assert.Equal(t, len(paused(400*time.Millisecond, 0.1, 0.2, 0.3).violations(true)), 0, "it is over before it counts")
+	broken.disruptions = []disruption{{gateway: allGateways, from: second(1), to: second(1.1)}}
+	assert.Equal(t, len(broken.violations(true)), 0, "requests during a disruption of the gateway must not count")
+	assert.Equal(t, len(backedOff(400*time.Millisecond, 0.1, 0.2, 0.3).violations(true)), 0, "a backoff below backoffSlack must not count")
 }
 
-func TestWhatAWorkerBrokeOffIsNotLostAtAStop(t *testing.T) {
+func TestARequestEndedByACrashIsNotLostAtAStop(t *testing.T) {
 	o := served(safeRoute)
 	o.Whole, o.Status = false, 0
 	e := &evidence{outcomes: []Outcome{o}, runs: map[string]int{"r": 1}, stops: []stop{{gateway: 0, at: began.Add(500 * time.Millisecond)}}}
@@ -117,7 +117,7 @@
 	e.outcomes = append(e.outcomes, Outcome{ID: "x"})
 	assert.Equal(t, len(e.violations(true)), 0)
 	e.workers[0].crash.At = second(2)
-	assert.Equal(t, len(e.violations(true)), 1, "it crashed later")
+	assert.Equal(t, len(e.violations(true)), 1, "a crash after the end of the request must not excuse its loss")
 }
 
 func TestASeedGivesTheSameStepsOfWorkers(t *testing.T) {
--- a/standin/soak/plan.go
+++ b/standin/soak/plan.go
@@ -1,6 +1,6 @@
-// Package soak runs gateways as real processes before stand-ins of the users' platform,
-// injects faults from outside them in a random order that a seed gives, and checks what
-// clients got against what workers ran.
+// Package soak runs gateways as real processes against stand-ins of the platform, injects
+// faults from the outside in a random order that a seed determines, and checks what clients
+// received against what workers ran.
 package soak
 
 import (
@@ -12,10 +12,10 @@
 	"acaciawinch/standin/harness"
 )
 
-// Kind is what a step does.
+// Kind is the kind of a step.
 type Kind string
 
-// The kinds of steps on a gateway, on links, on workers, on the store and by the operator.
+// The kinds of steps on gateways, links, workers and the store, and by the operator.
 const (
 	KillGateway   Kind = "kill gateway"
 	FreezeGateway Kind = "freeze gateway"
@@ -38,7 +38,7 @@
 	RevokeKey           Kind = "revoke key"
 )
 
-// kinds are all kinds, and how often each is drawn against the others.
+// kinds are the kinds that Plan draws from, with their relative frequencies.
 var kinds = []struct {
 	kind   Kind
 	weight int
@@ -52,47 +52,47 @@
 
 // Step is one fault or change.
 type Step struct {
-	// At is when it begins, from the start of the faults, and For how long it lasts.
+	// At is when the step starts, counted from the start of the run's faults; For is how long it lasts.
 	At, For time.Duration
 	Kind    Kind
-	// Target picks a gateway, link or worker; it counts modulo how many there are.
+	// Target selects a gateway, link or worker, modulo their number.
 	Target int
-	// Way is the direction that a silent link loses.
-	Way harness.Direction
-	// Choice picks among the variants of a kind.
+	// Direction is the direction in which a silent link loses data.
+	Direction harness.Direction
+	// Choice selects a variant of the kind.
 	Choice int
 }
 
-// String tells the step to people.
+// String describes the step for people.
 func (s Step) String() string {
-	return fmt.Sprintf("%.2f s: %s %d for %.2f s (way %d, choice %d)", s.At.Seconds(), s.Kind, s.Target, s.For.Seconds(), s.Way, s.Choice)
+	return fmt.Sprintf("%.2f s: %s %d for %.2f s (way %d, choice %d)", s.At.Seconds(), s.Kind, s.Target, s.For.Seconds(), s.Direction, s.Choice)
 }
 
-// Length of the faults, and of one.
+// Timing of the steps.
 const (
 	faultsFor = 7 * time.Second
 	// shortestStep is above a round trip and a call of the stand-ins, 20 to 40 ms.
 	shortestStep = 100 * time.Millisecond
-	// longestStep is above the 1.2 s after which a silent process is given up, and above
+	// longestStep is above the 1.2 s after which a silent process is declared dead, and above
 	// the 2.2 s of a store call.
 	longestStep = 3 * time.Second
-	// seriesOf is how many steps at most follow one another closely.
-	seriesOf  = 3
+	// maxSeries is how many steps of one series follow one another closely at most.
+	maxSeries = 3
 	seriesGap = 150 * time.Millisecond
 )
 
-// Plan returns the steps of a seed, in the order of their beginning. The same seed gives
-// the same steps.
+// Plan returns the steps of a seed in the order of their start. The same seed gives the same
+// steps.
 func Plan(seed uint64, steps int) []Step {
 	random := rand.New(rand.NewPCG(seed, seed^0x5bd1e995))
 	var plan []Step
 	for len(plan) < steps {
 		first := draw(random)
 		first.At = between(random, 0, faultsFor)
-		for i := range 1 + random.IntN(seriesOf) {
-			again := first
-			again.At += time.Duration(i) * (seriesGap + between(random, 0, seriesGap))
-			plan = append(plan, again)
+		for i := range 1 + random.IntN(maxSeries) {
+			repeated := first
+			repeated.At += time.Duration(i) * (seriesGap + between(random, 0, seriesGap))
+			plan = append(plan, repeated)
 		}
 	}
 	plan = plan[:steps]
@@ -100,30 +100,30 @@
 	return plan
 }
 
-// draw returns a step without its time.
+// draw returns a random step without a start time.
 func draw(random *rand.Rand) Step {
 	total := 0
-	for _, one := range kinds {
-		total += one.weight
+	for _, k := range kinds {
+		total += k.weight
 	}
 	step := Step{
-		For:    between(random, shortestStep, longestStep),
-		Target: random.IntN(1 << 16),
-		Way:    harness.Direction(random.IntN(2)),
-		Choice: random.IntN(1 << 16),
+		For:       between(random, shortestStep, longestStep),
+		Target:    random.IntN(1 << 16),
+		Direction: harness.Direction(random.IntN(2)),
+		Choice:    random.IntN(1 << 16),
 	}
 	at := random.IntN(total)
-	for _, one := range kinds {
-		if at < one.weight {
-			step.Kind = one.kind
+	for _, k := range kinds {
+		if at < k.weight {
+			step.Kind = k.kind
 			return step
 		}
-		at -= one.weight
+		at -= k.weight
 	}
 	return step
 }
 
-// between returns a duration from low up to high.
+// between returns a random duration of at least low and less than high.
 func between(random *rand.Rand, low, high time.Duration) time.Duration {
 	return low + time.Duration(random.Int64N(int64(high-low)))
 }
--- a/standin/soak/regressions.go
+++ b/standin/soak/regressions.go
@@ -1,12 +1,12 @@
 package soak
 
-// Regression is a seed that failed once and why; it is played again in every CI run.
+// Regression is a seed that failed once, with its cause; every CI run runs it again.
 type Regression struct {
 	Seed  uint64
 	Cause string
 }
 
-// Regressions are the seeds that failed, each with its cause.
+// Regressions are the seeds that failed once.
 var Regressions = []Regression{
 	{Seed: 11, Cause: "a gateway's port lay among those of outgoing connections, of which one took it before the start"},
 	{Seed: 34, Cause: "as seed 11, for the port of a relay"},
--- a/standin/soak/run.go
+++ b/standin/soak/run.go
@@ -19,22 +19,22 @@
 	"acaciawinch/standin/worker"
 )
 
-// Options say what a run has.
+// Options are the settings of a run.
 type Options struct {
 	// Bin is the folder of the built programs.
 	Bin string
-	// Seed gives the steps and the clients' choices.
+	// Seed determines the steps and the choices of the clients.
 	Seed                     uint64
 	Gateways, Clients, Steps int
-	// Keep is the folder to which the gateways' logs go if something broke; empty keeps none.
+	// Keep is the folder to which the logs of the gateways are copied if the run fails; empty for none.
 	Keep string
-	// Out takes the steps as they are made; nil takes none.
+	// Out receives a line for each step when it starts; nil for none.
 	Out io.Writer
 }
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
-	// Sent counts all requests, Served the whole successes.
+	// Sent counts all requests, Served the complete successful responses.
 	Sent, Served int
 	// Violations are the promises that were broken.
 	Violations []string
@@ -44,55 +44,55 @@
 type soak struct {
 	options Options
 	fleet   *platformfleet.Fleet
-	// links are the relays by what they stand before, names their keys in order.
+	// links holds the relays by the name of what they lead to; names holds its keys, sorted.
 	links map[string]*harness.Relay
 	names []string
 	ports *harness.Ports
-	// workers are the workers that run, with their services; starts counts those that came back.
-	workers []entered
-	starts  int
-	// endedStarts holds the ids of the starts of workers that have ended.
-	endedStarts map[string]bool
-	// revivals are the waits for the crashes of workers, which end with reviving.
-	revivals sync.WaitGroup
-	reviving context.Context
-	// processes keep steps on one gateway apart; ended tells of each whether a step has
-	// ended it since its last start.
-	processes []sync.Mutex
-	ended     []atomic.Bool
+	// workers are the running workers with their services; restarts counts the restarts of workers.
+	workers  []registeredWorker
+	restarts int
+	// endedIncarnations holds the ids of the incarnations of workers that have ended.
+	endedIncarnations map[string]bool
+	// crashWatches counts the goroutines that wait for a crash of a worker; they end with watchCtx.
+	crashWatches sync.WaitGroup
+	watchCtx     context.Context
+	// processes serializes the steps on each gateway; endedBySteps is set for a gateway that a step
+	// has ended since its last start.
+	processes    []sync.Mutex
+	endedBySteps []atomic.Bool
 
-	mu       sync.Mutex
-	evidence evidence
-	version  int64
-	noSpare  bool
-	found    map[string]bool
+	mu           sync.Mutex
+	evidence     evidence
+	version      int64
+	spareRevoked bool
+	violations   map[string]bool
 }
 
-// entered is a worker and the service that it is entered for.
-type entered struct {
+// registeredWorker is a worker and the service that it is registered for.
+type registeredWorker struct {
 	*worker.Worker
 	service string
 }
 
-// Run plays the steps of a seed on a fleet of its own and judges what came of them. An
-// error tells that the run itself failed.
+// Run runs the steps of a seed on a new fleet and judges the result. An error says that the run
+// itself failed.
 func Run(ctx context.Context, o Options) (Report, error) {
 	s := &soak{
-		options:   o,
-		links:     make(map[string]*harness.Relay),
-		ports:     harness.NewPorts(),
-		processes: make([]sync.Mutex, o.Gateways),
-		ended:     make([]atomic.Bool, o.Gateways),
-		version:   1,
-		found:     make(map[string]bool),
+		options:      o,
+		links:        make(map[string]*harness.Relay),
+		ports:        harness.NewPorts(),
+		processes:    make([]sync.Mutex, o.Gateways),
+		endedBySteps: make([]atomic.Bool, o.Gateways),
+		version:      1,
+		violations:   make(map[string]bool),
 
-		endedStarts: make(map[string]bool),
+		endedIncarnations: make(map[string]bool),
 	}
 	defer s.close()
 	if err := s.start(ctx); err != nil {
 		return Report{}, err
 	}
-	err := s.play(ctx)
+	err := s.sendAndInject(ctx)
 	report := s.report()
 	if len(report.Violations) > 0 && o.Keep != "" {
 		err = errors.Join(err, s.fleet.KeepLogs(o.Keep))
@@ -100,28 +100,28 @@
 	return report, err
 }
 
-// workTime is what a request takes at its upstream: long enough that faults strike
-// requests that run.
+// workTime is how long a request takes at its upstream: long enough for faults to strike requests
+// in flight.
 const workTime = 40 * time.Millisecond
 
-// start starts the fleet with a relay before each of its parts.
+// start starts the fleet with a relay in front of each of its parts.
 func (s *soak) start(ctx context.Context) error {
 	fleet, err := platformfleet.Start(ctx, platformfleet.Options{
-		Bin: s.options.Bin, Gateways: s.options.Gateways, WorkTime: workTime, CrashBody: crashBody, Through: s.through})
+		Bin: s.options.Bin, Gateways: s.options.Gateways, WorkTime: workTime, CrashBody: crashBody, Proxy: s.addRelay})
 	if err != nil {
 		return err
 	}
 	s.fleet = fleet
 	fleet.Each(func(service string, w *worker.Worker) {
-		s.workers = append(s.workers, entered{Worker: w, service: service})
+		s.workers = append(s.workers, registeredWorker{Worker: w, service: service})
 	})
 	sort.Slice(s.workers, func(i, j int) bool { return s.workers[i].ID < s.workers[j].ID })
 	s.configure(false)
 	return nil
 }
 
-// through puts a relay before a target.
-func (s *soak) through(name, target string) (string, error) {
+// addRelay starts a relay in front of a target and returns the address of the relay.
+func (s *soak) addRelay(name, target string) (string, error) {
 	listener, err := s.ports.Listen()
 	if err != nil {
 		return "", err
@@ -132,36 +132,36 @@
 	return listener.Addr().String(), nil
 }
 
-// play lets clients send while the steps are made, and then while nothing is wrong.
-func (s *soak) play(ctx context.Context) error {
-	var doors []string
+// sendAndInject runs the steps while clients send requests, and then checks the recovery.
+func (s *soak) sendAndInject(ctx context.Context) error {
+	var addresses []string
 	for i, g := range s.fleet.Gateways {
-		address, err := s.through(fmt.Sprintf("clients of gateway-%d", i+1), g.Clients)
+		address, err := s.addRelay(fmt.Sprintf("clients of gateway-%d", i+1), g.Clients)
 		if err != nil {
 			return err
 		}
-		doors = append(doors, address)
+		addresses = append(addresses, address)
 	}
 	sending, stopSending := context.WithCancel(ctx)
 	var clients sync.WaitGroup
 	defer clients.Wait()
 	defer stopSending()
 	for number := range s.options.Clients {
-		c := &client{number: number, random: rand.New(rand.NewPCG(s.options.Seed, uint64(number))), gateways: doors, report: s.take}
+		c := &client{number: number, random: rand.New(rand.NewPCG(s.options.Seed, uint64(number))), gateways: addresses, report: s.record}
 		clients.Go(func() { c.run(sending) })
 	}
-	defer s.revivals.Wait()
-	var stopReviving context.CancelFunc
-	s.reviving, stopReviving = context.WithCancel(ctx)
-	defer stopReviving()
-	for _, at := range s.workers {
-		s.revivals.Go(func() { s.watchCrashes(s.reviving, at) })
+	defer s.crashWatches.Wait()
+	var stopWatching context.CancelFunc
+	s.watchCtx, stopWatching = context.WithCancel(ctx)
+	defer stopWatching()
+	for _, w := range s.workers {
+		s.crashWatches.Go(func() { s.watchCrashes(s.watchCtx, w) })
 	}
-	clients.Go(func() { s.sendCrashing(sending, doors) }) // no worker crashes before all are watched
-	if err := s.makeSteps(ctx); err != nil {
+	clients.Go(func() { s.sendCrashing(sending, addresses) }) // started last: no worker may crash before all are watched
+	if err := s.runSteps(ctx); err != nil {
 		return err
 	}
-	if err := s.calm(ctx); err != nil {
+	if err := s.verifyRecovery(ctx); err != nil {
 		return err
 	}
 	stopSending()
@@ -170,18 +170,18 @@
 	return s.fleet.Stop(ctx)
 }
 
-// take records an outcome.
-func (s *soak) take(o Outcome) {
+// record stores an outcome.
+func (s *soak) record(o Outcome) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.evidence.outcomes = append(s.evidence.outcomes, o)
 }
 
-// judgeEvery is how often the evidence is judged while the run goes on.
+// judgeEvery is the interval at which the evidence is judged during the run.
 const judgeEvery = time.Second
 
-// makeSteps makes the steps of the plan, each at its time, and waits for their ends.
-func (s *soak) makeSteps(ctx context.Context) error {
+// runSteps runs each step of the plan at its time and waits until all have ended.
+func (s *soak) runSteps(ctx context.Context) error {
 	began := time.Now()
 	group, ctx := errgroup.WithContext(ctx)
 	for _, step := range append(Plan(s.options.Seed, s.options.Steps), planWorkers(s.options.Seed)...) {
@@ -206,31 +206,31 @@
 	return err
 }
 
-// note writes a line for people.
+// note writes a progress line.
 func (s *soak) note(line string) {
 	if s.options.Out != nil {
-		_, _ = fmt.Fprintln(s.options.Out, line) // who reads along may have gone
+		_, _ = fmt.Fprintln(s.options.Out, line) // progress lines are best effort
 	}
 }
 
-// judge looks for broken promises in the evidence.
+// judge adds the violations that the evidence shows.
 func (s *soak) judge(all bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.evidence.gather(s.fleet)
-	for _, one := range s.evidence.violations(all) {
-		s.found[one] = true
+	for _, violation := range s.evidence.violations(all) {
+		s.violations[violation] = true
 	}
 }
 
-// violate records a broken promise that no outcome shows.
+// violate adds a violation that no outcome shows.
 func (s *soak) violate(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.found[fmt.Sprintf(format, args...)] = true
+	s.violations[fmt.Sprintf(format, args...)] = true
 }
 
-// report returns what came of the run.
+// report returns the result of the run.
 func (s *soak) report() Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -240,14 +240,14 @@
 			report.Served++
 		}
 	}
-	for one := range s.found {
-		report.Violations = append(report.Violations, one)
+	for violation := range s.violations {
+		report.Violations = append(report.Violations, violation)
 	}
 	sort.Strings(report.Violations)
 	return report
 }
 
-// close ends everything that the run started.
+// close stops everything that the run started.
 func (s *soak) close() {
 	if s.fleet != nil {
 		s.fleet.Kill()
@@ -255,5 +255,5 @@
 	for _, relay := range s.links {
 		relay.Close()
 	}
-	_ = s.ports.Close() // a port that stays taken ends with this process
+	_ = s.ports.Close() // the end of this process releases a port that stays taken
 }
--- a/standin/soak/workers.go
+++ b/standin/soak/workers.go
@@ -9,19 +9,20 @@
 	"acaciawinch/standin/worker"
 )
 
-// Kinds of steps on what workers say in their answers. They are drawn apart from the others, so that
-// the plans of older seeds stay as they were.
+// Kinds of steps on what workers announce in their responses. They are drawn from a random source of
+// their own, so that the plans of older seeds do not change.
 const (
-	// LeaveWorker lets a worker's answers say that it leaves. Its entry says so later, or never.
+	// LeaveWorker makes the responses of a worker announce that it leaves. Its entry in the store announces
+	// that later, or never.
 	LeaveWorker Kind = "leave worker"
-	// PauseWorker lets a worker turn requests away with the time for which it wants none.
+	// PauseWorker makes a worker reject requests with a Retry-After.
 	PauseWorker Kind = "pause worker"
 )
 
-// workerSteps is how many such steps a run has.
+// workerSteps is how many of these steps a run has.
 const workerSteps = 5
 
-// planWorkers returns the steps of a seed on what workers say.
+// planWorkers returns the steps of a seed on what workers announce.
 func planWorkers(seed uint64) []Step {
 	random := rand.New(rand.NewPCG(seed, seed^0x2545f491))
 	var plan []Step
@@ -38,75 +39,76 @@
 
 // Timing of workers that end.
 const (
-	// leaveServes is how long a worker that leaves serves on: longer than gateways may send to it.
-	leaveServes = drainWithin + time.Second
-	// shortestDown and longestDown bound the time until a worker is back.
+	// serveAfterLeaving is how long a leaving worker continues to serve: longer than gateways may still
+	// send requests to it.
+	serveAfterLeaving = drainWithin + time.Second
+	// shortestDown and longestDown bound the time until a worker is started again.
 	shortestDown = time.Second
 	longestDown  = 2500 * time.Millisecond
-	// entryLapse is how long discovery keeps the entry of a worker that crashed.
-	entryLapse = 1200 * time.Millisecond
+	// entryExpiry is how long discovery keeps the entry of a crashed worker.
+	entryExpiry = 1200 * time.Millisecond
 )
 
-// longestPause bounds what a worker asks for.
-const longestPause = 3 * time.Second
+// longestBackoff is the longest Retry-After that a worker sends.
+const longestBackoff = 3 * time.Second
 
-// pauseWorker lets a worker turn requests away for a while.
-func (s *soak) pauseWorker(ctx context.Context, step Step) {
+// backOffWorker makes a worker reject requests with a Retry-After for the time of the step.
+func (s *soak) backOffWorker(ctx context.Context, step Step) {
 	at := s.worker(step.Target)
-	asks := longestPause / time.Duration(1+step.Choice%4)
-	at.Set(worker.Faults{Reject: 1 << 20, RetryAfter: asks})
+	retryAfter := longestBackoff / time.Duration(1+step.Choice%4)
+	at.SetFaults(worker.Faults{Reject: 1 << 20, RetryAfter: retryAfter})
 	sleep(ctx, step.For)
-	at.Set(worker.Faults{})
+	at.SetFaults(worker.Faults{})
 }
 
-// leaveWorker lets a worker leave and another start of it come back.
+// leaveWorker makes a worker leave and starts its next incarnation.
 func (s *soak) leaveWorker(ctx context.Context, step Step) {
 	at := s.worker(step.Target)
 	at.Leave()
 	if step.Choice%2 == 0 {
 		sleep(ctx, step.For)
-		s.enter(at, "draining")
+		s.register(at, "draining")
 	}
-	sleep(ctx, leaveServes)
-	if !s.endOnce(at.ID) {
-		return // it has crashed meanwhile, or left by another step
+	sleep(ctx, serveAfterLeaving)
+	if !s.markEnded(at.ID) {
+		return // it has crashed meanwhile, or another step made it leave
 	}
 	s.fleet.Store.Remove("servers", at.ID)
 	at.Close()
-	s.bringBack(ctx, at, step.Choice)
+	s.restartWorker(ctx, at, step.Choice)
 }
 
-// watchCrashes brings a worker back each time it crashes, until ctx ends.
-func (s *soak) watchCrashes(ctx context.Context, at entered) {
+// watchCrashes starts a worker again when it has crashed, unless ctx ends before.
+func (s *soak) watchCrashes(ctx context.Context, at registeredWorker) {
 	select {
 	case <-ctx.Done():
 		return
 	case <-at.Crashed():
 	}
-	if !s.endOnce(at.ID) {
+	if !s.markEnded(at.ID) {
 		return
 	}
 	s.note(at.ID + " has crashed")
-	sleep(ctx, entryLapse)
+	sleep(ctx, entryExpiry)
 	s.fleet.Store.Remove("servers", at.ID)
-	s.bringBack(ctx, at, len(at.Runs()))
+	s.restartWorker(ctx, at, len(at.Runs()))
 }
 
-// bringBack starts a worker anew under another id, at the address of the one that has ended. Choice
-// picks how long that takes.
-func (s *soak) bringBack(ctx context.Context, at entered, choice int) {
+// restartWorker starts the next incarnation of a worker that has ended, under another id at the same
+// address. Choice determines the time until then.
+func (s *soak) restartWorker(ctx context.Context, at registeredWorker, choice int) {
 	sleep(ctx, shortestDown+time.Duration(choice%8)*(longestDown-shortestDown)/8)
 	if ctx.Err() != nil {
 		return
 	}
-	again, err := worker.StartAt(at.Listens(), s.nextID(at.ID), at.Kind)
+	restarted, err := worker.StartAt(at.ListenAddress(), s.nextID(at.ID), at.Kind)
 	if err != nil {
 		s.violate("the stand-in %s could not start again: %v", at.ID, err)
 		return
 	}
-	again.Advertised, again.CallTime, again.WorkTime, again.CrashBody = at.Advertised, at.CallTime, at.WorkTime, at.CrashBody
-	next := entered{Worker: again, service: at.service}
-	s.fleet.Add(at.service, again)
+	restarted.Advertised, restarted.CallTime, restarted.WorkTime, restarted.CrashBody = at.Advertised, at.CallTime, at.WorkTime, at.CrashBody
+	next := registeredWorker{Worker: restarted, service: at.service}
+	s.fleet.Add(at.service, restarted)
 	s.mu.Lock()
 	for i := range s.workers {
 		if s.workers[i].ID == at.ID {
@@ -114,42 +116,42 @@
 		}
 	}
 	s.mu.Unlock()
-	s.enter(next, "ready")
-	s.revivals.Go(func() { s.watchCrashes(s.reviving, next) })
+	s.register(next, "ready")
+	s.crashWatches.Go(func() { s.watchCrashes(s.watchCtx, next) })
 }
 
-// endOnce notes the end of a start of a worker, and tells whether it is the first to do so.
-func (s *soak) endOnce(id string) bool {
+// markEnded marks an incarnation of a worker as ended and reports whether it was not marked before.
+func (s *soak) markEnded(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	first := !s.endedStarts[id]
-	s.endedStarts[id] = true
+	first := !s.endedIncarnations[id]
+	s.endedIncarnations[id] = true
 	return first
 }
 
-// nextID returns the id of the next start of a worker.
+// nextID returns the id of the next incarnation of a worker.
 func (s *soak) nextID(id string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.starts++
-	return fmt.Sprintf("%s+%d", id, s.starts)
+	s.restarts++
+	return fmt.Sprintf("%s+%d", id, s.restarts)
 }
 
-// worker returns the worker that a step means, as it runs now.
-func (s *soak) worker(target int) entered {
+// worker returns the current incarnation of the worker that a step targets.
+func (s *soak) worker(target int) registeredWorker {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.workers[target%len(s.workers)]
 }
 
-// enter writes the entry of a worker, unless that start has ended.
-func (s *soak) enter(at entered, state string) {
+// register writes the entry of a worker, unless that incarnation has ended.
+func (s *soak) register(at registeredWorker, state string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, w := range s.workers {
 		if w.ID == at.ID {
 			if _, crashed := at.CrashedBy(); !crashed {
-				s.fleet.Enter(at.service, at.Worker, state)
+				s.fleet.Register(at.service, at.Worker, state)
 			}
 		}
 	}
--- a/standin/worker/asks.go
+++ b/standin/worker/asks.go
@@ -6,48 +6,48 @@
 	"time"
 )
 
-// Refusal is a request that a worker turned away.
-type Refusal struct {
-	// ID is that of the request, empty for a stage call.
+// Rejection is a request or stage call that a worker rejected before it ran.
+type Rejection struct {
+	// ID is the id of the request; empty for a stage call.
 	ID string
 	At time.Time
-	// RetryAfter is for how long the worker asked for nothing more, 0 if it did not.
+	// RetryAfter is the backoff that the worker asked for; 0 for none.
 	RetryAfter time.Duration
 }
 
-// Leave makes each answer from now on say that the worker leaves. It serves on.
+// Leave makes the responses from now on announce that the worker leaves. The worker continues to serve.
 func (w *Worker) Leave() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.leaving = true
 }
 
-// Stay ends Leave.
-func (w *Worker) Stay() {
+// StopLeaving ends Leave.
+func (w *Worker) StopLeaving() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.leaving = false
 }
 
-// isLeaving tells whether answers say that the worker leaves.
+// isLeaving reports whether responses announce that the worker leaves.
 func (w *Worker) isLeaving() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.leaving
 }
 
-// Refusals returns what the worker has turned away so far.
-func (w *Worker) Refusals() []Refusal {
+// Rejections returns the rejections so far.
+func (w *Worker) Rejections() []Rejection {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]Refusal(nil), w.refused...)
+	return append([]Rejection(nil), w.rejections...)
 }
 
-// reject turns a request away.
+// reject rejects a request before it runs.
 func (w *Worker) reject(out http.ResponseWriter, id string) {
 	w.mu.Lock()
 	after := w.faults.RetryAfter
-	w.refused = append(w.refused, Refusal{ID: id, At: time.Now(), RetryAfter: after})
+	w.rejections = append(w.rejections, Rejection{ID: id, At: time.Now(), RetryAfter: after})
 	w.mu.Unlock()
 	out.Header().Set("X-Not-Executed", "1")
 	if after > 0 {
--- a/standin/worker/crash.go
+++ b/standin/worker/crash.go
@@ -5,10 +5,10 @@
 	"net/http"
 )
 
-// Crashed returns what is closed once the worker has crashed.
+// Crashed returns a channel that is closed when the worker has crashed.
 func (w *Worker) Crashed() <-chan struct{} { return w.crashed }
 
-// CrashedBy returns the request under which the worker crashed, and false if it has not.
+// CrashedBy returns the request that crashed the worker, and false if it has not crashed.
 func (w *Worker) CrashedBy() (Run, bool) {
 	select {
 	case <-w.crashed:
@@ -18,12 +18,12 @@
 	}
 }
 
-// crash ends the worker at once, with all that it runs.
-func (w *Worker) crash(under Run) {
+// crash stops the worker at once, with all requests in flight.
+func (w *Worker) crash(cause Run) {
 	w.mu.Lock()
 	first := w.crashedBy.ID == ""
 	if first {
-		w.crashedBy = under
+		w.crashedBy = cause
 	}
 	w.mu.Unlock()
 	w.Close()
@@ -33,25 +33,26 @@
 	panic(http.ErrAbortHandler)
 }
 
-// sendUnframed writes an answer that ends with its connection, and ends that.
+// sendUnframed writes the start of a response that ends with its connection, and closes the
+// connection.
 func (w *Worker) sendUnframed(out http.ResponseWriter, id string) {
 	conn, buffer, err := out.(http.Hijacker).Hijack()
 	if err != nil {
-		panic("worker: the connection can't be taken over: " + err.Error())
+		panic("worker: cannot hijack the connection: " + err.Error())
 	}
-	defer func() { _ = conn.Close() }()                                                                                     // the answer is on its way or its reader gone
-	_, _ = fmt.Fprintf(buffer, "HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Response-Stamp: stamp.%s\r\n\r\nanswer", id, w.ID) // Flush tells
-	_ = buffer.Flush()                                                                                                      // a caller that is gone needs no answer
+	defer func() { _ = conn.Close() }()                                                                                     // the response is sent or its reader has disconnected
+	_, _ = fmt.Fprintf(buffer, "HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Response-Stamp: stamp.%s\r\n\r\nanswer", id, w.ID) // Flush returns the error
+	_ = buffer.Flush()                                                                                                      // a caller that has disconnected needs no response
 }
 
-// sendForeign writes the whole answer of another request on the connection.
+// sendForeign writes the complete response of another request and closes the connection.
 func sendForeign(out http.ResponseWriter) {
 	conn, buffer, err := out.(http.Hijacker).Hijack()
 	if err != nil {
-		panic("worker: the connection can't be taken over: " + err.Error())
+		panic("worker: cannot hijack the connection: " + err.Error())
 	}
-	defer func() { _ = conn.Close() }()                                                                                          // the answer is on its way or its reader gone
-	_, _ = buffer.WriteString("HTTP/1.1 200 OK\r\nX-Attempt-Id: other\r\nX-Response-Stamp: x\r\nContent-Length: 5\r\n\r\nother") // Flush tells
-	_ = buffer.Flush()                                                                                                           // a caller that is gone needs no answer
+	defer func() { _ = conn.Close() }()                                                                                          // the response is sent or its reader has disconnected
+	_, _ = buffer.WriteString("HTTP/1.1 200 OK\r\nX-Attempt-Id: other\r\nX-Response-Stamp: x\r\nContent-Length: 5\r\n\r\nother") // Flush returns the error
+	_ = buffer.Flush()                                                                                                           // a caller that has disconnected needs no response
 	panic(http.ErrAbortHandler)
 }
--- a/standin/worker/stage.go
+++ b/standin/worker/stage.go
@@ -13,72 +13,72 @@
 	Items []Item `json:"items"`
 }
 
-// result is one item's end.
+// result is the result of one item: a handle, or the reason why there is none.
 type result struct {
 	Handle string `json:"handle,omitempty"`
 	Reason string `json:"reason,omitempty"`
 }
 
-// results is the answer to a stage call.
+// results is the response to a stage call.
 type results struct {
 	Items []result `json:"items"`
 }
 
-// runStage makes the items of a call.
+// runStage runs the items of a stage call.
 func (w *Worker) runStage(out http.ResponseWriter, body []byte) {
-	if w.strike(&w.faults.Reject) {
+	if w.consume(&w.faults.Reject) {
 		w.reject(out, "")
 		return
 	}
-	var asked batch
-	if err := json.Unmarshal(body, &asked); err != nil {
+	var call batch
+	if err := json.Unmarshal(body, &call); err != nil {
 		out.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	time.Sleep(w.CallTime)
-	var answer results
+	var response results
 	w.mu.Lock()
-	w.batches = append(w.batches, asked.Items)
-	for _, item := range asked.Items {
-		w.made++
-		handle := fmt.Sprintf("%s/%s.%d", w.Address(), w.ID, w.made) // another start never makes the same
+	w.batches = append(w.batches, call.Items)
+	for _, item := range call.Items {
+		w.madeCount++
+		handle := fmt.Sprintf("%s/%s.%d", w.Address(), w.ID, w.madeCount) // unique over all incarnations
 		w.kept[handle] = true
-		w.makes[handle] = item
-		answer.Items = append(answer.Items, result{Handle: handle})
+		w.madeFor[handle] = item
+		response.Items = append(response.Items, result{Handle: handle})
 	}
 	w.mu.Unlock()
-	for i := range answer.Items {
+	for i := range response.Items {
 		switch {
-		case w.strike(&w.faults.NoRoom):
-			answer.Items[i] = w.undo(answer.Items[i], "room")
-		case w.strike(&w.faults.Gone):
-			answer.Items[i] = w.undo(answer.Items[i], "gone")
+		case w.consume(&w.faults.NoRoom):
+			response.Items[i] = w.discard(response.Items[i], "room")
+		case w.consume(&w.faults.Gone):
+			response.Items[i] = w.discard(response.Items[i], "gone")
 		}
 	}
 	out.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(out).Encode(answer) // a caller that is gone needs no answer
+	_ = json.NewEncoder(out).Encode(response) // a caller that has disconnected needs no response
 }
 
-// undo takes a result back for a reason.
-func (w *Worker) undo(made result, reason string) result {
+// discard frees a result and returns one with a reason in its place.
+func (w *Worker) discard(made result, reason string) result {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.kept, made.Handle)
 	return result{Reason: reason}
 }
 
-// free drops results.
+// free handles a call that frees results.
 func (w *Worker) free(out http.ResponseWriter, body []byte) {
-	var asked struct {
+	var call struct {
 		Handles []string `json:"handles"`
 	}
-	if err := json.Unmarshal(body, &asked); err != nil {
+	if err := json.Unmarshal(body, &call); err != nil {
 		out.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, handle := range asked.Handles {
+	for _, handle := range call.Handles {
 		delete(w.kept, strings.TrimSpace(handle))
 	}
 }
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -1,6 +1,6 @@
-// Package worker holds stand-ins of the platform's workers: plain services, stage
-// pools and model engines, over the published protocol. They record what reaches them
-// and misbehave as tests ask.
+// Package worker has stand-ins of the platform's workers: plain services, workers of stage
+// pools and model engines, which use the published protocol. They record the requests that
+// reach them and inject the faults that tests set.
 package worker
 
 import (
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Kind is what a worker does.
+// Kind is the kind of a worker.
 type Kind int
 
 // The kinds of workers.
@@ -24,32 +24,32 @@
 	Engine
 )
 
-// Faults are what goes wrong with a worker's next requests. Each count falls by one
-// with each request that it strikes.
+// Faults are the faults of the next requests of a worker. Each field but RetryAfter counts the
+// requests or items that the fault still strikes.
 type Faults struct {
-	// Reject answers 503 without running, with RetryAfter as its Retry-After if that is set.
+	// Reject responds with 503 without running the request, with RetryAfter as Retry-After if set.
 	Reject     int
 	RetryAfter time.Duration
-	// Fail runs and answers 500.
+	// Fail runs the request and responds with 500.
 	Fail int
-	// Cut runs and ends the connection: a stream after its first event, other answers
-	// before their head.
+	// Cut runs the request and closes the connection: for a stream after its first event, for other
+	// responses before the header.
 	Cut int
-	// Foreign sends the answer of another request before its own.
+	// Foreign sends the response of another request instead of its own.
 	Foreign int
-	// Unsigned leaves the signature out.
+	// Unsigned omits the signature.
 	Unsigned int
-	// NoRoom and Gone are the reasons of stage items.
+	// NoRoom and Gone fail stage items with the reasons "room" and "gone".
 	NoRoom, Gone int
 }
 
-// Run is one request that a worker began to work on.
+// Run is a request that a worker started to run.
 type Run struct {
 	ID, Method, Target, Body string
 	Header                   http.Header
-	// At is when it began.
+	// At is when the run started.
 	At time.Time
-	// Leaving is set if the worker's answer says that it leaves.
+	// Leaving is set if the response announces that the worker leaves.
 	Leaving bool
 }
 
@@ -57,41 +57,41 @@
 type Worker struct {
 	ID   string
 	Kind Kind
-	// Events is how many events a stream has.
+	// Events is the number of events of a stream.
 	Events int
-	// CallTime is what a stage call takes, WorkTime what other requests take before their
-	// answer begins.
+	// CallTime is how long a stage call takes, WorkTime how long other requests take until their
+	// response starts.
 	CallTime, WorkTime time.Duration
-	// CrashBody is the body of requests under which the worker crashes as soon as it runs them;
-	// empty for none. With CrashUnframed it has sent a head without a length and a part of the body
-	// by then, so that the answer looks whole. Both are set before the worker is used.
+	// CrashBody is the body of requests that crash the worker as soon as it runs them; empty for none.
+	// With CrashUnframed the worker first sends a header without a length and a part of the body, so that
+	// the response looks complete. Both are set before the worker is used.
 	CrashBody     string
 	CrashUnframed bool
-	// Advertised is the IP:port that callers know if something stands before the worker;
-	// empty if nothing does. It is set before the worker is used.
+	// Advertised is the IP:port that callers use if a proxy stands in front of the worker; empty for
+	// none. It is set before the worker is used.
 	Advertised string
 
 	listener net.Listener
 	server   *http.Server
 
-	mu      sync.Mutex
-	faults  Faults
-	leaving bool
-	runs    []Run
-	refused []Refusal
-	batches [][]Item
-	kept    map[string]bool
-	// makes holds what each result was made for, by its handle.
-	makes map[string]Item
-	made  int
-	hold  chan struct{}
-	left  int
-	// crashed is closed once the worker has crashed, under request crashedBy.
+	mu         sync.Mutex
+	faults     Faults
+	leaving    bool
+	runs       []Run
+	rejections []Rejection
+	batches    [][]Item
+	kept       map[string]bool
+	// madeFor holds the item that each result was made for, by its handle.
+	madeFor   map[string]Item
+	madeCount int
+	hold      chan struct{}
+	abandoned int
+	// crashed is closed when the worker has crashed; crashedBy is the request that crashed it.
 	crashed   chan struct{}
 	crashedBy Run
 }
 
-// Item is one piece that a stage worker was asked for.
+// Item is one item of a stage call.
 type Item struct {
 	ID     string   `json:"id"`
 	Stage  int      `json:"stage"`
@@ -105,7 +105,7 @@
 	return StartAt("127.0.0.1:0", id, kind)
 }
 
-// StartAt starts a worker on an address, as one that comes back after a crash does.
+// StartAt starts a worker on an address, such as that of a worker that has crashed.
 func StartAt(address, id string, kind Kind) (*Worker, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -114,36 +114,36 @@
 	return StartOn(listener, id, kind), nil
 }
 
-// StartOn starts a worker that takes the connections of a listener, which it closes in the end.
+// StartOn starts a worker on a listener. Close closes the listener.
 func StartOn(listener net.Listener, id string, kind Kind) *Worker {
-	w := &Worker{ID: id, Kind: kind, Events: 5, listener: listener, kept: make(map[string]bool), makes: make(map[string]Item), crashed: make(chan struct{})}
+	w := &Worker{ID: id, Kind: kind, Events: 5, listener: listener, kept: make(map[string]bool), madeFor: make(map[string]Item), crashed: make(chan struct{})}
 	w.server = &http.Server{Handler: w}
-	go func() { _ = w.server.Serve(listener) }() // it ends with Close
+	go func() { _ = w.server.Serve(listener) }() // it returns when Close closes the server
 	return w
 }
 
-// Address returns the IP:port at which callers find the worker.
+// Address returns the IP:port at which callers reach the worker.
 func (w *Worker) Address() string {
 	if w.Advertised != "" {
 		return w.Advertised
 	}
-	return w.Listens()
+	return w.ListenAddress()
 }
 
-// Listens returns the IP:port at which the worker itself listens.
-func (w *Worker) Listens() string { return w.listener.Addr().String() }
+// ListenAddress returns the IP:port on which the worker listens.
+func (w *Worker) ListenAddress() string { return w.listener.Addr().String() }
 
-// Close ends the worker at once.
+// Close stops the worker at once.
 func (w *Worker) Close() { _ = w.server.Close() }
 
-// Set replaces the faults.
-func (w *Worker) Set(faults Faults) {
+// SetFaults replaces the faults.
+func (w *Worker) SetFaults(faults Faults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.faults = faults
 }
 
-// Hold keeps the answers of requests back until the returned function is called.
+// Hold delays the responses to requests until the returned function is called.
 func (w *Worker) Hold() (release func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -157,43 +157,43 @@
 	}
 }
 
-// Runs returns what the worker has run so far.
+// Runs returns the runs so far.
 func (w *Worker) Runs() []Run {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]Run(nil), w.runs...)
 }
 
-// Batches returns the stage calls so far.
+// Batches returns the items of each stage call so far.
 func (w *Worker) Batches() [][]Item {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([][]Item(nil), w.batches...)
 }
 
-// Made returns what each result so far was made for, by its handle.
+// Made returns the item that each result so far was made for, by its handle.
 func (w *Worker) Made() map[string]Item {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return maps.Clone(w.makes)
+	return maps.Clone(w.madeFor)
 }
 
-// Kept returns how many results lie at the worker.
+// Kept returns how many results the worker stores.
 func (w *Worker) Kept() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.kept)
 }
 
-// Left returns how many clients went before their answer.
-func (w *Worker) Left() int {
+// Abandoned returns how many callers disconnected before their response.
+func (w *Worker) Abandoned() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.left
+	return w.abandoned
 }
 
-// strike takes one of a fault's count.
-func (w *Worker) strike(count *int) bool {
+// consume decrements the count of a fault and reports whether the fault strikes.
+func (w *Worker) consume(count *int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if *count == 0 {
@@ -226,10 +226,10 @@
 	}
 }
 
-// run runs one request of a client.
+// run runs a request of a client.
 func (w *Worker) run(out http.ResponseWriter, r *http.Request, body string) {
 	id := r.Header.Get("X-Attempt-Id")
-	if w.strike(&w.faults.Reject) {
+	if w.consume(&w.faults.Reject) {
 		w.reject(out, id)
 		return
 	}
@@ -250,36 +250,36 @@
 		case <-hold:
 		case <-r.Context().Done():
 			w.mu.Lock()
-			w.left++
+			w.abandoned++
 			w.mu.Unlock()
 			return
 		}
 	}
 	time.Sleep(w.WorkTime)
-	if w.strike(&w.faults.Foreign) {
+	if w.consume(&w.faults.Foreign) {
 		sendForeign(out)
 	}
 	out.Header().Set("X-Attempt-Id", id)
 	out.Header().Set("X-Instance-Load", "1,0,8")
-	if !w.strike(&w.faults.Unsigned) {
+	if !w.consume(&w.faults.Unsigned) {
 		out.Header().Set("X-Response-Stamp", "stamp."+w.ID)
 	}
-	if w.strike(&w.faults.Fail) {
+	if w.consume(&w.faults.Fail) {
 		out.WriteHeader(http.StatusInternalServerError)
-		_, _ = io.WriteString(out, "failed") // a caller that is gone needs no answer
+		_, _ = io.WriteString(out, "failed") // a caller that has disconnected needs no response
 		return
 	}
 	if w.Kind == Engine {
 		w.stream(out, r)
 		return
 	}
-	if w.strike(&w.faults.Cut) {
+	if w.consume(&w.faults.Cut) {
 		panic(http.ErrAbortHandler)
 	}
-	_, _ = io.WriteString(out, "answer of "+id) // a caller that is gone needs no answer
+	_, _ = io.WriteString(out, "answer of "+id) // a caller that has disconnected needs no response
 }
 
-// stream sends events from the one after Last-Event-Id on.
+// stream sends the events after Last-Event-Id.
 func (w *Worker) stream(out http.ResponseWriter, r *http.Request) {
 	first := 0
 	if text := r.Header.Get("Last-Event-Id"); text != "" {
@@ -291,14 +291,14 @@
 		first = n
 	}
 	out.Header().Set("Content-Type", "text/event-stream")
-	cut := w.strike(&w.faults.Cut)
+	cut := w.consume(&w.faults.Cut)
 	for number := first + 1; number <= w.Events; number++ {
 		if cut && number > first+1 {
-			_, _ = io.WriteString(out, "id: ")          // a part of an event, before the cut
-			_ = http.NewResponseController(out).Flush() // a caller that is gone needs no part
+			_, _ = io.WriteString(out, "id: ")          // a part of an event before the connection is closed
+			_ = http.NewResponseController(out).Flush() // a caller that has disconnected needs no event
 			panic(http.ErrAbortHandler)
 		}
-		_, _ = fmt.Fprintf(out, "id: %d\ndata: %s %d\n\n", number, r.Header.Get("X-Attempt-Id"), number) // as above
-		_ = http.NewResponseController(out).Flush()                                                      // a caller that is gone is seen by the server
+		_, _ = fmt.Fprintf(out, "id: %d\ndata: %s %d\n\n", number, r.Header.Get("X-Attempt-Id"), number) // a caller that has disconnected needs no event
+		_ = http.NewResponseController(out).Flush()                                                      // the server notices a caller that has disconnected
 	}
 }
