--- a/standin/metastore/store.go
+++ b/standin/metastore/store.go
@@ -64,7 +64,7 @@
 	return &Store{revision: 1, objects: make(map[string]map[string]Object), changed: make(chan struct{})}
 }
 
-// SetFaults replaces the faults and ends the waiting watches.
+// SetFaults replaces the faults and wakes the waiting watches, which end if calls fail now.
 func (s *Store) SetFaults(faults Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/soak/judge_workers.go
+++ b/standin/soak/judge_workers.go
@@ -132,20 +132,20 @@
 // judgeLeaving finds requests that reached a worker later than drainWithin after a response had told
 // their gateway that the worker leaves.
 func (e *evidence) judgeLeaving(w workerEvidence, outcomes map[string]Outcome) []string {
-	told := make(map[int]time.Time)
+	announced := make(map[int]time.Time)
 	for _, run := range w.runs {
 		o, has := outcomes[run.ID]
 		if !has || !run.Leaving || !o.Whole || !o.Signed {
 			continue
 		}
-		if at, known := told[o.Gateway]; !known || o.Ended.Before(at) {
-			told[o.Gateway] = o.Ended
+		if at, known := announced[o.Gateway]; !known || o.Ended.Before(at) {
+			announced[o.Gateway] = o.Ended
 		}
 	}
 	var found []string
 	for _, run := range w.runs {
 		o, has := outcomes[run.ID]
-		at, known := told[o.Gateway]
+		at, known := announced[o.Gateway]
 		if has && known && o.Sent.After(at.Add(drainWithin)) && !e.disrupted(o.Gateway, at, run.At, true) {
 			found = append(found, fmt.Sprintf("%s reached %s through gateway %d, %v after an answer had told it that the worker leaves",
 				run.ID, w.id, o.Gateway+1, o.Sent.Sub(at).Round(time.Millisecond)))
@@ -158,15 +158,15 @@
 // requests from it.
 func (e *evidence) judgeBackoffs(w workerEvidence, outcomes map[string]Outcome) []string {
 	var found []string
-	told := make(map[int]bool)
+	reported := make(map[int]bool)
 	for _, rejection := range w.rejections {
 		o, has := outcomes[rejection.ID]
 		from, to := rejection.At.Add(backoffSlack), rejection.At.Add(rejection.RetryAfter)
-		if !has || told[o.Gateway] || !from.Before(to) || e.disrupted(o.Gateway, rejection.At, to, false) {
+		if !has || reported[o.Gateway] || !from.Before(to) || e.disrupted(o.Gateway, rejection.At, to, false) {
 			continue
 		}
 		if count := w.arrivedFrom(o.Gateway, from, to, outcomes); count > maxInBackoff {
-			told[o.Gateway] = true
+			reported[o.Gateway] = true
 			found = append(found, fmt.Sprintf("%s got %d requests through gateway %d in the pause of %v that it had asked for with %s",
 				w.id, count, o.Gateway+1, rejection.RetryAfter, rejection.ID))
 		}
