--- a/core/quarantine/bench_test.go
+++ b/core/quarantine/bench_test.go
@@ -23,9 +23,9 @@
 	return s, records
 }
 
-// BenchmarkTakingARecord measures one update of a record. When a zone is lost, all gateways write
+// BenchmarkReplaceRecord measures one update of a record. When a zone is lost, all gateways write
 // at nearly the same time, and each receives the records of all.
-func BenchmarkTakingARecord(b *testing.B) {
+func BenchmarkReplaceRecord(b *testing.B) {
 	for _, size := range []struct{ gateways, crashes int }{{5, 16}, {340, 14}, {340, 100}, {340, maxCrashes}} {
 		b.Run(fmt.Sprintf("%dgateways/%dcrashes", size.gateways, size.crashes), func(b *testing.B) {
 			state, records := stateWithRecords(size.gateways, size.crashes)
--- a/core/quarantine/merge.go
+++ b/core/quarantine/merge.go
@@ -7,10 +7,10 @@
 	"acaciawinch/core/fingerprint"
 )
 
-// merged is the union of the records of all gateways. It is updated incrementally: when a zone is
-// lost, each gateway writes its record and receives those of all others, and merging everything
-// anew for each of them would cost too much.
-type merged struct {
+// mergedRecords is the union of the records of all gateways. It is updated incrementally: when a
+// zone is lost, each gateway writes its record and receives those of all others, and merging
+// everything anew for each of them would cost too much.
+type mergedRecords struct {
 	entries map[Crash]*entry
 	// byRequest and byUpstream hold the active crashes by request and by upstream incarnation.
 	byRequest  map[fingerprint.Fingerprint][]Crash
@@ -25,15 +25,16 @@
 	// reports or suspects it, and clearedBy counts all gateways that have cleared it.
 	peerReports, ownReports, clearedBy int
 	// learned is when the crash became known to this gateway.
-	learned  time.Duration
+	learned time.Duration
+	// reported is set while any gateway, this one included, reports the crash.
 	reported bool
 	// active is set while the crash is in byRequest and byUpstream.
 	active bool
 }
 
-// newMerged returns the union of no records.
-func newMerged() merged {
-	return merged{
+// newMergedRecords returns the union of no records.
+func newMergedRecords() mergedRecords {
+	return mergedRecords{
 		entries:    make(map[Crash]*entry),
 		byRequest:  make(map[fingerprint.Fingerprint][]Crash),
 		byUpstream: make(map[string][]Crash),
@@ -42,7 +43,7 @@
 }
 
 // entryFor returns the entry of a crash, which it creates if needed.
-func (m *merged) entryFor(crash Crash) *entry {
+func (m *mergedRecords) entryFor(crash Crash) *entry {
 	e := m.entries[crash]
 	if e == nil {
 		e = &entry{}
@@ -51,13 +52,16 @@
 	return e
 }
 
-// countReport adds delta to this gateway's reports of a crash, countCleared to the gateways that
-// have cleared it. The caller must call reevaluate for the crash afterwards.
-func (m *merged) countReport(crash Crash, delta int)  { m.entryFor(crash).ownReports += delta }
-func (m *merged) countCleared(crash Crash, delta int) { m.entryFor(crash).clearedBy += delta }
+// countOwnReport adds delta to this gateway's reports of a crash. The caller must call reevaluate
+// for the crash afterwards.
+func (m *mergedRecords) countOwnReport(crash Crash, delta int) { m.entryFor(crash).ownReports += delta }
+
+// countCleared adds delta to the number of gateways that have cleared a crash. The caller must call
+// reevaluate for the crash afterwards.
+func (m *mergedRecords) countCleared(crash Crash, delta int) { m.entryFor(crash).clearedBy += delta }
 
 // learnedAt returns when a crash became known to this gateway.
-func (m *merged) learnedAt(crash Crash) time.Duration {
+func (m *mergedRecords) learnedAt(crash Crash) time.Duration {
 	if e := m.entries[crash]; e != nil {
 		return e.learned
 	}
@@ -65,8 +69,8 @@
 }
 
 // countRecord adds another gateway's record (delta 1) or removes it (delta -1). The caller must
-// call reevaluate for its crashes afterwards.
-func (m *merged) countRecord(record Record, delta int) {
+// call reevaluate for the record's crashes afterwards.
+func (m *mergedRecords) countRecord(record Record, delta int) {
 	for _, crash := range record.Crashes {
 		m.entryFor(crash).peerReports += delta
 	}
@@ -81,8 +85,8 @@
 	}
 }
 
-// reevaluate decides whether a crash is active: reported, cleared by no gateway and not expired.
-func (m *merged) reevaluate(crash Crash, now time.Duration) {
+// reevaluate updates whether a crash is active: reported, cleared by no gateway and not expired.
+func (m *mergedRecords) reevaluate(crash Crash, now time.Duration) {
 	e := m.entryFor(crash)
 	reported := e.peerReports+e.ownReports > 0
 	if reported && !e.reported {
@@ -114,7 +118,7 @@
 	lists[key] = remaining
 }
 
-// replacePeerRecord replaces the record of another gateway by its newest one.
+// replacePeerRecord replaces the record of another gateway with its newest one.
 func (s *State) replacePeerRecord(gateway string, record Record, now time.Duration) {
 	s.reevaluateRecord(s.swapRecord(gateway, record), now)
 }
@@ -141,7 +145,7 @@
 	}
 }
 
-// reevaluate updates crashes whose reports have changed, and the own record with them.
+// reevaluate updates crashes whose reports have changed, and this gateway's record with them.
 func (s *State) reevaluate(now time.Duration, crashes ...Crash) {
 	for _, crash := range crashes {
 		s.merged.reevaluate(crash, now)
@@ -170,10 +174,10 @@
 	}
 }
 
-// prune drops from the own record the crashes that were cleared or have expired, and the cleared
-// marks of crashes that no other gateway reports any more. The order matters: the gateway that
-// reported a crash drops it first and the gateway that cleared it drops its mark afterwards, so
-// that no gateway counts a cleared crash.
+// prune drops from this gateway's record the crashes that were cleared or have expired, and from
+// its cleared crashes those that no other gateway reports any more. The order matters: a gateway
+// that reported a crash drops the report first, and a gateway that cleared the crash drops it from
+// its cleared crashes afterwards, so that no gateway counts a cleared crash.
 func (s *State) prune(now time.Duration) {
 	before := len(s.own.Crashes) + len(s.own.Cleared)
 	var dropped []Crash
--- a/core/quarantine/model_test.go
+++ b/core/quarantine/model_test.go
@@ -310,7 +310,7 @@
 func (g *gateway) claimTrial(request fingerprint.Fingerprint, number int) bool {
 	name := fmt.Sprint(request, number)
 	claim, claimed := g.trials[name]
-	if claimed && g.state.IsPast(request, claim.Trial) {
+	if claimed && g.state.IsStale(request, claim.Trial) {
 		delete(g.unacknowledged, name)
 		claimed = false
 	}
--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -19,8 +19,9 @@
 // its trials sooner and gets more of them, since upstreams that crash together break off such
 // requests at several upstreams.
 //
-// A proven request is one that a gateway has seen complete before. An incarnation is one run of an
-// upstream or gateway. Trials are single sends of a refused request.
+// A crash under a request is the end of an upstream while it ran the request. A proven request is
+// one that a gateway has seen complete before. An incarnation is one run of an upstream or gateway.
+// Trials are single sends of a refused request.
 //
 // The package does no I/O and reads no wall clock: times count from the start of the machine. It is
 // not safe for concurrent use.
@@ -83,12 +84,13 @@
 	// unconfirmed holds crashes of upstreams that may still be running.
 	unconfirmed map[Crash]bool
 	// merged combines own, records and unconfirmed.
-	merged merged
+	merged mergedRecords
 	// completed holds the requests that completed here.
 	completed boundedSet
 	// trials holds the newest known trial of each request.
 	trials map[fingerprint.Fingerprint]Trial
-	// due is when the own record must be written, notDue if it need not be.
+	// due is when this gateway's record must be written; it is notDue, below 0, if the record need
+	// not be written.
 	due time.Duration
 }
 
@@ -98,7 +100,7 @@
 		self:        self,
 		records:     make(map[string]Record),
 		unconfirmed: make(map[Crash]bool),
-		merged:      newMerged(),
+		merged:      newMergedRecords(),
 		completed:   newBoundedSet(maxCompleted),
 		trials:      make(map[fingerprint.Fingerprint]Trial),
 		due:         notDue,
@@ -111,8 +113,9 @@
 	Crashes int
 	// Refused is set if the request must not be sent, except as a trial.
 	Refused bool
-	// Unsure is set if the request is refused only because of crashes that are not confirmed yet.
-	Unsure bool
+	// Unconfirmed is set if the request is refused only because of crashes that are not confirmed
+	// yet.
+	Unconfirmed bool
 	// Trial is the number of the trial that may be made now, counted from 1; 0 if none may be made.
 	Trial int
 	// RetryAfter is how long the client of a refused request should wait.
@@ -126,7 +129,7 @@
 	if !verdict.Refused {
 		return verdict
 	}
-	verdict.Unsure = len(crashes)-s.countUnconfirmed(crashes) < crashLimit
+	verdict.Unconfirmed = len(crashes)-s.countUnconfirmed(crashes) < crashLimit
 	due, available := s.trialDue(request)
 	if !available {
 		verdict.RetryAfter = noTrialRetryAfter
@@ -182,7 +185,7 @@
 		return
 	}
 	s.unconfirmed[crash] = true
-	s.merged.countReport(crash, 1)
+	s.merged.countOwnReport(crash, 1)
 	s.reevaluate(now, crash)
 }
 
@@ -197,7 +200,7 @@
 	for len(s.own.Crashes) > maxCrashes {
 		oldest := s.own.Crashes[0]
 		s.own.Crashes = slices.Delete(s.own.Crashes, 0, 1)
-		s.merged.countReport(oldest, -1)
+		s.merged.countOwnReport(oldest, -1)
 		affected = append(affected, oldest)
 	}
 	s.reevaluate(now, affected...)
@@ -214,7 +217,7 @@
 func (s *State) dropSuspicion(crash Crash) {
 	if s.unconfirmed[crash] {
 		delete(s.unconfirmed, crash)
-		s.merged.countReport(crash, -1)
+		s.merged.countOwnReport(crash, -1)
 	}
 }
 
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -65,7 +65,7 @@
 	s.TakeOwnRecord()
 	s.Suspect(crashOf("a", "u2"), 0)
 	assert.Assert(t, s.Judge(req("a"), 0).Refused)
-	assert.Assert(t, s.Judge(req("a"), 0).Unsure)
+	assert.Assert(t, s.Judge(req("a"), 0).Unconfirmed)
 	assert.Equal(t, len(s.TakeOwnRecord().Crashes), 1)
 	s.Dismiss(crashOf("a", "u2"), 0)
 	assert.Assert(t, !s.Judge(req("a"), 0).Refused)
@@ -73,7 +73,7 @@
 	assert.Equal(t, len(s.TakeOwnRecord().Crashes), 1, "the crash was dismissed")
 }
 
-func TestAnUpstreamThatAnswersAgainHasNotCrashed(t *testing.T) {
+func TestAnUpstreamThatRespondsAgainHasNotCrashed(t *testing.T) {
 	s := stateWithCrashes(crashOf("a", "u1"), crashOf("a", "u2"), crashOf("b", "u2"))
 	s.ReplaceRecord("g2", Record{Crashes: []Crash{crashOf("a", "u2")}}, 0)
 	assert.Assert(t, !s.Responded("u2", 0, 1), "the request may have been sent before the crash")
@@ -190,14 +190,14 @@
 	assert.Equal(t, len(s.RecentlyCrashed(req("b"), 0)), 0)
 }
 
-func TestATrialForCrashesThatWereClearedIsPast(t *testing.T) {
+func TestATrialForCrashesThatWereClearedIsStale(t *testing.T) {
 	s, _ := refusedAndProven(t, 0, "u1", "u2")
 	trial := s.NextTrial(req("a"), 1)
-	assert.Assert(t, !s.IsPast(req("a"), trial))
+	assert.Assert(t, !s.IsStale(req("a"), trial))
 	s.Completed(req("a"), 0)
 	recordCrash(s, crashOf("a", "u3"), 0)
 	recordCrash(s, crashOf("a", "u4"), 0)
-	assert.Assert(t, s.IsPast(req("a"), trial))
+	assert.Assert(t, s.IsStale(req("a"), trial))
 }
 
 func TestProvenRequestsAreWithdrawnOnceCleared(t *testing.T) {
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -13,7 +13,7 @@
 // notDue is the due time of a record that need not be written.
 const notDue = -1
 
-// Reset replaces the records of all gateways by the given ones.
+// Reset replaces the records of all gateways with the given ones.
 func (s *State) Reset(records map[string]Record, now time.Duration) {
 	own, found := records[s.self]
 	var affected []Record
@@ -54,15 +54,15 @@
 	}
 }
 
-// Adopt merges a record of this gateway that this incarnation did not write into the own one, and
-// schedules a write if the two differ.
+// Adopt merges a stored record of this gateway that this incarnation did not write into the current
+// one, and schedules a write if the result differs from the stored record.
 func (s *State) Adopt(record Record, now time.Duration) {
 	s.adopted = true
 	for _, crash := range record.Crashes {
 		s.dropSuspicion(crash)
 		if !slices.Contains(s.own.Crashes, crash) {
 			s.own.Crashes = append(s.own.Crashes, crash)
-			s.merged.countReport(crash, 1)
+			s.merged.countOwnReport(crash, 1)
 		}
 	}
 	for _, crash := range record.Cleared {
@@ -91,12 +91,12 @@
 	delete(s.records, gateway)
 }
 
-// dropOwn drops the own record.
+// dropOwn drops this gateway's record.
 func (s *State) dropOwn(now time.Duration) {
 	own := s.own
 	s.own = Record{}
 	for _, crash := range own.Crashes {
-		s.merged.countReport(crash, -1)
+		s.merged.countOwnReport(crash, -1)
 	}
 	for _, crash := range own.Cleared {
 		s.merged.countCleared(crash, -1)
@@ -109,22 +109,23 @@
 	s.reevaluate(now, slices.Collect(maps.Keys(s.merged.entries))...)
 }
 
-// Due returns when the own record must be written, and false if it need not be: nothing has
+// Due returns when this gateway's record must be written, and false if it need not be: nothing has
 // changed, or the record of an earlier incarnation, which the write would overwrite, is not known
 // yet.
 func (s *State) Due() (time.Duration, bool) { return s.due, s.adopted && s.due != notDue }
 
-// TakeOwnRecord returns the record to be written and marks it as written. Later changes make it due
-// again.
+// TakeOwnRecord returns this gateway's record for a write and marks it as written. Later changes
+// make the record due again.
 func (s *State) TakeOwnRecord() Record {
 	s.due = notDue
 	return Record{Crashes: slices.Clone(s.own.Crashes), Cleared: slices.Clone(s.own.Cleared), Proven: slices.Clone(s.own.Proven)}
 }
 
-// WriteFailed records that the write of the own record failed and is to be retried at a time.
+// WriteFailed records that the write of this gateway's record failed and is to be retried at a
+// time.
 func (s *State) WriteFailed(retryAt time.Duration) { s.scheduleWrite(retryAt) }
 
-// scheduleWrite makes the own record due at a time, unless it is due sooner.
+// scheduleWrite makes this gateway's record due at a time, unless it is due sooner.
 func (s *State) scheduleWrite(at time.Duration) {
 	if s.due == notDue || at < s.due {
 		s.due = at
--- a/core/quarantine/trial.go
+++ b/core/quarantine/trial.go
@@ -18,11 +18,13 @@
 	// crashedTrialDelay is the time from a trial that crashed an upstream to the next one. By then
 	// gateways that were disconnected from the store have published their crashes.
 	crashedTrialDelay = 20 * time.Second
-	// lostTrialDelay is the time from a trial without a known result to the next one: its gateway
-	// may have ended, or an upstream may have rejected it. A crash would be known by then.
+	// lostTrialDelay is the time from a trial without a known result to the next one: the gateway
+	// that made the trial may have ended, or an upstream may have rejected the trial. If the trial
+	// had crashed an upstream, the crash would be known by then.
 	lostTrialDelay = 6 * time.Second
-	// maxTrials bounds the trials of a request that is not proven. The gateways that saw it crash
-	// may be disconnected, so that it crashes two more upstreams before the others refuse it.
+	// maxTrials bounds the trials of a request that is not proven. The gateways that saw upstreams
+	// crash under the request may be disconnected, so that it crashes two more upstreams before the
+	// other gateways refuse it.
 	maxTrials = 1
 	// maxProvenTrials bounds the trials of a proven request, except that a trial that crashed no
 	// upstream is always followed by another. A request with more than maxSecondTrialCrashes
@@ -40,13 +42,13 @@
 
 // Trial is one send of a refused request.
 type Trial struct {
-	// Number counts the trials of a request from 1.
+	// Number is the trial's number among those of its request, counted from 1.
 	Number int
 	// Upstreams are the upstream incarnations that had crashed under the request before the trial.
 	Upstreams []string
 	// learned is when the trial became known to this gateway.
 	learned time.Duration
-	// retried is set once a trial that an upstream rejected was given back for another send.
+	// retried is set once a trial was returned for another send after an upstream had rejected it.
 	retried bool
 }
 
@@ -88,9 +90,9 @@
 	return trial
 }
 
-// IsPast reports whether all crashes that a trial was made for have been cleared since. Such a
+// IsStale reports whether all crashes that a trial was made for have been cleared since. Such a
 // trial does not count for a request that is refused because of later crashes.
-func (s *State) IsPast(request fingerprint.Fingerprint, trial Trial) bool {
+func (s *State) IsStale(request fingerprint.Fingerprint, trial Trial) bool {
 	if len(trial.Upstreams) == 0 {
 		return false // made by a gateway that does not list upstreams
 	}
@@ -107,8 +109,9 @@
 }
 
 // TrialReturned records that a trial of a request did not run, and reports whether it may be made
-// again. If reached is set, an upstream rejected it; that is retried once, for a proven request
-// without further crashes, since the number of sends to upstreams is bounded too.
+// again. If reached is set, an upstream rejected the trial. A rejected trial is made again once,
+// and only for a proven request without further crashes, since the number of sends to upstreams is
+// bounded too.
 func (s *State) TrialReturned(request fingerprint.Fingerprint, number int, reached bool) bool {
 	trial, known := s.trials[request]
 	if !known || trial.Number != number {
--- a/gateway/quarantine/guard.go
+++ b/gateway/quarantine/guard.go
@@ -174,7 +174,7 @@
 		resolved := g.resolved
 		verdict := g.state.Judge(request, clock.Boot())
 		g.mu.Unlock()
-		if !verdict.Unsure {
+		if !verdict.Unconfirmed {
 			return verdict
 		}
 		select {
--- a/gateway/quarantine/trial.go
+++ b/gateway/quarantine/trial.go
@@ -104,7 +104,7 @@
 func (g *Guard) isStale(request fingerprint.Fingerprint, number int, trial trialSpec) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	stale := g.state.IsPast(request, core.Trial{Number: number, Upstreams: trial.Upstreams})
+	stale := g.state.IsStale(request, core.Trial{Number: number, Upstreams: trial.Upstreams})
 	if stale {
 		delete(g.takenTrials, trialName(request, number))
 	}
