--- a/core/source/fleet_test.go
+++ b/core/source/fleet_test.go
@@ -238,15 +238,15 @@
 	assert.Equal(t, len(large.readers()), 22)
 }
 
-func TestTheWidestLinkReads(t *testing.T) {
+func TestTheMembersWithTheFastestLinksRead(t *testing.T) {
 	f := newFleet(2, 10)
-	wide := f.nodes[7]
-	wide.LinkMbps = 200
+	fastest := f.nodes[7]
+	fastest.LinkMbps = 200
 	for _, n := range f.nodes {
 		f.start(n)
 	}
 	f.advance(3 * time.Second)
-	assert.Assert(t, wide.plan.Reason == Reader)
+	assert.Assert(t, fastest.plan.Reason == Reader)
 }
 
 // TestKeysStayTrustedWhenReadersAreLost: all readers are lost at once, with or without closing
--- a/core/source/follow.go
+++ b/core/source/follow.go
@@ -24,7 +24,7 @@
 	s.current = source{Member: s.nextAvailable(), chosenAt: now}
 }
 
-// keepsCurrent reports whether the followed member stays, and backs off a member that is left
+// keepsCurrent reports whether the followed member stays the source, and backs it off if it is left
 // because of its reports. A member that is not fresh is left after a while, a member of another
 // zone as soon as a reader of this zone is available.
 func (s *Selector) keepsCurrent(now time.Duration) bool {
@@ -87,9 +87,10 @@
 	return others
 }
 
-// nextAvailable returns the reader whose backoff for being stale ends first, or else any such
-// member. A process waits there while no member is fresher: a reader learns first that the store is
-// available again, and members that have ended since are detected by the processes that try them.
+// nextAvailable returns the reader whose backoff for being stale ends first, or else any member
+// with such a backoff. A process follows it while no member is fresher: a reader learns first that
+// the store is available again, and members that have ended since are detected by the processes
+// that try them.
 func (s *Selector) nextAvailable() Member {
 	var readers []Member
 	for _, order := range s.zones {
@@ -101,26 +102,26 @@
 	return s.earliestBackoff(s.members)
 }
 
-// earliestBackoff returns the member whose backoff ends first, without those that are lost. Its
-// name is empty if there is none.
+// earliestBackoff returns the member whose backoff ends first, leaving out those that could not be
+// reached. Its name is empty if there is none.
 func (s *Selector) earliestBackoff(members []Member) Member {
 	var best Member
 	var until time.Duration
 	for _, m := range members {
-		r := s.backoffs[m.Incarnation]
-		if m == s.self || r.lost {
+		b := s.backoffs[m.Incarnation]
+		if m == s.self || b.lost {
 			continue
 		}
-		if best.Name == "" || r.until < until || r.until == until && m.Name < best.Name {
-			best, until = m, r.until
+		if best.Name == "" || b.until < until || b.until == until && m.Name < best.Name {
+			best, until = m, b.until
 		}
 	}
 	return best
 }
 
 // candidates returns the members that are not backed off. When the store rejects all readers, some
-// of the other members query it themselves and are fresher: one of the candidates is probed from
-// time to time, and left at its first report if it is not fresher.
+// of the other members query it themselves and are fresh: one of the candidates is probed from time
+// to time, and left at its first report if it is not fresh.
 func (s *Selector) candidates(now time.Duration) []Member {
 	var list []Member
 	for _, m := range s.members {
--- a/core/source/readers.go
+++ b/core/source/readers.go
@@ -44,10 +44,10 @@
 }
 
 // active reports whether the backoff lasts at the time now.
-func (r backoff) active(now time.Duration) bool { return now < r.until }
+func (b backoff) active(now time.Duration) bool { return now < b.until }
 
 // unreachable reports whether the member is backed off because it could not be reached.
-func (r backoff) unreachable(now time.Duration) bool { return r.lost && r.active(now) }
+func (b backoff) unreachable(now time.Duration) bool { return b.lost && b.active(now) }
 
 // byZone returns the members of each zone in the order in which they are to read the store: by the
 // rate of their link, then by rendezvous score for the zone's name.
--- a/core/source/source.go
+++ b/core/source/source.go
@@ -63,9 +63,9 @@
 	// staleGrace is how long a source that was just chosen may be stale: it may have lost its own
 	// source at the same moment and be about to read the store.
 	staleGrace = 300 * time.Millisecond
-	// minSwitchInterval is the least time between two sources that are left for being stale. It
-	// doubles up to maxSwitchInterval while no fresh one is found: in an outage of the store all
-	// are stale.
+	// minSwitchInterval is the least time between two switches away from a stale source. It doubles
+	// up to maxSwitchInterval while no fresh source is found: in an outage of the store all are
+	// stale.
 	minSwitchInterval = 500 * time.Millisecond
 	maxSwitchInterval = 2 * time.Second
 	// immediateSwitches is how many sources that report a failing store are left without delay
@@ -84,9 +84,9 @@
 	// and refuses requests until it has.
 	initialFallbackAfter  = 300 * time.Millisecond
 	initialFallbackJitter = 300 * time.Millisecond
-	// tryDuration is how long the process then queries the store, time for a call and its timeout;
-	// minTryBackoff is the backoff after a failed try, doubled up to maxTryBackoff. In an outage of
-	// 14 s a process makes two tries.
+	// tryDuration is how long one try lasts, in which a process without a fresh source queries the
+	// store itself: time for a call and its timeout. minTryBackoff is the backoff after a failed
+	// try, doubled up to maxTryBackoff. In an outage of 14 s a process makes two tries.
 	tryDuration   = time.Second
 	minTryBackoff = 10 * time.Second
 	maxTryBackoff = 20 * time.Second
@@ -142,10 +142,12 @@
 	readSince time.Duration
 	reading   bool
 
-	// lastGood is when a source or the store was last fresh; fallbacks and tries are timed from
-	// then. Until the first time it is the start time, and initial is set.
-	lastGood   time.Duration
-	initial    bool
+	// lastGood is when a source or the store was last fresh; the first try is timed from then.
+	// Until the first time it is the start time, and initial is set.
+	lastGood time.Duration
+	initial  bool
+	// tryUntil is the end of the present or next try, in which the process queries the store
+	// itself; 0 if none is planned.
 	tryUntil   time.Duration
 	tryBackoff time.Duration
 }
@@ -153,8 +155,8 @@
 // backoff is the time in which a member is not chosen.
 type backoff struct {
 	until, length time.Duration
-	// lost is set if the member closed the connection or could not be reached, not if its updates
-	// were stale.
+	// lost is set if the member closed the connection or could not be reached, and not set if its
+	// updates were stale.
 	lost bool
 }
 
@@ -170,7 +172,8 @@
 	hops       int
 	// failing is set while the store does not respond to the source.
 	failing bool
-	// probe is set for a member that is not a reader and is only tried.
+	// probe is set for a member that is not a reader: it is left at its first report unless that is
+	// fresh.
 	probe bool
 }
 
@@ -259,8 +262,8 @@
 	s.backOff(lostBackoff, true, now)
 }
 
-// backOff leaves the followed member. The backoff doubles each time until a fresh update of the
-// member arrives.
+// backOff stops following the followed member and does not choose it again for a while: at first
+// for the time shortest, then twice as long each time until a fresh update of the member arrives.
 func (s *Selector) backOff(shortest time.Duration, lost bool, now time.Duration) {
 	length := min(max(shortest, 2*s.backoffs[s.current.Incarnation].length), maxBackoff)
 	s.backoffs[s.current.Incarnation] = backoff{until: now + length, length: length, lost: lost}
@@ -314,8 +317,8 @@
 	return s.current.reported && !s.current.failing && s.current.hops < MaxHops && s.fresh(s.current.proved, now)
 }
 
-// mayFollowSelf reports whether the followed member follows this process or may come to: two
-// processes that query the store as a fallback must not both stop in favour of the other.
+// mayFollowSelf reports whether the followed member may follow this process, now or later. Two
+// processes that query the store as a fallback must not both stop in order to follow each other.
 func (s *Selector) mayFollowSelf() bool {
 	if s.current.hops > 0 {
 		return true
