--- a/core/proof/proof.go
+++ b/core/proof/proof.go
@@ -5,8 +5,8 @@
 //
 // A follower numbers its requests and records, by its own clock, when it sends each. The source
 // records, by its clock, when it receives one, and reports how long after that moment a proof was
-// made (negative if before it). The follower dates the proof that long after the sending of the
-// request.
+// made (below 0 if before it). The follower takes the proof to have been made that long after it
+// sent the request.
 //
 // Why the age of a proof is never underestimated: a request is received after it was sent, and the
 // duration between two moments is the same by both clocks. So the follower's result is earlier than
@@ -14,7 +14,8 @@
 // report is written, sent, delayed or read, so neither a frozen or slow source nor a slow network
 // makes it later. Each further process that passes the proof on makes the time earlier once more. A
 // clock that runs faster than another one would add its error over the duration between the two
-// moments, some s at 100 µs/s; the margin of the time for which keys are trusted (0.5 s) covers it.
+// moments, which is a few seconds, at 100 µs/s; the margin of the time for which keys are trusted
+// (0.5 s) covers it.
 package proof
 
 import "time"
@@ -23,7 +24,8 @@
 type Report struct {
 	// Number is the number of the request.
 	Number uint64
-	// After is the time from the arrival of the request to the proof.
+	// After is the time from the arrival of the request to the proof, below 0 if the proof was made
+	// before.
 	After time.Duration
 }
 
--- a/core/proof/proof_test.go
+++ b/core/proof/proof_test.go
@@ -46,7 +46,7 @@
 }
 
 // maxUnderestimate runs a random chain and returns by how much the age of a proof was
-// underestimated at most, in true time; 0 or less if no age was.
+// underestimated at most, in true time; 0 or below 0 if no age was.
 func maxUnderestimate(seed uint64, apply rule) time.Duration {
 	random := rand.New(rand.NewPCG(seed, 7))
 	within := func(limit time.Duration) time.Duration { return time.Duration(random.Int64N(int64(limit))) }
