--- a/core/pool/batch.go
+++ b/core/pool/batch.go
@@ -20,57 +20,57 @@
 	if p.waiting == 0 {
 		return nil
 	}
-	usable := p.usableWorkers(now)
+	usable := p.usableUpstreams(now)
 	if len(usable) == 0 {
 		return nil // sorting the queue at each arrival would take most of an owner's CPU time
 	}
 	p.sort(now)
 	first := p.queue[0].Task
 	sort.Slice(usable, func(i, j int) bool { return preferred(usable[i], usable[j], first) })
-	for _, w := range usable {
-		if call := p.closeBatch(w, now); call != nil {
+	for _, s := range usable {
+		if call := p.closeBatch(s, now); call != nil {
 			return call
 		}
 	}
 	return nil
 }
 
-// usableWorkers returns the upstreams that can take a call. An upstream that failed recently
+// usableUpstreams returns the upstreams that can take a call. An upstream that failed recently
 // is used only if all have failed: while others are merely busy, items wait.
-func (p *Pool) usableWorkers(now time.Time) []*worker {
-	var usable, avoided []*worker
+func (p *Pool) usableUpstreams(now time.Time) []*upstreamState {
+	var usable, avoided []*upstreamState
 	busy := 0
-	for _, w := range p.workers {
+	for _, s := range p.upstreams {
 		switch {
-		case !w.upstream.TakesWork(now):
-		case now.Before(w.avoidUntil):
-			avoided = append(avoided, w)
-		case w.calls >= max(1, p.settings.Slots):
+		case !s.upstream.TakesWork(now):
+		case now.Before(s.avoidUntil):
+			avoided = append(avoided, s)
+		case s.calls >= max(1, p.settings.Slots):
 			busy++
 		default:
-			usable = append(usable, w)
+			usable = append(usable, s)
 		}
 	}
 	if len(usable) == 0 && busy == 0 {
-		usable = p.retryableWorkers(avoided, now)
+		usable = p.retryableUpstreams(avoided, now)
 	}
 	return usable
 }
 
-// retryableWorkers returns the upstreams with a free slot whose last failure is at least
+// retryableUpstreams returns the upstreams with a free slot whose last failure is at least
 // minAvoidTime ago.
-func (p *Pool) retryableWorkers(list []*worker, now time.Time) []*worker {
-	var found []*worker
-	for _, w := range list {
-		if w.calls < max(1, p.settings.Slots) && now.Sub(w.failedAt) >= minAvoidTime {
-			found = append(found, w)
+func (p *Pool) retryableUpstreams(list []*upstreamState, now time.Time) []*upstreamState {
+	var found []*upstreamState
+	for _, s := range list {
+		if s.calls < max(1, p.settings.Slots) && now.Sub(s.failedAt) >= minAvoidTime {
+			found = append(found, s)
 		}
 	}
 	return found
 }
 
 // preferred reports whether a is used before b for a batch that begins with first.
-func preferred(a, b *worker, first *Task) bool {
+func preferred(a, b *upstreamState, first *Task) bool {
 	if a.slowdown > b.slowdown*slowerFactor || b.slowdown > a.slowdown*slowerFactor {
 		return a.slowdown < b.slowdown
 	}
@@ -84,64 +84,65 @@
 // closeBatch returns a batch of the first tasks that an upstream can take, nil if it can
 // take none: their results must fit into its room, and they must not have to wait for an
 // upstream closer to their data.
-func (p *Pool) closeBatch(w *worker, now time.Time) *Call {
-	call := &Call{Upstream: w.upstream, StartedAt: now}
-	room := p.availableBytes(w, now)
-	for _, g := range p.queue {
+func (p *Pool) closeBatch(s *upstreamState, now time.Time) *Call {
+	call := &Call{Upstream: s.upstream, StartedAt: now}
+	room := p.availableBytes(s, now)
+	for _, q := range p.queue {
 		if len(call.Items) >= p.settings.Batch {
 			break
 		}
-		if len(g.items) == 0 || !p.meetsDeadline(g.Task, now) || p.shouldWaitForNearer(g.Task, w, now) {
+		if len(q.items) == 0 || !p.meetsDeadline(q.Task, now) || p.shouldWaitForNearer(q.Task, s, now) {
 			continue
 		}
-		count := p.itemsThatFit(call, g, room-call.bytes)
-		call.Items = append(call.Items, p.dequeue(g, count)...)
-		call.bytes += int64(count) * g.Bytes
+		count := p.itemsThatFit(call, q, room-call.bytes)
+		call.Items = append(call.Items, p.dequeue(q, count)...)
+		call.bytes += int64(count) * q.Bytes
 	}
 	if len(call.Items) == 0 {
 		return nil
 	}
-	p.removeMatching(func(*group) bool { return false })
+	p.removeMatching(func(*queuedTask) bool { return false })
 	p.updateItemsPerCall(len(call.Items))
-	p.recordStart(call, w)
+	p.recordStart(call, s)
 	return call
 }
 
-// recordStart records that a call is sent to a worker.
-func (p *Pool) recordStart(call *Call, w *worker) {
+// recordStart records that a call is sent to an upstream.
+func (p *Pool) recordStart(call *Call, s *upstreamState) {
 	for _, item := range call.Items {
 		item.attempts++
 	}
-	call.Expected = time.Duration(w.slowdown * float64(p.callTime(len(call.Items))))
-	call.Timeout = p.timeout(w, len(call.Items))
-	w.calls++
-	w.busyUntil = call.StartedAt.Add(call.Expected)
-	w.usedBytes += call.bytes
+	call.Expected = time.Duration(s.slowdown * float64(p.callTime(len(call.Items))))
+	call.Timeout = p.timeout(s, len(call.Items))
+	s.calls++
+	s.busyUntil = call.StartedAt.Add(call.Expected)
+	s.usedBytes += call.bytes
 }
 
 // itemsThatFit returns how many items of a task go into a call for whose results room bytes
 // are available. A task is split only if not even an empty call takes all of it: the first
 // results of a split task are stored, and use room that others need, until the last are done.
-func (p *Pool) itemsThatFit(call *Call, g *group, room int64) int {
+func (p *Pool) itemsThatFit(call *Call, q *queuedTask, room int64) int {
 	places := p.settings.Batch - len(call.Items)
-	if g.Bytes > 0 {
-		places = min(places, int(max(0, room)/g.Bytes))
+	if q.Bytes > 0 {
+		places = min(places, int(max(0, room)/q.Bytes))
 	}
-	if places < len(g.items) && len(call.Items) > 0 {
+	if places < len(q.items) && len(call.Items) > 0 {
 		return 0
 	}
-	return min(places, len(g.items))
+	return min(places, len(q.items))
 }
 
 // shouldWaitForNearer reports whether the items of a task should wait for an upstream that
-// moves clearly fewer bytes between zones than w and would still finish them in time.
-func (p *Pool) shouldWaitForNearer(task *Task, w *worker, now time.Time) bool {
-	here := task.crossZoneBytes(w.upstream.Zone)
+// moves clearly fewer bytes between zones than the upstream of s and would still finish them in
+// time.
+func (p *Pool) shouldWaitForNearer(task *Task, s *upstreamState, now time.Time) bool {
+	here := task.crossZoneBytes(s.upstream.Zone)
 	if here <= negligibleBytes || task.late {
 		return false
 	}
-	for _, other := range p.workers {
-		if other == w || !other.upstream.TakesWork(now) || now.Before(other.avoidUntil) {
+	for _, other := range p.upstreams {
+		if other == s || !other.upstream.TakesWork(now) || now.Before(other.avoidUntil) {
 			continue
 		}
 		if here-task.crossZoneBytes(other.upstream.Zone) <= negligibleBytes {
--- a/core/pool/chain_test.go
+++ b/core/pool/chain_test.go
@@ -11,18 +11,18 @@
 
 // chainStage is one stage of a chain: the settings of its pool and the items per task.
 type chainStage struct {
-	workers int
-	batch   int
-	itemMS  float64
-	items   int
+	upstreams int
+	batch     int
+	itemMS    float64
+	items     int
 }
 
 // enlargedChain holds the stages of a letter or chat request in the Institute's enlarged
 // deployment: pools of 20, 15 and 15 upstreams, the last with a capacity of 186 tasks a second.
 var enlargedChain = []chainStage{
-	{workers: 20, batch: 8, itemMS: 21, items: 1},
-	{workers: 15, batch: 32, itemMS: 5.4, items: 6},
-	{workers: 15, batch: 46, itemMS: 3.7, items: 10},
+	{upstreams: 20, batch: 8, itemMS: 21, items: 1},
+	{upstreams: 15, batch: 32, itemMS: 5.4, items: 6},
+	{upstreams: 15, batch: 46, itemMS: 3.7, items: 10},
 }
 
 // chainRun simulates tasks that pass through the pools of a chain one after the other.
@@ -65,7 +65,7 @@
 	run := &chainRun{stages: stages, objective: objective, now: start, remaining: make(map[*Task]int), startedAt: make(map[*Task]time.Time)}
 	for _, s := range stages {
 		p := New(stageSettings(s.batch, s.itemMS, 1000))
-		p.SetUpstreams(upstreams(s.workers))
+		p.SetUpstreams(upstreams(s.upstreams))
 		run.pools = append(run.pools, p)
 	}
 	return run
--- a/core/pool/estimate.go
+++ b/core/pool/estimate.go
@@ -15,8 +15,8 @@
 )
 
 // timeout returns the timeout of a call with a number of items.
-func (p *Pool) timeout(w *worker, items int) time.Duration {
-	factor := max(timeoutFactor, slowTimeoutFactor*w.slowdown)
+func (p *Pool) timeout(s *upstreamState, items int) time.Duration {
+	factor := max(timeoutFactor, slowTimeoutFactor*s.slowdown)
 	return time.Duration(factor*float64(p.callTime(items))) + timeoutSlack
 }
 
@@ -26,47 +26,47 @@
 }
 
 // updateSlowdown updates the moving averages of the call time.
-func (p *Pool) updateSlowdown(w *worker, call *Call, now time.Time) {
+func (p *Pool) updateSlowdown(s *upstreamState, call *Call, now time.Time) {
 	expected := p.callTime(len(call.Items))
 	if expected <= 0 {
 		return
 	}
 	ratio := float64(now.Sub(call.StartedAt)) / float64(expected)
-	w.slowdown += averageWeight * (ratio - w.slowdown)
+	s.slowdown += averageWeight * (ratio - s.slowdown)
 	p.slowdown += averageWeight * (ratio - p.slowdown)
 }
 
-// Wait estimates the time until the call of a task ends that is queued now with a rank and
-// value and is in time. Tasks that are late, less urgent or of much less value wait behind it
-// and don't count: if they did, a burst would make the tasks of every earlier stage look late
-// too, until the pool served late tasks only.
+// Wait estimates the time until the call ends that serves a task in time which is queued now
+// with the given rank and value. Tasks that are late, less urgent or of much less value wait
+// behind it and don't count: if they did, a burst would make the tasks of every earlier stage
+// look late too, until the pool served late tasks only.
 func (p *Pool) Wait(rank int, value float64) time.Duration {
 	ahead := 0
-	for _, g := range p.queue {
-		if !g.late && !g.yieldsTo(rank, value) {
-			ahead += len(g.items)
+	for _, q := range p.queue {
+		if !q.late && !q.yieldsTo(rank, value) {
+			ahead += len(q.items)
 		}
 	}
 	return p.waitBehind(ahead)
 }
 
-// yieldsTo reports whether the group's task lets a task of the given rank and value go first.
-func (g *group) yieldsTo(rank int, value float64) bool {
-	if g.Rank != rank {
-		return g.Rank > rank
+// yieldsTo reports whether the task lets a task of the given rank and value go first.
+func (q *queuedTask) yieldsTo(rank int, value float64) bool {
+	if q.Rank != rank {
+		return q.Rank > rank
 	}
-	return g.Value*classFactor < value
+	return q.Value*classFactor < value
 }
 
-// Backlog estimates the time until the call of a task ends that is queued behind all others.
+// Backlog estimates the time until the call ends that serves a task queued behind all others.
 func (p *Pool) Backlog() time.Duration { return p.waitBehind(p.waiting) }
 
-// waitBehind estimates the time until the call of an item ends that has a number of other
-// items ahead of it.
+// waitBehind estimates the time until the call ends that serves an item with the given number
+// of items ahead of it.
 func (p *Pool) waitBehind(ahead int) time.Duration {
 	usable := 0
-	for _, w := range p.workers {
-		if w.upstream.Eligible() {
+	for _, s := range p.upstreams {
+		if s.upstream.Eligible() {
 			usable++
 		}
 	}
--- a/core/pool/order.go
+++ b/core/pool/order.go
@@ -15,9 +15,9 @@
 // value class, then by due time, the latest first.
 func (p *Pool) sort(now time.Time) {
 	shortest := time.Duration(float64(p.callTime(p.settings.Batch)) * p.slowdown)
-	for _, g := range p.queue {
-		if now.Add(shortest).After(g.Due) {
-			g.late = true
+	for _, q := range p.queue {
+		if now.Add(shortest).After(q.Due) {
+			q.late = true
 		}
 	}
 	p.classify()
@@ -36,22 +36,22 @@
 		return a.valuePerItem() > b.valuePerItem()
 	})
 	class, rank, highest := 0, 0, 0.0
-	for i, g := range p.queue {
-		if i == 0 || g.Rank != rank || g.valuePerItem()*classFactor < highest {
+	for i, q := range p.queue {
+		if i == 0 || q.Rank != rank || q.valuePerItem()*classFactor < highest {
 			class++
-			rank, highest = g.Rank, g.valuePerItem()
+			rank, highest = q.Rank, q.valuePerItem()
 		}
-		g.class = class
+		q.class = class
 	}
 }
 
 // valuePerItem returns the value of the task divided by the number of its waiting items.
-func (g *group) valuePerItem() float64 { return g.Value / float64(max(1, len(g.items))) }
+func (q *queuedTask) valuePerItem() float64 { return q.Value / float64(max(1, len(q.items))) }
 
 // less reports whether a goes before b. Of two tasks of a class that are in time, the one
 // that is due later goes first: in the opposite order a burst leaves each task just in time
 // at one pool and late at the next (TestBurstOnAChainLeavesMostOfItsCapacityInTime).
-func less(a, b *group) bool {
+func less(a, b *queuedTask) bool {
 	switch {
 	case a.late != b.late:
 		return b.late
--- a/core/pool/order_test.go
+++ b/core/pool/order_test.go
@@ -57,7 +57,7 @@
 // values if known is set.
 func valueInTime(load deploymentPool, rate float64, higher float64, known bool) float64 {
 	sim := &simulation{load: load, pool: New(load.pool), random: rand.New(rand.NewPCG(1, 2)), now: start, limit: 1100 * time.Millisecond}
-	sim.pool.SetUpstreams(upstreams(load.workers))
+	sim.pool.SetUpstreams(upstreams(load.upstreams))
 	values := make(map[Ticket]float64)
 	sim.valueOf = func(ticket Ticket) float64 {
 		values[ticket] = 1
--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -1,7 +1,8 @@
-// Package pool implements the queue of one stage pool, shared by all gateways, and
-// closes batches from it. Most of the time of a call is fixed, whether the call is full
-// or nearly empty, so there is one queue for all callers, and a batch is closed only when
-// an upstream is free to take it: the longer the queue, the fuller the batches.
+// Package pool implements the queue of one stage pool, or of one part of a large pool,
+// shared by all gateways, and closes batches from it. Most of the time of a call is fixed,
+// whether the call is full or nearly empty, so there is one queue for all callers, and a
+// batch is closed only when an upstream is free to take it: the longer the queue, the
+// fuller the batches.
 //
 // A task is one request's stage, made of items that are needed together. A task is in
 // time while it can still be done when it is due, and late after that.
@@ -103,24 +104,24 @@
 const (
 	initialAvoidTime = 800 * time.Millisecond
 	maxAvoidTime     = 3200 * time.Millisecond
-	// minAvoidTime is how long a failed upstream is avoided even if all have failed: a refused
-	// connection fails within a round trip, so that immediate retries would use up all
-	// attempts of an item.
+	// minAvoidTime is how long a failed upstream is avoided even if all upstreams have failed:
+	// a refused connection fails within a round trip, so that immediate retries would use up
+	// all attempts of an item.
 	minAvoidTime = 200 * time.Millisecond
 )
 
-// unaccountedTTL is how long the room that an upstream turned out not to have counts as
-// used. In a busy pool results are stored for some 300 ms.
+// unaccountedTTL is how long unaccountedBytes counts as used after an upstream had no room.
+// In a busy pool results are stored for some 300 ms.
 const unaccountedTTL = 300 * time.Millisecond
 
-// Pool is the queue of one service.
+// Pool is the queue of one stage pool, or of one part of it, with the state of its upstreams.
 type Pool struct {
-	settings routes.Pool
-	workers  map[string]*worker
+	settings  routes.Pool
+	upstreams map[string]*upstreamState
 	// queue holds the tasks with waiting items, in the order of the last sort, followed by
-	// those added since. groups holds the same tasks by ticket.
-	queue  []*group
-	groups map[Ticket]*group
+	// those added since. queuedByTicket holds the same tasks by ticket.
+	queue          []*queuedTask
+	queuedByTicket map[Ticket]*queuedTask
 	// waiting counts the waiting items.
 	waiting int
 	// slowdown is a moving average of the ratio of measured to configured call time.
@@ -130,8 +131,8 @@
 	meanFullCallItems float64
 }
 
-// worker is the state of one upstream.
-type worker struct {
+// upstreamState is the state of one upstream.
+type upstreamState struct {
 	upstream   routes.Upstream
 	calls      int
 	usedBytes  int64
@@ -152,7 +153,7 @@
 
 // New returns an empty Pool.
 func New(settings routes.Pool) *Pool {
-	return &Pool{settings: settings, workers: make(map[string]*worker), groups: make(map[Ticket]*group), slowdown: 1}
+	return &Pool{settings: settings, upstreams: make(map[string]*upstreamState), queuedByTicket: make(map[Ticket]*queuedTask), slowdown: 1}
 }
 
 // Configure replaces the settings.
@@ -160,35 +161,35 @@
 
 // SetUpstreams replaces the upstreams. Those that take no new work get no calls.
 func (p *Pool) SetUpstreams(list []routes.Upstream) {
-	kept := make(map[string]*worker, len(list))
+	kept := make(map[string]*upstreamState, len(list))
 	for _, upstream := range list {
-		w := p.workers[upstream.ID]
-		if w == nil || w.upstream.Incarnation != upstream.Incarnation {
-			w = &worker{slowdown: 1} // a new incarnation has no calls and no results
+		s := p.upstreams[upstream.ID]
+		if s == nil || s.upstream.Incarnation != upstream.Incarnation {
+			s = &upstreamState{slowdown: 1} // a new incarnation has no calls and no results
 		}
-		w.upstream = upstream
-		kept[upstream.ID] = w
+		s.upstream = upstream
+		kept[upstream.ID] = s
 	}
-	p.workers = kept
+	p.upstreams = kept
 }
 
 // Evacuated reports whether the pool has upstreams and all of them are in evacuated zones:
 // no item can run until the evacuation of a zone ends.
 func (p *Pool) Evacuated() bool {
-	for _, w := range p.workers {
-		if !w.upstream.Evacuated {
+	for _, s := range p.upstreams {
+		if !s.upstream.Evacuated {
 			return false
 		}
 	}
-	return len(p.workers) > 0
+	return len(p.upstreams) > 0
 }
 
 // CallsIn returns how many calls are in flight to the upstreams of a zone.
 func (p *Pool) CallsIn(zone string) int {
 	calls := 0
-	for _, w := range p.workers {
-		if w.upstream.Zone == zone {
-			calls += w.calls
+	for _, s := range p.upstreams {
+		if s.upstream.Zone == zone {
+			calls += s.calls
 		}
 	}
 	return calls
@@ -199,17 +200,17 @@
 // queued again unless their outcome is Abandoned or they have had maxAttempts; NoRoom
 // does not count as an attempt.
 func (p *Pool) Finish(call *Call, outcomes []Outcome, now time.Time) (failed []*Item) {
-	w := p.worker(call.Upstream)
+	s := p.stateOf(call.Upstream)
 	for i, item := range call.Items {
 		if outcomes[i] == Done {
 			continue
 		}
-		if w != nil {
-			w.usedBytes -= item.Task.Bytes
+		if s != nil {
+			s.usedBytes -= item.Task.Bytes
 		}
 		if outcomes[i] == NoRoom {
 			item.attempts--
-			w.recordNoRoom(item.Task.Bytes, now)
+			s.recordNoRoom(item.Task.Bytes, now)
 		}
 		if outcomes[i] == Abandoned || item.attempts >= maxAttempts {
 			failed = append(failed, item)
@@ -217,80 +218,80 @@
 		}
 		p.push(item)
 	}
-	if w != nil {
-		w.calls--
+	if s != nil {
+		s.calls--
 	}
 	return failed
 }
 
 // Succeed records that an upstream responded to a call.
 func (p *Pool) Succeed(call *Call, now time.Time) {
-	if w := p.worker(call.Upstream); w != nil {
-		w.failures = 0
-		p.updateSlowdown(w, call, now)
+	if s := p.stateOf(call.Upstream); s != nil {
+		s.failures = 0
+		p.updateSlowdown(s, call, now)
 	}
 }
 
 // recordNoRoom records that there was no room for a result.
-func (w *worker) recordNoRoom(bytes int64, now time.Time) {
-	if w == nil {
+func (s *upstreamState) recordNoRoom(bytes int64, now time.Time) {
+	if s == nil {
 		return
 	}
-	if now.After(w.unaccountedUntil) {
-		w.unaccountedBytes = 0
+	if now.After(s.unaccountedUntil) {
+		s.unaccountedBytes = 0
 	}
-	w.unaccountedBytes += bytes
-	w.unaccountedUntil = now.Add(unaccountedTTL)
+	s.unaccountedBytes += bytes
+	s.unaccountedUntil = now.Add(unaccountedTTL)
 }
 
 // availableBytes returns how many bytes of results an upstream can still store. No room is
 // held back for results above the configured size: that would cost more items per call than
 // the few that find no room and are retried.
-func (p *Pool) availableBytes(w *worker, now time.Time) int64 {
-	available := p.settings.RoomBytes - w.usedBytes
-	if now.Before(w.unaccountedUntil) {
-		available -= w.unaccountedBytes
+func (p *Pool) availableBytes(s *upstreamState, now time.Time) int64 {
+	available := p.settings.RoomBytes - s.usedBytes
+	if now.Before(s.unaccountedUntil) {
+		available -= s.unaccountedBytes
 	}
 	return available
 }
 
-// Fail records that a call failed as a whole, so that its upstream is avoided for a while.
+// Fail records that a call failed as a whole. Its upstream is avoided for a while.
 func (p *Pool) Fail(call *Call, now time.Time) {
-	w := p.worker(call.Upstream)
-	if w == nil {
+	s := p.stateOf(call.Upstream)
+	if s == nil {
 		return
 	}
-	w.failedAt = now
-	w.avoidUntil = now.Add(min(initialAvoidTime<<w.failures, maxAvoidTime))
-	w.failures = min(w.failures+1, 8)
-	if now.After(w.busyUntil) {
-		p.updateSlowdown(w, call, now) // the call overran: the upstream is slow or unresponsive
+	s.failedAt = now
+	s.avoidUntil = now.Add(min(initialAvoidTime<<s.failures, maxAvoidTime))
+	s.failures = min(s.failures+1, 8)
+	if now.After(s.busyUntil) {
+		p.updateSlowdown(s, call, now) // the call overran: the upstream is slow or unresponsive
 	}
 }
 
 // RespondsPromptly reports whether an upstream responds as fast as one that is not slow and
 // gets calls from this owner only.
 func (p *Pool) RespondsPromptly(id string) bool {
-	w := p.workers[id]
-	return w != nil && w.slowdown < soleCallerSlowdown
+	s := p.upstreams[id]
+	return s != nil && s.slowdown < soleCallerSlowdown
 }
 
 // soleCallerSlowdown is the mean slowdown below which an upstream is taken to get calls from
 // this owner only. Calls to an upstream that two owners call take twice as long.
 const soleCallerSlowdown = 1.25
 
-// worker returns the state of one incarnation of an upstream, or nil if it is gone.
-func (p *Pool) worker(upstream routes.Upstream) *worker {
-	w := p.workers[upstream.ID]
-	if w == nil || w.upstream.Incarnation != upstream.Incarnation {
+// stateOf returns the state of one incarnation of an upstream, or nil if it is gone.
+func (p *Pool) stateOf(upstream routes.Upstream) *upstreamState {
+	s := p.upstreams[upstream.ID]
+	if s == nil || s.upstream.Incarnation != upstream.Incarnation {
 		return nil
 	}
-	return w
+	return s
 }
 
 // Free records that an upstream has freed results of the given total size.
 func (p *Pool) Free(upstream routes.Upstream, bytes int64) {
-	if w := p.worker(upstream); w != nil {
-		w.usedBytes = max(0, w.usedBytes-bytes)
+	if s := p.stateOf(upstream); s != nil {
+		s.usedBytes = max(0, s.usedBytes-bytes)
 	}
 }
--- a/core/pool/pool_test.go
+++ b/core/pool/pool_test.go
@@ -295,7 +295,7 @@
 	p.Finish(call, sameOutcomes(call, Retryable), start)
 	p.Fail(call, start)
 	p.Free(call.Upstream, 8000)
-	assert.Equal(t, p.workers["a"].calls, 1, "the call to the new incarnation is still in flight")
-	assert.Equal(t, p.workers["a"].usedBytes, int64(8000))
-	assert.Assert(t, !start.Before(p.workers["a"].avoidUntil), "the failure was that of the last incarnation")
+	assert.Equal(t, p.upstreams["a"].calls, 1, "the call to the new incarnation is still in flight")
+	assert.Equal(t, p.upstreams["a"].usedBytes, int64(8000))
+	assert.Assert(t, !start.Before(p.upstreams["a"].avoidUntil), "the failure was that of the last incarnation")
 }
--- a/core/pool/queue.go
+++ b/core/pool/queue.go
@@ -6,9 +6,9 @@
 	"acaciawinch/core/routes"
 )
 
-// group holds the waiting items of one task. They stay together, because a request needs
+// queuedTask is a task with its waiting items. They stay together, because a request needs
 // all of them.
-type group struct {
+type queuedTask struct {
 	*Task
 	items []*Item
 	// class is the number of the task's value class, set by classify; the lowest goes first.
@@ -24,20 +24,20 @@
 
 // push queues an item.
 func (p *Pool) push(item *Item) {
-	g := p.groups[item.Task.Ticket]
-	if g == nil {
-		g = &group{Task: item.Task}
-		p.groups[item.Task.Ticket] = g
-		p.queue = append(p.queue, g)
+	q := p.queuedByTicket[item.Task.Ticket]
+	if q == nil {
+		q = &queuedTask{Task: item.Task}
+		p.queuedByTicket[item.Task.Ticket] = q
+		p.queue = append(p.queue, q)
 	}
-	g.items = append(g.items, item)
+	q.items = append(q.items, item)
 	p.waiting++
 }
 
 // Cancel drops the waiting items of a task.
 func (p *Pool) Cancel(ticket Ticket) {
-	if p.groups[ticket] != nil {
-		p.removeMatching(func(g *group) bool { return g.Ticket == ticket })
+	if p.queuedByTicket[ticket] != nil {
+		p.removeMatching(func(q *queuedTask) bool { return q.Ticket == ticket })
 	}
 }
 
@@ -47,16 +47,16 @@
 // pool drops all items.
 func (p *Pool) Expire(now time.Time) []*Item {
 	if p.Evacuated() {
-		return p.removeMatching(func(*group) bool { return true })
+		return p.removeMatching(func(*queuedTask) bool { return true })
 	}
 	p.sort(now)
 	available := p.availableAt(now)
 	ahead := 0
-	return p.removeMatching(func(g *group) bool {
-		if !p.meetsDeadline(g.Task, available) || g.late && g.Deadline.Sub(now) < time.Duration(LateWaitFactor*float64(p.waitBehind(ahead))) {
+	return p.removeMatching(func(q *queuedTask) bool {
+		if !p.meetsDeadline(q.Task, available) || q.late && q.Deadline.Sub(now) < time.Duration(LateWaitFactor*float64(p.waitBehind(ahead))) {
 			return true
 		}
-		ahead += len(g.items)
+		ahead += len(q.items)
 		return false
 	})
 }
@@ -75,8 +75,8 @@
 // upstreams are backed off.
 func (p *Pool) availableAt(now time.Time) time.Time {
 	return routes.AvailableAt(func(yield func(routes.Upstream) bool) {
-		for _, w := range p.workers {
-			if !yield(w.upstream) {
+		for _, s := range p.upstreams {
+			if !yield(s.upstream) {
 				return
 			}
 		}
@@ -90,16 +90,16 @@
 const LateWaitFactor = 4
 
 // removeMatching removes the tasks that match or have no items left, and returns their items.
-func (p *Pool) removeMatching(match func(*group) bool) []*Item {
+func (p *Pool) removeMatching(match func(*queuedTask) bool) []*Item {
 	var removed []*Item
 	kept := p.queue[:0]
-	for _, g := range p.queue {
-		if len(g.items) > 0 && !match(g) {
-			kept = append(kept, g)
+	for _, q := range p.queue {
+		if len(q.items) > 0 && !match(q) {
+			kept = append(kept, q)
 			continue
 		}
-		removed = append(removed, g.items...)
-		delete(p.groups, g.Ticket)
+		removed = append(removed, q.items...)
+		delete(p.queuedByTicket, q.Ticket)
 	}
 	clear(p.queue[len(kept):])
 	p.queue = kept
@@ -107,11 +107,11 @@
 	return removed
 }
 
-// dequeue removes and returns the first items of a group. removeMatching removes the group
-// itself once it is empty.
-func (p *Pool) dequeue(g *group, count int) []*Item {
-	first := g.items[:count]
-	g.items = g.items[count:]
+// dequeue removes and returns the first waiting items of a task. removeMatching removes the
+// task itself once it has no waiting items.
+func (p *Pool) dequeue(q *queuedTask, count int) []*Item {
+	first := q.items[:count]
+	q.items = q.items[count:]
 	p.waiting -= count
 	return first
 }
@@ -121,8 +121,8 @@
 
 // WaitingOf returns how many items of a task are waiting.
 func (p *Pool) WaitingOf(ticket Ticket) int {
-	if g := p.groups[ticket]; g != nil {
-		return len(g.items)
+	if q := p.queuedByTicket[ticket]; q != nil {
+		return len(q.items)
 	}
 	return 0
 }
--- a/core/pool/replay_test.go
+++ b/core/pool/replay_test.go
@@ -12,9 +12,9 @@
 
 // deploymentPool is one pool of a deployment and the load of its standard rate.
 type deploymentPool struct {
-	name    string
-	workers int
-	pool    routes.Pool
+	name      string
+	upstreams int
+	pool      routes.Pool
 	// itemsPerSecond is the offered load at the standard rate, itemsPerTask the mean size of a
 	// task.
 	itemsPerSecond float64
@@ -45,7 +45,7 @@
 // within limit, and the mean number of items per call.
 func replay(load deploymentPool, rate float64, limit time.Duration) (inTime, itemsPerCall float64) {
 	sim := &simulation{load: load, pool: New(load.pool), random: rand.New(rand.NewPCG(1, 2)), now: start, limit: limit}
-	list := upstreams(load.workers)
+	list := upstreams(load.upstreams)
 	sim.pool.SetUpstreams(list)
 	gap := time.Duration(float64(load.itemsPerTask) / (load.itemsPerSecond * rate) * float64(time.Second))
 	for arrival := start; arrival.Before(start.Add(20 * time.Second)); arrival = arrival.Add(time.Duration(sim.random.ExpFloat64() * float64(gap))) {
