--- a/core/stages/progress.go
+++ b/core/stages/progress.go
@@ -98,15 +98,15 @@
 func (p *Progress) Final() []string {
 	var final []string
 	for stage := range p.graph {
-		if len(p.followers(stage)) == 0 {
+		if len(p.dependents(stage)) == 0 {
 			final = append(final, p.results[stage]...)
 		}
 	}
 	return final
 }
 
-// followers returns the stages that work on the results of a stage.
-func (p *Progress) followers(stage int) []int {
+// dependents returns the stages that work on the results of a stage.
+func (p *Progress) dependents(stage int) []int {
 	var found []int
 	for later, s := range p.graph {
 		for _, before := range s.After {
@@ -119,7 +119,7 @@
 }
 
 // TakeUnneeded returns the stages whose results are no longer needed, and returns each stage only
-// once. The results of a stage are needed until all its followers have read them, or until
+// once. The results of a stage are needed until all its dependents have read them, or until
 // the caller sets last because the request itself no longer needs any results.
 func (p *Progress) TakeUnneeded(last bool) []int {
 	var unneeded []int
@@ -138,13 +138,13 @@
 	if last {
 		return true
 	}
-	followers := p.followers(stage)
-	for _, later := range followers {
+	dependents := p.dependents(stage)
+	for _, later := range dependents {
 		if !p.inputsRead[later] {
 			return false
 		}
 	}
-	return len(followers) > 0
+	return len(dependents) > 0
 }
 
 // Results returns the results of a stage.
@@ -162,7 +162,7 @@
 // CriticalPathAfter returns the same as CriticalPath without the duration of the stage itself.
 func (p *Progress) CriticalPathAfter(stage int, estimate func(stage int) time.Duration) time.Duration {
 	var longest time.Duration
-	for _, later := range p.followers(stage) {
+	for _, later := range p.dependents(stage) {
 		longest = max(longest, p.CriticalPath(later, estimate))
 	}
 	return longest
@@ -180,5 +180,6 @@
 	return longest
 }
 
-// IsLast reports whether no other stage depends on a stage.
-func (p *Progress) IsLast(stage int) bool { return len(p.followers(stage)) == 0 }
+// IsLast reports whether no other stage depends on a stage, so that the request itself uses its
+// results.
+func (p *Progress) IsLast(stage int) bool { return len(p.dependents(stage)) == 0 }
--- a/core/stages/progress_test.go
+++ b/core/stages/progress_test.go
@@ -50,7 +50,7 @@
 	assert.DeepEqual(t, p.TakeUnneeded(true), []int{0})
 }
 
-func TestLengthsFollowTheLongestPath(t *testing.T) {
+func TestCriticalPathIsTheLongestPath(t *testing.T) {
 	p := New(graph, []int{1, 1, 1, 0})
 	each := func(int) time.Duration { return time.Second }
 	assert.Equal(t, p.CriticalPath(1, each), 2*time.Second)
