--- a/core/selection/chooser.go
+++ b/core/selection/chooser.go
@@ -22,7 +22,7 @@
 
 const (
 	// loadBoundFactor is how far above the mean an engine's load may be before a
-	// request goes to the next in the order of its key.
+	// request goes to the next engine in the order of its prefix.
 	loadBoundFactor = 1.25
 	// loadSlack is added to the bound, so that requests to an idle fleet stay with their caches.
 	// Engines have 64 slots and three to six requests each in a burst. With a slack of 4, a
@@ -40,7 +40,8 @@
 // Chooser holds this process's view of the load and failures of upstreams.
 type Chooser struct {
 	states map[string]*upstreamState
-	// prefixes holds the engine to which each shared prefix was last sent, by the prefix's key.
+	// prefixes holds the engine to which each shared prefix was last sent, by the ID of the
+	// prefix.
 	prefixes map[string]sentPrefix
 	// incarnations holds the incarnation number of each upstream in the last call of Sync.
 	incarnations map[string]int64
@@ -48,13 +49,14 @@
 
 // upstreamState is the state of one upstream.
 type upstreamState struct {
-	load    Load
-	ownOpen int
+	load Load
+	// ownInFlight counts the requests of this process that are in flight there.
+	ownInFlight int
 	// sent counts all requests that this process has sent to it.
 	sent       uint64
 	avoidUntil time.Time
-	// ownOpenAtLoad is the value of ownOpen when load was received.
-	ownOpenAtLoad int
+	// ownInFlightAtLoad is the value of ownInFlight when load was received.
+	ownInFlightAtLoad int
 }
 
 // New returns a Chooser without any state of upstreams.
@@ -76,21 +78,21 @@
 	CopyFrom string
 }
 
-// Choose returns the engine for a request with the key of its shared prefix, or false if
-// there is none. Engines in tried are skipped.
-func (c *Chooser) Choose(list []routes.Upstream, key string, tried []string, now time.Time) (Choice, bool) {
+// Choose returns the engine for a request whose prompt begins with the shared prefix of the
+// given ID, or false if there is none. Engines in tried are skipped.
+func (c *Chooser) Choose(list []routes.Upstream, prefixID string, tried []string, now time.Time) (Choice, bool) {
 	candidates := c.candidates(list, tried, now)
 	if len(candidates) == 0 {
 		return Choice{}, false
 	}
 	var total float64
 	for _, u := range candidates {
-		total += c.estimate(u, now)
+		total += c.estimatedLoad(u, now)
 	}
 	bound := loadBoundFactor*total/float64(len(candidates)) + loadSlack
-	hashed := rendezvous.Hash(key)
-	first := highestScored(candidates, hashed, func(routes.Upstream) bool { return true })
-	within := highestScored(candidates, hashed, func(u routes.Upstream) bool { return c.estimate(u, now) <= bound })
+	prefixHash := rendezvous.Hash(prefixID)
+	first := highestScored(candidates, prefixHash, func(routes.Upstream) bool { return true })
+	within := highestScored(candidates, prefixHash, func(u routes.Upstream) bool { return c.estimatedLoad(u, now) <= bound })
 	chosen, reason := within, "prefix"
 	switch {
 	case within < 0:
@@ -99,15 +101,15 @@
 		reason = "load"
 	}
 	u := candidates[chosen]
-	return Choice{Upstream: u, Reason: reason, Load: c.estimate(u, now), Idle: within >= 0 && c.idle(u, list, now), CopyFrom: c.copySource(candidates, key, u, now)}, true
+	return Choice{Upstream: u, Reason: reason, Load: c.estimatedLoad(u, now), Idle: within >= 0 && c.idle(u, list, now), CopyFrom: c.copySource(candidates, prefixID, u, now)}, true
 }
 
-// highestScored returns the index of the engine with the highest score for a hashed key among
-// those that match, or -1 if none does. Of engines with equal scores it returns the first.
-func highestScored(list []routes.Upstream, key uint64, match func(routes.Upstream) bool) int {
+// highestScored returns the index of the engine with the highest score for the hash of a prefix
+// ID among those that match, or -1 if none does. Of engines with equal scores it returns the first.
+func highestScored(list []routes.Upstream, prefixHash uint64, match func(routes.Upstream) bool) int {
 	best, highest := -1, uint64(0)
 	for i, u := range list {
-		score := rendezvous.Score(key, rendezvous.Hash(u.ID))
+		score := rendezvous.Score(prefixHash, rendezvous.Hash(u.ID))
 		if (best < 0 || score > highest) && match(u) {
 			best, highest = i, score
 		}
@@ -150,34 +152,34 @@
 	if s == nil || s.load.At.IsZero() || now.Sub(s.load.At) >= loadTTL {
 		return false, false
 	}
-	return true, c.estimate(u, now) < idleUtilization*float64(s.load.Slots)
+	return true, c.estimatedLoad(u, now) < idleUtilization*float64(s.load.Slots)
 }
 
 // LeastLoaded returns the upstream with the smallest share of its slots in use, or false if there
-// is none. Among equals, upstreams in the zone near go first, then the one to which this process
-// has sent the fewest requests. Upstreams in tried are skipped.
-func (c *Chooser) LeastLoaded(list []routes.Upstream, near string, tried []string, now time.Time) (Choice, bool) {
+// is none. Of those with equal shares, upstreams in nearZone go first, then the one to which this
+// process has sent the fewest requests. Upstreams in tried are skipped.
+func (c *Chooser) LeastLoaded(list []routes.Upstream, nearZone string, tried []string, now time.Time) (Choice, bool) {
 	candidates := c.candidates(list, tried, now)
 	if len(candidates) == 0 {
 		return Choice{}, false
 	}
 	best := candidates[0]
 	for _, u := range candidates[1:] {
-		if c.lessLoaded(u, best, near, now) {
+		if c.lessLoaded(u, best, nearZone, now) {
 			best = u
 		}
 	}
-	return Choice{Upstream: best, Reason: "load", Load: c.estimate(best, now)}, true
+	return Choice{Upstream: best, Reason: "load", Load: c.estimatedLoad(best, now)}, true
 }
 
 // lessLoaded reports whether LeastLoaded prefers a to b.
-func (c *Chooser) lessLoaded(a, b routes.Upstream, near string, now time.Time) bool {
-	useA := c.estimate(a, now) / float64(max(1, a.Slots))
-	useB := c.estimate(b, now) / float64(max(1, b.Slots))
-	if useA != useB {
-		return useA < useB
+func (c *Chooser) lessLoaded(a, b routes.Upstream, nearZone string, now time.Time) bool {
+	shareA := c.estimatedLoad(a, now) / float64(max(1, a.Slots))
+	shareB := c.estimatedLoad(b, now) / float64(max(1, b.Slots))
+	if shareA != shareB {
+		return shareA < shareB
 	}
-	if nearA, nearB := a.Zone == near, b.Zone == near; nearA != nearB {
+	if nearA, nearB := a.Zone == nearZone, b.Zone == nearZone; nearA != nearB {
 		return nearA
 	}
 	return c.stateOf(a.ID).sent < c.stateOf(b.ID).sent
@@ -212,27 +214,27 @@
 	return matching
 }
 
-// estimate returns the estimated number of requests at an upstream: its last report, corrected
-// by the requests that this process has sent and finished since, or this process's own open
-// requests if the report is stale.
-func (c *Chooser) estimate(u routes.Upstream, now time.Time) float64 {
+// estimatedLoad returns the estimated number of requests at an upstream: its last report, corrected
+// by the requests that this process has sent and finished since, or this process's own
+// requests in flight if the report is stale.
+func (c *Chooser) estimatedLoad(u routes.Upstream, now time.Time) float64 {
 	s := c.states[u.ID]
 	if s == nil {
 		return 0
 	}
 	age := now.Sub(s.load.At)
 	if s.load.At.IsZero() || age >= loadTTL {
-		return float64(s.ownOpen)
+		return float64(s.ownInFlight)
 	}
 	reported := float64(s.load.Running + 2*s.load.Waiting)
-	since := float64(s.ownOpen - s.ownOpenAtLoad)
-	return max(float64(s.ownOpen), reported+since)
+	since := float64(s.ownInFlight - s.ownInFlightAtLoad)
+	return max(float64(s.ownInFlight), reported+since)
 }
 
-// Started records a request sent to an upstream.
+// Started records that a request was sent to an upstream.
 func (c *Chooser) Started(id string) {
 	s := c.stateOf(id)
-	s.ownOpen++
+	s.ownInFlight++
 	s.sent++
 }
 
@@ -240,13 +242,13 @@
 // sent to an earlier incarnation, whose requests are no longer counted.
 func (c *Chooser) Ended(id string) {
 	s := c.stateOf(id)
-	s.ownOpen = max(0, s.ownOpen-1)
+	s.ownInFlight = max(0, s.ownInFlight-1)
 }
 
-// Open returns how many requests of this process are in flight at an upstream.
-func (c *Chooser) Open(id string) int {
+// InFlight returns how many requests of this process are in flight at an upstream.
+func (c *Chooser) InFlight(id string) int {
 	if s := c.states[id]; s != nil {
-		return s.ownOpen
+		return s.ownInFlight
 	}
 	return 0
 }
@@ -255,7 +257,7 @@
 func (c *Chooser) RecordLoad(id string, load Load) {
 	s := c.stateOf(id)
 	s.load = load
-	s.ownOpenAtLoad = s.ownOpen
+	s.ownInFlightAtLoad = s.ownInFlight
 }
 
 // Failed records that an upstream failed a request.
@@ -271,11 +273,12 @@
 	return s
 }
 
-// Sync removes the state of upstreams that are not in list and have no open requests, and of
-// those with a new incarnation, which has neither cached prefixes nor requests of the last one.
+// Sync removes the state of upstreams that are not in list and have no requests in flight, and of
+// upstreams with a new incarnation, which has neither the cached prefixes nor the requests of the
+// last one.
 func (c *Chooser) Sync(list *routes.Upstreams) {
 	for id, s := range c.states {
-		if s.ownOpen == 0 && !list.Knows(id) {
+		if s.ownInFlight == 0 && !list.Knows(id) {
 			delete(c.states, id)
 		}
 	}
@@ -291,9 +294,9 @@
 // forgetIncarnation removes the state of an upstream's last incarnation.
 func (c *Chooser) forgetIncarnation(id string) {
 	delete(c.states, id)
-	for key, sent := range c.prefixes {
+	for prefixID, sent := range c.prefixes {
 		if sent.engine == id {
-			delete(c.prefixes, key)
+			delete(c.prefixes, prefixID)
 		}
 	}
 }
--- a/core/selection/chooser_test.go
+++ b/core/selection/chooser_test.go
@@ -91,16 +91,16 @@
 	assert.Equal(t, choice.Upstream.ID, "a", "stale reports don't count; the local zone goes first")
 }
 
-func TestStaleReportsAreReplacedByOwnOpenRequests(t *testing.T) {
+func TestStaleReportsAreReplacedByOwnRequestsInFlight(t *testing.T) {
 	c, u := New(), engines(1)[0]
 	c.Started("e0")
 	c.RecordLoad("e0", Load{Running: 10, Waiting: 1, Slots: 64, At: now})
 	c.Started("e0")
-	assert.Equal(t, c.estimate(u, now), 13.0)
-	assert.Equal(t, c.estimate(u, now.Add(loadTTL)), 2.0)
+	assert.Equal(t, c.estimatedLoad(u, now), 13.0)
+	assert.Equal(t, c.estimatedLoad(u, now.Add(loadTTL)), 2.0)
 }
 
-func TestRemovedEnginesKeepTheirOpenRequests(t *testing.T) {
+func TestRemovedEnginesKeepTheirRequestsInFlight(t *testing.T) {
 	c := New()
 	c.Started("e0")
 	c.Failed("e1", now)
--- a/core/selection/order_test.go
+++ b/core/selection/order_test.go
@@ -59,10 +59,10 @@
 	})
 	var total float64
 	for _, u := range ordered {
-		total += c.estimate(u, now)
+		total += c.estimatedLoad(u, now)
 	}
 	bound := loadBoundFactor*total/float64(len(ordered)) + loadSlack
-	chosen := slices.IndexFunc(ordered, func(u routes.Upstream) bool { return c.estimate(u, now) <= bound })
+	chosen := slices.IndexFunc(ordered, func(u routes.Upstream) bool { return c.estimatedLoad(u, now) <= bound })
 	choice := Choice{Upstream: ordered[max(0, chosen)], Reason: "load"}
 	switch chosen {
 	case -1:
@@ -70,7 +70,7 @@
 	case 0:
 		choice.Reason = "prefix"
 	}
-	choice.Load = c.estimate(choice.Upstream, now)
+	choice.Load = c.estimatedLoad(choice.Upstream, now)
 	choice.Idle = chosen >= 0 && c.idle(choice.Upstream, list, now)
 	choice.CopyFrom = copySourceBySorting(c, ordered, key, choice.Upstream)
 	return choice, true
--- a/core/selection/parts.go
+++ b/core/selection/parts.go
@@ -22,23 +22,23 @@
 	at     time.Time
 }
 
-// SentPrefix records that a request with the key of a shared prefix was sent to an engine.
-func (c *Chooser) SentPrefix(key, id string, now time.Time) {
-	if key == "" {
+// SentPrefix records that a request with the shared prefix of the given ID was sent to an engine.
+func (c *Chooser) SentPrefix(prefixID, engineID string, now time.Time) {
+	if prefixID == "" {
 		return
 	}
-	if _, known := c.prefixes[key]; !known && len(c.prefixes) >= maxPrefixes {
+	if _, known := c.prefixes[prefixID]; !known && len(c.prefixes) >= maxPrefixes {
 		c.evictPrefixes(now)
 	}
-	c.prefixes[key] = sentPrefix{engine: id, at: now}
+	c.prefixes[prefixID] = sentPrefix{engine: engineID, at: now}
 }
 
 // evictPrefixes removes the prefixes older than prefixTTL, or all prefixes if that makes no
 // room.
 func (c *Chooser) evictPrefixes(now time.Time) {
-	for key, sent := range c.prefixes {
+	for prefixID, sent := range c.prefixes {
 		if now.Sub(sent.at) >= prefixTTL {
-			delete(c.prefixes, key)
+			delete(c.prefixes, prefixID)
 		}
 	}
 	if len(c.prefixes) >= maxPrefixes {
@@ -48,13 +48,13 @@
 
 // copySource returns the address of an engine from which the chosen engine can copy a cached
 // prefix instead of computing it again, empty if there is none: the engine to which the shared
-// prefix was last sent, or the first other engine in the order of its key, which may have cached
-// it, or shorter prefixes, before the load or the fleet changed.
-func (c *Chooser) copySource(candidates []routes.Upstream, key string, chosen routes.Upstream, now time.Time) string {
-	if key == "" {
+// prefix was last sent, or else the first other engine in the order of that prefix, which may have
+// cached it, or shorter prefixes, before the load or the fleet changed.
+func (c *Chooser) copySource(candidates []routes.Upstream, prefixID string, chosen routes.Upstream, now time.Time) string {
+	if prefixID == "" {
 		return ""
 	}
-	sent, known := c.prefixes[key]
+	sent, known := c.prefixes[prefixID]
 	recent := known && now.Sub(sent.at) < prefixTTL
 	if recent && sent.engine == chosen.ID {
 		return ""
@@ -64,7 +64,7 @@
 		from = slices.IndexFunc(candidates, func(u routes.Upstream) bool { return u.ID == sent.engine })
 	}
 	if from < 0 {
-		from = highestScored(candidates, rendezvous.Hash(key), func(u routes.Upstream) bool { return u.ID != chosen.ID })
+		from = highestScored(candidates, rendezvous.Hash(prefixID), func(u routes.Upstream) bool { return u.ID != chosen.ID })
 	}
 	if from < 0 {
 		return ""
--- a/core/selection/parts_test.go
+++ b/core/selection/parts_test.go
@@ -81,5 +81,5 @@
 	_, known := c.prefixes["part"]
 	assert.Assert(t, !known)
 	c.Ended(home.Upstream.ID)
-	assert.Equal(t, c.estimate(again.Upstream, now), 0.0, "the end of a request of before")
+	assert.Equal(t, c.estimatedLoad(again.Upstream, now), 0.0, "the request of the last incarnation ended after it was forgotten")
 }
--- a/gateway/flow/server.go
+++ b/gateway/flow/server.go
@@ -84,8 +84,8 @@
 // InFlight returns the number of requests in flight.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
-// OpenIn returns the number of requests in flight at the upstreams of a zone.
-func (s *Server) OpenIn(zone string) int {
+// InFlightIn returns the number of requests in flight at the upstreams of a zone.
+func (s *Server) InFlightIn(zone string) int {
 	upstreams := s.View.Upstreams()
 	if upstreams == nil {
 		return 0
@@ -95,7 +95,7 @@
 	open := 0
 	upstreams.Each(func(upstream routes.Upstream) {
 		if upstream.Zone == zone {
-			open += s.chooser.Open(upstream.ID)
+			open += s.chooser.InFlight(upstream.ID)
 		}
 	})
 	return open
--- a/gateway/zones.go
+++ b/gateway/zones.go
@@ -33,7 +33,7 @@
 func newZoneWatch(p *process) *zoneWatch {
 	return &zoneWatch{
 		evacuations: p.view.Evacuations,
-		open:        func(zone string) int { return p.flow.OpenIn(zone) + p.owner.CallsIn(zone) },
+		open:        func(zone string) int { return p.flow.InFlightIn(zone) + p.owner.CallsIn(zone) },
 		logger:      p.logger,
 		scope:       p.metrics.Scope(),
 		emptied:     make(map[string]view.Evacuation),
