--- a/core/routes/table.go
+++ b/core/routes/table.go
@@ -12,21 +12,21 @@
 	Version int64
 	Limits  Limits
 
-	hosts      map[string][]*Route
-	services   map[string]*Service
-	keys       map[string]*Workspace
-	workspaces bool
+	hosts         map[string][]*Route
+	services      map[string]*Service
+	keys          map[string]*Workspace
+	hasWorkspaces bool
 }
 
 // NewTable returns the Table of a validated configuration.
 func NewTable(version int64, limits Limits, list []*Route, services []*Service, workspaces []*Workspace) *Table {
 	t := &Table{
-		Version:    version,
-		Limits:     limits,
-		hosts:      make(map[string][]*Route),
-		services:   make(map[string]*Service),
-		keys:       make(map[string]*Workspace),
-		workspaces: len(workspaces) > 0,
+		Version:       version,
+		Limits:        limits,
+		hosts:         make(map[string][]*Route),
+		services:      make(map[string]*Service),
+		keys:          make(map[string]*Workspace),
+		hasWorkspaces: len(workspaces) > 0,
 	}
 	for _, route := range list {
 		t.hosts[route.Host] = append(t.hosts[route.Host], route)
@@ -69,10 +69,10 @@
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
 // HasWorkspaces reports whether the configuration has workspaces, whose API keys routes may need.
-func (t *Table) HasWorkspaces() bool { return t.workspaces }
+func (t *Table) HasWorkspaces() bool { return t.hasWorkspaces }
 
 // NeedsKey reports whether requests of a route need an API key.
-func (t *Table) NeedsKey(route *Route) bool { return t.workspaces && !route.Anonymous }
+func (t *Table) NeedsKey(route *Route) bool { return t.hasWorkspaces && !route.Anonymous }
 
 // Workspace returns the workspace to which an API key belongs, or nil if there is none.
 func (t *Table) Workspace(key string) *Workspace { return t.keys[key] }
--- a/core/routes/upstream.go
+++ b/core/routes/upstream.go
@@ -21,8 +21,8 @@
 	Slots  int
 	// Leaving is set while the upstream reports that it leaves: it gets no new work.
 	Leaving bool
-	// BackoffUntil is until when this process is backed off from the upstream, which rejected
-	// a request and asked for the backoff; the zero time if it did not.
+	// BackoffUntil is the time before which this process sends the upstream no new work, as the
+	// upstream rejected a request and asked for a backoff; the zero time if it did not.
 	BackoffUntil time.Time
 	// Evacuated is set while its availability zone is evacuated: it gets no new work.
 	Evacuated bool
@@ -30,8 +30,8 @@
 	// with one ID: a later run has a higher number. It is the start time in Unix milliseconds, 0 if
 	// unknown.
 	Incarnation int64
-	// Cold is the remaining time for which the upstream reported itself cold after its start. A
-	// cold upstream takes only a few requests a second.
+	// Cold is for how much longer the upstream reported that it is cold after its start. A cold
+	// upstream takes only a few requests a second.
 	Cold time.Duration
 	// ColdUntil is the time, by this process's clock, at which Cold has passed.
 	ColdUntil time.Time
@@ -45,14 +45,14 @@
 // and the network delays.
 const reportDelay = 2500 * time.Millisecond
 
-// IsCold reports whether an upstream must be assumed to be cold, where start is how long the
-// upstreams of its service are cold after a start. An upstream in a zone whose evacuation just
+// IsCold reports whether an upstream must be assumed to be cold, where coldStart is how
+// long the upstreams of its service are cold after they have started. An upstream in a zone whose evacuation just
 // ended may be cold before this process receives a report of it.
-func (u Upstream) IsCold(start time.Duration, now time.Time) bool {
+func (u Upstream) IsCold(coldStart time.Duration, now time.Time) bool {
 	if now.Before(u.ColdUntil) {
 		return true
 	}
-	return !u.EvacuationEnded.IsZero() && now.Before(u.EvacuationEnded.Add(start+reportDelay))
+	return !u.EvacuationEnded.IsZero() && now.Before(u.EvacuationEnded.Add(coldStart+reportDelay))
 }
 
 // Eligible reports whether an upstream takes new work, now or once its backoff has ended.
--- a/core/routes/upstream_test.go
+++ b/core/routes/upstream_test.go
@@ -14,7 +14,7 @@
 // it reports so and, after the evacuation of its zone ended, for the time of a cold start and
 // the delay of a report.
 func TestUpstreamIsColdIfReportedOrIfItsZoneJustReturned(t *testing.T) {
-	const start = 3 * time.Second
+	const coldStart = 3 * time.Second
 	for name, test := range map[string]struct {
 		upstream Upstream
 		cold     bool
@@ -23,11 +23,11 @@
 		"reported":                   {Upstream{ColdUntil: now.Add(time.Millisecond)}, true},
 		"reported time passed":       {Upstream{ColdUntil: now}, false},
 		"evacuation just ended":      {Upstream{EvacuationEnded: now}, true},
-		"report may still be late":   {Upstream{EvacuationEnded: now.Add(-start - reportDelay + time.Millisecond)}, true},
-		"evacuation ended earlier":   {Upstream{EvacuationEnded: now.Add(-start - reportDelay)}, false},
+		"report may still be late":   {Upstream{EvacuationEnded: now.Add(-coldStart - reportDelay + time.Millisecond)}, true},
+		"evacuation ended earlier":   {Upstream{EvacuationEnded: now.Add(-coldStart - reportDelay)}, false},
 		"reported, evacuation ended": {Upstream{ColdUntil: now.Add(time.Second), EvacuationEnded: now.Add(-time.Minute)}, true},
 	} {
-		assert.Equal(t, test.upstream.IsCold(start, now), test.cold, name)
+		assert.Equal(t, test.upstream.IsCold(coldStart, now), test.cold, name)
 	}
 }
 
