--- a/gateway/flow/cold.go
+++ b/gateway/flow/cold.go
@@ -7,8 +7,8 @@
 	"acaciawinch/core/slowstart"
 )
 
-// maxColdViewAge is the age up to which this process's view of the other gateways allows it to
-// send to a cold upstream: a process that is cut off can't tell which others send.
+// maxColdViewAge is the age of the newest freshness proof up to which this process may send to a
+// cold upstream: a process that is cut off doesn't know which other gateways send to it.
 const maxColdViewAge = 2500 * time.Millisecond
 
 // isColdUpstream reports whether an upstream is cold and its service limits requests to cold
@@ -29,7 +29,7 @@
 	if s.draining.Load() {
 		return false
 	}
-	if age, known := s.View.KeysAge(); !known || age > maxColdViewAge {
+	if age, known := s.View.ProofAge(); !known || age > maxColdViewAge {
 		return false
 	}
 	return s.cold.Allows(upstream.ID, slowstart.Bound{PerSecond: service.ColdPerSecond, Overrun: s.ColdOverrun, Slack: s.ColdSlack}, now)
--- a/gateway/flow/handler.go
+++ b/gateway/flow/handler.go
@@ -78,9 +78,10 @@
 	// reached an upstream.
 	tried []string
 	sends int
-	// crashPass allows one send although upstreams have crashed while running the request.
+	// crashPass allows one send although upstreams have crashed while running the request; it is
+	// the zero Pass if there is none.
 	crashPass quarantine.Pass
-	// usedPass is the crashPass of the last send.
+	// usedPass is the crashPass that the last send used up.
 	usedPass quarantine.Pass
 	// mayHaveRun is set after a send that can't be proved not to have run.
 	mayHaveRun bool
@@ -169,7 +170,7 @@
 	if !rq.View.KeysTrusted() {
 		// A key may have been revoked since the last update from the store. Without a recent
 		// freshness proof, no request with a key may run.
-		return rq.refuse(http.StatusServiceUnavailable, "request.authorise", "API keys were last confirmed "+rq.keysAgeText(), retryAfterNotReady)
+		return rq.refuse(http.StatusServiceUnavailable, "request.authorise", "API keys were last confirmed "+rq.proofAgeText(), retryAfterNotReady)
 	}
 	rq.workspace = rq.table.Workspace(rq.hdr.Key)
 	if rq.workspace == nil {
@@ -178,10 +179,10 @@
 	return true
 }
 
-// keysAgeText describes the age of the freshness proof and where it came from, for use in
+// proofAgeText describes the age of the freshness proof and where it came from, for use in
 // messages.
-func (rq *request) keysAgeText() string {
-	age, known := rq.View.KeysAge()
+func (rq *request) proofAgeText() string {
+	age, known := rq.View.ProofAge()
 	if !known {
 		return "never"
 	}
@@ -196,8 +197,8 @@
 // refuseUnknown refuses a request whose route or key is not in the configuration. If the
 // configuration may be stale, it refuses with 503 and a Retry-After instead of status.
 func (rq *request) refuseUnknown(status int, detail string) bool {
-	if age, known := rq.View.KeysAge(); !known || age > maxConfigAge {
-		return rq.refuse(http.StatusServiceUnavailable, "request.admit", detail+", and the configuration was last confirmed "+rq.keysAgeText(), retryAfterNotReady)
+	if age, known := rq.View.ProofAge(); !known || age > maxConfigAge {
+		return rq.refuse(http.StatusServiceUnavailable, "request.admit", detail+", and the configuration was last confirmed "+rq.proofAgeText(), retryAfterNotReady)
 	}
 	return rq.refuse(status, "request.admit", detail, 0)
 }
@@ -226,7 +227,7 @@
 }
 
 // pickTarget returns the service of one of the targets, chosen by weight. The choice depends
-// only on the request's ID, so that all attempts with the same ID get the same service.
+// only on the ID, so that all attempts with the same ID get the same service.
 func pickTarget(targets []routes.Target, id string) string {
 	total := 0
 	for _, t := range targets {
@@ -321,9 +322,9 @@
 // canRunExcluding reports whether there is an upstream for the request now, other than the
 // incarnations in excluded.
 func (rq *request) canRunExcluding(excluded []string) bool {
-	req := rq.requirements()
-	req.excluded = excluded
-	_, found := rq.preview(req)
+	needs := rq.requirements()
+	needs.excluded = excluded
+	_, found := rq.preview(needs)
 	return found
 }
 
@@ -333,7 +334,7 @@
 func (rq *request) unavailable() (reason string, retryAfter time.Duration) {
 	services := []string{rq.service}
 	for i, stage := range rq.route.Stages {
-		if rq.hdr.Pieces[i] > 0 {
+		if rq.hdr.Items[i] > 0 {
 			services = append(services, stage.Service)
 		}
 	}
@@ -374,8 +375,8 @@
 	return again
 }
 
-// maxUnreached bounds the upstreams tried for a request that could not be reached or were
-// replaced by others.
+// maxUnreached bounds the upstreams that are tried for one request without reaching them, because
+// they accept no connection or were replaced by others.
 const maxUnreached = 4
 
 // giveUp ends a request that can't be served. It refuses the request, or closes the client's
--- a/gateway/flow/prepare.go
+++ b/gateway/flow/prepare.go
@@ -65,7 +65,7 @@
 	run := &stageRun{
 		request:   rq,
 		ctx:       ctx,
-		progress:  stages.New(rq.route.Stages, rq.hdr.Pieces),
+		progress:  stages.New(rq.route.Stages, rq.hdr.Items),
 		updates:   make(chan stageUpdate, updatesPerStage*len(rq.route.Stages)),
 		startedAt: make(map[int]time.Time),
 		doneAt:    make(map[int]time.Time),
@@ -83,7 +83,7 @@
 		}
 		if end.err != nil || end.result.Failure != "" {
 			cancel()
-			run.collect()
+			run.awaitCancelled()
 			rq.results.free()
 			return end.result.Failure == pools.Gone, stageError(end)
 		}
@@ -118,16 +118,19 @@
 
 // A stage whose results only the request itself uses is started late enough to end together
 // with the longest of the other stages. If it ended earlier, its results would occupy memory of
-// their upstream, and large results fill that memory. The margins cover estimates that are too
-// short.
+// their upstream, and large results fill that memory.
 const (
+	// startMarginDivisor and startMargin set how much earlier such a stage starts than its estimate
+	// requires, as the estimate may be too short: its estimated duration divided by
+	// startMarginDivisor, and startMargin.
 	startMarginDivisor = 3
 	startMargin        = 100 * time.Millisecond
-	maxWait            = time.Second
+	// maxWait bounds the wait for a stage update.
+	maxWait = time.Second
 )
 
-// startDue starts the waiting stages that are due, and returns how long the others may still
-// wait.
+// startDue starts the waiting stages that need no further delay, and returns how long the others
+// may still wait.
 func (run *stageRun) startDue() time.Duration {
 	wait := maxWait
 	remaining := run.progress.Remaining(run.remaining)
@@ -156,8 +159,8 @@
 		Part:        pools.Part{Service: spec.Service},
 		Request:     run.hdr.ID,
 		Stage:       stage,
-		Pieces:      run.hdr.Pieces[stage],
-		Key:         run.pieceKey(stage),
+		Items:       run.hdr.Items[stage],
+		Key:         run.inputKey(stage),
 		Inputs:      inputs,
 		ResultBytes: spec.ResultBytes,
 		Remaining:   times.remaining,
@@ -169,9 +172,9 @@
 	run.updates <- stageUpdate{stage: stage, result: result, owner: owner, took: time.Since(started), err: err}
 }
 
-// collect waits for the cancelled stages to end and records their results, so that these are
+// awaitCancelled waits for the cancelled stages to end and records their results, so that these are
 // freed.
-func (run *stageRun) collect() {
+func (run *stageRun) awaitCancelled() {
 	for run.running > 0 {
 		run.nextUpdate(maxWait)
 	}
@@ -190,12 +193,12 @@
 	}
 }
 
-// pieceKey returns the key that a first stage works on; it is empty for later stages.
-func (rq *request) pieceKey(stage int) string {
+// inputKey returns the key of the input of a first stage; it is empty for later stages.
+func (rq *request) inputKey(stage int) string {
 	if len(rq.route.Stages[stage].After) > 0 {
 		return ""
 	}
-	return rq.hdr.PieceKey
+	return rq.hdr.InputKey
 }
 
 // recordStage logs the end of a stage and records it in the metrics.
@@ -203,7 +206,7 @@
 	service := rq.route.Stages[end.stage].Service
 	rq.Metrics.stageEnded(service, string(end.result.Failure), end.took)
 	fields := observe.Fields{"request": rq.hdr.ID, "stage": end.stage, "service": service, "owner": end.owner,
-		"pieces": rq.hdr.Pieces[end.stage], "duration_us": end.took.Microseconds()}
+		"pieces": rq.hdr.Items[end.stage], "duration_us": end.took.Microseconds()}
 	if end.err == nil && end.result.Failure == "" {
 		rq.Logger.Event(event.StageDone, fields)
 		return
--- a/gateway/flow/pulls.go
+++ b/gateway/flow/pulls.go
@@ -6,7 +6,7 @@
 	"acaciawinch/core/pool"
 )
 
-// transfers returns the data that each piece of a stage moves between zones: its inputs from the
+// transfers returns the data that each item of a stage moves between zones: its inputs from the
 // zones where they are kept and, if the request itself uses the result, the result to the zone
 // that the request is likely to be sent to.
 func (rq *request) transfers(stage int, isLast bool, inputs []string) []pool.Transfer {
--- a/gateway/flow/relay.go
+++ b/gateway/flow/relay.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// readError returns why the remainder of a response could not be read: the end of the
+// readError returns the error of a response whose remainder could not be read: the end of the
 // request's context, if that closed the connection, or else err.
 func (rq *request) readError(step, id string, err error) error {
 	if ended := rq.ctx.Err(); ended != nil {
@@ -128,9 +128,9 @@
 	return nil
 }
 
-// recordOutcome tells the quarantine guard whether the upstream survived a completed response, as
-// far as that is known. A response whose end is only marked by the end of the connection may
-// have ended because the upstream's process crashed.
+// recordOutcome reports a completed response to the quarantine guard: either the request has
+// completed, or the upstream closed the connection. A response whose end is only marked by the end
+// of the connection may have ended because the upstream's process crashed.
 func (rq *request) recordOutcome(response *httpconn.Response, upstream routes.Upstream) {
 	switch {
 	case !response.Framed:
--- a/gateway/flow/send.go
+++ b/gateway/flow/send.go
@@ -24,7 +24,7 @@
 
 // sendFailure is the error of a send that yielded no response to pass on.
 type sendFailure struct {
-	// unsent is set if no byte left this process, mayHaveRun if the request may have run, and
+	// unsent is set if no byte of the request was sent, mayHaveRun if the request may have run, and
 	// replaced if the upstream has ended and another one at its address rejected the request.
 	unsent, mayHaveRun, replaced bool
 	// closedByUpstream is set if the upstream closed the connection before its response was
@@ -49,8 +49,8 @@
 		return err // upstreams may have crashed while the stages ran
 	}
 	rq.awaitBackoff()
-	req := rq.requirements()
-	choice, found := rq.choose(req)
+	needs := rq.requirements()
+	choice, found := rq.choose(needs)
 	if !found {
 		return fault.New(fault.Unavailable, "request.choose", rq.service, "no upstream accepts requests")
 	}
@@ -63,7 +63,7 @@
 	cancelFree := rq.freeWhenRead(choice)
 	defer cancelFree()
 	sent := clock.Boot()
-	response, err := rq.Client.Do(ctx, choice.Upstream.Address, rq.message(choice, req.service != nil && req.service.Engine != nil))
+	response, err := rq.Client.Do(ctx, choice.Upstream.Address, rq.message(choice, needs.service != nil && needs.service.Engine != nil))
 	if err == nil {
 		rq.countSend()
 		defer response.Close()
@@ -77,8 +77,9 @@
 	return err
 }
 
-// awaitBackoff waits until the first upstream is no longer backed off, if all are. It does so only
-// if results of stages would otherwise be lost and the request can still be served then.
+// awaitBackoff waits, if all upstreams of the service are backed off, until the first backoff ends.
+// It waits only if results of stages would otherwise be lost and the request can still be served
+// afterwards.
 func (rq *request) awaitBackoff() {
 	now := time.Now()
 	availableAt := rq.View.Upstreams().AvailableAt(rq.service, now)
@@ -92,8 +93,8 @@
 // network latency and busy links.
 const readAllowance = 50 * time.Millisecond
 
-// freeWhenRead frees the results as soon as the engine must have read them, if the engine is
-// known to be idle. Otherwise they are kept until its first event. The returned function
+// freeWhenRead frees the results of the stages as soon as the engine must have read them, if the
+// engine is known to be idle. Otherwise they are kept until its first event. The returned function
 // cancels the timer.
 func (rq *request) freeWhenRead(choice selection.Choice) func() {
 	if rq.results == nil || !choice.Idle {
@@ -160,8 +161,8 @@
 	return &sendFailure{mayHaveRun: true, closedByUpstream: rq.wasClosedByUpstream(err), err: err}
 }
 
-// countSend counts a send that reached an upstream. It uses up the crashPass, as a trial is one
-// such send.
+// countSend counts a send that reached an upstream. The send uses up crashPass, which allows one
+// send.
 func (rq *request) countSend() {
 	rq.sends++
 	rq.crashPass, rq.usedPass = quarantine.Pass{}, rq.crashPass
--- a/gateway/flow/server.go
+++ b/gateway/flow/server.go
@@ -78,7 +78,8 @@
 	s.budgets = make(map[string]*budget.Budget)
 }
 
-// Drain makes every response from now on close the client's connection.
+// Drain makes every response from now on close its client's connection, and stops sends to cold
+// upstreams.
 func (s *Server) Drain() { s.draining.Store(true) }
 
 // InFlight returns the number of requests in flight.
@@ -132,7 +133,7 @@
 
 // clientTimeUsed returns the least time that a client must have spent on earlier, refused
 // attempts, given the remaining time that it announces for this one. A request with earlier
-// attempts is late or nearly late, and waits behind those that can be on time. Without this
+// attempts is late or nearly late, and waits behind those that can be in time. Without this
 // order, many of the requests that an overloaded deployment serves in a burst are late, though
 // few of the first attempts are.
 func (s *Server) clientTimeUsed(route string, announced time.Duration) time.Duration {
--- a/gateway/pools/asker.go
+++ b/gateway/pools/asker.go
@@ -56,11 +56,11 @@
 // maxOwnerTries bounds the number of owners that one task is submitted to.
 const maxOwnerTries = 3
 
-// Do submits a task to the owner of its pool and waits for the result. If the owner stops
-// responding or hands the task back, the next owner gets it. Do calls begun when the task's
-// inputs have been read; begun must return at once. It returns the name of the last owner
-// tried; the error is that of ctx.
-func (d *Dispatcher) Do(ctx context.Context, task Task, begun func()) (Result, string, error) {
+// Do submits a task to the owner of its part of the pool and waits for the result. If the owner
+// stops responding or hands the task back, the next owner gets it. Do calls inputsRead when the
+// task's inputs have been read; inputsRead must return at once. Do also returns the name of the
+// last owner tried; the error is that of ctx.
+func (d *Dispatcher) Do(ctx context.Context, task Task, inputsRead func()) (Result, string, error) {
 	start := time.Now()
 	task.Part = d.choosePart(task)
 	original := task
@@ -70,7 +70,7 @@
 		elapsed := time.Since(start)
 		task.Remaining, task.Due = original.Remaining-elapsed, original.Due-elapsed
 		var err error
-		result, owner, err = d.tryOwner(ctx, task, begun)
+		result, owner, err = d.tryOwner(ctx, task, inputsRead)
 		if err != nil || result.Failure != OwnerLost && result.Failure != OwnerLeft {
 			return result, owner, err
 		}
@@ -87,11 +87,11 @@
 }
 
 // tryOwner submits a task to the current owner of its part and waits for the result.
-func (d *Dispatcher) tryOwner(ctx context.Context, task Task, begun func()) (Result, string, error) {
+func (d *Dispatcher) tryOwner(ctx context.Context, task Task, inputsRead func()) (Result, string, error) {
 	owner := d.owner(task.Part, time.Now())
 	results := make(chan Result, 1)
 	number := d.nextNumber()
-	notify := Notify{Begun: begun, Done: func(r Result) { results <- r }}
+	notify := Notify{InputsRead: inputsRead, Done: func(r Result) { results <- r }}
 	var cancel func()
 	if owner.Name == d.self.Name {
 		d.local.Submit(number, task, notify)
@@ -114,7 +114,7 @@
 	}
 }
 
-// Free releases results of a service at their owners.
+// Free tells the owners of a service's pool to free results.
 func (d *Dispatcher) Free(service string, handles []string) {
 	if len(handles) == 0 {
 		return
@@ -130,7 +130,7 @@
 }
 
 // choosePart returns the part of the pool that runs a task: of the two that the hashes of the
-// request's id select, the one with the shorter backlog.
+// request's ID select, the one with the shorter backlog.
 func (d *Dispatcher) choosePart(task Task) Part {
 	first := Part{Service: task.Service, Count: partsOf(len(d.view.Upstreams().Of(task.Service)))}
 	if first.Count == 1 {
@@ -156,9 +156,9 @@
 }
 
 // Wait estimates how long a stage of a request of a class takes at a service while the request
-// can still be on time; 0 if there is no estimate.
+// is in time; 0 if there is no estimate.
 func (d *Dispatcher) Wait(service string, class Class) time.Duration {
-	return d.slowestPart(service, func(part Part, now time.Time) time.Duration { return d.waits.timely(part, class, now) })
+	return d.slowestPart(service, func(part Part, now time.Time) time.Duration { return d.waits.inTime(part, class, now) })
 }
 
 // Backlog estimates how long a stage takes at a service if it is queued behind the whole
@@ -231,7 +231,7 @@
 	return l
 }
 
-// suspect makes an owner be skipped for suspectFor.
+// suspect skips an owner for suspectFor.
 func (d *Dispatcher) suspect(owner view.Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/gateway/pools/call.go
+++ b/gateway/pools/call.go
@@ -18,7 +18,7 @@
 	"acaciawinch/platform/stagecall"
 )
 
-// maxResultBytes bounds how much of a response is read; it holds a full batch of handles.
+// maxResultBytes bounds how much of a response is read; a full batch of handles fits into it.
 const maxResultBytes = 1 << 20
 
 // call makes one call and records its outcome.
@@ -51,8 +51,8 @@
 
 // cutByDeadline reports whether a call without results ended at the latest deadline of its
 // requests, before it could be expected to end. Such a call is not counted as a fault of the
-// upstream: counting it took healthy upstreams out of use for 0.8 to 3.2 s during bursts, when
-// late tasks are sent with little time left.
+// upstream: when it was, healthy upstreams were out of use for 0.8 to 3.2 s during bursts, when
+// late tasks are sent with little time remaining.
 func cutByDeadline(took, maxRemaining, expected time.Duration) bool {
 	return took >= maxRemaining-deadlineSlack && took < expected
 }
@@ -178,8 +178,9 @@
 	}
 }
 
-// sendFrees tells the upstreams of a pool which results to drop. Upstreams in backoff are told
-// when it ends. Results of upstreams that are no longer listed are gone with them.
+// sendFrees tells the upstreams of a pool which results to drop. Upstreams that are backed off are
+// told once the backoff has ended. Results of upstreams that are no longer listed are gone with
+// them.
 func (o *Owner) sendFrees(p *ownedPart, now time.Time) {
 	if len(p.pendingFrees) == 0 {
 		return
@@ -200,8 +201,8 @@
 // freeTimeout bounds a call that frees results.
 const freeTimeout = time.Second
 
-// sendFree tells one upstream which results to drop. Their space counts as free only after the
-// call.
+// sendFree tells one upstream which results to drop. The room that they take counts as available
+// only after the call.
 func (o *Owner) sendFree(p *ownedPart, upstream routes.Upstream, pending *pendingFree) {
 	ctx, cancel := context.WithTimeout(o.lifetime, freeTimeout)
 	defer cancel()
--- a/gateway/pools/early.go
+++ b/gateway/pools/early.go
@@ -34,7 +34,7 @@
 // holdEarlyTask holds a task until the configuration is known, and reports whether it did. When
 // all gateways are lost at once, the first to restart submit tasks to an owner that does not
 // know its pools yet; a third of the tasks that such an owner refused at once could have been
-// served. The lock is held.
+// served. o.mu must be held.
 func (o *Owner) holdEarlyTask(session *Session, number uint64, task Task, notify Notify) bool {
 	if o.configKnown() || o.leaving || len(o.earlyTasks) >= maxEarly {
 		return false
@@ -43,7 +43,7 @@
 	return true
 }
 
-// holdEarlyFree holds a request to free results until the configuration is known. The lock is
+// holdEarlyFree holds a request to free results until the configuration is known. o.mu must be
 // held.
 func (o *Owner) holdEarlyFree(part Part, handles []string) {
 	if len(o.earlyFrees) >= maxEarly {
@@ -54,7 +54,7 @@
 }
 
 // processEarly frees the results and queues the tasks that were held, once the configuration is
-// known. The lock is held.
+// known. o.mu must be held.
 func (o *Owner) processEarly() {
 	if !o.configKnown() {
 		return
@@ -69,8 +69,8 @@
 	}
 }
 
-// submitEarlyTasks submits the held tasks even if the configuration is still unknown: a
-// stopping owner hands them back this way. The lock is held.
+// submitEarlyTasks submits the held tasks, even if the configuration is still unknown: that is how
+// a stopping owner hands them back. o.mu must be held.
 func (o *Owner) submitEarlyTasks() {
 	early := o.earlyTasks
 	o.earlyTasks = nil
@@ -82,7 +82,7 @@
 	}
 }
 
-// dropEarlyTask drops a session's held task. The lock is held.
+// dropEarlyTask drops a session's held task. o.mu must be held.
 func (o *Owner) dropEarlyTask(s *Session, number uint64) {
 	o.earlyTasks = slices.DeleteFunc(o.earlyTasks, func(held earlyTask) bool { return held.session == s && held.number == number })
 }
--- a/gateway/pools/handover.go
+++ b/gateway/pools/handover.go
@@ -25,7 +25,7 @@
 }
 
 // due reports whether the queued tasks of a part are to be handed over now. While this process
-// is not the owner, it returns true once every handoverDelay.
+// is not the owner, due returns true once every handoverDelay.
 func (h *handover) due(part Part, isOwner bool, now time.Time) bool {
 	since, known := h.since[part]
 	switch {
@@ -45,7 +45,7 @@
 
 // Run hands over parts that other processes own, until ctx ends. Without it, after a crash of
 // many processes a pool could have two owners, each with seconds of queued work. Their calls
-// would make each other wait at the upstreams, and their results would take each other's space.
+// would make each other wait at the upstreams, and their results would take each other's room.
 func (d *Dispatcher) Run(ctx context.Context) error {
 	ticker := time.NewTicker(handoverInterval)
 	defer ticker.Stop()
--- a/gateway/pools/link.go
+++ b/gateway/pools/link.go
@@ -14,10 +14,10 @@
 
 // Timing of a link to an owner.
 const (
-	// pingInterval is how often an owner with open tasks is pinged. silenceTimeout is when an
-	// owner that sends nothing is given up; until then all tasks for its pools are stalled. An
-	// owner replies within a few ms unless it is frozen or cut off; a busy one on a small
-	// machine may take some hundred ms.
+	// pingInterval is how often an owner with open tasks is pinged. silenceTimeout is the time
+	// after which an owner that sends nothing is given up; until then all tasks for its pools are
+	// stalled. An owner replies within a few ms unless it is frozen or disconnected; a busy one on
+	// a small machine may take some hundred ms.
 	pingInterval   = 200 * time.Millisecond
 	silenceTimeout = 600 * time.Millisecond
 	// stallThreshold is the time since the last ping after which this process counts as stalled
@@ -90,8 +90,8 @@
 	}
 }
 
-// free releases results. If the request does not reach the owner, the upstreams that hold the
-// results drop them after their keep time.
+// free tells the owner to free results. If the message does not reach the owner, the upstreams that
+// hold the results drop them after the keep time of their pool.
 func (l *ownerLink) free(part Part, handles []string) {
 	l.enqueue(&wirepb.PoolRequest{Kind: &wirepb.PoolRequest_Free{Free: &wirepb.PoolFree{
 		Service: part.Service,
@@ -188,8 +188,8 @@
 	return &wirepb.PoolRequest{Kind: &wirepb.PoolRequest_Ping{Ping: 1}}
 }
 
-// handleReply notifies the waiter of the task that a reply is about. Results that nobody waits
-// for are dropped by their upstreams after their keep time.
+// handleReply calls the callback of the task that a reply is about. Results that nobody waits for
+// are dropped by their upstreams after the keep time of the pool.
 func (l *ownerLink) handleReply(reply *wirepb.PoolReply) {
 	switch kind := reply.GetKind().(type) {
 	case *wirepb.PoolReply_Result:
@@ -198,15 +198,15 @@
 		}
 	case *wirepb.PoolReply_Begun:
 		if notify, found := l.lookup(kind.Begun, false); found {
-			notify.Begun()
+			notify.InputsRead()
 		}
 	default:
 		l.lookup(0, false)
 	}
 }
 
-// lookup notes that the owner has sent a message and returns the callbacks of a task. If end is
-// set, the task is no longer open.
+// lookup records that the owner has sent a message and returns the callbacks of a task. If end is
+// set, the task is no longer open afterwards.
 func (l *ownerLink) lookup(number uint64, end bool) (Notify, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/gateway/pools/owner.go
+++ b/gateway/pools/owner.go
@@ -66,12 +66,12 @@
 	Task
 	queued  *pool.Task
 	handles []string
-	// pending is the number of pieces without a result.
+	// pending is the number of items without a result.
 	pending int
 	notify  Notify
-	// begun is set once the caller has been, or is about to be, told that the inputs have been
-	// read.
-	begun bool
+	// inputsReadNotified is set once the caller has been, or is about to be, told that the inputs
+	// have been read.
+	inputsReadNotified bool
 	// session is the caller's session, whose end cancels the task; number is the caller's
 	// number of the task.
 	session *Session
@@ -197,9 +197,9 @@
 	return true
 }
 
-// Leave hands back all tasks of other processes of which nothing has been sent yet, and accepts
-// no others. Two owners of a pool would make each other's calls wait at the upstreams. Running
-// calls are finished.
+// Leave hands back the tasks of other processes of which no item has been sent yet, and accepts no
+// further tasks of other processes. Two owners of a pool would make each other's calls wait at the
+// upstreams. Running calls are finished.
 func (o *Owner) Leave() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -210,7 +210,7 @@
 	o.submitEarlyTasks()
 }
 
-// HandBack hands back all tasks of a part of which nothing has been sent yet, and returns their
+// HandBack hands back all tasks of a part of which no item has been sent yet, and returns their
 // number. Running calls are finished.
 func (o *Owner) HandBack(part Part) int {
 	o.mu.Lock()
@@ -222,12 +222,12 @@
 	return o.handBack(p, func(*openTask) bool { return true })
 }
 
-// handBack hands back the matching tasks of which nothing has been sent yet, and returns their
-// number. The lock is held.
+// handBack hands back the matching tasks of which no item has been sent yet, and returns their
+// number. o.mu must be held.
 func (o *Owner) handBack(p *ownedPart, match func(*openTask) bool) int {
 	count := 0
 	for ticket, task := range p.tasks {
-		if match(task) && p.queue.WaitingOf(ticket) == task.Pieces {
+		if match(task) && p.queue.WaitingOf(ticket) == task.Items {
 			o.fail(p, ticket, OwnerLeft)
 			count++
 		}
@@ -259,8 +259,8 @@
 	return calls
 }
 
-// submit queues a task for a session, and reports whether the configuration has its pool. The
-// lock is held.
+// submit queues a task for a session, and reports whether the configuration has its pool. o.mu
+// must be held.
 func (o *Owner) submit(session *Session, number uint64, task Task, notify Notify) bool {
 	p := o.pool(task.Part)
 	if p == nil {
@@ -270,8 +270,8 @@
 	o.lastTicket++
 	open := &openTask{
 		Task:    task,
-		handles: make([]string, task.Pieces),
-		pending: task.Pieces,
+		handles: make([]string, task.Items),
+		pending: task.Items,
 		notify:  notify,
 		session: session,
 		number:  number,
@@ -296,15 +296,15 @@
 		o.fail(p, o.lastTicket, Late)
 		return true
 	}
-	p.queue.Add(open.queued, task.Pieces)
+	p.queue.Add(open.queued, task.Items)
 	o.sendCalls(p, now)
 	return true
 }
 
 // free frees results of a part of a pool. Requests that arrive before the configuration is
 // known are held until then: an owner that has just started receives those of all gateways, and
-// if they were dropped, their results would fill the space of the whole pool until they expire.
-// The lock is held.
+// if they were dropped, their results would fill the room of the whole pool until they expire.
+// o.mu must be held.
 func (o *Owner) free(part Part, handles []string) {
 	if !o.configKnown() {
 		o.holdEarlyFree(part, handles)
@@ -316,7 +316,7 @@
 }
 
 // end removes a task and its queued items, and returns the task; nil if it has already ended.
-// The lock is held.
+// The Owner's lock must be held.
 func (p *ownedPart) end(ticket pool.Ticket) *openTask {
 	task := p.tasks[ticket]
 	if task == nil {
@@ -337,7 +337,7 @@
 		}
 		body, maxRemaining := p.encode(call, now)
 		go o.call(p, call, body, maxRemaining)
-		o.notifyBegun(p, call)
+		o.notifyInputsRead(p, call)
 	}
 }
 
@@ -348,33 +348,33 @@
 
 // minExclusiveTime is the least time after a change of owner before inputs are reported as
 // read. Until then calls of the previous owner may keep upstreams busy, so that a call waits
-// there with its inputs unread. Results of those calls take space for the keep time: an item
-// may find no space, and its inputs must still exist for the retry.
+// there with its inputs unread. Results of those calls take room for the keep time: an item
+// may find no room, and its inputs must still exist for the retry.
 const minExclusiveTime = time.Second
 
-// notifyBegun tells the callers of tasks whose last items are in a call that the inputs have
-// been read, once inputReadTime has passed.
-func (o *Owner) notifyBegun(p *ownedPart, call *pool.Call) {
+// notifyInputsRead notifies the callers of tasks whose last items are in a call that the inputs
+// have been read, once inputReadTime has passed.
+func (o *Owner) notifyInputsRead(p *ownedPart, call *pool.Call) {
 	if call.StartedAt.Sub(p.ownedSince) < max(minExclusiveTime, p.keepTime) || !p.queue.RespondsPromptly(call.Upstream.ID) {
 		return
 	}
-	var begun []pool.Ticket
+	var tickets []pool.Ticket
 	for _, item := range call.Items {
 		task := p.tasks[item.Task.Ticket]
-		if task != nil && !task.begun && len(task.Inputs) > 0 && p.queue.WaitingOf(item.Task.Ticket) == 0 {
-			task.begun = true
-			begun = append(begun, item.Task.Ticket)
+		if task != nil && !task.inputsReadNotified && len(task.Inputs) > 0 && p.queue.WaitingOf(item.Task.Ticket) == 0 {
+			task.inputsReadNotified = true
+			tickets = append(tickets, item.Task.Ticket)
 		}
 	}
-	if len(begun) == 0 {
+	if len(tickets) == 0 {
 		return
 	}
 	time.AfterFunc(inputReadTime, func() {
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		for _, ticket := range begun {
+		for _, ticket := range tickets {
 			if task := p.tasks[ticket]; task != nil {
-				task.notify.Begun()
+				task.notify.InputsRead()
 			}
 		}
 	})
@@ -388,7 +388,7 @@
 	for i, item := range call.Items {
 		remaining := max(time.Millisecond, item.Task.Deadline.Sub(now))
 		maxRemaining = max(maxRemaining, remaining)
-		items[i] = stagecall.Item{Piece: item.Index, RemainingMS: remaining.Milliseconds()}
+		items[i] = stagecall.Item{Index: item.Index, RemainingMS: remaining.Milliseconds()}
 		if task := p.tasks[item.Task.Ticket]; task != nil {
 			items[i].Request = task.Request
 			items[i].Stage = task.Stage
@@ -399,7 +399,7 @@
 	return items, maxRemaining
 }
 
-// fail ends a task without results and frees the results it already has. The lock is held.
+// fail ends a task without results and frees the results it already has. o.mu must be held.
 func (o *Owner) fail(p *ownedPart, ticket pool.Ticket, failure Failure) {
 	task := p.end(ticket)
 	if task == nil {
@@ -409,7 +409,7 @@
 	task.notify.Done(Result{Failure: failure, Wait: p.queue.Wait(task.Class.Rank, task.Value), Backlog: p.queue.Backlog()})
 }
 
-// cancel ends a task that nobody waits for. The lock is held.
+// cancel ends a task that nobody waits for. The Owner's lock must be held.
 func (p *ownedPart) cancel(ticket pool.Ticket) {
 	if task := p.end(ticket); task != nil {
 		p.free(task.handles)
--- a/gateway/pools/owner_test.go
+++ b/gateway/pools/owner_test.go
@@ -133,15 +133,15 @@
 	return o, w
 }
 
-// task returns a task with one piece.
+// task returns a task with one item.
 func task(id string) Task {
-	return Task{Part: Part{Service: "enc", Count: 1}, Request: id, Pieces: 1, Remaining: 20 * time.Second, Due: 10 * time.Second}
+	return Task{Part: Part{Service: "enc", Count: 1}, Request: id, Items: 1, Remaining: 20 * time.Second, Due: 10 * time.Second}
 }
 
 // submit submits a task and returns a channel that receives its result.
-func submit(s *Session, number uint64, t Task, begun func()) <-chan Result {
+func submit(s *Session, number uint64, t Task, inputsRead func()) <-chan Result {
 	results := make(chan Result, 1)
-	s.Submit(number, t, Notify{Begun: begun, Done: func(r Result) { results <- r }})
+	s.Submit(number, t, Notify{InputsRead: inputsRead, Done: func(r Result) { results <- r }})
 	return results
 }
 
@@ -185,9 +185,9 @@
 	assert.DeepEqual(t, result.Handles, []string{"h/a"})
 }
 
-// TestANewOwnerKeepsInputsUntilOldResultsHaveLapsed: a new owner may not know which results its
-// upstreams hold, so it does not report inputs as read. An owner of long standing does.
-func TestANewOwnerKeepsInputsUntilOldResultsHaveLapsed(t *testing.T) {
+// TestANewOwnerKeepsInputsUntilOldResultsHaveExpired: a new owner may not know which results its
+// upstreams hold, so it does not report inputs as read. A long-standing owner does.
+func TestANewOwnerKeepsInputsUntilOldResultsHaveExpired(t *testing.T) {
 	for _, age := range []time.Duration{0, 10 * time.Second} {
 		sent, release := make(chan struct{}), make(chan struct{})
 		o, _ := newOwner(t, func(items []stagecall.Item) (int, []stagecall.Result) {
@@ -199,25 +199,25 @@
 		p.ownedSince = p.ownedSince.Add(-age)
 		withInputs := task("a")
 		withInputs.Inputs = []string{"x/1"}
-		begun := make(chan struct{})
-		result := submit(o.Session(true), 1, withInputs, func() { close(begun) })
+		inputsRead := make(chan struct{})
+		result := submit(o.Session(true), 1, withInputs, func() { close(inputsRead) })
 		<-sent
 		told := false
 		o.mu.Lock()
 		for _, open := range p.tasks {
-			told = open.begun
+			told = open.inputsReadNotified
 		}
 		o.mu.Unlock()
 		assert.Check(t, told == (age > 0), "owner for %v: inputs reported as read: %v", age, told)
 		if told {
-			<-begun
+			<-inputsRead
 		}
 		close(release)
 		<-result
 	}
 }
 
-func TestAStoppingOwnerHandsBackWhatItHasNotBegun(t *testing.T) {
+func TestAStoppingOwnerHandsBackWhatItHasNotSent(t *testing.T) {
 	sent, release := make(chan struct{}), make(chan struct{})
 	o, _ := newOwner(t, func(items []stagecall.Item) (int, []stagecall.Result) {
 		close(sent)
@@ -313,7 +313,7 @@
 
 // TestResultsThatAreFreedEarlyAreFreedOnceTheConfigurationIsKnown: an owner that has just
 // started receives all gateways' requests to free results; if it dropped them, the results
-// would fill the pool's space.
+// would fill the pool's room.
 func TestResultsThatAreFreedEarlyAreFreedOnceTheConfigurationIsKnown(t *testing.T) {
 	o, fleet, w := newUnconfiguredOwner(t)
 	w.freed = make(chan []string, 1)
@@ -359,9 +359,9 @@
 	w, now := newWaits(), time.Unix(1000, 0)
 	part := Part{Service: "enc", Count: 1}
 	w.record(part, Class{Rank: 1}, Result{Wait: time.Second, Backlog: 3 * time.Second}, now)
-	assert.Equal(t, w.timely(part, Class{Rank: 1}, now.Add(400*time.Millisecond)), 600*time.Millisecond)
-	assert.Equal(t, w.timely(part, Class{}, now), time.Duration(0), "another rank has its own wait")
-	assert.Equal(t, w.timely(part, Class{Rank: 1, Priority: 1}, now), time.Duration(0), "another priority has its own wait")
+	assert.Equal(t, w.inTime(part, Class{Rank: 1}, now.Add(400*time.Millisecond)), 600*time.Millisecond)
+	assert.Equal(t, w.inTime(part, Class{}, now), time.Duration(0), "another rank has its own wait")
+	assert.Equal(t, w.inTime(part, Class{Rank: 1, Priority: 1}, now), time.Duration(0), "another priority has its own wait")
 	assert.Equal(t, w.backlog(part, now.Add(time.Second)), 2*time.Second)
 	assert.Equal(t, w.backlog(part, now.Add(time.Minute)), time.Duration(0))
 }
--- a/gateway/pools/part.go
+++ b/gateway/pools/part.go
@@ -18,8 +18,8 @@
 	Index, Count int
 }
 
-// maxUpstreamsPerPart is the upstream count up to which a pool stays one part; a larger pool is
-// divided so that a part has that many upstreams or fewer on average. A larger part fills calls
+// maxUpstreamsPerPart is the number of upstreams up to which a pool stays one part; a larger pool
+// is divided so that a part has that many upstreams or fewer on average. A larger part fills calls
 // better and has more upstreams in the zone of an item's data. With calls of 330 ms, 48
 // upstreams make some 145 calls a second at full load, which one process can handle.
 const maxUpstreamsPerPart = 48
@@ -57,14 +57,14 @@
 // byPart groups handles by the parts whose upstreams keep their results.
 func byPart(upstreams *routes.Upstreams, service string, handles []string) map[Part][]string {
 	count := partsOf(len(upstreams.Of(service)))
-	sorted := make(map[Part][]string)
+	grouped := make(map[Part][]string)
 	for _, handle := range handles {
 		part := Part{Service: service, Count: count}
 		if count > 1 {
 			address, _, _ := strings.Cut(handle, "/")
 			part.Index = int(rendezvous.Hash(upstreams.IDOf(address)) % uint64(count))
 		}
-		sorted[part] = append(sorted[part], handle)
+		grouped[part] = append(grouped[part], handle)
 	}
-	return sorted
+	return grouped
 }
--- a/gateway/pools/serve.go
+++ b/gateway/pools/serve.go
@@ -68,7 +68,7 @@
 	case *wirepb.PoolRequest_Task:
 		number := kind.Task.GetTicket()
 		session.Submit(number, taskOf(kind.Task), Notify{
-			Begun: func() { reply(&wirepb.PoolReply{Kind: &wirepb.PoolReply_Begun{Begun: number}}) },
+			InputsRead: func() { reply(&wirepb.PoolReply{Kind: &wirepb.PoolReply_Begun{Begun: number}}) },
 			Done: func(result Result) {
 				reply(&wirepb.PoolReply{Kind: &wirepb.PoolReply_Result{Result: resultMessage(number, result)}})
 			},
@@ -88,7 +88,7 @@
 		Part:        partOf(m),
 		Request:     m.GetRequest(),
 		Stage:       int(m.GetStage()),
-		Pieces:      int(m.GetPieces()),
+		Items:       int(m.GetPieces()),
 		Key:         m.GetKey(),
 		Inputs:      m.GetInputs(),
 		ResultBytes: int64(m.GetResultBytes()),
@@ -137,7 +137,7 @@
 		Service:     t.Service,
 		Request:     t.Request,
 		Stage:       uint32(t.Stage),
-		Pieces:      uint32(t.Pieces),
+		Pieces:      uint32(t.Items),
 		Key:         t.Key,
 		Inputs:      t.Inputs,
 		ResultBytes: uint64(t.ResultBytes),
--- a/gateway/pools/session.go
+++ b/gateway/pools/session.go
@@ -31,7 +31,7 @@
 	s.submit(number, task, notify)
 }
 
-// submit queues a task. The lock is held.
+// submit queues a task. The Owner's lock must be held.
 func (s *Session) submit(number uint64, task Task, notify Notify) {
 	if s.ended {
 		return
@@ -58,7 +58,7 @@
 	s.owner.dropEarlyTask(s, number)
 }
 
-// Free releases results of a part of a pool.
+// Free frees results of a part of a pool.
 func (s *Session) Free(part Part, handles []string) {
 	s.owner.mu.Lock()
 	defer s.owner.mu.Unlock()
--- a/gateway/pools/task.go
+++ b/gateway/pools/task.go
@@ -1,10 +1,12 @@
 // Package pools runs the stages of requests on pools of upstreams. The upstreams of a service's
 // pool are divided into parts. Each part has one queue, and one gateway owns it: the owner,
-// chosen by rendezvous hashing among the gateways that respond. A common queue fills batches
-// with the items of all gateways, which matters because a call takes 200 ms whether it is full
-// or nearly empty.
+// chosen by its CPU cores and then by rendezvous hashing among the gateways that respond. A common
+// queue fills batches with the items of all gateways, which matters because a call takes 200 ms
+// whether it is full or nearly empty.
+//
+// A task is one stage of one request and consists of items, each of which yields one result. A task
+// is in time while it can still be done when it is due, and late after that.
 //
-// A task is one stage of one request and consists of items, one for each piece of its result.
 // A Dispatcher submits a task to the owner of the part, over a stream or within the process. An
 // Owner queues items, closes batches and calls upstreams. A result stays at the upstream that
 // made it and is named by a handle, which begins with the upstream's address. A wrong or second
@@ -21,11 +23,12 @@
 type Task struct {
 	// Part is the part of the pool that runs the task; the Dispatcher chooses it.
 	Part
-	// Request is the client's id of the request.
+	// Request is the client's ID of the request.
 	Request string
-	Stage   int
-	Pieces  int
-	// Key is the input of a first stage; Inputs are the handles of the results that a later
+	// Stage is the index of the stage, Items the number of its items.
+	Stage int
+	Items int
+	// Key identifies the input of a first stage; Inputs are the handles of the results that a later
 	// stage works on.
 	Key    string
 	Inputs []string
@@ -75,20 +78,19 @@
 
 // Result is the outcome of a task.
 type Result struct {
-	// Handles holds the handle of one result for each piece.
+	// Handles holds the handle of one result for each item.
 	Handles []string
 	Failure Failure
 	// Wait is the owner's estimate of the time that a task of the same class takes if it is
-	// queued now and can be on time; Backlog is the estimate for a task queued behind all
-	// others.
+	// queued now and is in time; Backlog is the estimate for a task queued behind all others.
 	Wait, Backlog time.Duration
 }
 
-// Notify holds the callbacks by which an owner reports on a task. Both are called with the
-// Owner's lock held: they must return at once and must not call the Owner.
+// Notify holds the callbacks with which an owner reports on a task. Both are called while the
+// Owner's lock is held: they must return at once and must not call the Owner.
 type Notify struct {
-	// Begun is called at most once, when the task's inputs have been read.
-	Begun func()
+	// InputsRead is called at most once, when the task's inputs have been read.
+	InputsRead func()
 	// Done is called once, unless the task is cancelled before.
 	Done func(Result)
 }
--- a/gateway/pools/waits.go
+++ b/gateway/pools/waits.go
@@ -4,8 +4,8 @@
 
 // waits holds the last estimates of the waits at pools, as their owners reported them.
 // An estimate decreases with its age, since a queue shrinks at least by the work done
-// meanwhile. Otherwise a process that sends a pool nothing because it was full would never
-// learn that it no longer is. It is not safe for concurrent use.
+// meanwhile. Otherwise a process that sends a pool nothing because the pool was full would never
+// learn that it no longer is. The type is not safe for concurrent use.
 type waits struct {
 	byClass map[partClass]estimate
 	byPart  map[Part]estimate
@@ -23,9 +23,10 @@
 	at   time.Time
 }
 
-// remaining returns what remains of the wait.
+// remaining returns the wait less the estimate's age.
 func (e estimate) remaining(now time.Time) time.Duration { return max(0, e.wait-now.Sub(e.at)) }
 
+// newWaits returns waits without estimates.
 func newWaits() *waits {
 	return &waits{byClass: make(map[partClass]estimate), byPart: make(map[Part]estimate)}
 }
@@ -40,8 +41,8 @@
 	}
 }
 
-// timely returns the wait of tasks of a class that can be on time; 0 if it is unknown.
-func (w *waits) timely(part Part, class Class, now time.Time) time.Duration {
+// inTime returns the wait of a task of a class that is in time; 0 if it is unknown.
+func (w *waits) inTime(part Part, class Class, now time.Time) time.Duration {
 	return w.byClass[partClass{Part: part, class: class}].remaining(now)
 }
 
--- a/gateway/process.go
+++ b/gateway/process.go
@@ -109,7 +109,7 @@
 		Incarnation: p.incarnation,
 		Store:       func() *store.Client { return p.view.Store() },
 		Listens:     p.client.Listens,
-		Life:        runCtx,
+		Lifetime:    runCtx,
 		Logger:      logger,
 		Scope:       p.metrics.Scope(),
 	})
--- a/gateway/quarantine/guard.go
+++ b/gateway/quarantine/guard.go
@@ -34,10 +34,10 @@
 	Store func() *store.Client
 	// Listens reports whether an upstream still accepts connections at an address.
 	Listens func(ctx context.Context, address string) bool
-	// Life bounds background work.
-	Life   context.Context
-	Logger *observe.Logger
-	Scope  tally.Scope
+	// Lifetime bounds background work.
+	Lifetime context.Context
+	Logger   *observe.Logger
+	Scope    tally.Scope
 }
 
 // Guard is the quarantine of one gateway. It is safe for concurrent use.
@@ -217,8 +217,8 @@
 // during the check: a connection that was still open then was not closed by a crash before the
 // check.
 func (g *Guard) resolveSuspects(incarnation, address string) {
-	listens := g.options.Listens(g.options.Life, address)
-	if g.options.Life.Err() != nil {
+	listens := g.options.Listens(g.options.Lifetime, address)
+	if g.options.Lifetime.Err() != nil {
 		return // this process is stopping; the result of the check is unknown
 	}
 	g.mu.Lock()
@@ -232,7 +232,7 @@
 	g.wakeWriter()
 }
 
-// resolve confirms or dismisses a suspected crash. The lock is held.
+// resolve confirms or dismisses a suspected crash. g.mu must be held.
 func (g *Guard) resolve(s suspect, ended bool) {
 	now := clock.Boot()
 	if ended {
--- a/gateway/quarantine/record.go
+++ b/gateway/quarantine/record.go
@@ -129,8 +129,8 @@
 
 // isForeign reports whether this gateway's record was written by an earlier incarnation whose
 // write took effect late: no write of this process has returned its revision. While a write is
-// in flight this is not known here; the store then rejects that write with a conflict. The lock
-// is held.
+// in flight this is not known here; the store then rejects that write with a conflict. g.mu must be
+// held.
 func (g *Guard) isForeign(own replica.Object, known int64) bool {
 	return !g.writing && own.Revision > known
 }
@@ -150,7 +150,7 @@
 }
 
 // applyRecord applies one record. A record of this gateway that this process has not written is
-// merged. The lock is held.
+// merged. g.mu must be held.
 func (g *Guard) applyRecord(object replica.Object) {
 	foreign := object.Name == g.options.Name && g.isForeign(object, g.revision)
 	record, known := g.decodeRecord(object)
@@ -163,7 +163,7 @@
 	}
 }
 
-// removeRecord drops a record that an operator has removed. The lock is held.
+// removeRecord drops a record that an operator has removed. g.mu must be held.
 func (g *Guard) removeRecord(name string) {
 	if name == g.options.Name {
 		g.revision = 0
@@ -173,7 +173,7 @@
 }
 
 // decodeRecord decodes a record and logs it. If it returns false, the record is unreadable and
-// the caller keeps the last known one. The lock is held.
+// the caller keeps the last known one. g.mu must be held.
 func (g *Guard) decodeRecord(object replica.Object) (core.Record, bool) {
 	own := object.Name == g.options.Name
 	if own {
@@ -252,7 +252,7 @@
 	g.writeFailed(object, err)
 }
 
-// writeFailed handles a failed write of the record. The lock is held.
+// writeFailed handles a failed write of the record. g.mu must be held.
 func (g *Guard) writeFailed(object replica.Object, err error) {
 	g.options.Logger.Warn(event.RecordUnwritten, observe.Fields{"object": g.options.Name, "error": err.Error()})
 	now := clock.Boot()
--- a/gateway/quarantine/trial.go
+++ b/gateway/quarantine/trial.go
@@ -150,10 +150,10 @@
 // again if it is refused another time. An object that could not be removed is found to be stale
 // when its number is requested again.
 func (g *Guard) removeTrials(request fingerprint.Fingerprint, count int) {
-	clock.Sleep(g.options.Life, trialRetention)
+	clock.Sleep(g.options.Lifetime, trialRetention)
 	for number := 1; number <= count; number++ {
 		name := trialName(request, number)
-		ctx, cancel := context.WithTimeout(g.options.Life, trialTimeout)
+		ctx, cancel := context.WithTimeout(g.options.Lifetime, trialTimeout)
 		found, err := g.options.Store().Get(ctx, TrialKind, name)
 		if err == nil {
 			err = g.options.Store().Delete(ctx, TrialKind, name, found.Revision)
--- a/gateway/quarantine/trial_test.go
+++ b/gateway/quarantine/trial_test.go
@@ -122,7 +122,7 @@
 	assert.NilError(t, err)
 	var list []*Guard
 	for i := range count {
-		g := New(Options{Name: "g" + string(rune('1'+i)), Incarnation: "first", Life: t.Context(),
+		g := New(Options{Name: "g" + string(rune('1'+i)), Incarnation: "first", Lifetime: t.Context(),
 			Store:  func() *store.Client { return store.New(strings.TrimPrefix(server.URL, "http://")) },
 			Logger: logger, Scope: tally.NoopScope})
 		addCrashes(g, "u1", "u2")
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -1,7 +1,7 @@
 // Package gateway is the process that serves clients on the users' platform: it accepts
 // requests, has the stage pools run their stages and sends them to upstreams. All gateways
 // are equal. What they must agree on is in the platform's store, and the queue of each
-// partition of a stage pool is owned by one of them.
+// part of a stage pool is owned by one of them.
 package gateway
 
 import (
--- a/gateway/view/view.go
+++ b/gateway/view/view.go
@@ -65,11 +65,13 @@
 type StoreOptions struct {
 	// Store is the store's address, IP:port.
 	Store string
-	// ConfirmWithin bounds the age of the newest freshness proof while requests with keys are served.
+	// ConfirmWithin bounds the age of the newest freshness proof while requests with keys are
+	// served.
 	ConfirmWithin time.Duration
 	// ApplyWithin bounds the time from the store's acceptance of a change until it is in force.
 	ApplyWithin time.Duration
-	// Evacuations is set if the operator may evacuate zones. It is read only when the process starts.
+	// Evacuations is set if the operator may evacuate zones. It is read only when the process
+	// starts.
 	Evacuations bool
 }
 
@@ -184,8 +186,8 @@
 	return true
 }
 
-// KeysAge returns the age of the newest freshness proof, and false if there is none.
-func (v *View) KeysAge() (time.Duration, bool) {
+// ProofAge returns the age of the newest freshness proof, and false if there is none.
+func (v *View) ProofAge() (time.Duration, bool) {
 	newest, known := v.proof.get()
 	if !known || v.Table() == nil {
 		return 0, false
@@ -199,7 +201,7 @@
 // keysTrustedFor reports whether requests with keys may still run after an extra time without a
 // new proof.
 func (v *View) keysTrustedFor(extra time.Duration) bool {
-	age, known := v.KeysAge()
+	age, known := v.ProofAge()
 	return known && age+extra < v.KeyTrustTime()
 }
 
