--- a/gateway/quarantine/guard.go
+++ b/gateway/quarantine/guard.go
@@ -1,12 +1,12 @@
-// Package quarantine applies the decisions of package core/quarantine in one gateway. It notes
+// Package quarantine applies the decisions of package core/quarantine in one gateway. It records
 // under which requests upstreams crash, shares these crashes with the other gateways through
-// the platform's store, and reports which requests must not be sent.
+// the platform's store, and decides which requests must not be sent.
 //
 // Requests are identified by their fingerprints. Each gateway writes one crash record: the
 // crashes that it saw and those that it has cleared. A request that is refused for its crashes
 // may be sent again as a trial. The gateway that creates the trial's object in the store makes
-// the trial. Upstreams are told apart by incarnation, one run of the process, since a restarted
-// upstream is not the one that crashed.
+// the trial. A Pass lets a refused request be sent once. Upstreams are distinguished by
+// incarnation, one run of the process, since a restarted upstream is not the one that crashed.
 package quarantine
 
 import (
@@ -44,7 +44,7 @@
 type Guard struct {
 	options Options
 	metrics metrics
-	// wake tells the writer that the record may have to be written.
+	// wake makes Run check whether the record must be written.
 	wake chan struct{}
 
 	mu    sync.Mutex
@@ -53,13 +53,13 @@
 	// writing is set while a write of the record is in flight.
 	revision int64
 	writing  bool
-	// resolved is closed when suspected crashes have been confirmed or dismissed.
+	// resolved is closed, and replaced, when suspected crashes have been confirmed or dismissed.
 	resolved chan struct{}
 	// suspects holds the suspected crashes of each incarnation of an upstream that is being
 	// checked.
 	suspects map[string][]suspect
-	// takenTrials holds the names of the trials that this gateway owns and has made.
-	takenTrials map[string]bool
+	// madeTrials holds the names of the trials that this gateway owns and has made.
+	madeTrials map[string]bool
 }
 
 // suspect is a suspected crash and the attempt whose connection was closed.
@@ -68,7 +68,7 @@
 	attempt string
 }
 
-// metrics counts decisions.
+// metrics counts resolved crashes, refusals and requests for trials.
 type metrics struct {
 	confirmed, dismissed, refused, trials tally.Counter
 }
@@ -87,8 +87,8 @@
 		state:    core.New(options.Name),
 		resolved: make(chan struct{}),
 
-		suspects:    make(map[string][]suspect),
-		takenTrials: make(map[string]bool),
+		suspects:   make(map[string][]suspect),
+		madeTrials: make(map[string]bool),
 	}
 }
 
@@ -106,7 +106,7 @@
 // Pass allows a refused request to be sent once.
 type Pass struct {
 	// Ended are the incarnations of upstreams that must not get the request: they have just
-	// crashed under it, so a trial there would be lost.
+	// crashed under the request, so that a trial sent to them would be lost.
 	Ended []string
 	// trial is the number of the trial, 0 if there is none; crashes is the number of the
 	// request's crashes that were known when the Pass was granted.
@@ -121,6 +121,7 @@
 	RetryAfter time.Duration
 }
 
+// Error implements error.
 func (r *Refusal) Error() string {
 	return fmt.Sprintf("%d upstreams crashed while running this request", r.Crashes)
 }
@@ -165,9 +166,9 @@
 // minRetryAfter is the least retry delay sent with a refusal.
 const minRetryAfter = time.Second
 
-// judgeConfirmed returns the verdict on a request once its suspected crashes are confirmed or
-// dismissed, or ctx has ended. Suspicion alone does not suffice, because upstreams that are
-// still running close connections too.
+// judgeConfirmed returns the verdict on a request. If the verdict depends on suspected crashes, it
+// waits until they are confirmed or dismissed, or ctx ends: upstreams that are still running close
+// connections too.
 func (g *Guard) judgeConfirmed(ctx context.Context, request fingerprint.Fingerprint) core.Verdict {
 	for {
 		g.mu.Lock()
@@ -192,8 +193,9 @@
 	return g.state.Judge(request, clock.Boot())
 }
 
-// ConnectionClosed notes that an upstream closed the connection on which it ran a request. Whether
-// the upstream has crashed is checked in the background, once for all connections that it closed.
+// ConnectionClosed records that an upstream closed the connection on which it ran a request.
+// Whether the upstream has crashed is checked in the background, once for all connections that it
+// closed.
 func (g *Guard) ConnectionClosed(request fingerprint.Fingerprint, attempt string, upstream routes.Upstream) {
 	incarnation := IncarnationOf(upstream)
 	crash := core.Crash{Request: request, Upstream: incarnation}
@@ -213,9 +215,9 @@
 }
 
 // resolveSuspects confirms the suspected crashes of an incarnation of an upstream, or dismisses
-// them if it still accepts connections. The result also applies to suspicions that were added
-// during the check: a connection that was still open then was not closed by a crash before the
-// check.
+// them if the upstream still accepts connections. The result also applies to suspected crashes that
+// were added during the check: their connections were still open when the check began, so that they
+// were not closed by a crash before the check.
 func (g *Guard) resolveSuspects(incarnation, address string) {
 	listens := g.options.Listens(g.options.Lifetime, address)
 	if g.options.Lifetime.Err() != nil {
@@ -247,7 +249,7 @@
 		"upstream": s.crash.Upstream, "ended": ended, "crashes": verdict.Crashes, "refused": verdict.Refused})
 }
 
-// Completed notes that a request has run to its end, which clears it of its crashes.
+// Completed records that a request has run to its end, which clears it of its crashes.
 func (g *Guard) Completed(request fingerprint.Fingerprint, attempt string) {
 	g.mu.Lock()
 	trials := g.state.TrialsOf(request)
@@ -263,7 +265,7 @@
 	}
 }
 
-// Responded notes that an upstream has responded to a request; sent is the boot time at which
+// Responded records that an upstream has responded to a request; sent is the boot time at which
 // the request was sent.
 func (g *Guard) Responded(upstream routes.Upstream, sent time.Duration) {
 	g.mu.Lock()
@@ -278,7 +280,7 @@
 	}
 }
 
-// wakeWriter makes the writer check whether the record must be written. It does not block.
+// wakeWriter makes Run check whether the record must be written. It does not block.
 func (g *Guard) wakeWriter() {
 	select {
 	case g.wake <- struct{}{}:
--- a/gateway/quarantine/record.go
+++ b/gateway/quarantine/record.go
@@ -18,9 +18,9 @@
 // gateway.
 const RecordKind = "acaciawinch-crashes"
 
-// Timing of the writer.
+// Timing of Run.
 const (
-	// writeInterval is the pause between two writes of the record: crashes of several requests
+	// writeInterval is the least time between two writes of the record: crashes of several requests
 	// at one upstream become known within it.
 	writeInterval = 50 * time.Millisecond
 	// writeRetryDelay is the delay before a failed write is retried.
@@ -127,7 +127,7 @@
 	g.wakeWriter()
 }
 
-// isForeign reports whether this gateway's record was written by an earlier incarnation whose
+// isForeign reports whether this gateway's record was written by an earlier incarnation, whose
 // write took effect late: no write of this process has returned its revision. While a write is
 // in flight this is not known here; the store then rejects that write with a conflict. g.mu must be
 // held.
--- a/gateway/quarantine/sweep.go
+++ b/gateway/quarantine/sweep.go
@@ -33,9 +33,9 @@
 	return nil
 }
 
-// sweep removes the objects that had the same revision in the previous round and whose requests
-// have no crashes that count. It returns the revisions of the remaining objects, or those of
-// the previous round if the objects could not be listed.
+// sweep removes the trial objects that had the same revision in the previous round and whose
+// requests have no crashes that count. It returns the revisions of the remaining objects by name,
+// or those of the previous round if the objects could not be listed.
 func (g *Guard) sweep(ctx context.Context, before map[string]int64) map[string]int64 {
 	listed, _, err := g.options.Store().List(ctx, TrialKind)
 	if err != nil {
--- a/gateway/quarantine/sweep_test.go
+++ b/gateway/quarantine/sweep_test.go
@@ -31,5 +31,5 @@
 	assert.Equal(t, len(seen), 1)
 	_, exists := trials.specs["somebody-elses"]
 	assert.Assert(t, exists)
-	assert.Assert(t, !g.takenTrials[trialName(crashing, 1)])
+	assert.Assert(t, !g.madeTrials[trialName(crashing, 1)])
 }
--- a/gateway/quarantine/trial.go
+++ b/gateway/quarantine/trial.go
@@ -63,8 +63,8 @@
 	trialRemoved trialOutcome = "stale trial removed"
 )
 
-// requestTrial creates the object of a trial, or finds out who owns the trial. On an error the
-// owner is unknown.
+// requestTrial creates the object of a trial or, if the object exists, reads which gateway owns the
+// trial. On an error the owner is unknown.
 func (g *Guard) requestTrial(ctx context.Context, request fingerprint.Fingerprint, number int, attempt string) (trialOutcome, error) {
 	name := trialName(request, number)
 	trial := g.newTrial(request, number, attempt)
@@ -99,14 +99,14 @@
 	return trialSpec{Gateway: g.options.Name, Incarnation: g.options.Incarnation, Attempt: attempt, Upstreams: upstreams}
 }
 
-// isStale reports whether a trial was made before its request was last cleared. Its object
-// remained because the store could not be reached then.
+// isStale reports whether a trial was made before its request was last cleared. The trial's object
+// remained because the store could not be reached when the request was cleared.
 func (g *Guard) isStale(request fingerprint.Fingerprint, number int, trial trialSpec) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	stale := g.state.IsStale(request, core.Trial{Number: number, Upstreams: trial.Upstreams})
 	if stale {
-		delete(g.takenTrials, trialName(request, number))
+		delete(g.madeTrials, trialName(request, number))
 	}
 	return stale
 }
@@ -119,15 +119,15 @@
 	defer g.mu.Unlock()
 	name := trialName(request, number)
 	g.state.TrialUsed(request, core.Trial{Number: number, Upstreams: trial.Upstreams}, clock.Boot())
-	if trial.Gateway != g.options.Name || trial.Incarnation != g.options.Incarnation || g.takenTrials[name] {
+	if trial.Gateway != g.options.Name || trial.Incarnation != g.options.Incarnation || g.madeTrials[name] {
 		return trialTaken
 	}
-	g.takenTrials[name] = true
+	g.madeTrials[name] = true
 	return trialGranted
 }
 
-// ReturnTrial gives back the trial of a Pass that did not run, so that a later attempt at this
-// gateway may make it. reached is set if an upstream rejected the trial.
+// ReturnTrial returns the trial of a Pass that did not run, so that a later attempt at this gateway
+// may make the trial. reached is set if an upstream rejected the trial.
 func (g *Guard) ReturnTrial(request fingerprint.Fingerprint, attempt string, unused Pass, reached bool) {
 	if unused.trial == 0 {
 		return
@@ -135,15 +135,15 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	name := trialName(request, unused.trial)
-	if !g.takenTrials[name] || !g.state.TrialReturned(request, unused.trial, reached) {
+	if !g.madeTrials[name] || !g.state.TrialReturned(request, unused.trial, reached) {
 		return
 	}
-	delete(g.takenTrials, name)
+	delete(g.madeTrials, name)
 	g.options.Logger.Event(event.TrialReturned, observe.Fields{"fingerprint": request.String(), "request": attempt, "trial": unused.trial, "reached": reached})
 }
 
 // trialRetention is how long the objects of trials are kept after their request was cleared: by
-// then all gateways know that it was, and none repeats the trial.
+// then all gateways know that it was cleared, and none repeats the trial.
 const trialRetention = 2 * time.Second
 
 // removeTrials removes the objects of the trials of a cleared request, so that it has trials
@@ -170,5 +170,5 @@
 func (g *Guard) forgetTrial(name string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.takenTrials, name)
+	delete(g.madeTrials, name)
 }
--- a/gateway/quarantine/trial_test.go
+++ b/gateway/quarantine/trial_test.go
@@ -172,7 +172,7 @@
 	list, _ := newGuards(t, 1)
 	assert.Assert(t, acquireFirstTrial(t, list[0]))
 	list[0].options.Incarnation = "second"
-	list[0].takenTrials = make(map[string]bool)
+	list[0].madeTrials = make(map[string]bool)
 	assert.Assert(t, !acquireFirstTrial(t, list[0]))
 }
 
