--- a/gateway/relay/doc.go
+++ b/gateway/relay/doc.go
@@ -10,5 +10,6 @@
 // core/proof converts its time between the clocks of two processes, so that a proof never
 // appears newer than it is. The hops of a proof are the processes that it has come through. The
 // source reads the proof before the changes that it sends with it, and the follower applies the
-// changes before the proof, so that its copy is at least as new as the proof.
+// changes before the proof, so that its copy is at least as new as the proof. Large changes are
+// compressed and sent in pieces.
 package relay
--- a/gateway/relay/follower.go
+++ b/gateway/relay/follower.go
@@ -18,18 +18,18 @@
 // Parameters of the choice of sources.
 const (
 	// followersPerReader is how many gateways of a zone follow one reader. With 24, a reader
-	// with a link of 20 Mbit/s passes the packed list of 1,100 upstreams to all of them in some
-	// 0.5 s if they start at once.
+	// with a link of 20 Mbit/s passes the compressed list of 1,100 upstreams to all of them in
+	// some 0.5 s if they start at once.
 	followersPerReader = 24
-	// A proof is stale after the shorter of two times: staleShare of the time for which keys
-	// are trusted, and applyShare of the time within which a change must be in force. A source
-	// with a stale proof is replaced. With 4.5 s and 2 s, these are 2.5 s and 1.2 s. A watch lasts
-	// a quarter of the latter and proves the state up to a third of that before its end, so
-	// that a healthy source's proof is at most 0.7 s old, or 1.2 s with a store that is 60
-	// times slower than usual.
+	// staleShare and applyShare: a proof is stale after the shorter of two times, staleShare of the
+	// time for which keys are trusted, and applyShare of the time within which a change must be in
+	// force. A source with a stale proof is replaced. With 4.5 s and 2 s, these are 2.5 s and
+	// 1.2 s. A watch lasts a quarter of the time within which a change must be in force and proves
+	// the state up to a third of the watch before its end, so that a healthy source's proof is at
+	// most 0.7 s old, or 1.2 s with a store that is 60 times slower than usual.
 	staleShare = 0.55
 	applyShare = 0.6
-	// checkInterval is how often the choice is checked without a cause.
+	// checkInterval is how often the choice of a source is checked if Wake is not called.
 	checkInterval = 250 * time.Millisecond
 	// firstStartDelay is how long a process waits at the first start of the whole fleet before
 	// it lists the members: all start within 0.3 s and take some time to register.
@@ -46,12 +46,13 @@
 	metrics    metrics
 	firstStart bool
 
+	// wake makes Run check the choice of a source.
 	wake chan struct{}
 
 	mu       sync.Mutex
 	selector *source.Selector
 	members  []view.Member
-	// following is the member that the current link goes to; its name is empty if there is no
+	// following is the member that the current link leads to; its name is empty if there is no
 	// link.
 	following  view.Member
 	cancelLink context.CancelFunc
@@ -92,7 +93,7 @@
 		return err
 	}
 	f.selector = source.New(memberOf(f.self), source.Settings{FollowersPerReader: followersPerReader, StaleAfter: f.staleAfter()}, clock.Boot())
-	reader := &reader{view: f.view}
+	reader := &storeReader{view: f.view}
 	defer reader.stop()
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
@@ -147,7 +148,7 @@
 	return plan
 }
 
-// updateMembers passes the members to the selector if they have changed. The lock is held.
+// updateMembers passes the members to the selector if they have changed. f.mu must be held.
 func (f *Follower) updateMembers() {
 	members := f.view.Members()
 	if len(members) == len(f.members) && (len(members) == 0 || &members[0] == &f.members[0]) {
@@ -171,7 +172,7 @@
 	}
 }
 
-// logPlan logs a plan. The lock is held.
+// logPlan logs a plan. f.mu must be held.
 func (f *Follower) logPlan(plan source.Plan) {
 	age, hops := f.proofAge()
 	f.logger.Event(event.SourceChanged, observe.Fields{"reads": plan.Read, "follows": plan.Follow.Name,
@@ -187,7 +188,8 @@
 	return (clock.Boot() - newest.At).Milliseconds(), newest.Hops
 }
 
-// follow replaces the current link by one to a member, or by none if its name is empty.
+// follow replaces the current link with one to a member, or with none if the member's name is
+// empty.
 func (f *Follower) follow(ctx context.Context, to source.Member) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -243,7 +245,7 @@
 		return
 	}
 	at := update.proof.At
-	if !update.known {
+	if !update.hasProof {
 		at = source.Never
 	}
 	f.selector.RecordReport(source.Report{Incarnation: update.incarnation, Proved: at, Hops: update.proof.Hops, Failing: update.failing}, clock.Boot())
@@ -254,15 +256,15 @@
 	}
 }
 
-// reader reads the store while this process is to be a reader.
-type reader struct {
+// storeReader runs View.Read while this process is to read the store.
+type storeReader struct {
 	view   *view.View
 	cancel context.CancelFunc
 	done   chan struct{}
 }
 
 // set starts or stops reading.
-func (r *reader) set(ctx context.Context, wanted bool) {
+func (r *storeReader) set(ctx context.Context, wanted bool) {
 	if wanted == (r.cancel != nil) {
 		return
 	}
@@ -279,7 +281,7 @@
 }
 
 // stop stops reading and waits until no call is in flight.
-func (r *reader) stop() {
+func (r *storeReader) stop() {
 	if r.cancel == nil {
 		return
 	}
--- a/gateway/relay/link.go
+++ b/gateway/relay/link.go
@@ -16,9 +16,9 @@
 	// openTimeout bounds the time until the first update: opening a connection, a handshake
 	// and, with the smallest known share of a core and 20 Mbit/s, one piece of a list.
 	openTimeout = 800 * time.Millisecond
-	// silenceTimeout is when a source that sends nothing is given up: two of its heartbeats.
-	// Together with the 2 s that a proof is old at most when a source dies, and openTimeout for
-	// the next source, it stays within the 4.5 s for which keys are trusted.
+	// silenceTimeout is the time after which a source that sends nothing is given up: two of its
+	// heartbeats. Together with the 2 s that a proof is old at most when a source dies, and
+	// openTimeout for the next source, it stays within the 4.5 s for which keys are trusted.
 	silenceTimeout = 1500 * time.Millisecond
 	// requestInterval is how often the source gets a request. A proof's time is relative to a
 	// request, so that clocks that drift apart by 100 µs/s add no more than 0.3 ms.
@@ -32,9 +32,9 @@
 	failing bool
 	// partial is set if the update holds a piece of a list.
 	partial bool
-	// proof is the proof in the update; known is set if there is one.
-	proof view.Proof
-	known bool
+	// proof is the proof in the update; hasProof is set if there is one.
+	proof    view.Proof
+	hasProof bool
 }
 
 // link is the stream to one source. A broken link is not reopened.
@@ -109,13 +109,14 @@
 	}
 }
 
-// sendRequest sends a request. The time noted for the request is taken before it is sent.
+// sendRequest sends a request. The time recorded for the request is read before it is sent.
 func (l *link) sendRequest(positions []*wirepb.FollowPosition) error {
 	request := &wirepb.FollowRequest{Number: l.requests.NextRequest(clock.Boot()), Positions: positions, Name: l.follower.self.Name}
 	return fault.Wrap(fault.Unavailable, "relay.send", l.source.Name, l.stream.Send(request))
 }
 
-// apply passes an update to the View: the changes first, then the proof that covers them.
+// apply passes an update to the View and to the Follower: the changes first, then the proof that
+// covers them.
 func (l *link) apply(update *wirepb.FollowUpdate) error {
 	received := sourceUpdate{incarnation: l.source.Incarnation, failing: update.GetFailing()}
 	for _, m := range update.GetDeltas() {
@@ -130,10 +131,10 @@
 	}
 	if m := update.GetProof(); m != nil {
 		var at time.Duration
-		at, received.known = l.requests.Proved(proofReportOf(m), clock.Boot())
+		at, received.hasProof = l.requests.Proved(proofReportOf(m), clock.Boot())
 		received.proof = view.Proof{At: at, Hops: int(m.GetHops())}
 	}
-	if received.known {
+	if received.hasProof {
 		l.follower.view.Confirm(view.Proof{At: received.proof.At, Hops: received.proof.Hops + 1, From: l.source.Name})
 	}
 	l.follower.reportUpdate(received)
--- a/gateway/relay/packed.go
+++ b/gateway/relay/packed.go
@@ -13,55 +13,56 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// Sizes of packed lists.
+// Sizes of compressed lists.
 const (
 	// maxPieceBytes bounds the piece in one message. At 20 Mbit/s, shared by 24 followers, a
 	// piece takes 0.3 s, so that a follower receives something well before it gives up its
 	// source as silent.
 	maxPieceBytes = 32 << 10
-	// maxUnpackedBytes is the size up to which changes are sent unpacked: packing saves little
-	// below it.
-	maxUnpackedBytes = 4 << 10
-	// maxListBytes bounds an unpacked list: 64 times the 1 MB of the largest object.
+	// maxUncompressedBytes is the size up to which changes are sent uncompressed: compression
+	// saves little below it.
+	maxUncompressedBytes = 4 << 10
+	// maxListBytes bounds a decompressed list: 64 times the 1 MB of the largest object.
 	maxListBytes = 64 << 20
 )
 
-// packer keeps the last packed changes of each kind, since all followers that are up to date
-// get the same changes, and so do the gateways of a zone that start together. It is safe for
-// concurrent use.
-type packer struct {
+// compressor compresses changes. It keeps the last compressed changes of each kind, since all
+// followers that are up to date get the same changes, and so do the gateways of a zone that start
+// together. It is safe for concurrent use.
+type compressor struct {
 	mu   sync.Mutex
-	last map[string]packedChanges
+	last map[string]compressedChanges
 }
 
-// packedChanges holds the packed changes between two revisions.
-type packedChanges struct {
+// compressedChanges holds the compressed changes between two revisions.
+type compressedChanges struct {
 	reset           bool
 	after, revision int64
 	content         []byte
 }
 
 // matches reports whether c holds the changes of a delta.
-func (c packedChanges) matches(d view.KindDelta) bool {
+func (c compressedChanges) matches(d view.KindDelta) bool {
 	return c.reset == d.Reset && c.after == d.After && c.revision == d.Revision
 }
 
-func newPacker() *packer { return &packer{last: make(map[string]packedChanges)} }
+// newCompressor returns a compressor that keeps nothing yet.
+func newCompressor() *compressor { return &compressor{last: make(map[string]compressedChanges)} }
 
-// worthPacking reports whether changes are large enough to be packed.
-func worthPacking(d view.KindDelta) bool {
+// worthCompressing reports whether changes are large enough to be compressed.
+func worthCompressing(d view.KindDelta) bool {
 	size := 0
 	for _, change := range d.Changes {
 		size += len(change.Object.Name) + len(change.Object.Spec)
 	}
-	return size > maxUnpackedBytes
+	return size > maxUncompressedBytes
 }
 
-// pieces returns the messages that carry packed changes. Packing shrinks entries of upstreams
-// to a sixth of their size or less, so that one source with a narrow link can send its lists to
-// a whole zone that starts at once within a second or two.
-func (p *packer) pieces(d view.KindDelta) ([]*wirepb.FollowDelta, error) {
-	content, err := p.pack(d)
+// pieces returns the messages that carry compressed changes, each with one piece of them.
+// Compression shrinks entries of upstreams to a sixth of their size or less, so that one source
+// with a slow link can send its lists to a whole zone that starts at once within a second or two.
+func (c *compressor) pieces(d view.KindDelta) ([]*wirepb.FollowDelta, error) {
+	content, err := c.compress(d)
 	if err != nil {
 		return nil, err
 	}
@@ -77,19 +78,19 @@
 	}
 }
 
-// pack returns the packed changes.
-func (p *packer) pack(d view.KindDelta) ([]byte, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if cached, known := p.last[d.Kind]; known && cached.matches(d) {
+// compress returns the compressed changes of a delta.
+func (c *compressor) compress(d view.KindDelta) ([]byte, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if cached, known := c.last[d.Kind]; known && cached.matches(d) {
 		return cached.content, nil
 	}
 	plain, err := proto.Marshal(&wirepb.FollowChanges{Changes: changeMessages(d.Changes)})
 	if err != nil {
 		return nil, fault.Wrap(fault.Internal, "relay.pack", "", err)
 	}
-	var packed bytes.Buffer
-	writer, err := flate.NewWriter(&packed, flate.BestSpeed)
+	var compressed bytes.Buffer
+	writer, err := flate.NewWriter(&compressed, flate.BestSpeed)
 	if err != nil {
 		return nil, fault.Wrap(fault.Internal, "relay.pack", "", err)
 	}
@@ -99,12 +100,12 @@
 	if err != nil {
 		return nil, fault.Wrap(fault.Internal, "relay.pack", "", err)
 	}
-	p.last[d.Kind] = packedChanges{reset: d.Reset, after: d.After, revision: d.Revision, content: packed.Bytes()}
-	return packed.Bytes(), nil
+	c.last[d.Kind] = compressedChanges{reset: d.Reset, after: d.After, revision: d.Revision, content: compressed.Bytes()}
+	return compressed.Bytes(), nil
 }
 
-// unpack returns the changes in the joined pieces.
-func unpack(content []byte) ([]*wirepb.FollowChange, error) {
+// decompress returns the changes in the joined pieces.
+func decompress(content []byte) ([]*wirepb.FollowChange, error) {
 	reader := flate.NewReader(bytes.NewReader(content))
 	plain, err := io.ReadAll(io.LimitReader(reader, maxListBytes+1))
 	if err != nil {
@@ -122,26 +123,28 @@
 
 // assembler joins the pieces of lists. It is not safe for concurrent use.
 type assembler struct {
-	parts map[string][]byte
+	// joined holds the pieces received so far of each kind.
+	joined map[string][]byte
 }
 
-func newAssembler() *assembler { return &assembler{parts: make(map[string][]byte)} }
+// newAssembler returns an assembler without pieces.
+func newAssembler() *assembler { return &assembler{joined: make(map[string][]byte)} }
 
 // add adds one message. If the message completes a delta, add returns the delta and true.
-func (g *assembler) add(m *wirepb.FollowDelta) (view.KindDelta, bool, error) {
+func (a *assembler) add(m *wirepb.FollowDelta) (view.KindDelta, bool, error) {
 	if len(m.GetPiece()) == 0 {
 		return deltaOf(m, m.GetChanges()), true, nil
 	}
-	joined := append(g.parts[m.GetKind()], m.GetPiece()...)
+	joined := append(a.joined[m.GetKind()], m.GetPiece()...)
 	if len(joined) > maxListBytes {
 		return view.KindDelta{}, false, fault.New(fault.Invalid, "relay.gather", "", "pieces exceed %d bytes", maxListBytes)
 	}
 	if m.GetMore() {
-		g.parts[m.GetKind()] = joined
+		a.joined[m.GetKind()] = joined
 		return view.KindDelta{}, false, nil
 	}
-	delete(g.parts, m.GetKind())
-	changes, err := unpack(joined)
+	delete(a.joined, m.GetKind())
+	changes, err := decompress(joined)
 	if err != nil {
 		return view.KindDelta{}, false, err
 	}
--- a/gateway/relay/packed_test.go
+++ b/gateway/relay/packed_test.go
@@ -25,9 +25,9 @@
 // assemble joins pieces to a list.
 func assemble(t *testing.T, pieces []*wirepb.FollowDelta) view.KindDelta {
 	t.Helper()
-	g := newAssembler()
+	a := newAssembler()
 	for i, piece := range pieces {
-		d, whole, err := g.add(piece)
+		d, whole, err := a.add(piece)
 		assert.NilError(t, err)
 		assert.Equal(t, whole, i == len(pieces)-1)
 		if whole {
@@ -40,7 +40,7 @@
 
 func TestALongListArrivesWholeInPieces(t *testing.T) {
 	sent := listOf(3000)
-	pieces, err := newPacker().pieces(sent)
+	pieces, err := newCompressor().pieces(sent)
 	assert.NilError(t, err)
 	assert.Assert(t, len(pieces) > 1)
 	size := 0
@@ -52,35 +52,35 @@
 	assert.Assert(t, size < 150<<10, "%d bytes for the list of 3,000 upstreams", size)
 }
 
-func TestChangesArePackedOnceForFollowersAtTheSameRevision(t *testing.T) {
-	p := newPacker()
-	first, err := p.pack(listOf(50))
+func TestChangesAreCompressedOnceForFollowersAtTheSameRevision(t *testing.T) {
+	c := newCompressor()
+	first, err := c.compress(listOf(50))
 	assert.NilError(t, err)
-	again, err := p.pack(listOf(50))
+	again, err := c.compress(listOf(50))
 	assert.NilError(t, err)
 	assert.Assert(t, &first[0] == &again[0])
 	other := listOf(50)
 	other.Reset, other.After = false, 8
-	apart, err := p.pack(other)
+	apart, err := c.compress(other)
 	assert.NilError(t, err)
-	assert.Assert(t, &first[0] != &apart[0], "changes after another revision are packed separately")
+	assert.Assert(t, &first[0] != &apart[0], "changes after another revision are compressed separately")
 }
 
-func TestPiecesThatCanNotBeUnpackedAreAnError(t *testing.T) {
+func TestPiecesThatCanNotBeDecompressedAreAnError(t *testing.T) {
 	_, _, err := newAssembler().add(&wirepb.FollowDelta{Kind: "servers", Piece: []byte("no packed list")})
 	assert.ErrorContains(t, err, "relay.unpack")
 }
 
 // FuzzPieces: no bytes from a peer crash the process or make it hold more than maxListBytes.
 func FuzzPieces(f *testing.F) {
-	pieces, err := newPacker().pieces(listOf(20))
+	pieces, err := newCompressor().pieces(listOf(20))
 	assert.NilError(f, err)
 	f.Add(pieces[0].GetPiece(), false)
 	f.Add([]byte{0, 1, 2}, true)
 	f.Fuzz(func(t *testing.T, piece []byte, more bool) {
-		g := newAssembler()
-		if _, whole, err := g.add(&wirepb.FollowDelta{Kind: "k", Piece: piece, More: more}); err == nil && !whole {
-			assert.Assert(t, len(g.parts["k"]) <= maxListBytes)
+		a := newAssembler()
+		if _, whole, err := a.add(&wirepb.FollowDelta{Kind: "k", Piece: piece, More: more}); err == nil && !whole {
+			assert.Assert(t, len(a.joined["k"]) <= maxListBytes)
 		}
 	})
 }
--- a/gateway/relay/server.go
+++ b/gateway/relay/server.go
@@ -35,38 +35,38 @@
 // Server sends this process's state to followers. It is safe for concurrent use.
 type Server struct {
 	wirepb.DRPCFleetUnimplementedServer
-	state     State
-	logger    *observe.Logger
-	packer    *packer
-	followers atomic.Int64
+	state      State
+	logger     *observe.Logger
+	compressor *compressor
+	followers  atomic.Int64
 	// gauge shows the number of followers.
 	gauge tally.Gauge
 }
 
 // NewServer returns a Server for a state.
 func NewServer(state State, logger *observe.Logger, scope tally.Scope) *Server {
-	return &Server{state: state, logger: logger, packer: newPacker(), gauge: scope.Gauge("followers")}
+	return &Server{state: state, logger: logger, compressor: newCompressor(), gauge: scope.Gauge("followers")}
 }
 
 // addFollowers changes the number of followers.
 func (s *Server) addFollowers(delta int64) { s.gauge.Update(float64(s.followers.Add(delta))) }
 
-// Follow implements wirepb.DRPCFleetServer.
+// Follow implements wirepb.DRPCFleetServer: it serves one follower until the stream ends.
 func (s *Server) Follow(stream wirepb.DRPCFleet_FollowStream) error {
 	first, err := stream.Recv()
 	if err != nil {
 		return err
 	}
 	start := clock.Boot()
-	f := &session{server: s, stream: stream, positions: positionsOf(first.GetPositions())}
-	f.received(first)
+	follower := &session{server: s, stream: stream, positions: positionsOf(first.GetPositions())}
+	follower.received(first)
 	s.addFollowers(1)
 	defer s.addFollowers(-1)
 	s.logger.Event(event.FollowerCame, observe.Fields{"peer": first.GetName()})
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
-	go f.sendUpdates(ctx, cancel)
-	err = f.receiveRequests()
+	go follower.sendUpdates(ctx, cancel)
+	err = follower.receiveRequests()
 	s.logger.Event(event.FollowerLeft, observe.Fields{"peer": first.GetName(), "after_ms": (clock.Boot() - start).Milliseconds(), "error": err.Error()})
 	return nil // a stream normally ends when the follower closes it
 }
@@ -75,8 +75,8 @@
 type session struct {
 	server *Server
 	stream wirepb.DRPCFleet_FollowStream
-	// positions are the revisions of the follower's copies after what was sent. Only
-	// sendUpdates uses them.
+	// positions are the revisions that the follower's copies have once it has applied what was
+	// sent. Only sendUpdates uses them.
 	positions []view.Position
 
 	mu     sync.Mutex
@@ -84,43 +84,44 @@
 }
 
 // receiveRequests reads the follower's requests until the stream ends.
-func (f *session) receiveRequests() error {
+func (s *session) receiveRequests() error {
 	for {
-		request, err := f.stream.Recv()
+		request, err := s.stream.Recv()
 		if err != nil {
 			return err
 		}
-		f.received(request)
+		s.received(request)
 	}
 }
 
-// received notes a request. Its time is taken after it has arrived.
-func (f *session) received(request *wirepb.FollowRequest) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.source.Received(request.GetNumber(), clock.Boot())
+// received records when a request has arrived. The time is read after the arrival, not before.
+func (s *session) received(request *wirepb.FollowRequest) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.source.Received(request.GetNumber(), clock.Boot())
 }
 
-// proofReport returns the time of a proof relative to the follower's last request.
-func (f *session) proofReport(proved time.Duration) proof.Report {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.source.Report(proved)
+// proofReport returns the report of a proof of the time proved, relative to the follower's last
+// request.
+func (s *session) proofReport(proved time.Duration) proof.Report {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.source.Report(proved)
 }
 
 // sendUpdates sends what the follower lacks until ctx ends or the stream breaks.
-func (f *session) sendUpdates(ctx context.Context, cancel context.CancelFunc) {
+func (s *session) sendUpdates(ctx context.Context, cancel context.CancelFunc) {
 	defer cancel()
 	heartbeat := time.NewTimer(heartbeatInterval)
 	defer heartbeat.Stop()
 	var sent view.Proof
 	due, sentFailing := true, false
 	for {
-		changed := f.server.state.Changed()
-		failing := f.server.state.StoreFailing()
-		deltas, proved, known := f.server.state.DeltasSince(f.positions)
+		changed := s.server.state.Changed()
+		failing := s.server.state.StoreFailing()
+		deltas, proved, known := s.server.state.DeltasSince(s.positions)
 		if due || failing != sentFailing || hasChanges(deltas) || known && proved.At-sent.At >= minProofAdvance {
-			if err := f.send(deltas, proved, known, failing); err != nil {
+			if err := s.send(deltas, proved, known, failing); err != nil {
 				return // the follower is gone; receiveRequests ends as well
 			}
 			sent, due, sentFailing = proved, false, failing
@@ -148,41 +149,41 @@
 
 // send sends what the follower lacks and advances its positions. Large changes go first, in
 // pieces; the proof goes last, as it covers everything sent before it.
-func (f *session) send(deltas []view.KindDelta, proved view.Proof, known, failing bool) error {
+func (s *session) send(deltas []view.KindDelta, proved view.Proof, known, failing bool) error {
 	last := &wirepb.FollowUpdate{Failing: failing}
 	for _, d := range deltas {
-		if !worthPacking(d) {
+		if !worthCompressing(d) {
 			last.Deltas = append(last.Deltas, deltaMessage(d))
-		} else if err := f.sendLong(d); err != nil {
+		} else if err := s.sendLong(d); err != nil {
 			return err
 		}
-		f.setPosition(d.Kind, d.Revision)
+		s.setPosition(d.Kind, d.Revision)
 	}
 	if known {
-		last.Proof = proofMessage(f.proofReport(proved.At), proved.Hops)
+		last.Proof = proofMessage(s.proofReport(proved.At), proved.Hops)
 	}
-	return f.stream.Send(last)
+	return s.stream.Send(last)
 }
 
-// sendLong sends large changes in pieces.
-func (f *session) sendLong(d view.KindDelta) error {
-	pieces, err := f.server.packer.pieces(d)
+// sendLong sends large changes compressed and in pieces.
+func (s *session) sendLong(d view.KindDelta) error {
+	pieces, err := s.server.compressor.pieces(d)
 	if err != nil {
 		return err
 	}
 	for _, piece := range pieces {
-		if err := f.stream.Send(&wirepb.FollowUpdate{Deltas: []*wirepb.FollowDelta{piece}}); err != nil {
+		if err := s.stream.Send(&wirepb.FollowUpdate{Deltas: []*wirepb.FollowDelta{piece}}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// setPosition records the revision of a follower's copy.
-func (f *session) setPosition(kind string, revision int64) {
-	for i := range f.positions {
-		if f.positions[i].Kind == kind {
-			f.positions[i].Revision = revision
+// setPosition records the revision that the follower's copy of a kind has.
+func (s *session) setPosition(kind string, revision int64) {
+	for i := range s.positions {
+		if s.positions[i].Kind == kind {
+			s.positions[i].Revision = revision
 		}
 	}
 }
