--- a/gateway/process.go
+++ b/gateway/process.go
@@ -118,7 +118,7 @@
 		Self:    self,
 		Store:   settings.storeOptions(),
 		Regions: regions,
-		Records: []view.Records{{Kind: quarantine.RecordKind, To: p.guard}},
+		Records: []view.Records{{Kind: quarantine.RecordKind, Receiver: p.guard}},
 	})
 	p.owner = pools.NewOwner(runCtx, p.view, p.client, logger)
 	p.rpc = link.NewServer(settings.Fleet.Key)
--- a/gateway/view/evacuations.go
+++ b/gateway/view/evacuations.go
@@ -21,7 +21,7 @@
 	since map[string]time.Duration
 }
 
-// newEvacuationReceiver returns a receiver without evacuations, which passes its evacuations
+// newEvacuationReceiver returns a receiver that knows no evacuation and passes the evacuated zones
 // on to upstreams.
 func newEvacuationReceiver(v *View, upstreams *upstreamReceiver) *evacuationReceiver {
 	return &evacuationReceiver{view: v, upstreams: upstreams, since: make(map[string]time.Duration)}
@@ -58,7 +58,7 @@
 	r.publish()
 }
 
-// begin records an evacuation. The caller holds r.mu.
+// begin records an evacuation. r.mu must be held.
 func (r *evacuationReceiver) begin(object replica.Object) {
 	if _, known := r.since[object.Name]; known {
 		return
@@ -68,7 +68,7 @@
 		"zone": object.Name, "revision": object.Revision, "upstreams": r.upstreams.countIn(object.Name)})
 }
 
-// end records that a zone's evacuation has ended. The caller holds r.mu.
+// end records that a zone's evacuation has ended. r.mu must be held.
 func (r *evacuationReceiver) end(zone string) {
 	since, known := r.since[zone]
 	if !known {
@@ -79,7 +79,7 @@
 		"zone": zone, "after_ms": (clock.Boot() - since).Milliseconds(), "upstreams": r.upstreams.countIn(zone)})
 }
 
-// publish passes the evacuated zones to the upstreams. The caller holds r.mu.
+// publish passes the evacuated zones to the upstreams. r.mu must be held.
 func (r *evacuationReceiver) publish() {
 	zones := make(map[string]bool, len(r.since))
 	for zone := range r.since {
@@ -91,7 +91,7 @@
 // Evacuation is a zone that the operator evacuates.
 type Evacuation struct {
 	Zone string
-	// Since is the boot time at which this process learned of it.
+	// Since is the boot time at which this process learned of the evacuation.
 	Since time.Duration
 }
 
--- a/gateway/view/follow.go
+++ b/gateway/view/follow.go
@@ -22,22 +22,23 @@
 // nothing had changed when it began. Longer waits mean fewer calls to the store: these
 // make 0.88 calls a second in each reader.
 const (
-	// configWait bounds how soon a store that stopped responding is noticed. watchWait reduces it
-	// to 1/confirmDivisor of the time for which keys are trusted, so that two watches and a slow
-	// response fit into that time: the known sites trust keys for 4.5 s, which leaves 1.5 s. It
-	// also reduces it to 1/applyDivisor of the time within which a change must be in force: within
-	// that time a follower must find another source if the reader that it follows has lost the store.
+	// configWait bounds how long a store that stopped responding goes unnoticed. watchWait reduces
+	// the wait to 1/confirmDivisor of the time for which keys are trusted, so that two watches and
+	// a slow response fit into that time: the known sites trust keys for 4.5 s, which leaves 1.5 s.
+	// It also reduces the wait to 1/applyDivisor of the time within which a change must be in
+	// force: within that time a follower must find another source if the reader that it follows has
+	// lost the store.
 	configWait     = 1500 * time.Millisecond
 	confirmDivisor = 3
 	applyDivisor   = 4
-	// shortWait is the wait while the store fails, of the first watch of a process that begins to
-	// read, and of the watch after a change.
+	// shortWait is the wait of watches while the store fails, of the first watch of a process that
+	// begins to read, and of the watch after a change.
 	//  - A call to a lost store ends only by its timeout. The sooner it ends, the sooner the next
 	//    call reaches a store that is back; requests with keys are refused until then.
 	//  - A process that begins to read needs a proof for its followers.
 	//  - A watch that returned changes proves freshness only up to its beginning. If the next one
-	//    waited for configWait, the proof would get so old that all followers would look for another
-	//    source.
+	//    waited for configWait, the proof would get so old that all followers would look for
+	//    another source.
 	shortWait = 100 * time.Millisecond
 	// upstreamWait and memberWait are long, since these watches are restarted when the watch of
 	// the configuration succeeds again after a failure.
@@ -46,13 +47,13 @@
 	// evacuationWait is long too: evacuations are rare, and the TCP keep-alive probes of the client
 	// detect a silent connection within 3 s.
 	evacuationWait = 20 * time.Second
-	// recordWait is long for the same reason.
+	// recordWait is long for the same reasons as evacuationWait.
 	recordWait = 20 * time.Second
 )
 
-// Delays after changes, so that one call returns all further changes of the delay: when
-// upstreams start or stop, a hundred of them change one by one, and every reader watches
-// them.
+// Delays between a watch that returned changes and the next one, so that the next one returns all
+// changes made meanwhile: when upstreams start or stop, a hundred of them change one by one, and
+// every reader watches them.
 const (
 	// upstreamBatchDelay leaves most of the 2 s after which a leaving upstream must get no new
 	// requests.
@@ -78,8 +79,8 @@
 	defaultMaxBackoff = 5 * time.Second
 )
 
-// Read watches the store until ctx ends. It may be called again afterwards, and continues from
-// the present revisions.
+// Read watches the store until ctx ends. It may be called again afterwards, and then continues from
+// the revisions of the copies.
 func (v *View) Read(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	upstreams := v.newWatcher(document.UpstreamKind, upstreamWait)
@@ -189,8 +190,9 @@
 	return nil
 }
 
-// restartCall ends the pending call, or the backoff after a failed call: a store that stopped
-// responding for a while never responds to a call from that time.
+// restartCall ends the pending call, or the backoff after a failed call, so that the next call is
+// made at once: a store that stopped responding for a while never responds to a call from that
+// time.
 func (w *watcher) restartCall() {
 	select {
 	case w.restart <- struct{}{}:
@@ -198,7 +200,7 @@
 	}
 }
 
-// call carries out one step, unless a restart is requested meanwhile.
+// call makes one step and reports whether the step was cancelled because a restart was requested.
 func (w *watcher) call(ctx context.Context) (restarted bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -282,15 +284,15 @@
 	}
 }
 
-// proofMarginDivisor sets how much less than its wait a watch without changes proves: the wait
-// divided by it, 0.5 s of the usual 1.5 s. The margin allows for a store whose clock differs or
-// that reports changes late; the store responds in 4 ms.
+// proofMarginDivisor sets the margin by which a watch without changes proves less than its wait:
+// the wait divided by proofMarginDivisor, 0.5 s of the usual 1.5 s. The margin allows for a store
+// whose clock differs or that reports changes late; the store responds in 4 ms.
 const proofMarginDivisor = 3
 
 // proofTime returns the boot time up to which the response to a watch proves freshness. A
 // response without changes after the whole wait proves that nothing had changed while the
-// store held the call; any other proves only the state at the time of the call. If both counted
-// from the beginning of the call, keys would be trusted 1 s less during an outage.
+// store held the call; any other response proves only the state at the beginning of the call. If
+// both proved only that, keys would be trusted 1 s less during an outage.
 func proofTime(began, ended, wait time.Duration, changes int) time.Duration {
 	if changes > 0 || ended-began < wait {
 		return began
@@ -298,8 +300,8 @@
 	return began + wait - wait/proofMarginDivisor
 }
 
-// failed records a failed call and waits for the backoff. If the store's history is gone, it
-// returns at once, so that the kind is listed again.
+// failed records a failed call and waits for the backoff. If the store's history no longer reaches
+// back to the revision, failed returns at once, so that the kind is listed again.
 func (w *watcher) failed(ctx context.Context, err error) {
 	if errors.Is(err, store.ErrHistoryGone) {
 		w.relist = true
--- a/gateway/view/kind.go
+++ b/gateway/view/kind.go
@@ -45,6 +45,7 @@
 	return nil
 }
 
+// objectsOf returns the objects of changes.
 func objectsOf(changes []replica.Change) []replica.Object {
 	list := make([]replica.Object, len(changes))
 	for i, change := range changes {
@@ -66,16 +67,17 @@
 	return k.replica.Revision()
 }
 
-// since returns what a copy at a revision lacks.
+// since returns the changes that a copy at a revision lacks, and false if it lacks none.
 func (k *kindReplica) since(revision int64) (replica.Delta, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.replica.Since(revision)
 }
 
-// Proof is a freshness proof: this process knows of every API key that was revoked up to a time.
+// Proof is a freshness proof: this process knows of every API key that was revoked up to the time
+// At.
 type Proof struct {
-	// At is that time, as a boot time.
+	// At is a boot time.
 	At time.Duration
 	// Hops counts the processes that passed the proof on: 0 if the store gave it.
 	Hops int
--- a/gateway/view/members.go
+++ b/gateway/view/members.go
@@ -15,7 +15,7 @@
 	Incarnation string `json:"incarnation"`
 	Zone        string `json:"zone"`
 	LinkMbps    int    `json:"link_mbps"`
-	// Cores is omitted by gateways that do not know it.
+	// Cores is omitted by gateways that do not know their number of processor cores.
 	Cores float64 `json:"cores,omitempty"`
 }
 
--- a/gateway/view/register.go
+++ b/gateway/view/register.go
@@ -27,7 +27,8 @@
 	return nil
 }
 
-// register makes one attempt. It replaces the object that a crashed earlier incarnation left.
+// register makes one attempt to write the object. It replaces the object that a crashed earlier
+// incarnation left.
 func (v *View) register(ctx context.Context) error {
 	self := v.options.Self
 	spec := memberSpec{Address: self.Address, Incarnation: self.Incarnation, Zone: self.Zone, LinkMbps: self.LinkMbps, Cores: self.Cores}
@@ -54,7 +55,7 @@
 	return v.store.Load().Replace(ctx, MemberKind, name, old.Revision, spec)
 }
 
-// leaveTimeout bounds the removal of the own object at a planned stop.
+// leaveTimeout bounds the removal of this process's own object at a planned stop.
 const leaveTimeout = time.Second
 
 // Leave removes this process's own object, so that the others send it no work. A failure is
@@ -67,7 +68,8 @@
 	}
 }
 
-// leave removes the own object. It reads the object's revision only if it is not known.
+// leave removes this process's own object. It reads the object's revision only if the revision is
+// not known.
 func (v *View) leave(ctx context.Context) error {
 	name, revision := v.options.Self.Name, v.ownRevision.Load()
 	if revision == 0 {
--- a/gateway/view/share.go
+++ b/gateway/view/share.go
@@ -7,7 +7,7 @@
 	"acaciawinch/core/replica"
 )
 
-// The methods below exchange updates with other gateways. They may be called by many
+// The methods in this file exchange updates with other gateways. They may be called by many
 // goroutines.
 
 // Position is the store's revision up to which the copy of one kind is current, or -1 if the
@@ -32,8 +32,9 @@
 	return positions
 }
 
-// DeltasSince returns what copies at these positions lack, with the newest proof. The proof is read
-// first, so that the changes are at least as new as the proof.
+// DeltasSince returns what copies at the given positions lack, and the newest proof; it returns
+// false if there is no proof. The proof is read first, so that the changes are at least as new as
+// the proof.
 func (v *View) DeltasSince(positions []Position) ([]KindDelta, Proof, bool) {
 	newest, known := v.proof.get()
 	var deltas []KindDelta
@@ -52,9 +53,9 @@
 // Changed returns a channel that is closed at the next change or proof.
 func (v *View) Changed() <-chan struct{} { return v.proof.nextChange() }
 
-// ApplyDelta applies a delta from another gateway. It ignores kinds that this gateway does not
-// follow: the other one may run another version. It returns an error if changes are missing
-// between the copy and the delta.
+// ApplyDelta applies a delta from another gateway. It ignores kinds of which this gateway keeps no
+// copy: the other one may run another version. It returns an error if changes are missing between
+// the copy and the delta.
 func (v *View) ApplyDelta(delta KindDelta) error {
 	k := v.replicaOf(delta.Kind)
 	if k == nil {
@@ -81,7 +82,7 @@
 	return at, at >= 0
 }
 
-// replicaOf returns the copy of a kind, or nil if the kind is not followed.
+// replicaOf returns the copy of a kind, or nil if this process keeps none.
 func (v *View) replicaOf(name string) *kindReplica {
 	for _, k := range v.replicas {
 		if k.name == name {
--- a/gateway/view/share_test.go
+++ b/gateway/view/share_test.go
@@ -61,7 +61,8 @@
 	assert.Equal(t, len(deltas), 0)
 }
 
-// TestProofIsNeverReplacedByAnOlderProof covers proofs of two sources, which may arrive in any order.
+// TestProofIsNeverReplacedByAnOlderProof covers proofs of two sources, which may arrive in any
+// order.
 func TestProofIsNeverReplacedByAnOlderProof(t *testing.T) {
 	v := newTestView(t)
 	_, known := v.Proof()
--- a/gateway/view/upstreams.go
+++ b/gateway/view/upstreams.go
@@ -41,9 +41,9 @@
 	updated time.Time
 }
 
-// reportTTL is how long a report is kept without an entry of its incarnation. A store in trouble
-// that drops an entry restores it within seconds; an incarnation that has left ends
-// within reportTTL.
+// reportTTL is how long a report is kept while there is no entry of its incarnation. A store in
+// trouble that drops an entry restores it within seconds; an incarnation that has reported that it
+// is leaving ends within reportTTL.
 const reportTTL = 10 * time.Minute
 
 // newUpstreamReceiver returns a receiver that knows no upstream.
@@ -84,12 +84,12 @@
 // upstream's entry in the store, which can't be updated while the store is down.
 func (v *View) RecordUpstreamReport(received UpstreamReport) {
 	if received.Leaving || received.Backoff > 0 {
-		v.upstreamEntries.noteReport(received, time.Now())
+		v.upstreamEntries.recordReport(received, time.Now())
 	}
 }
 
-// noteReport records a report. The latest end of a backoff wins.
-func (r *upstreamReceiver) noteReport(received UpstreamReport, now time.Time) {
+// recordReport records a report. Of several backoffs, the one that ends last applies.
+func (r *upstreamReceiver) recordReport(received UpstreamReport, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	key := incarnation{id: received.Upstream.ID, started: received.Upstream.Incarnation}
@@ -107,13 +107,13 @@
 	r.publish()
 }
 
-// reportOf returns what an upstream's incarnation reported. The caller holds r.mu.
+// reportOf returns what an upstream's incarnation reported. r.mu must be held.
 func (r *upstreamReceiver) reportOf(upstream routes.Upstream) report {
 	return r.reports[incarnation{id: upstream.ID, started: upstream.Incarnation}]
 }
 
-// dropExpiredReports drops the reports of incarnations that are gone for longer than reportTTL.
-// The caller holds r.mu.
+// dropExpiredReports drops reports older than reportTTL of incarnations that have no entry.
+// r.mu must be held.
 func (r *upstreamReceiver) dropExpiredReports(now time.Time) {
 	for key, old := range r.reports {
 		upstream, known := r.known[key.id]
@@ -203,9 +203,9 @@
 	r.view.options.Logger.Event(event.UpstreamGone, observe.Fields{"upstream": upstream.ID, "service": upstream.Service, "address": upstream.Address})
 }
 
-// publish makes the known upstreams, merged with their own reports, the current snapshot. There is
-// no snapshot until the evacuated zones are known, so that a starting process sends nothing to
-// them. The caller holds r.mu.
+// publish makes the known upstreams, merged with their reports, the current snapshot. There is no
+// snapshot until the evacuated zones are known, so that a starting process sends nothing to these
+// zones. r.mu must be held.
 func (r *upstreamReceiver) publish() {
 	if !r.listed || r.evacuated == nil {
 		return
--- a/gateway/view/upstreams_test.go
+++ b/gateway/view/upstreams_test.go
@@ -59,7 +59,7 @@
 	f, v := newTestReceiver(t)
 	f.Reset([]replica.Object{upstreamObject("a", "ready", 1)})
 	upstream, _ := v.Upstreams().Find("a")
-	f.noteReport(UpstreamReport{Upstream: upstream, Leaving: true}, time.Now())
+	f.recordReport(UpstreamReport{Upstream: upstream, Leaving: true}, time.Now())
 	for _, state := range []string{"draining", "ready"} {
 		f.Apply([]replica.Change{{Object: upstreamObject("a", state, 1)}})
 		upstream, _ = v.Upstreams().Find("a")
--- a/gateway/view/view.go
+++ b/gateway/view/view.go
@@ -56,8 +56,8 @@
 type Records struct {
 	// Kind is the name of the kind in the store.
 	Kind string
-	// To receives the objects.
-	To Receiver
+	// Receiver receives the objects.
+	Receiver Receiver
 }
 
 // StoreOptions is the store's part of the settings. All but Evacuations may change while the
@@ -95,10 +95,10 @@
 	replicas []*kindReplica
 	// upstreamEntries holds the known upstreams.
 	upstreamEntries *upstreamReceiver
-	// evacuations holds the evacuated zones; nil if evacuations are not followed.
+	// evacuations holds the evacuated zones; nil if the operator may not evacuate zones.
 	evacuations *evacuationReceiver
 	proof       *proofTracker
-	// storeProofAt is the boot time of the newest proof from the store itself; negative
+	// storeProofAt is the boot time of the newest proof from the store itself; below 0
 	// before the first.
 	storeProofAt atomic.Int64
 	// failing is set while the store fails to respond to this process about the configuration.
@@ -125,7 +125,7 @@
 		v.replicas = append(v.replicas, v.newKindReplica(document.EvacuationKind, v.evacuations))
 	}
 	for _, records := range options.Records {
-		v.replicas = append(v.replicas, v.newKindReplica(records.Kind, records.To))
+		v.replicas = append(v.replicas, v.newKindReplica(records.Kind, records.Receiver))
 	}
 	v.SetStoreOptions(options.Store)
 	v.members.Store(&[]Member{})
@@ -138,8 +138,8 @@
 	return &kindReplica{name: name, receiver: to, proof: v.proof, replica: replica.New()}
 }
 
-// SetStoreOptions applies changed settings. The present data stay in force until the store at a
-// new address replaces them.
+// SetStoreOptions applies changed settings. The present data stays in force until the store at a
+// new address replaces it.
 func (v *View) SetStoreOptions(options StoreOptions) {
 	v.confirmWithin.Store(int64(options.ConfirmWithin))
 	v.applyWithin.Store(int64(options.ApplyWithin))
@@ -167,12 +167,13 @@
 // Ready reports whether requests can be served.
 func (v *View) Ready() bool { return v.Table() != nil && v.Upstreams() != nil && v.recordsReady() }
 
-// recordsTimeout bounds the wait for the gateways' records after the first configuration: a
-// store that has returned the configuration returns the records within the timeout of a call.
-// Without the records a process would send requests that the other gateways refuse.
+// recordsTimeout bounds the wait for the objects of Options.Records after the first configuration:
+// a store that has returned the configuration returns them within the timeout of a call. Without
+// the gateways' crash records a process would send requests that the other gateways refuse.
 const recordsTimeout = 2 * time.Second
 
-// recordsReady reports whether the gateways' records were listed once or recordsTimeout is over.
+// recordsReady reports whether the objects of Options.Records were listed once or recordsTimeout
+// has passed.
 func (v *View) recordsReady() bool {
 	if v.recordsListed.Load() {
 		return true
@@ -208,12 +209,13 @@
 // KeyTrustTime returns how long a freshness proof is valid.
 func (v *View) KeyTrustTime() time.Duration { return time.Duration(v.confirmWithin.Load()) }
 
+// ApplyTime returns the time within which a change that the store has accepted must be in force.
 func (v *View) ApplyTime() time.Duration { return time.Duration(v.applyWithin.Load()) }
 
 // leadTime bounds how early AcceptsConnections turns false before requests with keys must be
 // refused: the load balancer checks once a second and acts on the second check. AcceptsConnections
-// uses at most a third of the validity of a proof, so that a watch that waits for another third
-// renews the proof in time.
+// uses at most a third of the time for which a proof is valid, so that a watch that waits for
+// another third of it renews the proof in time.
 const leadTime = 1500 * time.Millisecond
 
 // AcceptsConnections reports whether new connections should come to this process. A process
