--- a/gateway/httpconn/client.go
+++ b/gateway/httpconn/client.go
@@ -2,9 +2,9 @@
 // parser and writer of net/http, but replaces its Transport, for three reasons: the
 // Transport retries some requests by itself when a kept-alive connection fails; it does not
 // report whether any byte of a request was sent; and it returns responses that belong to an
-// earlier request on the connection. This package never sends a request twice, every error
-// tells whether the request may have run, and a response that does not echo the ID of the
-// request is never returned.
+// earlier request on the connection. This package never sends a request twice, the code of
+// every error shows whether the request may have run, and a response that does not echo the
+// ID of the request is never returned.
 package httpconn
 
 import (
@@ -33,8 +33,8 @@
 	// unackedLimit is the time after which a connection fails if sent bytes stay
 	// unacknowledged.
 	unackedLimit = 2500 * time.Millisecond
-	// idleMargin is how long before the upstream an idle connection is closed, so that
-	// the upstream does not close it while a request is being sent.
+	// idleMargin is how long before the upstream would close an idle connection the client
+	// closes it, so that the upstream does not close it while a request is being sent.
 	idleMargin = 400 * time.Millisecond
 	// defaultIdle is how long an idle connection is kept if the upstream sets no limit.
 	defaultIdle = 4 * time.Second
@@ -58,16 +58,16 @@
 
 // Client sends requests to upstreams and keeps idle connections. It is safe for concurrent use.
 type Client struct {
-	// echo reads the head of a response.
-	echo func(status int, h http.Header) Echo
+	// readInfo reads the head of a response.
+	readInfo func(status int, h http.Header) ResponseInfo
 
 	mu     sync.Mutex
 	idle   map[string][]*conn
 	closed bool
 }
 
-// Echo is what the head of a response says about its request and its connection.
-type Echo struct {
+// ResponseInfo is what the head of a response says about its request and its connection.
+type ResponseInfo struct {
 	// ID is the ID of the request; empty if the response has none.
 	ID string
 	// NotRun is set if the upstream says that it did not run the request. Such a response
@@ -77,9 +77,9 @@
 	Idle time.Duration
 }
 
-// New returns a Client that reads the heads of responses with echo.
-func New(echo func(status int, h http.Header) Echo) *Client {
-	return &Client{echo: echo, idle: make(map[string][]*conn)}
+// New returns a Client that reads the heads of responses with readInfo.
+func New(readInfo func(status int, h http.Header) ResponseInfo) *Client {
+	return &Client{readInfo: readInfo, idle: make(map[string][]*conn)}
 }
 
 // acquire returns a usable idle connection, or opens a new one.
@@ -135,8 +135,9 @@
 	return newConn(opened, addr), nil
 }
 
-// listenSettleTime is how long a new connection must stay open to show that the upstream serves
-// it: a proxy in front of an upstream that has ended accepts connections and closes them at once.
+// listenSettleTime is how long a new connection must stay open to show that the upstream is
+// running: a proxy in front of an upstream that has ended accepts connections and closes them at
+// once.
 const listenSettleTime = 100 * time.Millisecond
 
 // Listens reports whether an address accepts a new connection and does not close it. If so, the
--- a/gateway/httpconn/client_test.go
+++ b/gateway/httpconn/client_test.go
@@ -81,8 +81,8 @@
 
 // newClient returns a client that reads the request ID from the header Id.
 func newClient(t *testing.T) *Client {
-	c := New(func(status int, h http.Header) Echo {
-		return Echo{ID: h.Get("Id"), NotRun: h.Get("Not-Run") != ""}
+	c := New(func(status int, h http.Header) ResponseInfo {
+		return ResponseInfo{ID: h.Get("Id"), NotRun: h.Get("Not-Run") != ""}
 	})
 	t.Cleanup(c.Close)
 	return c
@@ -94,9 +94,9 @@
 }
 
 // readAll reads the body of a response to its end.
-func readAll(t *testing.T, a *Response) string {
+func readAll(t *testing.T, response *Response) string {
 	t.Helper()
-	body, err := io.ReadAll(a.Body)
+	body, err := io.ReadAll(response.Body)
 	assert.NilError(t, err)
 	return string(body)
 }
@@ -106,18 +106,18 @@
 	response2 = "HTTP/1.1 200 OK\r\nId: 2\r\nContent-Length: 2\r\n\r\nno"
 )
 
-func TestConnectionIsUsedAgainAfterAWholeAnswer(t *testing.T) {
+func TestConnectionIsReusedAfterAWholeResponse(t *testing.T) {
 	address, accepted := upstream(t, respondWith(response1, response2))
 	c := newClient(t)
 	for _, id := range []string{"1", "2"} {
-		a, err := c.Do(context.Background(), address, request(id))
+		response, err := c.Do(context.Background(), address, request(id))
 		assert.NilError(t, err)
-		readAll(t, a)
+		readAll(t, response)
 	}
 	assert.Equal(t, len(accepted), 1)
 }
 
-func TestTargetIsSentAsItCame(t *testing.T) {
+func TestTargetIsSentUnchanged(t *testing.T) {
 	got := make(chan string, 1)
 	address, _ := upstream(t, func(t *testing.T, conn net.Conn, reader *bufio.Reader) {
 		r, _ := readRequest(t, reader)
@@ -125,9 +125,9 @@
 		_, err := io.WriteString(conn, response1)
 		assert.Check(t, err)
 	})
-	a, err := newClient(t).Do(context.Background(), address, request("1"))
+	response, err := newClient(t).Do(context.Background(), address, request("1"))
 	assert.NilError(t, err)
-	readAll(t, a)
+	readAll(t, response)
 	assert.Equal(t, <-got, "/a/../b?c")
 }
 
@@ -140,19 +140,19 @@
 		readRequest(t, reader)
 	}, respondWith(response2))
 	c := newClient(t)
-	a, err := c.Do(context.Background(), address, request("1"))
+	response, err := c.Do(context.Background(), address, request("1"))
 	assert.NilError(t, err)
-	readAll(t, a)
+	readAll(t, response)
 	_, err = c.Do(context.Background(), address, request("2"))
 	assert.Assert(t, fault.Is(err, fault.Ambiguous), "%v", err)
 	assert.Equal(t, len(accepted), 1)
 
-	a, err = c.Do(context.Background(), address, request("2"))
+	response, err = c.Do(context.Background(), address, request("2"))
 	assert.NilError(t, err)
-	readAll(t, a)
+	readAll(t, response)
 }
 
-func TestRefusedConnectionTellsThatNothingWasSent(t *testing.T) {
+func TestRefusedConnectionShowsThatNothingWasSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := listener.Addr().String()
@@ -161,14 +161,14 @@
 	assert.Assert(t, fault.Is(err, fault.Unavailable), "%v", err)
 }
 
-func TestAnswerOfAnotherRequestIsPassedOver(t *testing.T) {
+func TestResponseToAnotherRequestIsSkipped(t *testing.T) {
 	address, _ := upstream(t, respondWith(response2+response1))
-	a, err := newClient(t).Do(context.Background(), address, request("1"))
+	response, err := newClient(t).Do(context.Background(), address, request("1"))
 	assert.NilError(t, err)
-	assert.Equal(t, readAll(t, a), "ok")
+	assert.Equal(t, readAll(t, response), "ok")
 }
 
-func TestAnswerWithoutAnEchoIsNotHandedOut(t *testing.T) {
+func TestResponseWithoutAnEchoIsNotReturned(t *testing.T) {
 	address, _ := upstream(t, respondWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
 	_, err := newClient(t).Do(context.Background(), address, request("1"))
 	assert.Assert(t, fault.Is(err, fault.Ambiguous), "%v", err)
@@ -176,28 +176,28 @@
 
 func TestRejectionNeedsNoEcho(t *testing.T) {
 	address, _ := upstream(t, respondWith("HTTP/1.1 503 Full\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"))
-	a, err := newClient(t).Do(context.Background(), address, request("1"))
+	response, err := newClient(t).Do(context.Background(), address, request("1"))
 	assert.NilError(t, err)
-	assert.Equal(t, a.Status, 503)
-	readAll(t, a)
+	assert.Equal(t, response.Status, 503)
+	readAll(t, response)
 }
 
-func TestInformationalAnswersArePassedOver(t *testing.T) {
+func TestInformationalResponsesAreSkipped(t *testing.T) {
 	address, _ := upstream(t, respondWith("HTTP/1.1 103 Early Hints\r\n\r\n"+response1))
-	a, err := newClient(t).Do(context.Background(), address, request("1"))
+	response, err := newClient(t).Do(context.Background(), address, request("1"))
 	assert.NilError(t, err)
-	assert.Equal(t, readAll(t, a), "ok")
+	assert.Equal(t, readAll(t, response), "ok")
 }
 
-func TestConnectionWithBytesBehindAnAnswerIsNotUsedAgain(t *testing.T) {
+func TestConnectionWithBytesAfterAResponseIsNotReused(t *testing.T) {
 	address, accepted := upstream(t, respondAndWait(response1+"HTTP/1.1 200 OK\r\n"), respondWith(response2))
 	c := newClient(t)
-	a, err := c.Do(context.Background(), address, request("1"))
+	response, err := c.Do(context.Background(), address, request("1"))
 	assert.NilError(t, err)
-	readAll(t, a)
-	a, err = c.Do(context.Background(), address, request("2"))
+	readAll(t, response)
+	response, err = c.Do(context.Background(), address, request("2"))
 	assert.NilError(t, err)
-	assert.Equal(t, readAll(t, a), "no")
+	assert.Equal(t, readAll(t, response), "no")
 	assert.Equal(t, len(accepted), 2)
 }
 
@@ -208,9 +208,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			address, _ := upstream(t, respondWith(text))
-			a, err := newClient(t).Do(context.Background(), address, request("1"))
+			response, err := newClient(t).Do(context.Background(), address, request("1"))
 			assert.NilError(t, err)
-			_, err = io.ReadAll(a.Body)
+			_, err = io.ReadAll(response.Body)
 			assert.ErrorContains(t, err, "unexpected EOF")
 		})
 	}
@@ -221,16 +221,16 @@
 		respondWith("HTTP/1.1 200 OK\r\nId: 1\r\n\r\nok")(t, conn, reader)
 		assert.Check(t, conn.(*net.TCPConn).SetLinger(0))
 	})
-	a, err := newClient(t).Do(context.Background(), address, request("1"))
+	response, err := newClient(t).Do(context.Background(), address, request("1"))
 	assert.NilError(t, err)
-	_, err = io.ReadAll(a.Body)
+	_, err = io.ReadAll(response.Body)
 	assert.ErrorContains(t, err, "reset")
 }
 
-// TestEarlyAnswerEndsTheConnection guards against reuse of a connection on which the upstream
+// TestEarlyResponseEndsTheConnection guards against reuse of a connection on which the upstream
 // responded before it had read a long body: it would read the next request as the remainder
 // of that body.
-func TestEarlyAnswerEndsTheConnection(t *testing.T) {
+func TestEarlyResponseEndsTheConnection(t *testing.T) {
 	address, accepted := upstream(t, func(t *testing.T, conn net.Conn, reader *bufio.Reader) {
 		_, err := reader.ReadString('\n')
 		assert.Check(t, err)
@@ -242,12 +242,12 @@
 	long := request("1")
 	long.Method = http.MethodPost
 	long.Body = []byte(strings.Repeat("x", 16<<20))
-	a, err := c.Do(context.Background(), address, long)
+	response, err := c.Do(context.Background(), address, long)
 	assert.NilError(t, err)
-	assert.Equal(t, readAll(t, a), "ok")
-	a, err = c.Do(context.Background(), address, request("2"))
+	assert.Equal(t, readAll(t, response), "ok")
+	response, err = c.Do(context.Background(), address, request("2"))
 	assert.NilError(t, err)
-	readAll(t, a)
+	readAll(t, response)
 	assert.Equal(t, len(accepted), 2)
 }
 
@@ -269,13 +269,13 @@
 func TestIdleConnectionNearItsLimitIsNotUsed(t *testing.T) {
 	address, accepted := upstream(t, respondAndWait(response1), respondWith(response2))
 	c := newClient(t)
-	a, err := c.Do(context.Background(), address, request("1"))
+	response, err := c.Do(context.Background(), address, request("1"))
 	assert.NilError(t, err)
-	readAll(t, a)
+	readAll(t, response)
 	c.Sweep(time.Now().Add(defaultIdle - idleMargin))
-	a, err = c.Do(context.Background(), address, request("2"))
+	response, err = c.Do(context.Background(), address, request("2"))
 	assert.NilError(t, err)
-	readAll(t, a)
+	readAll(t, response)
 	assert.Equal(t, len(accepted), 2)
 }
 
--- a/gateway/httpconn/exchange.go
+++ b/gateway/httpconn/exchange.go
@@ -15,7 +15,7 @@
 // Limits of a request and its response.
 const (
 	// maxInlineBody is the size up to which a body is written completely before the response
-	// is read. A larger one could fill the TCP window and block, while the upstream has
+	// is read. Writing a larger body could fill the TCP window and block, while the upstream has
 	// already responded and reads no more.
 	maxInlineBody = 2048
 	// maxSkipped bounds the informational responses and the responses to other requests
@@ -82,48 +82,48 @@
 	err     error
 }
 
-// startWrite starts to write a request. One with a body of at most maxInlineBody bytes is written
-// when it returns.
+// startWrite starts to write a request. A request with a body of at most maxInlineBody bytes is
+// completely written when startWrite returns.
 func startWrite(to *conn, r Request) *requestWriter {
-	s := &requestWriter{done: make(chan struct{})}
+	w := &requestWriter{done: make(chan struct{})}
 	head := encodeHead(r)
 	if len(r.Body) <= maxInlineBody {
-		s.write(to, append(head, r.Body...))
-		close(s.done)
-		return s
+		w.write(to, append(head, r.Body...))
+		close(w.done)
+		return w
 	}
 	go func() {
-		defer close(s.done)
-		s.write(to, head)
-		if s.err == nil {
-			s.write(to, r.Body)
+		defer close(w.done)
+		w.write(to, head)
+		if w.err == nil {
+			w.write(to, r.Body)
 		}
 	}()
-	return s
+	return w
 }
 
 // write writes a part of the request.
-func (s *requestWriter) write(to *conn, part []byte) {
+func (w *requestWriter) write(to *conn, part []byte) {
 	n, err := to.Write(part)
-	s.written.Add(int64(n))
-	s.err = err
+	w.written.Add(int64(n))
+	w.err = err
 }
 
 // wroteNothing reports whether writing has failed before the first byte.
-func (s *requestWriter) wroteNothing() bool {
+func (w *requestWriter) wroteNothing() bool {
 	select {
-	case <-s.done:
-		return s.err != nil && s.written.Load() == 0
+	case <-w.done:
+		return w.err != nil && w.written.Load() == 0
 	default:
 		return false
 	}
 }
 
 // wroteAll reports whether the complete request was written.
-func (s *requestWriter) wroteAll() bool {
+func (w *requestWriter) wroteAll() bool {
 	select {
-	case <-s.done:
-		return s.err == nil
+	case <-w.done:
+		return w.err == nil
 	default:
 		return false
 	}
@@ -158,9 +158,9 @@
 		if resp.StatusCode/100 == 1 && resp.StatusCode != http.StatusSwitchingProtocols {
 			continue
 		}
-		echo := c.echo(resp.StatusCode, resp.Header)
-		if r.ID == "" || echo.ID == r.ID || (echo.ID == "" && echo.NotRun) {
-			return c.newResponse(from, resp, echo, writer), nil
+		info := c.readInfo(resp.StatusCode, resp.Header)
+		if r.ID == "" || info.ID == r.ID || (info.ID == "" && info.NotRun) {
+			return c.newResponse(from, resp, info, writer), nil
 		}
 		if err := discardBody(resp); err != nil {
 			return nil, err
@@ -183,20 +183,20 @@
 }
 
 // newResponse returns the Response for resp, whose body is unread.
-func (c *Client) newResponse(from *conn, resp *http.Response, echo Echo, writer *requestWriter) *Response {
-	a := &Response{
+func (c *Client) newResponse(from *conn, resp *http.Response, info ResponseInfo, writer *requestWriter) *Response {
+	response := &Response{
 		Status:   resp.StatusCode,
 		Header:   resp.Header,
 		Framed:   resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0,
 		client:   c,
 		conn:     from,
 		body:     resp.Body,
-		idle:     echo.Idle,
+		idle:     info.Idle,
 		reusable: !resp.Close && resp.StatusCode != http.StatusSwitchingProtocols,
 		writer:   writer,
 	}
-	a.Body = &responseBody{response: a}
-	return a
+	response.Body = &responseBody{response: response}
+	return response
 }
 
 // responseBody reads the body of a response and releases its connection at the end.
@@ -213,31 +213,31 @@
 
 // finish keeps the connection for the next request if it can be reused: the request was
 // written completely, and no data follows the response.
-func (a *Response) finish() {
-	if !a.finished.CompareAndSwap(false, true) {
+func (r *Response) finish() {
+	if !r.finished.CompareAndSwap(false, true) {
 		return
 	}
-	active := a.stop == nil || a.stop()
-	if !active || !a.reusable || !a.writer.wroteAll() || a.conn.reader.Buffered() > 0 {
-		a.conn.close()
+	active := r.stop == nil || r.stop()
+	if !active || !r.reusable || !r.writer.wroteAll() || r.conn.reader.Buffered() > 0 {
+		r.conn.close()
 		return
 	}
-	idle := a.idle
+	idle := r.idle
 	if idle == 0 {
 		idle = defaultIdle
 	}
-	a.conn.expires = time.Now().Add(idle - idleMargin)
-	a.client.putIdle(a.conn)
+	r.conn.expires = time.Now().Add(idle - idleMargin)
+	r.client.putIdle(r.conn)
 }
 
 // Close closes the connection if the body was not read completely, which tells the upstream
 // to stop working on the request. After the end of the body it does nothing.
-func (a *Response) Close() {
-	if !a.finished.CompareAndSwap(false, true) {
+func (r *Response) Close() {
+	if !r.finished.CompareAndSwap(false, true) {
 		return
 	}
-	if a.stop != nil {
-		a.stop()
+	if r.stop != nil {
+		r.stop()
 	}
-	a.conn.close()
+	r.conn.close()
 }
--- a/gateway/pools/owner_test.go
+++ b/gateway/pools/owner_test.go
@@ -114,7 +114,7 @@
 	pool := &routes.Pool{Slots: 1, Batch: 4, CallTime: 10 * time.Millisecond, ItemTime: time.Millisecond, RoomBytes: 1 << 20, KeepTime: 4 * time.Second}
 	logger, err := observe.NewLogger(io.Discard, "test", "error")
 	assert.NilError(t, err)
-	client := httpconn.New(func(int, http.Header) httpconn.Echo { return httpconn.Echo{} })
+	client := httpconn.New(func(int, http.Header) httpconn.ResponseInfo { return httpconn.ResponseInfo{} })
 	o := NewOwner(ctx, staticFleet{
 		table:     routes.NewTable(1, routes.Limits{}, nil, []*routes.Service{{Name: "enc", Pool: pool}}, nil),
 		upstreams: routes.NewUpstreams([]routes.Upstream{{ID: "w", Service: "enc", Address: strings.TrimPrefix(server.URL, "http://")}}),
--- a/gateway/process.go
+++ b/gateway/process.go
@@ -91,7 +91,7 @@
 	}
 	p := &process{settings: settings, queue: queue, logger: logger, incarnation: newIncarnation()}
 	p.metrics = observe.NewMetrics("acaciawinch_gateway")
-	p.client = httpconn.New(readEcho)
+	p.client = httpconn.New(readResponseInfo)
 	self := view.Member{
 		Name:        settings.Process.Name,
 		Address:     settings.Listen.Fleet,
@@ -152,16 +152,16 @@
 	return p, nil
 }
 
-// apply puts into force those changed settings that need no restart.
+// apply applies those changed settings that need no restart.
 func (p *process) apply(settings Settings) {
 	p.view.SetStoreOptions(settings.storeOptions())
 	p.flow.SetRetries(settings.retries())
 }
 
-// readEcho extracts from an upstream's response head what httpconn needs.
-func readEcho(status int, h http.Header) httpconn.Echo {
+// readResponseInfo extracts from the head of an upstream's response what package httpconn needs.
+func readResponseInfo(status int, h http.Header) httpconn.ResponseInfo {
 	response := header.ReadResponse(status, h)
-	return httpconn.Echo{ID: response.ID, NotRun: response.NotRun, Idle: response.Idle}
+	return httpconn.ResponseInfo{ID: response.ID, NotRun: response.NotRun, Idle: response.Idle}
 }
 
 // newIncarnation returns a random ID for this run of the process.
@@ -196,7 +196,7 @@
 	return ports, nil
 }
 
-// serve runs all components until the drain that starts when ctx is cancelled has finished.
+// serve runs all components. When ctx is cancelled, it drains the process and stops them.
 func (p *process) serve(ctx, runCtx context.Context, stop context.CancelFunc, ports listeners) error {
 	servers := newServers(p, ports)
 	group, runCtx := errgroup.WithContext(runCtx)
@@ -220,7 +220,7 @@
 	return group.Wait()
 }
 
-// logEnd logs why the process ended.
+// logEnd logs the error that ended the process or, if err is nil, its planned stop.
 func (p *process) logEnd(err error) {
 	if err != nil {
 		p.logger.Warn(event.ProcessFailed, observe.Fields{"error": err.Error()})
--- a/gateway/reload.go
+++ b/gateway/reload.go
@@ -12,7 +12,7 @@
 )
 
 // settingsPollInterval is the interval at which the settings file is read without a signal.
-// It puts changes into force within seconds; one read takes about 50 µs.
+// Changes are thus in force within seconds; one read takes about 50 µs.
 const settingsPollInterval = 2 * time.Second
 
 // reloader rereads the settings on SIGHUP and at a fixed interval. If they can't be
--- a/gateway/servers.go
+++ b/gateway/servers.go
@@ -31,12 +31,12 @@
 	// the signal. The load balancer needs two probes, one second apart, to see that this
 	// process is not ready; the remainder is for connections that are being opened.
 	drainAcceptTime = 2800 * time.Millisecond
-	// graceMargin is how long before the end of the platform's grace period, when the
-	// platform kills the process, the drain is cut off.
+	// graceMargin is how long before the end of the platform's grace period the drain is cut
+	// off: at its end the platform kills the process.
 	graceMargin = 500 * time.Millisecond
 )
 
-// servers are the HTTP servers of a gateway.
+// servers holds the HTTP servers of a gateway.
 type servers struct {
 	process   *process
 	ports     listeners
@@ -93,7 +93,7 @@
 // after each response; then it waits for the requests in flight.
 //
 // All steps share one grace period that starts at the signal. The removal of this process's
-// own object from the store is part of it: when it had its own time on top, up to a second
+// own object from the store is part of it: when the removal had additional time, up to a second
 // while the store was unreachable, the platform killed some processes in each fleet-wide
 // restart.
 func (s *servers) drain() {
--- a/gateway/settings.go
+++ b/gateway/settings.go
@@ -1,7 +1,7 @@
 // Package gateway is the process that serves clients on the users' platform: it accepts
-// requests, has the stage pools run their stages and sends them to upstreams. All gateways
-// are equal. What they must agree on is in the platform's store, and the queue of each
-// part of a stage pool is owned by one of them.
+// requests, runs their stages in the stage pools and sends the requests to upstreams. All
+// gateways are equal. What they must agree on is in the platform's store, and the queue of
+// each part of a stage pool is owned by one of them.
 package gateway
 
 import (
@@ -173,8 +173,8 @@
 	return nil
 }
 
-// minApplyMS is the minimum of bounds.config_apply_ms and bounds.evacuate_ms: with less, the
-// store's readers could not be checked often enough.
+// minApplyMS is the minimum of bounds.config_apply_ms and bounds.evacuate_ms: with less, followers
+// could not check often enough whether their source still reads the store.
 const minApplyMS = 200
 
 // Validate implements settings.Validator.
@@ -200,9 +200,9 @@
 	return nil
 }
 
-// confirmMargin is how long before bounds.revoke_ms has passed requests with API keys are
-// refused. It covers the time from the check until an upstream starts the request, and clock
-// error.
+// confirmMargin is how much shorter than bounds.revoke_ms API keys are trusted without a new
+// freshness proof. It covers the time from the check until an upstream starts the request, and
+// clock error.
 const confirmMargin = 500 * time.Millisecond
 
 // confirmWithin returns for how long API keys are trusted without a new freshness proof.
--- a/gateway/zones_test.go
+++ b/gateway/zones_test.go
@@ -12,8 +12,8 @@
 	"acaciawinch/observe"
 )
 
-// TestEmptiedZoneIsLoggedOncePerEvacuation checks that a zone is logged as empty once it has nothing
-// in flight, and again only if it is evacuated again.
+// TestEmptiedZoneIsLoggedOncePerEvacuation checks that a zone is logged as empty once it has
+// nothing in flight, and again only if it is evacuated again.
 func TestEmptiedZoneIsLoggedOncePerEvacuation(t *testing.T) {
 	var log strings.Builder
 	logger, err := observe.NewLogger(&log, "g", "info")
