--- a/core/slowstart/slowstart.go
+++ b/core/slowstart/slowstart.go
@@ -5,11 +5,11 @@
 // Only the members with the highest rendezvous scores for the upstream may send to it while it
 // is cold, and each of them at most one request per Spacing.
 //
-// The bound holds in every second, whatever members each process knows, as long as none lacks
-// more of the members than half of the bound. Let K be half of the bound, and let the sender
-// with the lowest score lack u of the members. It knows fewer than K members with a higher score
-// than its own, so that there are fewer than K + u such members. All senders are among these and
-// the process itself: at most K + u. Each sends at most one request a second, as Spacing is
+// The bound holds in every second, whatever members each process knows, as long as no process
+// lacks more members than half of the bound. Let K be half of the bound, and let the sender with
+// the lowest score lack u of the members. It knows fewer than K members with a higher score than
+// its own, so that there are fewer than K + u such members. All senders are among these and the
+// process itself: at most K + u. Each sends at most one request a second, as Spacing is
 // longer than one second plus the longest delay between the choice of an upstream and the
 // sending of the request. So if u is at most K, no more than 2 K requests, the bound, arrive. A
 // process that knows no members, or whose membership is stale, sends nothing, as its u is
@@ -30,8 +30,8 @@
 // second for which the bound holds, and 0.8 s for a request that waits for its connection to open.
 const Spacing = 1800 * time.Millisecond
 
-// divergenceFactor is the ratio between the processes that may send and those that are meant to:
-// more may send because some do not know of each other.
+// divergenceFactor is the ratio between the number of processes that send at most and the number
+// that is meant to send: more send if some do not know of each other.
 const divergenceFactor = 2
 
 // maxCachedRanks bounds the number of upstreams whose rank is cached. It is above the number of
@@ -46,8 +46,8 @@
 	Overrun, Slack float64
 }
 
-// senders returns how many processes are meant to send to a cold upstream. It is 0 if the limit
-// is below two requests a second.
+// senders returns how many processes are meant to send to a cold upstream: 0 if the limit is below
+// two requests a second.
 func (b Bound) senders() int { return int((b.PerSecond*b.Overrun + b.Slack) / divergenceFactor) }
 
 // Limiter enforces one process's share of the bound. It is not safe for concurrent use.
@@ -104,7 +104,7 @@
 	return higher
 }
 
-// Sent records a request to a cold upstream.
+// Sent records that this process sends a request to a cold upstream.
 func (l *Limiter) Sent(upstream string, now time.Time) {
 	for id, at := range l.lastSent {
 		if now.Sub(at) >= Spacing {
--- a/core/slowstart/slowstart_test.go
+++ b/core/slowstart/slowstart_test.go
@@ -21,8 +21,8 @@
 	bound    Bound
 }
 
-// newFleet returns a fleet in which no process lacks more than missing of the others, and some
-// still know processes that have ended.
+// newFleet returns a fleet in which each process knows all but at most missing of the other
+// processes, and some also know processes that have ended.
 func newFleet(random *rand.Rand, processes, missing int, bound Bound) *fleet {
 	f := &fleet{bound: bound}
 	for i := range processes {
