--- a/core/quarantine/model_test.go
+++ b/core/quarantine/model_test.go
@@ -51,6 +51,7 @@
 	noClear bool
 }
 
+// event is a function to run at a time.
 type event struct {
 	at  time.Duration
 	run func()
@@ -105,6 +106,7 @@
 	incarnation int
 }
 
+// gateway is one gateway of the model.
 type gateway struct {
 	*model
 	name  string
