--- a/core/pool/chain_test.go
+++ b/core/pool/chain_test.go
@@ -46,6 +46,7 @@
 	run   func()
 }
 
+// chainEvents is a heap of events, earliest first.
 type chainEvents []chainEvent
 
 func (e chainEvents) Len() int { return len(e) }
--- a/core/pool/order.go
+++ b/core/pool/order.go
@@ -7,7 +7,7 @@
 
 // classFactor is the largest ratio between the values per item of two tasks of one class.
 // Estimated values are within a factor of 1.8 of those given by operators
-// (TestEstimateAgreesWithOperatorValues); within that the due time says more.
+// (TestEstimateAgreesWithOperatorValues); within that ratio the due time is the better criterion.
 const classFactor = 2
 
 // sort orders the queue. Tasks that are in time go before late ones: in a burst, time
