--- a/core/selection/chooser.go
+++ b/core/selection/chooser.go
@@ -30,7 +30,7 @@
 	// cost 0.020 and 0.022 of the total value on two deployments; with 8 it cost 0.014 and 0.016.
 	loadSlack = 8.0
 	// loadTTL is how long an upstream's load report is used. Streams last seconds, so that
-	// older reports say little.
+	// older reports are far from the present load.
 	loadTTL = 2 * time.Second
 	// avoidTime is how long an upstream that failed a request is avoided while others
 	// are available.
