--- a/core/routes/upstream.go
+++ b/core/routes/upstream.go
@@ -46,8 +46,8 @@
 const reportDelay = 2500 * time.Millisecond
 
 // IsCold reports whether an upstream must be assumed to be cold, where coldStart is how
-// long the upstreams of its service are cold after they have started. An upstream in a zone whose evacuation just
-// ended may be cold before this process receives a report of it.
+// long the upstreams of its service are cold after they have started. An upstream in a zone whose
+// evacuation just ended may be cold before this process receives a report of it.
 func (u Upstream) IsCold(coldStart time.Duration, now time.Time) bool {
 	if now.Before(u.ColdUntil) {
 		return true
