--- a/gateway/flow/handler.go
+++ b/gateway/flow/handler.go
@@ -330,7 +330,7 @@
 
 // unavailable returns why a service that the request needs accepts no work in time, and when the
 // client may retry. The reason is empty if no service rules the request out. The check comes
-// before the stages, so that none of them runs in vain.
+// before the stages, so that no stage runs for a request that can't be served.
 func (rq *request) unavailable() (reason string, retryAfter time.Duration) {
 	services := []string{rq.service}
 	for i, stage := range rq.route.Stages {
--- a/gateway/httpconn/exchange.go
+++ b/gateway/httpconn/exchange.go
@@ -32,8 +32,8 @@
 	// Body returns io.EOF only after the complete body was read.
 	Body io.Reader
 	// Framed is set if the head of the response marks the end of its body, by a length or as
-	// chunks. Otherwise the body ends with the connection, which can't be told from a crash
-	// of the upstream's process.
+	// chunks. Otherwise the body ends with the connection, which can't be distinguished from a
+	// crash of the upstream's process.
 	Framed bool
 
 	client   *Client
--- a/gateway/pools/owner.go
+++ b/gateway/pools/owner.go
@@ -69,7 +69,7 @@
 	// pending is the number of items without a result.
 	pending int
 	notify  Notify
-	// inputsReadNotified is set once the caller has been, or is about to be, told that the inputs
+	// inputsReadNotified is set once the caller has been notified, or is about to be, that the inputs
 	// have been read.
 	inputsReadNotified bool
 	// session is the caller's session, whose end cancels the task; number is the caller's
@@ -138,7 +138,7 @@
 	return len(p.tasks) == 0 && len(p.results) == 0 && len(p.pendingFrees) == 0
 }
 
-// dropExpired forgets results that their upstreams no longer keep.
+// dropExpired drops results that their upstreams no longer keep.
 func (p *ownedPart) dropExpired(now time.Time) {
 	for handle, result := range p.results {
 		if now.After(result.until) {
--- a/gateway/pools/owner_test.go
+++ b/gateway/pools/owner_test.go
@@ -202,14 +202,14 @@
 		inputsRead := make(chan struct{})
 		result := submit(o.Session(true), 1, withInputs, func() { close(inputsRead) })
 		<-sent
-		told := false
+		notified := false
 		o.mu.Lock()
 		for _, open := range p.tasks {
-			told = open.inputsReadNotified
+			notified = open.inputsReadNotified
 		}
 		o.mu.Unlock()
-		assert.Check(t, told == (age > 0), "owner for %v: inputs reported as read: %v", age, told)
-		if told {
+		assert.Check(t, notified == (age > 0), "owner for %v: inputs reported as read: %v", age, notified)
+		if notified {
 			<-inputsRead
 		}
 		close(release)
