--- a/core/routing/baseline.go
+++ b/core/routing/baseline.go
@@ -24,8 +24,8 @@
 // Name implements Policy.
 func (b baseline) Name() string { return b.name }
 
-// Ask implements Policy.
-func (b baseline) Ask(r *Round) Ask {
+// Plan implements Policy.
+func (b baseline) Plan(r *Round) ProbePlan {
 	var candidates []Upstream
 	for tier := range tierCount {
 		candidates = append(candidates, r.Eligible(tier)...)
@@ -34,10 +34,10 @@
 		candidates = r.Sample(r.avoided(r.Picker.serviceGroup(r.Query.Service)), 1)
 	}
 	if len(candidates) == 0 {
-		return Ask{}
+		return ProbePlan{}
 	}
 	b.pick(r, candidates)
-	return Ask{Upstreams: candidates[:1], Age: baselineReplyAge, Uses: baselineReplyUses}
+	return ProbePlan{Upstreams: candidates[:1], Age: baselineReplyAge, Uses: baselineReplyUses}
 }
 
 // baselineReplyUses is effectively no limit.
@@ -48,11 +48,11 @@
 func (b baseline) Decide(r *Round) Decision {
 	candidates := r.evaluateAll()
 	last := len(candidates) - 1
-	if last >= 0 && r.Query.Obstacle(candidates[last].Answer) == "" {
+	if last >= 0 && r.Query.Obstacle(candidates[last].Result) == "" {
 		return accept(candidates, last, b.name)
 	}
 	d := refusal(candidates)
-	d.Widen = r.Number+1 < maxSteps
+	d.Widen = r.Step+1 < maxSteps
 	return d
 }
 
--- a/core/routing/decide.go
+++ b/core/routing/decide.go
@@ -44,19 +44,19 @@
 }
 
 // evaluateAll evaluates all replies.
-func (r *Round) evaluateAll() []Weighed {
-	candidates := make([]Weighed, len(r.Answers))
-	for i, answer := range r.Answers {
-		candidates[i] = r.evaluate(answer)
+func (r *Round) evaluateAll() []Candidate {
+	candidates := make([]Candidate, len(r.Results))
+	for i, result := range r.Results {
+		candidates[i] = r.evaluate(result)
 	}
 	return candidates
 }
 
 // lowestScore returns the index of the usable candidate with the lowest score, or -1.
-func lowestScore(candidates []Weighed) int {
+func lowestScore(candidates []Candidate) int {
 	best := -1
-	for i, w := range candidates {
-		if w.Usable && (best < 0 || w.score < candidates[best].score) {
+	for i, c := range candidates {
+		if c.Usable && (best < 0 || c.score < candidates[best].score) {
 			best = i
 		}
 	}
@@ -67,18 +67,18 @@
 // within the load bound and nearly as good as best, or -1. Only the tier of best counts,
 // because a ranking holds for one zone. A cached prefix saves at most the time to the first
 // chunk, so the work must not queue longer than that for it.
-func (r *Round) affinityChoice(candidates []Weighed, best Weighed) int {
+func (r *Round) affinityChoice(candidates []Candidate, best Candidate) int {
 	if !r.hasAffinity() {
 		return -1
 	}
 	maxScore := best.score + max(affinitySlackFloor, time.Duration(affinitySlack*float64(best.Expected)))
-	maxQueueCost := best.queueCost() + max(affinitySlackFloor, best.Answer.Load.FirstP50)
+	maxQueueCost := best.queueCost() + max(affinitySlackFloor, best.Result.Load.FirstP50)
 	indexes := make(map[Upstream]int)
 	var eligible []Upstream
-	for i, w := range candidates {
-		u := w.Answer.Upstream
-		nearlyAsGood := w.score <= maxScore && w.queueCost() <= maxQueueCost
-		if w.Usable && nearlyAsGood && u.Tier == best.Answer.Upstream.Tier {
+	for i, c := range candidates {
+		u := c.Result.Upstream
+		nearlyAsGood := c.score <= maxScore && c.queueCost() <= maxQueueCost
+		if c.Usable && nearlyAsGood && u.Tier == best.Result.Upstream.Tier {
 			indexes[u] = i
 			eligible = append(eligible, u)
 		}
@@ -115,39 +115,39 @@
 }
 
 // accept returns the decision for the candidate at index chosen.
-func accept(candidates []Weighed, chosen int, reason string) Decision {
+func accept(candidates []Candidate, chosen int, reason string) Decision {
 	d := Decision{OK: true, Chosen: candidates[chosen], Reason: reason}
-	d.Spilled = d.Chosen.Answer.Upstream.Tier != OwnZone
-	for i, w := range candidates {
+	d.Spilled = d.Chosen.Result.Upstream.Tier != OwnZone
+	for i, c := range candidates {
 		if i == chosen {
 			continue
 		}
-		if w.Usable {
-			w.Reason = lossReason(w, d.Chosen)
+		if c.Usable {
+			c.Reason = lossReason(c, d.Chosen)
 		}
-		d.Others = append(d.Others, w)
+		d.Others = append(d.Others, c)
 	}
 	return d
 }
 
-// lossReason returns why chosen was preferred to w.
-func lossReason(w, chosen Weighed) string {
-	if w.score < chosen.score {
+// lossReason returns why chosen was preferred to c.
+func lossReason(c, chosen Candidate) string {
+	if c.score < chosen.score {
 		return "better by load, not warm"
 	}
 	return "expected later"
 }
 
 // refusal returns the decision when no candidate can take the work.
-func refusal(candidates []Weighed) Decision {
+func refusal(candidates []Candidate) Decision {
 	d := Decision{Others: candidates, Reason: "no upstream answers", RetryAfter: defaultRetryAfter}
 	shortest := time.Duration(-1)
-	for _, w := range candidates {
-		if w.Answer.Answered {
+	for _, c := range candidates {
+		if c.Result.Replied {
 			d.Reason = "no upstream can take the work"
 		}
-		if w.Expected > 0 && (shortest < 0 || w.Wait < shortest) {
-			shortest = w.Wait
+		if c.Expected > 0 && (shortest < 0 || c.Wait < shortest) {
+			shortest = c.Wait
 		}
 	}
 	if shortest >= 0 {
--- a/core/routing/decide_test.go
+++ b/core/routing/decide_test.go
@@ -15,11 +15,11 @@
 
 // waitByZone returns a reply function in which the upstreams of each zone report the given
 // wait.
-func waitByZone(waits map[string]time.Duration) func(Upstream) Answer {
-	return func(u Upstream) Answer {
+func waitByZone(waits map[string]time.Duration) func(Upstream) ProbeResult {
+	return func(u Upstream) ProbeResult {
 		load := idle()
 		load.Wait = waits[u.Zone]
-		return Answer{Upstream: u, Answered: true, Load: load, RTT: ms}
+		return ProbeResult{Upstream: u, Replied: true, Load: load, RTT: ms}
 	}
 }
 
@@ -36,7 +36,7 @@
 	h.reply = waitByZone(map[string]time.Duration{"a": 40 * ms})
 	d = h.choose(plainQuery)
 	assert.Assert(t, d.OK && d.Spilled)
-	assert.Equal(t, d.Chosen.Answer.Upstream.Zone, "b")
+	assert.Equal(t, d.Chosen.Result.Upstream.Zone, "b")
 	assert.Assert(t, len(d.Others) >= 2)
 
 	h.reply = waitByZone(map[string]time.Duration{"a": 40 * ms, "b": 60 * ms})
@@ -48,15 +48,15 @@
 // taken from the region if the zone has only one.
 func TestZoneWithOneUpstreamStillHasTwoChoices(t *testing.T) {
 	h := newHarness(Probe2, 1, append(hostsIn("a", 1), hostsIn("b", 2)...)...)
-	h.reply = func(u Upstream) Answer {
+	h.reply = func(u Upstream) ProbeResult {
 		load := idle()
 		if u.Zone == "a" {
 			load.ServiceP50, load.ServiceP95 = time.Second, 2*time.Second
 		}
-		return Answer{Upstream: u, Answered: true, Load: load}
+		return ProbeResult{Upstream: u, Replied: true, Load: load}
 	}
 	d := h.choose(plainQuery)
-	assert.Equal(t, d.Chosen.Answer.Upstream.Zone, "b")
+	assert.Equal(t, d.Chosen.Result.Upstream.Zone, "b")
 }
 
 // TestAllEntriesAgreeOnAPrefix checks that entries choose the same upstream for a prefix
@@ -66,14 +66,14 @@
 	warmest := rank(prefixKey(q), NewPicker(sourceOf(hostsIn("a", 20)...)).serviceGroup("llm").tiers[OwnZone])[0]
 	chosenWith := func(seed uint64, change func(*Load)) core.UpstreamID {
 		h := newHarness(Probe2, seed, hostsIn("a", 20)...)
-		h.reply = func(u Upstream) Answer {
+		h.reply = func(u Upstream) ProbeResult {
 			load := idle()
 			if u.ID == warmest.ID {
 				change(&load)
 			}
-			return Answer{Upstream: u, Answered: true, Load: load}
+			return ProbeResult{Upstream: u, Replied: true, Load: load}
 		}
-		return h.choose(q).Chosen.Answer.Upstream.ID
+		return h.choose(q).Chosen.Result.Upstream.ID
 	}
 	for seed := range uint64(10) {
 		assert.Equal(t, chosenWith(seed, func(*Load) {}), warmest.ID)
@@ -89,19 +89,19 @@
 // but does not outweigh a long wait.
 func TestCachedPrefixIsOnlyAHint(t *testing.T) {
 	h := newHarness(Probe2, 1, hostsIn("a", 2)...)
-	cachedAfterWait := func(wait time.Duration) func(Upstream) Answer {
-		return func(u Upstream) Answer {
+	cachedAfterWait := func(wait time.Duration) func(Upstream) ProbeResult {
+		return func(u Upstream) ProbeResult {
 			load := idle()
 			if u.ID == "a-1" {
 				load.Wait = wait
 			}
-			return Answer{Upstream: u, Answered: true, Load: load, PrefixCached: u.ID == "a-1"}
+			return ProbeResult{Upstream: u, Replied: true, Load: load, PrefixCached: u.ID == "a-1"}
 		}
 	}
 	h.reply = cachedAfterWait(5 * ms)
-	assert.Equal(t, h.choose(plainQuery).Chosen.Answer.Upstream.ID, core.UpstreamID("a-1"))
+	assert.Equal(t, h.choose(plainQuery).Chosen.Result.Upstream.ID, core.UpstreamID("a-1"))
 	h.reply = cachedAfterWait(50 * ms)
-	assert.Equal(t, h.choose(plainQuery).Chosen.Answer.Upstream.ID, core.UpstreamID("a-0"))
+	assert.Equal(t, h.choose(plainQuery).Chosen.Result.Upstream.ID, core.UpstreamID("a-0"))
 }
 
 // TestRefusalNamesTheSmallestWait checks that a query that no upstream can finish in time
@@ -121,10 +121,10 @@
 // its service time.
 func TestShortAnswerFitsAShortDeadline(t *testing.T) {
 	h := newHarness(Probe2, 1, hostsIn("a", 2)...)
-	h.reply = func(u Upstream) Answer {
+	h.reply = func(u Upstream) ProbeResult {
 		load := idle()
 		load.ServiceP50, load.GapP95 = 2*time.Second, 30*ms
-		return Answer{Upstream: u, Answered: true, Load: load}
+		return ProbeResult{Upstream: u, Replied: true, Load: load}
 	}
 	q := Query{Service: "llm", Remaining: time.Second}
 	assert.Assert(t, !h.choose(q).OK)
@@ -140,16 +140,16 @@
 	h := newHarness(Probe2, 1)
 	h.picker = NewPicker(withAssignments(sourceOf(hostsIn("a", 8)...), model, "a-2", "a-5"))
 	loaded := map[core.UpstreamID]bool{"a-2": true, "a-5": true}
-	h.reply = func(u Upstream) Answer {
+	h.reply = func(u Upstream) ProbeResult {
 		load := idle()
 		load.Models = []Model{{Name: "other"}}
 		if loaded[u.ID] {
 			load.Models = []Model{model}
 		}
-		return Answer{Upstream: u, Answered: true, Load: load}
+		return ProbeResult{Upstream: u, Replied: true, Load: load}
 	}
 	for range 10 {
-		assert.Assert(t, loaded[h.choose(q).Chosen.Answer.Upstream.ID])
+		assert.Assert(t, loaded[h.choose(q).Chosen.Result.Upstream.ID])
 	}
 	assert.Equal(t, len(h.probed), 20)
 	loaded = map[core.UpstreamID]bool{}
@@ -169,10 +169,10 @@
 // unavailableTTL.
 func TestDrainingUpstreamIsNotProbedAgainAtOnce(t *testing.T) {
 	h := newHarness(Probe2, 1, hostsIn("a", 3)...)
-	h.reply = func(u Upstream) Answer {
+	h.reply = func(u Upstream) ProbeResult {
 		load := idle()
 		load.Draining = u.ID == "a-1"
-		return Answer{Upstream: u, Answered: true, Load: load}
+		return ProbeResult{Upstream: u, Replied: true, Load: load}
 	}
 	probesAfterChoices := func() int {
 		count := 0
@@ -194,17 +194,17 @@
 // TestNearerZoneIsTaken checks that the measured extra latency of other zones counts.
 func TestNearerZoneIsTaken(t *testing.T) {
 	h := newHarness(Probe2, 1, append(hostsIn("b", 1), hostsIn("c", 1)...)...)
-	h.reply = func(u Upstream) Answer {
+	h.reply = func(u Upstream) ProbeResult {
 		load, rtt := idle(), ms
 		if u.Zone == "c" {
 			load.InFlight, rtt = 0, 80*ms
 		} else {
 			load.InFlight = 2
 		}
-		return Answer{Upstream: u, Answered: true, Load: load, RTT: rtt}
+		return ProbeResult{Upstream: u, Replied: true, Load: load, RTT: rtt}
 	}
 	d := h.choose(plainQuery)
-	assert.Equal(t, d.Chosen.Answer.Upstream.Zone, "b")
+	assert.Equal(t, d.Chosen.Result.Upstream.Zone, "b")
 	assert.Equal(t, d.Others[0].Expected, 180*ms)
 }
 
@@ -213,7 +213,7 @@
 	h := newHarness(RoundRobin, 1, append(hostsIn("a", 2), hostsIn("b", 2)...)...)
 	counts := make(map[core.UpstreamID]int)
 	for range 12 {
-		counts[h.choose(plainQuery).Chosen.Answer.Upstream.ID]++
+		counts[h.choose(plainQuery).Chosen.Result.Upstream.ID]++
 	}
 	assert.DeepEqual(t, counts, map[core.UpstreamID]int{"a-0": 3, "a-1": 3, "b-0": 3, "b-1": 3})
 }
--- a/core/routing/distance.go
+++ b/core/routing/distance.go
@@ -46,10 +46,10 @@
 // RTT returns the minimum round trip to a zone, zero if none was measured.
 func (t *Table) RTT(zone string) time.Duration { return t.paths[zone].min }
 
-// Patience returns how long a probe reply from a zone may be expected to take at present,
-// zero if no round trip was measured. It is short while hosts are idle and longer while
-// they are busy; hosts that do not reply do not affect it.
-func (t *Table) Patience(zone string) time.Duration {
+// ExpectedReplyTime returns how long a probe reply from a zone may be expected to take at
+// present, zero if no round trip was measured. It is short while hosts are idle and longer
+// while they are busy; hosts that do not reply do not affect it.
+func (t *Table) ExpectedReplyTime(zone string) time.Duration {
 	p := t.paths[zone]
 	return p.srtt + rttvarFactor*p.rttvar
 }
--- a/core/routing/doc.go
+++ b/core/routing/doc.go
@@ -3,7 +3,7 @@
 // A Picker is an immutable snapshot of the upstreams, replaced as a whole when the
 // host list, the drains or the placement change. A Table holds what one entry has
 // observed of them: loads with their age, attempts in flight, suspicions. A Policy
-// reads both: Ask names the upstreams to probe before a decision, and Decide chooses
+// reads both: Plan names the upstreams to probe before a decision, and Decide chooses
 // one of them based on the replies and gives the reason.
 //
 // A suspected upstream is one that did not reply to a probe or went silent during an
--- a/core/routing/driver_test.go
+++ b/core/routing/driver_test.go
@@ -24,8 +24,8 @@
 	random *rand.Rand
 	now    time.Time
 	usual  latency.Estimate
-	// reply returns what an upstream replies to a probe now; Answered is unset for silence.
-	reply func(Upstream) Answer
+	// reply returns what an upstream replies to a probe now; Replied is unset for silence.
+	reply func(Upstream) ProbeResult
 	// probed lists the upstreams that were probed, in order.
 	probed []core.UpstreamID
 }
@@ -41,7 +41,7 @@
 		policy: chosen,
 		random: rand.New(rand.NewPCG(seed, seed)),
 		now:    epoch,
-		reply:  func(u Upstream) Answer { return Answer{Upstream: u, Answered: true, Load: idle()} },
+		reply:  func(u Upstream) ProbeResult { return ProbeResult{Upstream: u, Replied: true, Load: idle()} },
 	}
 	h.picker = NewPicker(sourceOf(hosts...))
 	return h
@@ -80,55 +80,55 @@
 
 // choose takes one decision in the way the entry does.
 func (h *harness) choose(q Query) Decision {
-	var answers []Answer
+	var results []ProbeResult
 	var decision Decision
 	for number := 0; ; number++ {
-		ask := h.policy.Ask(h.round(q, number, answers))
-		if number > 0 && len(ask.Upstreams) == 0 {
+		plan := h.policy.Plan(h.round(q, number, results))
+		if number > 0 && len(plan.Upstreams) == 0 {
 			break
 		}
-		for _, u := range ask.Background {
+		for _, u := range plan.Background {
 			h.probe(u)
 		}
-		for _, u := range ask.Upstreams {
-			answers = append(answers, h.rememberedOrProbe(u, ask))
+		for _, u := range plan.Upstreams {
+			results = append(results, h.rememberedOrProbe(u, plan))
 		}
-		decision = h.policy.Decide(h.round(q, number, answers))
+		decision = h.policy.Decide(h.round(q, number, results))
 		if !decision.Widen {
 			break
 		}
 	}
 	if decision.OK {
-		h.table.Chosen(decision.Chosen.Answer.Upstream.ID, h.now)
+		h.table.RecordChoice(decision.Chosen.Result.Upstream.ID, h.now)
 	}
 	return decision
 }
 
-// rememberedOrProbe returns a remembered reply if ask allows it, else probes u.
-func (h *harness) rememberedOrProbe(u Upstream, ask Ask) Answer {
-	if known, ok := h.table.Remembered(u.ID, h.now, ask.Age, ask.Uses); ok {
+// rememberedOrProbe returns a remembered reply if plan allows it, else probes u.
+func (h *harness) rememberedOrProbe(u Upstream, plan ProbePlan) ProbeResult {
+	if known, ok := h.table.Remembered(u.ID, h.now, plan.Age, plan.Uses); ok {
 		return known
 	}
 	return h.probe(u)
 }
 
 // probe probes u and records the result.
-func (h *harness) probe(u Upstream) Answer {
+func (h *harness) probe(u Upstream) ProbeResult {
 	h.probed = append(h.probed, u.ID)
-	answer := h.reply(u)
-	answer.SentAt = h.now
-	if answer.Answered {
-		h.table.Answered(answer, h.now)
+	result := h.reply(u)
+	result.SentAt = h.now
+	if result.Replied {
+		h.table.RecordReply(result, h.now)
 	} else {
-		h.table.Silent(u.ID, SilentProbe, h.now, h.random)
+		h.table.RecordSilence(u.ID, SilentProbe, h.now, h.random)
 	}
-	return answer
+	return result
 }
 
 // round returns the input of the policy.
-func (h *harness) round(q Query, number int, answers []Answer) *Round {
+func (h *harness) round(q Query, number int, results []ProbeResult) *Round {
 	return &Round{
 		Query: q, Picker: h.picker, Table: h.table, Random: h.random,
-		Now: h.now, Usual: h.usual, Number: number, Answers: answers,
+		Now: h.now, Usual: h.usual, Step: number, Results: results,
 	}
 }
--- a/core/routing/herd/case.go
+++ b/core/routing/herd/case.go
@@ -94,10 +94,10 @@
 // Name implements routing.Policy.
 func (pushed) Name() string { return "pushed" }
 
-// Ask implements routing.Policy. It accepts remembered replies of any age.
-func (p pushed) Ask(r *routing.Round) routing.Ask {
+// Plan implements routing.Policy. It accepts remembered replies of any age.
+func (p pushed) Plan(r *routing.Round) routing.ProbePlan {
 	drawn := r.Sample(r.Eligible(routing.OwnZone), p.choices)
-	return routing.Ask{Upstreams: drawn, Age: math.MaxInt64, Uses: math.MaxInt}
+	return routing.ProbePlan{Upstreams: drawn, Age: math.MaxInt64, Uses: math.MaxInt}
 }
 
 // Decide implements routing.Policy.
--- a/core/routing/herd/entry.go
+++ b/core/routing/herd/entry.go
@@ -31,45 +31,45 @@
 	}
 	var decision routing.Decision
 	for {
-		ask := e.policy.Ask(round)
-		if round.Number > 0 && len(ask.Upstreams) == 0 {
+		plan := e.policy.Plan(round)
+		if round.Step > 0 && len(plan.Upstreams) == 0 {
 			break
 		}
-		for _, upstream := range ask.Background {
+		for _, upstream := range plan.Background {
 			e.probe(now, upstream)
 		}
-		for _, upstream := range ask.Upstreams {
-			round.Answers = append(round.Answers, e.rememberedOrProbe(now, upstream, ask))
+		for _, upstream := range plan.Upstreams {
+			round.Results = append(round.Results, e.rememberedOrProbe(now, upstream, plan))
 		}
 		decision = e.policy.Decide(round)
 		if !decision.Widen {
 			break
 		}
-		round.Number++
+		round.Step++
 	}
-	chosen := decision.Chosen.Answer.Upstream
-	e.table.Chosen(chosen.ID, now)
+	chosen := decision.Chosen.Result.Upstream
+	e.table.RecordChoice(chosen.ID, now)
 	return chosen
 }
 
-// rememberedOrProbe returns the remembered reply of an upstream if ask allows it, else
+// rememberedOrProbe returns the remembered reply of an upstream if plan allows it, else
 // probes the upstream.
-func (e *entry) rememberedOrProbe(now time.Time, upstream routing.Upstream, ask routing.Ask) routing.Answer {
-	if known, ok := e.table.Remembered(upstream.ID, now, ask.Age, ask.Uses); ok {
+func (e *entry) rememberedOrProbe(now time.Time, upstream routing.Upstream, plan routing.ProbePlan) routing.ProbeResult {
+	if known, ok := e.table.Remembered(upstream.ID, now, plan.Age, plan.Uses); ok {
 		return known
 	}
 	return e.probe(now, upstream)
 }
 
 // probe probes an upstream.
-func (e *entry) probe(now time.Time, upstream routing.Upstream) routing.Answer {
+func (e *entry) probe(now time.Time, upstream routing.Upstream) routing.ProbeResult {
 	e.probes++
 	return e.update(now, upstream)
 }
 
 // update records the present load of an upstream in the entry's table.
-func (e *entry) update(now time.Time, upstream routing.Upstream) routing.Answer {
-	answer := routing.Answer{Upstream: upstream, Answered: true, Load: e.load(upstream), SentAt: now}
-	e.table.Answered(answer, now)
-	return answer
+func (e *entry) update(now time.Time, upstream routing.Upstream) routing.ProbeResult {
+	result := routing.ProbeResult{Upstream: upstream, Replied: true, Load: e.load(upstream), SentAt: now}
+	e.table.RecordReply(result, now)
+	return result
 }
--- a/core/routing/judge.go
+++ b/core/routing/judge.go
@@ -30,9 +30,9 @@
 	maxFailureRatio = 0.95
 )
 
-// Weighed is a candidate: an upstream with its evaluation for a decision.
-type Weighed struct {
-	Answer Answer
+// Candidate is an upstream with its evaluation for a decision.
+type Candidate struct {
+	Result ProbeResult
 	// Usable is false if the upstream cannot take the work; Reason then states why.
 	Usable bool
 	Reason string
@@ -49,28 +49,28 @@
 }
 
 // evaluate returns the candidate for a reply.
-func (r *Round) evaluate(answer Answer) Weighed {
-	w := Weighed{Answer: answer}
-	if w.Reason = r.Query.Obstacle(answer); w.Reason != "" {
-		return w
+func (r *Round) evaluate(result ProbeResult) Candidate {
+	c := Candidate{Result: result}
+	if c.Reason = r.Query.Obstacle(result); c.Reason != "" {
+		return c
 	}
-	service := r.serviceTime(answer)
-	w.Wait, w.Backlog = r.queueTimes(answer, service)
-	w.Expected = w.Wait + service + r.Table.extraLatency(r.Picker.zone, answer.Upstream)
-	w.score = r.score(w, service)
-	w.Usable = r.Query.Remaining == 0 || w.Expected <= r.Query.Remaining
-	if !w.Usable {
-		w.Reason = fmt.Sprintf("needs %s of %s", roundForDisplay(w.Expected), roundForDisplay(r.Query.Remaining))
+	service := r.serviceTime(result)
+	c.Wait, c.Backlog = r.queueTimes(result, service)
+	c.Expected = c.Wait + service + r.Table.extraLatency(r.Picker.zone, result.Upstream)
+	c.score = r.score(c, service)
+	c.Usable = r.Query.Remaining == 0 || c.Expected <= r.Query.Remaining
+	if !c.Usable {
+		c.Reason = fmt.Sprintf("needs %s of %s", roundForDisplay(c.Expected), roundForDisplay(r.Query.Remaining))
 	}
-	return w
+	return c
 }
 
 // serviceTime returns how long the upstream is expected to work on the stage.
-func (r *Round) serviceTime(answer Answer) time.Duration {
-	load := answer.Load
+func (r *Round) serviceTime(result ProbeResult) time.Duration {
+	load := result.Load
 	reported := max(load.ServiceP50, r.serviceTimeByChunks(load))
 	estimate := load.Estimate
-	estimate.ServiceP50 = r.Table.attemptsOf(answer.Upstream.ID).decayToUsual(load, reported, r.Usual.ServiceP50, r.Now)
+	estimate.ServiceP50 = r.Table.attemptsOf(result.Upstream.ID).decayToUsual(load, reported, r.Usual.ServiceP50, r.Now)
 	return estimate.ForTokens(r.Query.MaxTokens).ServiceP50
 }
 
@@ -97,22 +97,22 @@
 // queueTimes returns the time in the queue and the time needed for the whole queue. Choices
 // that this entry made since the probe was sent are not in the load that the sidecar
 // reported; they take the free slots first.
-func (r *Round) queueTimes(answer Answer, service time.Duration) (wait, backlog time.Duration) {
-	load := answer.Load
-	unreported := r.Table.choicesSince(answer.Upstream.ID, answer.SentAt)
+func (r *Round) queueTimes(result ProbeResult, service time.Duration) (wait, backlog time.Duration) {
+	load := result.Load
+	unreported := r.Table.choicesSince(result.Upstream.ID, result.SentAt)
 	free := max(0, load.Capacity-load.InFlight-load.Queued)
 	waiting := max(0, unreported-free)
 	perAttempt := serviceOrAssumed(service) / time.Duration(max(1, load.Capacity))
-	wait = answer.wait() + time.Duration(waiting)*perAttempt
+	wait = result.wait() + time.Duration(waiting)*perAttempt
 	return wait, max(wait, time.Duration(load.Queued+waiting)*perAttempt)
 }
 
 // score adds the risks and the hints to the expected time.
-func (r *Round) score(w Weighed, service time.Duration) time.Duration {
-	load := w.Answer.Load
-	attempts := r.Table.attemptsOf(w.Answer.Upstream.ID)
+func (r *Round) score(c Candidate, service time.Duration) time.Duration {
+	load := c.Result.Load
+	attempts := r.Table.attemptsOf(c.Result.Upstream.ID)
 	tailCost := tailWeight * float64(max(0, load.ServiceP95-load.ServiceP50))
-	unreported := r.Table.choicesSince(w.Answer.Upstream.ID, w.Answer.SentAt)
+	unreported := r.Table.choicesSince(c.Result.Upstream.ID, c.Result.SentAt)
 	occupancy := min(1, load.occupancy()+float64(unreported)/float64(max(1, load.Capacity)))
 	occupancyCost := occupancyWeight * occupancy * float64(serviceOrAssumed(service))
 	failureRatio := min(maxFailureRatio, attempts.failureRatio(r.Now))
@@ -120,20 +120,20 @@
 	// failed: an upstream that fails immediately must not look fast.
 	retryCost := failureRatio / (1 - failureRatio) * float64(max(service, r.Usual.ServiceP50))
 	cacheSaving := 0.0
-	if w.Answer.PrefixCached {
+	if c.Result.PrefixCached {
 		cacheSaving = cachedShare * float64(load.FirstP50)
 	}
-	return w.Expected - w.Wait + w.queueCost() + time.Duration(tailCost+occupancyCost+retryCost-cacheSaving)
+	return c.Expected - c.Wait + c.queueCost() + time.Duration(tailCost+occupancyCost+retryCost-cacheSaving)
 }
 
 // queueCost returns the part of the score for queueing: the wait of the query itself or, if
 // only that of a workspace without pending work is known, this wait and a share of the
 // backlog beyond it.
-func (w Weighed) queueCost() time.Duration {
-	if w.Answer.Asked {
-		return w.Wait
+func (c Candidate) queueCost() time.Duration {
+	if c.Result.QueryWaitKnown {
+		return c.Wait
 	}
-	return w.Wait + time.Duration(backlogWeight*float64(w.Backlog-w.Wait))
+	return c.Wait + time.Duration(backlogWeight*float64(c.Backlog-c.Wait))
 }
 
 // serviceOrAssumed returns service, or assumedService if service is unknown.
--- a/core/routing/load_test.go
+++ b/core/routing/load_test.go
@@ -15,35 +15,35 @@
 func TestUpstreamThatFailsFastIsAvoided(t *testing.T) {
 	h := newHarness(Probe2, 1, hostsIn("a", 2)...)
 	h.usual.ServiceP50 = 100 * ms
-	h.reply = func(u Upstream) Answer {
+	h.reply = func(u Upstream) ProbeResult {
 		load := idle()
 		load.Finished = 40
 		if u.ID == "a-1" {
 			load.Failed = 40
 			load.ServiceP50, load.ServiceP95 = ms, ms
 		}
-		return Answer{Upstream: u, Answered: true, Load: load}
+		return ProbeResult{Upstream: u, Replied: true, Load: load}
 	}
-	assert.Equal(t, h.choose(plainQuery).Chosen.Answer.Upstream.ID, core.UpstreamID("a-0"))
+	assert.Equal(t, h.choose(plainQuery).Chosen.Result.Upstream.ID, core.UpstreamID("a-0"))
 	h.now = h.now.Add(time.Minute)
-	assert.Equal(t, h.choose(plainQuery).Chosen.Answer.Upstream.ID, core.UpstreamID("a-1"), "the failure ratio decays")
+	assert.Equal(t, h.choose(plainQuery).Chosen.Result.Upstream.ID, core.UpstreamID("a-1"), "the failure ratio decays")
 }
 
 // TestWaitOfTheQueryOverridesReportedWait checks that the wait that a sidecar reports for
 // the query itself counts before that of a workspace without pending work, but not once the
 // reply is remembered for another query.
 func TestWaitOfTheQueryOverridesReportedWait(t *testing.T) {
-	answer := Answer{Load: idle(), OwnWait: time.Second, Asked: true}
-	answer.Load.Wait = ms
-	assert.Equal(t, answer.wait(), time.Second)
-	answer.Answered = true
+	result := ProbeResult{Load: idle(), QueryWait: time.Second, QueryWaitKnown: true}
+	result.Load.Wait = ms
+	assert.Equal(t, result.wait(), time.Second)
+	result.Replied = true
 	table := NewTable()
-	table.Answered(answer, time.Unix(100, 0))
-	_, ok := table.Remembered(answer.Upstream.ID, time.Unix(100, 0), time.Hour, 1)
+	table.RecordReply(result, time.Unix(100, 0))
+	_, ok := table.Remembered(result.Upstream.ID, time.Unix(100, 0), time.Hour, 1)
 	assert.Assert(t, !ok, "stale: SentAt is the zero time")
-	answer.SentAt = time.Unix(100, 0)
-	table.Answered(answer, time.Unix(100, 0))
-	remembered, ok := table.Remembered(answer.Upstream.ID, time.Unix(100, 0), time.Hour, 1)
+	result.SentAt = time.Unix(100, 0)
+	table.RecordReply(result, time.Unix(100, 0))
+	remembered, ok := table.Remembered(result.Upstream.ID, time.Unix(100, 0), time.Hour, 1)
 	assert.Assert(t, ok)
 	assert.Equal(t, remembered.wait(), ms)
 }
@@ -53,7 +53,7 @@
 func TestWaitOfTheQueryOverridesBacklog(t *testing.T) {
 	h := newHarness(Probe2, 1, hostsIn("a", 2)...)
 	h.usual.ServiceP50 = 100 * ms
-	h.reply = func(u Upstream) Answer {
+	h.reply = func(u Upstream) ProbeResult {
 		load := idle()
 		load.InFlight = load.Capacity
 		load.Queued = 3
@@ -62,9 +62,9 @@
 			load.Queued = 30
 			wait = 100 * ms
 		}
-		return Answer{Upstream: u, Answered: true, Load: load, OwnWait: wait, Asked: true}
+		return ProbeResult{Upstream: u, Replied: true, Load: load, QueryWait: wait, QueryWaitKnown: true}
 	}
-	assert.Equal(t, h.choose(plainQuery).Chosen.Answer.Upstream.ID, core.UpstreamID("a-1"))
+	assert.Equal(t, h.choose(plainQuery).Chosen.Result.Upstream.ID, core.UpstreamID("a-1"))
 }
 
 // TestIdleStragglerIsTriedAgain checks that slow service times of an upstream without work
@@ -72,7 +72,7 @@
 func TestIdleStragglerIsTriedAgain(t *testing.T) {
 	h := newHarness(Probe2, 1, hostsIn("a", 2)...)
 	h.usual.ServiceP50 = 100 * ms
-	h.reply = func(u Upstream) Answer {
+	h.reply = func(u Upstream) ProbeResult {
 		load := idle()
 		load.Finished = 40
 		if u.ID == "a-1" {
@@ -80,11 +80,11 @@
 		} else {
 			load.InFlight = 3
 		}
-		return Answer{Upstream: u, Answered: true, Load: load}
+		return ProbeResult{Upstream: u, Replied: true, Load: load}
 	}
-	assert.Equal(t, h.choose(plainQuery).Chosen.Answer.Upstream.ID, core.UpstreamID("a-0"))
+	assert.Equal(t, h.choose(plainQuery).Chosen.Result.Upstream.ID, core.UpstreamID("a-0"))
 	h.now = h.now.Add(time.Minute)
-	assert.Equal(t, h.choose(plainQuery).Chosen.Answer.Upstream.ID, core.UpstreamID("a-1"))
+	assert.Equal(t, h.choose(plainQuery).Chosen.Result.Upstream.ID, core.UpstreamID("a-1"))
 }
 
 // TestLateChunksShowAStraggler checks that late chunks count before the upstream has
@@ -93,7 +93,7 @@
 	h := newHarness(Probe2, 1, hostsIn("a", 2)...)
 	h.usual = latency.Estimate{ServiceP50: 100 * ms, FirstP50: 20 * ms, GapP95: 10 * ms}
 	late := latency.Estimate{}
-	h.reply = func(u Upstream) Answer {
+	h.reply = func(u Upstream) ProbeResult {
 		load := idle()
 		load.GapP95 = 10 * ms
 		load.InFlight = 2
@@ -102,11 +102,11 @@
 			load.GapP95 += late.GapP95
 			load.InFlight = 1
 		}
-		return Answer{Upstream: u, Answered: true, Load: load}
+		return ProbeResult{Upstream: u, Replied: true, Load: load}
 	}
 	chosen := func() core.UpstreamID {
 		h.now = h.now.Add(time.Minute)
-		return h.choose(plainQuery).Chosen.Answer.Upstream.ID
+		return h.choose(plainQuery).Chosen.Result.Upstream.ID
 	}
 	assert.Equal(t, chosen(), core.UpstreamID("a-1"))
 	late = latency.Estimate{FirstP50: 200 * ms}
@@ -122,15 +122,15 @@
 func TestSlowOwnZoneWidensTheSearch(t *testing.T) {
 	h := newHarness(Probe2, 1, append(hostsIn("a", 2), hostsIn("b", 2)...)...)
 	h.usual.ServiceP50 = 100 * ms
-	h.reply = func(u Upstream) Answer {
+	h.reply = func(u Upstream) ProbeResult {
 		load := idle()
 		load.Finished = 10
 		if u.Zone == "a" {
 			load.ServiceP50, load.ServiceP95 = time.Second, time.Second
 		}
-		return Answer{Upstream: u, Answered: true, Load: load}
+		return ProbeResult{Upstream: u, Replied: true, Load: load}
 	}
-	assert.Equal(t, h.choose(plainQuery).Chosen.Answer.Upstream.Zone, "b")
+	assert.Equal(t, h.choose(plainQuery).Chosen.Result.Upstream.Zone, "b")
 }
 
 // TestRestartedSideCountsFromZero checks that the failure ratio restarts with the counters
@@ -149,12 +149,12 @@
 	q := Query{Service: "llm", Engine: true, Prefix: 77}
 	h := newHarness(Probe2, 1, hostsIn("a", 20)...)
 	warm := ids(rank(prefixKey(q), h.picker.serviceGroup("llm").tiers[OwnZone])[:2])
-	h.reply = func(u Upstream) Answer {
+	h.reply = func(u Upstream) ProbeResult {
 		load := idle()
 		if u.ID == warm[0] || u.ID == warm[1] {
 			load.ServiceP50, load.ServiceP95 = 200*ms, 200*ms
 		}
-		return Answer{Upstream: u, Answered: true, Load: load}
+		return ProbeResult{Upstream: u, Replied: true, Load: load}
 	}
 	d := h.choose(q)
 	assert.Assert(t, d.Chosen.Expected == 100*ms)
@@ -165,15 +165,15 @@
 // any service time is known.
 func TestColdServiceIsSpreadByWork(t *testing.T) {
 	h := newHarness(Probe2, 1, hostsIn("a", 2)...)
-	h.reply = func(u Upstream) Answer {
+	h.reply = func(u Upstream) ProbeResult {
 		load := Load{Capacity: 4}
 		if u.ID == "a-0" {
 			load.InFlight = 2
 		}
-		return Answer{Upstream: u, Answered: true, Load: load}
+		return ProbeResult{Upstream: u, Replied: true, Load: load}
 	}
-	assert.Equal(t, h.choose(plainQuery).Chosen.Answer.Upstream.ID, core.UpstreamID("a-1"))
-	assert.Equal(t, h.choose(plainQuery).Chosen.Answer.Upstream.ID, core.UpstreamID("a-1"))
+	assert.Equal(t, h.choose(plainQuery).Chosen.Result.Upstream.ID, core.UpstreamID("a-1"))
+	assert.Equal(t, h.choose(plainQuery).Chosen.Result.Upstream.ID, core.UpstreamID("a-1"))
 }
 
 // TestBurstIsSpreadByItsBacklog checks that the backlog counts although a fair queue would
@@ -181,18 +181,18 @@
 func TestBurstIsSpreadByItsBacklog(t *testing.T) {
 	h := newHarness(Probe2, 1, append(hostsIn("a", 2), hostsIn("b", 2)...)...)
 	queued := map[string]int{"a": 24, "b": 4}
-	h.reply = func(u Upstream) Answer {
+	h.reply = func(u Upstream) ProbeResult {
 		load := idle()
 		load.InFlight, load.Queued = 4, queued[u.Zone]
 		if u.Zone == "a" {
 			load.ServiceP50 = 50 * ms
 		}
-		return Answer{Upstream: u, Answered: true, Load: load}
+		return ProbeResult{Upstream: u, Replied: true, Load: load}
 	}
 	q := Query{Service: "llm", Remaining: 300 * ms}
 	d := h.choose(q)
 	assert.Assert(t, d.OK, "a backlog alone must not cause a refusal")
-	assert.Equal(t, d.Chosen.Answer.Upstream.Zone, "b")
+	assert.Equal(t, d.Chosen.Result.Upstream.Zone, "b")
 	queued["b"] = 40
 	assert.Assert(t, h.choose(q).OK, "a backlog alone must not cause a refusal")
 }
@@ -201,15 +201,15 @@
 // is chosen although the other one has less queued work.
 func TestReportedWaitOutweighsBacklog(t *testing.T) {
 	h := newHarness(Probe2, 1, hostsIn("a", 2)...)
-	h.reply = func(u Upstream) Answer {
+	h.reply = func(u Upstream) ProbeResult {
 		load := idle()
 		load.InFlight, load.Queued = load.Capacity, 24
 		if u.ID == "a-0" {
 			load.Wait, load.Queued = 300*ms, 16
 		}
-		return Answer{Upstream: u, Answered: true, Load: load}
+		return ProbeResult{Upstream: u, Replied: true, Load: load}
 	}
-	assert.Equal(t, h.choose(plainQuery).Chosen.Answer.Upstream.ID, core.UpstreamID("a-1"))
+	assert.Equal(t, h.choose(plainQuery).Chosen.Result.Upstream.ID, core.UpstreamID("a-1"))
 }
 
 // TestOwnChoicesCountBeforeTheSideReportsThem checks that choices made between two reports
@@ -218,7 +218,7 @@
 	h := newHarness(Probe2, 1, hostsIn("a", 2)...)
 	counts := make(map[core.UpstreamID]int)
 	for i := range 16 {
-		counts[h.choose(plainQuery).Chosen.Answer.Upstream.ID]++
+		counts[h.choose(plainQuery).Chosen.Result.Upstream.ID]++
 		if i%2 == 1 {
 			assert.Equal(t, counts["a-0"], counts["a-1"])
 		}
--- a/core/routing/policy.go
+++ b/core/routing/policy.go
@@ -18,14 +18,14 @@
 	Now    time.Time
 	// Usual is the estimate for the service over all its upstreams.
 	Usual latency.Estimate
-	// Number counts the steps of the decision from zero.
-	Number int
-	// Answers are the results of the probes of all steps so far.
-	Answers []Answer
+	// Step counts the steps of the decision from zero.
+	Step int
+	// Results are the results of the probes of all steps so far.
+	Results []ProbeResult
 }
 
-// Ask lists the upstreams to probe before a decision.
-type Ask struct {
+// ProbePlan lists the upstreams to probe before a decision.
+type ProbePlan struct {
 	// Upstreams are probed in parallel; the decision waits for them.
 	Upstreams []Upstream
 	// Age allows a remembered reply of at most this age instead of a probe, if fewer than
@@ -40,12 +40,12 @@
 type Decision struct {
 	// OK is true if Chosen is to be used.
 	OK     bool
-	Chosen Weighed
+	Chosen Candidate
 	Reason string
 	// Spilled is set if Chosen is outside the zone of the entry.
 	Spilled bool
 	// Others are the candidates that were not chosen, each with its reason.
-	Others []Weighed
+	Others []Candidate
 	// Widen requests another step, because the replies so far are not good enough. If that
 	// step probes no upstream, this decision stands.
 	Widen bool
@@ -57,8 +57,8 @@
 // serialised with those of the Table.
 type Policy interface {
 	Name() string
-	// Ask returns the upstreams to probe in this step.
-	Ask(r *Round) Ask
+	// Plan returns the upstreams to probe in this step.
+	Plan(r *Round) ProbePlan
 	// Decide chooses an upstream based on the replies.
 	Decide(r *Round) Decision
 }
@@ -92,8 +92,8 @@
 
 // probed reports whether an earlier step has probed an upstream.
 func (r *Round) probed(id core.UpstreamID) bool {
-	for _, answer := range r.Answers {
-		if answer.Upstream.ID == id {
+	for _, result := range r.Results {
+		if result.Upstream.ID == id {
 			return true
 		}
 	}
--- a/core/routing/pool.go
+++ b/core/routing/pool.go
@@ -20,10 +20,10 @@
 // Name implements Policy.
 func (probePool) Name() string { return ProbePool }
 
-// Ask implements Policy.
-func (probePool) Ask(r *Round) Ask {
-	if r.Number > 0 {
-		return probe2{}.Ask(r)
+// Plan implements Policy.
+func (probePool) Plan(r *Round) ProbePlan {
+	if r.Step > 0 {
+		return probe2{}.Plan(r)
 	}
 	var pooled, unpooled []Upstream
 	for _, tier := range []Tier{OwnZone, OwnRegion} {
@@ -40,14 +40,14 @@
 	}
 	background := r.Sample(unpooled, poolBackgroundProbes)
 	if len(pooled) == 0 {
-		return Ask{Upstreams: r.firstChoices()}
+		return ProbePlan{Upstreams: r.firstChoices()}
 	}
-	return Ask{Upstreams: pooled, Age: poolMaxAge, Uses: poolMaxUses, Background: background}
+	return ProbePlan{Upstreams: pooled, Age: poolMaxAge, Uses: poolMaxUses, Background: background}
 }
 
 // Decide implements Policy.
 func (probePool) Decide(r *Round) Decision {
 	d := r.DecideByScore()
-	d.Widen = r.Number+1 < maxSteps && r.shouldWiden(d)
+	d.Widen = r.Step+1 < maxSteps && r.shouldWiden(d)
 	return d
 }
--- a/core/routing/probe2.go
+++ b/core/routing/probe2.go
@@ -27,10 +27,10 @@
 // Name implements Policy.
 func (probe2) Name() string { return Probe2 }
 
-// Ask implements Policy.
-func (probe2) Ask(r *Round) Ask {
+// Plan implements Policy.
+func (probe2) Plan(r *Round) ProbePlan {
 	var list []Upstream
-	switch r.Number {
+	switch r.Step {
 	case 0:
 		list = r.firstChoices()
 	case 1:
@@ -38,13 +38,13 @@
 	case 2:
 		list = r.lastResort()
 	}
-	return Ask{Upstreams: list}
+	return ProbePlan{Upstreams: list}
 }
 
 // Decide implements Policy.
 func (probe2) Decide(r *Round) Decision {
 	d := r.DecideByScore()
-	d.Widen = r.Number+1 < maxSteps && r.shouldWiden(d)
+	d.Widen = r.Step+1 < maxSteps && r.shouldWiden(d)
 	return d
 }
 
@@ -109,8 +109,8 @@
 
 // anyUsable reports whether an upstream probed so far can take the work, whatever its load.
 func (r *Round) anyUsable() bool {
-	for _, answer := range r.Answers {
-		if r.Query.Obstacle(answer) == "" {
+	for _, result := range r.Results {
+		if r.Query.Obstacle(result) == "" {
 			return true
 		}
 	}
--- a/core/routing/property_test.go
+++ b/core/routing/property_test.go
@@ -103,7 +103,7 @@
 		source := sourceOf(hosts...)
 		source.Drained = func(name string) bool { return drained[name] }
 		h.picker = NewPicker(withAssignments(source, model, "u0", "u1", "u2"))
-		h.reply = func(u Upstream) Answer {
+		h.reply = func(u Upstream) ProbeResult {
 			load := idle()
 			load.Models = []Model{model}
 			load.Draining = troubles[u.ID] == "draining"
@@ -114,13 +114,13 @@
 			if troubles[u.ID] == "nothing loaded" {
 				load.Models = nil
 			}
-			return Answer{Upstream: u, Answered: troubles[u.ID] != "silent", Load: load}
+			return ProbeResult{Upstream: u, Replied: troubles[u.ID] != "silent", Load: load}
 		}
 		for range 4 {
 			h.now = h.now.Add(50 * ms)
 			decision := h.choose(q)
 			if decision.OK {
-				id := decision.Chosen.Answer.Upstream.ID
+				id := decision.Chosen.Result.Upstream.ID
 				assert.Equal(t, troubles[id], "", "%s chose %s", h.policy.Name(), id)
 			}
 		}
--- a/core/routing/suspicion_test.go
+++ b/core/routing/suspicion_test.go
@@ -11,9 +11,9 @@
 )
 
 // repliesExcept returns a reply function in which the listed upstreams do not reply.
-func repliesExcept(silent *[]core.UpstreamID) func(Upstream) Answer {
-	return func(u Upstream) Answer {
-		return Answer{Upstream: u, Answered: !slices.Contains(*silent, u.ID), Load: idle()}
+func repliesExcept(silent *[]core.UpstreamID) func(Upstream) ProbeResult {
+	return func(u Upstream) ProbeResult {
+		return ProbeResult{Upstream: u, Replied: !slices.Contains(*silent, u.ID), Load: idle()}
 	}
 }
 
@@ -58,23 +58,23 @@
 	u, _ := h.picker.Upstream("a-0")
 	previous := time.Duration(0)
 	for strikes := 1; strikes <= 5; strikes++ {
-		s, added := h.table.Silent(u.ID, SilentProbe, h.now, h.random)
+		s, added := h.table.RecordSilence(u.ID, SilentProbe, h.now, h.random)
 		assert.Assert(t, added)
 		assert.Equal(t, s.Strikes, strikes)
 		assert.Assert(t, s.Length > previous)
 		previous = s.Length
-		_, added = h.table.Silent(u.ID, SilentProbe, h.now, h.random)
+		_, added = h.table.RecordSilence(u.ID, SilentProbe, h.now, h.random)
 		assert.Assert(t, !added, "the same silence counts once")
 		assert.Equal(t, len(h.table.Due(s.Until.Add(-1), 9)), 0)
 		assert.DeepEqual(t, h.table.Due(s.Until, 9), []core.UpstreamID{u.ID})
 		h.now = s.Until
 	}
 	for range 20 {
-		s, _ := h.table.Silent(u.ID, SilentProbe, h.now, h.random)
+		s, _ := h.table.RecordSilence(u.ID, SilentProbe, h.now, h.random)
 		h.now = s.Until
 		assert.Assert(t, s.Length <= maxSuspicion*5/4)
 	}
-	assert.Assert(t, h.table.Answered(Answer{Upstream: u, Answered: true}, h.now))
+	assert.Assert(t, h.table.RecordReply(ProbeResult{Upstream: u, Replied: true}, h.now))
 	assert.Assert(t, !h.table.Suspected(u.ID))
 }
 
@@ -84,7 +84,7 @@
 	lengths := make(map[time.Duration]bool)
 	for seed := range uint64(50) {
 		h := newHarness(Probe2, seed, hostsIn("a", 1)...)
-		s, _ := h.table.Silent("a-0", SilentProbe, h.now, h.random)
+		s, _ := h.table.RecordSilence("a-0", SilentProbe, h.now, h.random)
 		assert.Assert(t, s.Length >= minSuspicion*3/4 && s.Length <= minSuspicion*5/4)
 		lengths[s.Length] = true
 	}
@@ -96,18 +96,18 @@
 func TestSilentWorkSuspicionOutlastsAnsweredProbes(t *testing.T) {
 	h := newHarness(Probe2, 1, hostsIn("a", 1)...)
 	u, _ := h.picker.Upstream("a-0")
-	reply := Answer{Upstream: u, Answered: true}
-	s, _ := h.table.Silent(u.ID, SilentWork, h.now, h.random)
-	assert.Assert(t, !h.table.Answered(reply, h.now))
+	reply := ProbeResult{Upstream: u, Replied: true}
+	s, _ := h.table.RecordSilence(u.ID, SilentWork, h.now, h.random)
+	assert.Assert(t, !h.table.RecordReply(reply, h.now))
 	assert.Assert(t, h.table.Suspected(u.ID))
 	h.now = s.Until
-	assert.Assert(t, h.table.Answered(reply, h.now))
+	assert.Assert(t, h.table.RecordReply(reply, h.now))
 	assert.Assert(t, !h.table.Suspected(u.ID))
-	s, _ = h.table.Silent(u.ID, SilentWork, h.now, h.random)
+	s, _ = h.table.RecordSilence(u.ID, SilentWork, h.now, h.random)
 	assert.Equal(t, s.Strikes, 2, "a probe reply resets no strikes")
-	h.table.Ended(u.ID, true)
+	h.table.RecordEnd(u.ID, true)
 	assert.Assert(t, !h.table.Suspected(u.ID))
-	s, _ = h.table.Silent(u.ID, SilentWork, h.now, h.random)
+	s, _ = h.table.RecordSilence(u.ID, SilentWork, h.now, h.random)
 	assert.Equal(t, s.Strikes, 1, "finished work resets the strikes")
 }
 
@@ -118,10 +118,10 @@
 	h := newHarness(Probe2, 1, hosts...)
 	for _, u := range h.picker.serviceGroup("llm").tiers[OwnZone] {
 		h.probe(u)
-		h.table.Silent(u.ID, SilentProbe, h.now, h.random)
+		h.table.RecordSilence(u.ID, SilentProbe, h.now, h.random)
 	}
 	hosts[0].Addr = "elsewhere"
-	h.table.Keep(NewPicker(sourceOf(hosts...)))
+	h.table.Prune(NewPicker(sourceOf(hosts...)))
 	assert.Assert(t, !h.table.Suspected("a-0"))
 	assert.Assert(t, h.table.Suspected("a-1"))
 }
@@ -130,12 +130,12 @@
 // replies and shrinks again.
 func TestPatienceFollowsTheHostsLoad(t *testing.T) {
 	table := NewTable()
-	assert.Equal(t, table.Patience("a"), time.Duration(0))
+	assert.Equal(t, table.ExpectedReplyTime("a"), time.Duration(0))
 	after := func(count int, rtts ...time.Duration) time.Duration {
 		for i := range count {
 			table.observeRTT("a", rtts[i%len(rtts)])
 		}
-		return table.Patience("a")
+		return table.ExpectedReplyTime("a")
 	}
 	idleHosts := after(100, ms, ms+ms/10)
 	assert.Assert(t, idleHosts < 3*ms/2, "%s", idleHosts)
--- a/core/routing/table.go
+++ b/core/routing/table.go
@@ -30,11 +30,11 @@
 // upstreamState is the view of one upstream.
 type upstreamState struct {
 	addr string
-	// answer is the last reply; Answered is unset before the first. Its load may be newer
+	// result is the last reply; Replied is unset before the first. Its load may be newer
 	// than the rest if another message carried one.
-	answer Answer
+	result ProbeResult
 	loadAt time.Time
-	// uses counts the choices that relied on answer.
+	// uses counts the choices that relied on result.
 	uses          int
 	inFlight      int
 	recentChoices []time.Time
@@ -50,9 +50,9 @@
 	}
 }
 
-// Keep removes the upstreams that picker does not have and those whose address changed. A
+// Prune removes the upstreams that picker does not have and those whose address changed. A
 // new address means another process on another host.
-func (t *Table) Keep(picker *Picker) {
+func (t *Table) Prune(picker *Picker) {
 	for id, state := range t.states {
 		upstream, ok := picker.Upstream(id)
 		if !ok || (state.addr != "" && state.addr != upstream.Addr) {
@@ -61,32 +61,32 @@
 	}
 }
 
-// Answered stores the reply to a probe. It reports whether the reply ended a suspicion.
-func (t *Table) Answered(answer Answer, now time.Time) bool {
-	state := t.stateOf(answer.Upstream.ID)
-	state.addr = answer.Upstream.Addr
-	state.answer = answer
+// RecordReply stores the reply to a probe. It reports whether the reply ended a suspicion.
+func (t *Table) RecordReply(result ProbeResult, now time.Time) bool {
+	state := t.stateOf(result.Upstream.ID)
+	state.addr = result.Upstream.Addr
+	state.result = result
 	state.uses = 0
-	t.setLoad(state, answer.Load, now)
-	t.observeRTT(answer.Upstream.Zone, answer.RTT)
+	t.setLoad(state, result.Load, now)
+	t.observeRTT(result.Upstream.Zone, result.RTT)
 	suspected := state.suspicion.Active
 	state.suspicion = state.suspicion.afterReply(now)
 	return suspected && !state.suspicion.Active
 }
 
-// Loaded stores a load that another message of a sidecar carried.
-func (t *Table) Loaded(id core.UpstreamID, load Load, now time.Time) {
+// RecordLoad stores a load that another message of a sidecar carried.
+func (t *Table) RecordLoad(id core.UpstreamID, load Load, now time.Time) {
 	t.setLoad(t.stateOf(id), load, now)
 }
 
 func (t *Table) setLoad(state *upstreamState, load Load, now time.Time) {
-	state.answer.Load = load
+	state.result.Load = load
 	state.loadAt = now
 	state.attempts.observe(load, now)
 }
 
-// Chosen records the start of an attempt at an upstream.
-func (t *Table) Chosen(id core.UpstreamID, now time.Time) {
+// RecordChoice records the start of an attempt at an upstream.
+func (t *Table) RecordChoice(id core.UpstreamID, now time.Time) {
 	state := t.stateOf(id)
 	state.inFlight++
 	state.uses++
@@ -96,9 +96,9 @@
 	state.recentChoices = append(state.recentChoices, now)
 }
 
-// Ended records the end of an attempt recorded with Chosen. Finished work clears the
+// RecordEnd records the end of an attempt recorded with RecordChoice. Finished work clears the
 // suspicion with its strikes.
-func (t *Table) Ended(id core.UpstreamID, finished bool) {
+func (t *Table) RecordEnd(id core.UpstreamID, finished bool) {
 	state := t.stateOf(id)
 	state.inFlight = max(0, state.inFlight-1)
 	if finished {
@@ -106,10 +106,10 @@
 	}
 }
 
-// Silent records that an upstream did not reply. It returns the suspicion, and whether this
-// silence added a strike. A silence during an active suspicion adds none: it is the same
-// silence observed twice.
-func (t *Table) Silent(id core.UpstreamID, cause Cause, now time.Time, random *rand.Rand) (Suspicion, bool) {
+// RecordSilence records that an upstream did not reply. It returns the suspicion, and
+// whether this silence added a strike. A silence during an active suspicion adds none: it
+// is the same silence observed twice.
+func (t *Table) RecordSilence(id core.UpstreamID, cause Cause, now time.Time, random *rand.Rand) (Suspicion, bool) {
 	state := t.stateOf(id)
 	if state.suspicion.Active && now.Before(state.suspicion.Until) {
 		return state.suspicion, false
@@ -152,13 +152,13 @@
 
 // Remembered returns the last reply of an upstream if it is at most age old and fewer than
 // uses choices have relied on it.
-func (t *Table) Remembered(id core.UpstreamID, now time.Time, age time.Duration, uses int) (Answer, bool) {
+func (t *Table) Remembered(id core.UpstreamID, now time.Time, age time.Duration, uses int) (ProbeResult, bool) {
 	state, ok := t.states[id]
-	if !ok || !state.answer.Answered || state.uses >= uses || now.Sub(state.answer.SentAt) > age {
-		return Answer{}, false
+	if !ok || !state.result.Replied || state.uses >= uses || now.Sub(state.result.SentAt) > age {
+		return ProbeResult{}, false
 	}
-	remembered := state.answer
-	remembered.Asked = false // the probe was for another query
+	remembered := state.result
+	remembered.QueryWaitKnown = false // the probe was for another query
 	return remembered, true
 }
 
@@ -191,7 +191,7 @@
 	if !ok || now.Sub(state.loadAt) > unavailableTTL {
 		return false
 	}
-	return state.answer.Load.Draining || state.answer.Load.Stalled
+	return state.result.Load.Draining || state.result.Load.Stalled
 }
 
 // pendingWork returns the number of attempts at an upstream, queued included, and its
@@ -201,7 +201,7 @@
 	if !found || state.loadAt.IsZero() || now.Sub(state.loadAt) > loadTTL {
 		return 0, 0, false
 	}
-	load := state.answer.Load
+	load := state.result.Load
 	return load.Queued + load.InFlight + t.choicesSince(id, state.loadAt), load.Capacity, true
 }
 
--- a/core/routing/upstream.go
+++ b/core/routing/upstream.go
@@ -80,17 +80,17 @@
 
 // Obstacle returns why the upstream that was probed cannot take the work whatever its load,
 // or "" if it can.
-func (q Query) Obstacle(answer Answer) string {
+func (q Query) Obstacle(result ProbeResult) string {
 	switch {
-	case !answer.Answered:
+	case !result.Replied:
 		return "no answer"
-	case q.excludes(answer.Upstream.ID):
+	case q.excludes(result.Upstream.ID):
 		return "excluded"
-	case answer.Load.Draining:
+	case result.Load.Draining:
 		return "draining"
-	case answer.Load.Stalled:
+	case result.Load.Stalled:
 		return "stalled"
-	case q.Engine && !answer.Load.hasModel(q.Model):
+	case q.Engine && !result.Load.hasModel(q.Model):
 		return "model not loaded"
 	default:
 		return ""
@@ -101,27 +101,27 @@
 func (q Query) excludes(id core.UpstreamID) bool { return slices.Contains(q.Exclude, id) }
 
 // wait returns the expected wait in the queue.
-func (a Answer) wait() time.Duration {
-	if a.Asked {
-		return a.OwnWait
+func (a ProbeResult) wait() time.Duration {
+	if a.QueryWaitKnown {
+		return a.QueryWait
 	}
 	return a.Load.Wait
 }
 
-// Answer is the result of probing one upstream.
-type Answer struct {
+// ProbeResult is the result of probing one upstream.
+type ProbeResult struct {
 	Upstream Upstream
-	// Answered is false if no reply came in time.
-	Answered     bool
+	// Replied is false if no reply came in time.
+	Replied      bool
 	Load         Load
 	Incarnation  core.Incarnation
 	ClockUS      uint64
 	PrefixCached bool
-	// OwnWait is the expected wait for the workspace and priority of the query, if Asked is
-	// set. Otherwise only the wait of a workspace without pending work there is known, in
-	// Load.
-	OwnWait time.Duration
-	Asked   bool
+	// QueryWait is the expected wait for the workspace and priority of the query, if
+	// QueryWaitKnown is set. Otherwise only the wait of a workspace without pending work
+	// there is known, in Load.
+	QueryWait      time.Duration
+	QueryWaitKnown bool
 	// SentAt is when the probe was sent. Choices made since then may be missing from Load.
 	SentAt time.Time
 	// RTT is the time from sending the probe to its reply.
--- a/entry/route/convert.go
+++ b/entry/route/convert.go
@@ -24,18 +24,18 @@
 }
 
 // responseOf converts the reply to a probe.
-func responseOf(upstream routing.Upstream, reply *wirepb.ProbeReply, sent time.Time, rtt time.Duration) routing.Answer {
-	return routing.Answer{
-		Upstream:     upstream,
-		Answered:     true,
-		Load:         loadOf(reply.GetLoad()),
-		Incarnation:  core.Incarnation(reply.GetIncarnation()),
-		ClockUS:      reply.GetSideClockUs(),
-		PrefixCached: reply.GetPrefixCached(),
-		OwnWait:      microseconds(reply.GetWaitUs()),
-		Asked:        true,
-		SentAt:       sent,
-		RTT:          rtt,
+func responseOf(upstream routing.Upstream, reply *wirepb.ProbeReply, sent time.Time, rtt time.Duration) routing.ProbeResult {
+	return routing.ProbeResult{
+		Upstream:       upstream,
+		Replied:        true,
+		Load:           loadOf(reply.GetLoad()),
+		Incarnation:    core.Incarnation(reply.GetIncarnation()),
+		ClockUS:        reply.GetSideClockUs(),
+		PrefixCached:   reply.GetPrefixCached(),
+		QueryWait:      microseconds(reply.GetWaitUs()),
+		QueryWaitKnown: true,
+		SentAt:         sent,
+		RTT:            rtt,
 	}
 }
 
--- a/entry/route/inquiry.go
+++ b/entry/route/inquiry.go
@@ -23,7 +23,7 @@
 // indexedResponse is a response and its index in probeSet.responses.
 type indexedResponse struct {
 	index    int
-	response routing.Answer
+	response routing.ProbeResult
 }
 
 // probeSet collects the responses of upstreams for one decision, over all of its
@@ -33,7 +33,7 @@
 	need   Need
 	// responses has one entry for each queried upstream, in the order of the
 	// queries. Until an upstream responds, its entry is marked as unanswered.
-	responses []routing.Answer
+	responses []routing.ProbeResult
 	// replies has capacity for all open probes, so that no sender blocks.
 	replies chan indexedResponse
 	// open counts the probes without a reply so far.
@@ -44,16 +44,16 @@
 	return &probeSet{router: router, need: need, replies: make(chan indexedResponse, maxOpenProbes)}
 }
 
-// ask starts the probes that a policy requests and waits for at most the duration
+// run starts the probes that a policy requests and waits for at most the duration
 // of one step. Later responses count in the next step.
-func (q *probeSet) ask(ctx context.Context, ask routing.Ask) {
-	for _, upstream := range ask.Background {
-		q.router.startProbe(ctx, q.need, upstream, func(routing.Answer) {})
+func (q *probeSet) run(ctx context.Context, plan routing.ProbePlan) {
+	for _, upstream := range plan.Background {
+		q.router.startProbe(ctx, q.need, upstream, func(routing.ProbeResult) {})
 	}
 	known := false
 	var started []*probeTimer
-	for _, response := range q.router.cachedResponses(ask) {
-		known = known || response.Answered
+	for _, response := range q.router.cachedResponses(plan) {
+		known = known || response.Replied
 		if timer := q.add(ctx, response); timer != nil {
 			started = append(started, timer)
 		}
@@ -61,7 +61,7 @@
 	if known {
 		return
 	}
-	stepTimer := time.NewTimer(q.router.longestTimeout(ask.Upstreams))
+	stepTimer := time.NewTimer(q.router.longestTimeout(plan.Upstreams))
 	defer stepTimer.Stop()
 	if q.await(ctx, stepTimer.C) {
 		// The probes' own timers may fire late on a busy host, and the next decision would
@@ -74,21 +74,21 @@
 
 // add adds a cached response, or starts a probe if there is none. It returns the timer of that
 // probe, nil if no probe was started.
-func (q *probeSet) add(ctx context.Context, response routing.Answer) *probeTimer {
+func (q *probeSet) add(ctx context.Context, response routing.ProbeResult) *probeTimer {
 	index := len(q.responses)
 	q.responses = append(q.responses, response)
-	if response.Answered || q.open == maxOpenProbes {
+	if response.Replied || q.open == maxOpenProbes {
 		return nil
 	}
 	q.open++
-	return q.router.startProbe(ctx, q.need, response.Upstream, func(received routing.Answer) {
+	return q.router.startProbe(ctx, q.need, response.Upstream, func(received routing.ProbeResult) {
 		q.replies <- indexedResponse{index: index, response: received}
 	})
 }
 
 // answered reports whether any upstream has responded.
 func (q *probeSet) answered() bool {
-	return slices.ContainsFunc(q.responses, func(r routing.Answer) bool { return r.Answered })
+	return slices.ContainsFunc(q.responses, func(r routing.ProbeResult) bool { return r.Replied })
 }
 
 // await collects responses until all have arrived, the linger time after the first
--- a/entry/route/inquiry_test.go
+++ b/entry/route/inquiry_test.go
@@ -32,13 +32,13 @@
 	assert.NilError(t, err)
 	for round := range 50 {
 		r := New(Options{Prober: prober, Logger: logger, Settings: Settings{ProbeTimeoutMS: 2}})
-		var ask routing.Ask
+		var plan routing.ProbePlan
 		for i := range 8 {
-			ask.Upstreams = append(ask.Upstreams, routing.Upstream{ID: core.UpstreamID(fmt.Sprint("u", i)), Zone: "a"})
+			plan.Upstreams = append(plan.Upstreams, routing.Upstream{ID: core.UpstreamID(fmt.Sprint("u", i)), Zone: "a"})
 		}
-		newProbeSet(r, Need{}).ask(t.Context(), ask)
+		newProbeSet(r, Need{}).run(t.Context(), plan)
 		r.mu.Lock()
-		for _, u := range ask.Upstreams {
+		for _, u := range plan.Upstreams {
 			assert.Check(t, r.table.Suspected(u.ID), "%s in round %d", u.ID, round)
 		}
 		r.mu.Unlock()
--- a/entry/route/probe.go
+++ b/entry/route/probe.go
@@ -34,16 +34,16 @@
 	return timeout
 }
 
-// cachedResponses returns one response for each upstream of ask: the last response
-// if ask permits its reuse, otherwise one that is marked as unanswered.
-func (r *Router) cachedResponses(ask routing.Ask) []routing.Answer {
+// cachedResponses returns one response for each upstream of plan: the last response
+// if plan permits its reuse, otherwise one that is marked as unanswered.
+func (r *Router) cachedResponses(plan routing.ProbePlan) []routing.ProbeResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.opts.Now()
-	responses := make([]routing.Answer, len(ask.Upstreams))
-	for i, upstream := range ask.Upstreams {
-		responses[i] = routing.Answer{Upstream: upstream}
-		if known, ok := r.table.Remembered(upstream.ID, now, ask.Age, ask.Uses); ok {
+	responses := make([]routing.ProbeResult, len(plan.Upstreams))
+	for i, upstream := range plan.Upstreams {
+		responses[i] = routing.ProbeResult{Upstream: upstream}
+		if known, ok := r.table.Remembered(upstream.ID, now, plan.Age, plan.Uses); ok {
 			responses[i] = known
 		}
 	}
@@ -54,7 +54,7 @@
 // timeout, and passes the response to done. It returns the timer of the timeout. The timer
 // runs from now on, even if the goroutine is scheduled late. The probe outlives ctx, so
 // that a caller's cancellation is not mistaken for an unresponsive upstream.
-func (r *Router) startProbe(ctx context.Context, need Need, upstream routing.Upstream, done func(routing.Answer)) *probeTimer {
+func (r *Router) startProbe(ctx context.Context, need Need, upstream routing.Upstream, done func(routing.ProbeResult)) *probeTimer {
 	ctx = context.WithoutCancel(ctx)
 	timer := r.newTimer(upstream)
 	go func() { done(r.probe(ctx, upstream, need, timer)) }()
@@ -86,11 +86,11 @@
 func (r *Router) slowResponseTime(upstream routing.Upstream) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.table.Patience(upstream.Zone)
+	return r.table.ExpectedReplyTime(upstream.Zone)
 }
 
 // probe probes the sidecar of one upstream for a need and records the outcome.
-func (r *Router) probe(ctx context.Context, upstream routing.Upstream, need Need, timer *probeTimer) routing.Answer {
+func (r *Router) probe(ctx context.Context, upstream routing.Upstream, need Need, timer *probeTimer) routing.ProbeResult {
 	ctx, cancel := context.WithTimeout(ctx, lateFactor*r.baseTimeout(upstream))
 	defer cancel()
 	request := &wirepb.ProbeRequest{
@@ -106,7 +106,7 @@
 	if err != nil {
 		r.metrics.unanswered.Inc(1)
 		r.recordSilence(upstream.ID, routing.SilentProbe)
-		return routing.Answer{Upstream: upstream, SentAt: sent}
+		return routing.ProbeResult{Upstream: upstream, SentAt: sent}
 	}
 	r.metrics.answered.Inc(1)
 	r.metrics.bytes.Inc(int64(proto.Size(request) + proto.Size(reply)))
@@ -123,10 +123,10 @@
 }
 
 // recordResponse records the response to a probe.
-func (r *Router) recordResponse(response routing.Answer, load *wirepb.Load) {
+func (r *Router) recordResponse(response routing.ProbeResult, load *wirepb.Load) {
 	now := r.opts.Now()
 	r.mu.Lock()
-	recovered := r.table.Answered(response, now)
+	recovered := r.table.RecordReply(response, now)
 	suspects := r.table.SuspectedCount()
 	if load != nil {
 		r.latencies.Observe(response.Upstream.Service, response.Upstream.ID, reportOf(load, now))
@@ -140,7 +140,7 @@
 // recordSilence records that an upstream did not respond.
 func (r *Router) recordSilence(upstream core.UpstreamID, cause routing.Cause) {
 	r.mu.Lock()
-	suspicion, added := r.table.Silent(upstream, cause, r.opts.Now(), r.random)
+	suspicion, added := r.table.RecordSilence(upstream, cause, r.opts.Now(), r.random)
 	suspects := r.table.SuspectedCount()
 	r.mu.Unlock()
 	if added {
--- a/entry/route/record.go
+++ b/entry/route/record.go
@@ -10,12 +10,12 @@
 )
 
 // alternatives converts the upstreams that were considered and not chosen.
-func alternatives(others []routing.Weighed) []Alternative {
+func alternatives(others []routing.Candidate) []Alternative {
 	list := make([]Alternative, len(others))
 	for i, other := range others {
 		list[i] = Alternative{
-			Upstream: other.Answer.Upstream.ID,
-			Zone:     other.Answer.Upstream.Zone,
+			Upstream: other.Result.Upstream.ID,
+			Zone:     other.Result.Upstream.Zone,
 			Expected: other.Expected,
 			Reason:   other.Reason,
 		}
@@ -25,7 +25,7 @@
 
 // logChosen logs and counts a choice.
 func (r *Router) logChosen(need Need, decision routing.Decision, choice Choice) {
-	r.metrics.choices[decision.Chosen.Answer.Upstream.Tier].Inc(1)
+	r.metrics.choices[decision.Chosen.Result.Upstream.Tier].Inc(1)
 	if decision.Spilled {
 		r.metrics.spills.Inc(1)
 	}
--- a/entry/route/router.go
+++ b/entry/route/router.go
@@ -58,11 +58,11 @@
 	probes := newProbeSet(r, need)
 	var decision routing.Decision
 	for step := 0; ctx.Err() == nil; step++ {
-		ask := r.plan(need, started, step, probes.responses)
-		if step > 0 && len(ask.Upstreams) == 0 {
+		plan := r.plan(need, started, step, probes.responses)
+		if step > 0 && len(plan.Upstreams) == 0 {
 			break
 		}
-		probes.ask(ctx, ask)
+		probes.run(ctx, plan)
 		decision = r.decide(need, started, step, probes.responses)
 		if !decision.Widen {
 			break
@@ -106,16 +106,16 @@
 }
 
 // plan returns the upstreams that the policy wants to probe in this step.
-func (r *Router) plan(need Need, started time.Time, step int, responses []routing.Answer) routing.Ask {
+func (r *Router) plan(need Need, started time.Time, step int, responses []routing.ProbeResult) routing.ProbePlan {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refreshPicker()
-	return r.policy.Ask(r.round(need, started, step, responses))
+	return r.policy.Plan(r.round(need, started, step, responses))
 }
 
 // decide returns the policy's decision. A final choice is counted as in flight before
 // the lock is released, so that the next decision takes it into account.
-func (r *Router) decide(need Need, started time.Time, step int, responses []routing.Answer) routing.Decision {
+func (r *Router) decide(need Need, started time.Time, step int, responses []routing.ProbeResult) routing.Decision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	decision := r.policy.Decide(r.round(need, started, step, responses))
@@ -128,12 +128,12 @@
 // countInFlight adds an attempt in flight to the chosen upstream. The caller holds mu.
 func (r *Router) countInFlight(decision routing.Decision) {
 	if decision.OK {
-		r.table.Chosen(decision.Chosen.Answer.Upstream.ID, r.opts.Now())
+		r.table.RecordChoice(decision.Chosen.Result.Upstream.ID, r.opts.Now())
 	}
 }
 
 // round returns the policy's input for one step. The caller holds mu.
-func (r *Router) round(need Need, started time.Time, step int, responses []routing.Answer) *routing.Round {
+func (r *Router) round(need Need, started time.Time, step int, responses []routing.ProbeResult) *routing.Round {
 	now := r.opts.Now()
 	remaining := need.Remaining
 	if remaining > 0 {
@@ -146,8 +146,8 @@
 		Random:  r.random,
 		Now:     now,
 		Usual:   r.latencies.Estimate(need.Service, now),
-		Number:  step,
-		Answers: responses,
+		Step:    step,
+		Results: responses,
 	}
 }
 
@@ -166,7 +166,7 @@
 		Drained:     state.Drained,
 		Assignments: plan.Assignments,
 	})
-	r.table.Keep(r.picker)
+	r.table.Prune(r.picker)
 	r.opts.Logger.Event(event.PickerBuilt, observe.Fields{
 		"upstreams": r.picker.Len(), "excluded": r.picker.Excluded(),
 	})
@@ -178,7 +178,7 @@
 		r.logRefused(need, decision)
 		return Choice{}, refuse(need.Service, refusalOf(decision), decision.Reason)
 	}
-	chosen := decision.Chosen.Answer
+	chosen := decision.Chosen.Result
 	choice := Choice{
 		Upstream:     chosen.Upstream.ID,
 		Addr:         chosen.Upstream.Addr,
@@ -196,7 +196,7 @@
 
 // refusalOf returns the refusal for a decision without a chosen upstream.
 func refusalOf(d routing.Decision) refusal {
-	capable := func(w routing.Weighed) bool { return w.Expected > 0 }
+	capable := func(c routing.Candidate) bool { return c.Expected > 0 }
 	return refusal{retryAfter: d.RetryAfter, tooLate: slices.ContainsFunc(d.Others, capable)}
 }
 
@@ -212,14 +212,14 @@
 	if !ok {
 		return
 	}
-	r.table.Loaded(upstream, loadOf(load), now)
+	r.table.RecordLoad(upstream, loadOf(load), now)
 	r.latencies.Observe(member.Service, upstream, reportOf(load, now))
 }
 
 // ObserveResult records the result of an attempt.
 func (r *Router) ObserveResult(result Result) {
 	r.mu.Lock()
-	r.table.Ended(result.Upstream, result.Kind == ResultOK)
+	r.table.RecordEnd(result.Upstream, result.Kind == ResultOK)
 	r.mu.Unlock()
 	if result.Kind == ResultSilent {
 		r.recordSilence(result.Upstream, routing.SilentWork)
