--- a/core/latency/bounds.go
+++ b/core/latency/bounds.go
@@ -10,9 +10,9 @@
 	// silenceFactor is the multiple of the 95th percentile above which a call counts as
 	// silent instead of slow.
 	silenceFactor = 4
-	// minFirstBound and minGapBound are the least silence bounds.
-	minFirstBound = 250 * time.Millisecond
-	minGapBound   = 250 * time.Millisecond
+	// minFirstChunkTimeout and minChunkGapTimeout are the least silence bounds.
+	minFirstChunkTimeout = 250 * time.Millisecond
+	minChunkGapTimeout   = 250 * time.Millisecond
 	// unknownBound is the silence bound while nothing has been reported.
 	unknownBound = 2 * time.Second
 )
@@ -32,21 +32,21 @@
 	return delay, delay+e.ServiceP50 <= remaining
 }
 
-// FirstBound returns the longest silence allowed between dispatch and the first chunk,
-// after which the upstream counts as silent. Time in the queue is not silence: the caller
-// starts to count when the sidecar reports that the attempt has started.
-func FirstBound(e Estimate) time.Duration {
+// FirstChunkTimeout returns the longest silence allowed between dispatch and the first
+// chunk, after which the upstream counts as silent. Time in the queue is not silence: the
+// caller starts to count when the sidecar reports that the attempt has started.
+func FirstChunkTimeout(e Estimate) time.Duration {
 	usual := e.FirstP95
 	if usual == 0 {
 		usual = e.ServiceP95
 	}
-	return silenceBound(usual, minFirstBound)
+	return silenceBound(usual, minFirstChunkTimeout)
 }
 
-// GapBound returns the longest silence allowed between two chunks, after which the upstream
-// counts as silent during its response.
-func GapBound(e Estimate) time.Duration {
-	return silenceBound(e.GapP95, minGapBound)
+// ChunkGapTimeout returns the longest silence allowed between two chunks, after which the
+// upstream counts as silent during its response.
+func ChunkGapTimeout(e Estimate) time.Duration {
+	return silenceBound(e.GapP95, minChunkGapTimeout)
 }
 
 // silenceBound returns the bound for a usual time, which is never below least.
--- a/core/latency/estimate.go
+++ b/core/latency/estimate.go
@@ -19,8 +19,8 @@
 	Reporters int
 }
 
-// OrDeclared fills in a declared median service time if none is known.
-func (e Estimate) OrDeclared(median time.Duration) Estimate {
+// WithDeclaredMedian fills in a declared median service time if none is known.
+func (e Estimate) WithDeclaredMedian(median time.Duration) Estimate {
 	if e.ServiceP50 > 0 {
 		return e
 	}
--- a/core/latency/latency_test.go
+++ b/core/latency/latency_test.go
@@ -110,10 +110,10 @@
 
 // TestSilenceBounds checks the default, the floor and the factor of the bounds.
 func TestSilenceBounds(t *testing.T) {
-	assert.Equal(t, latency.FirstBound(latency.Estimate{}), 2*time.Second)
-	assert.Equal(t, latency.FirstBound(latency.Estimate{FirstP95: 5 * ms}), 250*ms)
-	assert.Equal(t, latency.FirstBound(latency.Estimate{FirstP95: 440 * ms}), 1760*ms)
-	assert.Equal(t, latency.GapBound(latency.Estimate{GapP95: 100 * ms}), 400*ms)
+	assert.Equal(t, latency.FirstChunkTimeout(latency.Estimate{}), 2*time.Second)
+	assert.Equal(t, latency.FirstChunkTimeout(latency.Estimate{FirstP95: 5 * ms}), 250*ms)
+	assert.Equal(t, latency.FirstChunkTimeout(latency.Estimate{FirstP95: 440 * ms}), 1760*ms)
+	assert.Equal(t, latency.ChunkGapTimeout(latency.Estimate{GapP95: 100 * ms}), 400*ms)
 }
 
 // TestForTokensOnlyShortens checks that a bound on the chunks can lower the estimate but
--- a/core/request/machine.go
+++ b/core/request/machine.go
@@ -207,14 +207,14 @@
 func (m *Machine) estimates() []latency.Estimate {
 	estimates := make([]latency.Estimate, len(m.plan.Stages))
 	for i, s := range m.plan.Stages {
-		estimates[i] = m.services.Estimate(s.Service).OrDeclared(s.Declared)
+		estimates[i] = m.services.Estimate(s.Service).WithDeclaredMedian(s.Declared)
 	}
 	return estimates
 }
 
 // estimate returns the latency estimate of one stage.
 func (m *Machine) estimate(s *stage) latency.Estimate {
-	return m.services.Estimate(s.spec.Service).OrDeclared(s.spec.Declared)
+	return m.services.Estimate(s.spec.Service).WithDeclaredMedian(s.spec.Declared)
 }
 
 // allowance returns the stage's part of the time remaining, or false if the
--- a/core/request/scenario_test.go
+++ b/core/request/scenario_test.go
@@ -169,7 +169,7 @@
 func TestStalledStreamIsResumedElsewhere(t *testing.T) {
 	s := newScenario(t, fixedEstimate{}, generate)
 	s.handle(Chosen{Attempt: 0, Upstream: "a"}, Started{Attempt: 0}, Chunk{Attempt: 0, Index: 0, Data: []byte("x")})
-	s.wait(latency.GapBound(fixedEstimate{}.Estimate("")))
+	s.wait(latency.ChunkGapTimeout(fixedEstimate{}.Estimate("")))
 	assert.Equal(t, actionsOf[Cancel](s)[0].Reason, CancelSuperseded)
 	s.handle(Chosen{Attempt: 1, Upstream: "b"})
 	run := actionsOf[Run](s)[1]
@@ -199,7 +199,7 @@
 	s := newScenario(t, fixedEstimate{}, encode)
 	s.m = New("e-1", Plan{Stages: []Stage{encode}, Deadline: time.Minute}, fixedEstimate{}, DefaultRules())
 	s.start()
-	bound := latency.FirstBound(fixedEstimate{}.Estimate(""))
+	bound := latency.FirstChunkTimeout(fixedEstimate{}.Estimate(""))
 	id := AttemptID(0)
 	for left := range 3 {
 		s.handle(Chosen{Attempt: id, Upstream: "a"}, Started{Attempt: id})
