--- a/core/share/asker.go
+++ b/core/share/asker.go
@@ -8,9 +8,9 @@
 
 // Timeouts and backoffs of an entry that requests permits.
 const (
-	// AskTimeout is the timeout of a permit request. It is longer than the four round
+	// AcquireTimeout is the timeout of a permit request. It is longer than the four round
 	// trips that a call to another region takes on a new connection.
-	AskTimeout = 300 * time.Millisecond
+	AcquireTimeout = 300 * time.Millisecond
 	// suspectBackoff and maxSuspectBackoff are the initial and the longest backoff
 	// from a home that did not respond.
 	suspectBackoff    = time.Second
@@ -20,9 +20,9 @@
 // maxFailures is the number of unresponsive homes after which a request's search ends.
 const maxFailures = 2
 
-// Asker is the state of an entry that requests permits from homes. It is not safe for
+// Client is the state of an entry that requests permits from homes. It is not safe for
 // concurrent use.
-type Asker struct {
+type Client struct {
 	suspects map[string]suspect
 	// regions tracks failures of homes by region.
 	regions map[string]regionSuspect
@@ -51,9 +51,9 @@
 	unreachable bool
 }
 
-// NewAsker returns an Asker without recorded failures.
-func NewAsker() *Asker {
-	return &Asker{
+// NewClient returns a Client without recorded failures.
+func NewClient() *Client {
+	return &Client{
 		suspects:      make(map[string]suspect),
 		regions:       make(map[string]regionSuspect),
 		fullUntil:     make(map[string]time.Time),
@@ -67,25 +67,26 @@
 
 // The steps of a search.
 const (
-	// StepAsk: request a permit from Step.Home.
-	StepAsk StepKind = iota + 1
+	// StepAcquire: request a permit from Step.Home.
+	StepAcquire StepKind = iota + 1
 	// StepGranted: the request may run; a home granted the permit.
 	StepGranted
-	// StepAlone: the request may run; the entry admitted it locally because homes did
-	// not respond.
-	StepAlone
+	// StepGrantedLocally: the request may run; the entry admitted it locally because
+	// homes did not respond.
+	StepGrantedLocally
 	// StepRefused: the workspace's bound is reached.
 	StepRefused
-	// StepRefusedAlone: homes did not respond and the entry's local share is in use.
-	StepRefusedAlone
+	// StepRefusedLocally: homes did not respond and the entry's local share is in use.
+	StepRefusedLocally
 )
 
 // Step is the next step of a Search.
 type Step struct {
 	Kind StepKind
-	// Home, Part and Bound are the home to query and the part requested with StepAsk,
-	// and the home and part that granted the permit with StepGranted. With StepAlone,
-	// Part and Bound are the part that should count the request; Home is not set.
+	// Home, Part and Bound are the home to query and the part requested with
+	// StepAcquire, and the home and part that granted the permit with StepGranted. With
+	// StepGrantedLocally, Part and Bound are the part that should count the request;
+	// Home is not set.
 	Home  Home
 	Part  int
 	Bound int
@@ -94,7 +95,7 @@
 // Search requests a permit for one request from one part after the other, starting
 // at a random part, until a home grants it or all parts are full.
 type Search struct {
-	asker     *Asker
+	client    *Client
 	homes     *Homes
 	workspace string
 	bound     int
@@ -105,63 +106,63 @@
 	failures int
 	// unreachable counts the parts without an available home.
 	unreachable int
-	// shortestHold is the shortest Answer.Hold of the homes that refused.
+	// shortestHold is the shortest AcquireResponse.Hold of the homes that refused.
 	shortestHold time.Duration
-	lastAsk      Step
+	lastQuery    Step
 }
 
 // Begin starts the search for a request's permit and returns its first step. The
 // random number selects the first part.
-func (a *Asker) Begin(now time.Time, homes *Homes, workspace string, bound int, random uint64) (*Search, Step) {
-	s := &Search{asker: a, homes: homes, workspace: workspace, bound: bound, order: homes.order(workspace, bound, random)}
-	if until, ok := a.fullUntil[workspace]; ok && now.Before(until) {
+func (c *Client) Begin(now time.Time, homes *Homes, workspace string, bound int, random uint64) (*Search, Step) {
+	s := &Search{client: c, homes: homes, workspace: workspace, bound: bound, order: homes.order(workspace, bound, random)}
+	if until, ok := c.fullUntil[workspace]; ok && now.Before(until) {
 		return s, Step{Kind: StepRefused}
 	}
-	delete(a.fullUntil, workspace)
+	delete(c.fullUntil, workspace)
 	return s, s.next(now)
 }
 
 // Answered records the response of the home that was queried last and returns the
 // next step.
-func (s *Search) Answered(now time.Time, answer Answer) Step {
-	delete(s.asker.suspects, s.lastAsk.Home.Name)
-	delete(s.asker.regions, s.lastAsk.Home.Region)
-	if answer.Granted {
-		step := s.lastAsk
+func (s *Search) Answered(now time.Time, response AcquireResponse) Step {
+	delete(s.client.suspects, s.lastQuery.Home.Name)
+	delete(s.client.regions, s.lastQuery.Home.Region)
+	if response.Granted {
+		step := s.lastQuery
 		step.Kind = StepGranted
 		return step
 	}
-	if s.tried == 0 || answer.Hold < s.shortestHold {
-		s.shortestHold = answer.Hold
+	if s.tried == 0 || response.Hold < s.shortestHold {
+		s.shortestHold = response.Hold
 	}
 	s.tried++
 	return s.next(now)
 }
 
-// Silent records that the home that was queried last did not respond, and returns the
+// Failed records that the home that was queried last did not respond, and returns the
 // next step.
-func (s *Search) Silent(now time.Time) Step {
+func (s *Search) Failed(now time.Time) Step {
 	s.failures++
-	s.asker.Silent(now, s.homes, s.lastAsk.Home)
+	s.client.HomeFailed(now, s.homes, s.lastQuery.Home)
 	return s.next(now)
 }
 
-// Silent records that a home did not respond. The entry backs off from the home for a
+// HomeFailed records that a home did not respond. The entry backs off from the home for a
 // time that grows with each consecutive failure. It also backs off from the home's
 // region if another home of the region failed before, unless it is the entry's own
 // region.
-func (a *Asker) Silent(now time.Time, homes *Homes, home Home) {
-	a.suspects[home.Name] = a.suspects[home.Name].failedAgain(now)
+func (c *Client) HomeFailed(now time.Time, homes *Homes, home Home) {
+	c.suspects[home.Name] = c.suspects[home.Name].failedAgain(now)
 	if home.Region == homes.ownRegion {
 		return
 	}
-	region, known := a.regions[home.Region]
+	region, known := c.regions[home.Region]
 	if known && region.lastHome != home.Name || region.unreachable {
 		region.suspect = region.failedAgain(now)
 		region.unreachable = true
 	}
 	region.lastHome = home.Name
-	a.regions[home.Region] = region
+	c.regions[home.Region] = region
 }
 
 // failedAgain returns the state after a further failure at now.
@@ -175,9 +176,9 @@
 	for s.failures < maxFailures && s.tried < len(s.order) {
 		part := s.order[s.tried]
 		for _, home := range s.homes.Of(s.workspace, part) {
-			if s.asker.allow(now, home) {
-				s.lastAsk = Step{Kind: StepAsk, Home: home, Part: part, Bound: s.homes.PartBound(s.bound, part)}
-				return s.lastAsk
+			if s.client.allow(now, home) {
+				s.lastQuery = Step{Kind: StepAcquire, Home: home, Part: part, Bound: s.homes.PartBound(s.bound, part)}
+				return s.lastQuery
 			}
 		}
 		s.tried++
@@ -186,55 +187,56 @@
 	if s.unreachable > 0 || s.failures >= maxFailures {
 		return s.admitLocally()
 	}
-	s.asker.fullUntil[s.workspace] = now.Add(s.shortestHold)
+	s.client.fullUntil[s.workspace] = now.Add(s.shortestHold)
 	return Step{Kind: StepRefused}
 }
 
 // allow reports whether a permit may be requested from a home. A suspect whose backoff
 // has expired is probed by one request; other requests skip it until that request has
 // a response or times out.
-func (a *Asker) allow(now time.Time, home Home) bool {
-	if !a.available(now, home) {
+func (c *Client) allow(now time.Time, home Home) bool {
+	if !c.available(now, home) {
 		return false
 	}
-	if known, ok := a.suspects[home.Name]; ok {
-		known.until = now.Add(AskTimeout)
-		a.suspects[home.Name] = known
+	if known, ok := c.suspects[home.Name]; ok {
+		known.until = now.Add(AcquireTimeout)
+		c.suspects[home.Name] = known
 	}
-	if known, ok := a.regions[home.Region]; ok && known.unreachable {
-		known.until = now.Add(AskTimeout)
-		a.regions[home.Region] = known
+	if known, ok := c.regions[home.Region]; ok && known.unreachable {
+		known.until = now.Add(AcquireTimeout)
+		c.regions[home.Region] = known
 	}
 	return true
 }
 
 // available reports whether neither the home nor its region is in backoff.
-func (a *Asker) available(now time.Time, home Home) bool {
-	return !now.Before(a.suspects[home.Name].until) && !now.Before(a.regions[home.Region].until)
+func (c *Client) available(now time.Time, home Home) bool {
+	return !now.Before(c.suspects[home.Name].until) && !now.Before(c.regions[home.Region].until)
 }
 
 // admitLocally admits the request without a home, within the entry's even share of the
 // bound. The share is at least one.
 func (s *Search) admitLocally() Step {
 	entries := max(s.homes.Len(), 1)
-	if s.asker.localRequests[s.workspace] >= max((s.bound+entries-1)/entries, 1) {
-		return Step{Kind: StepRefusedAlone}
+	if s.client.localRequests[s.workspace] >= max((s.bound+entries-1)/entries, 1) {
+		return Step{Kind: StepRefusedLocally}
 	}
-	s.asker.localRequests[s.workspace]++
-	return Step{Kind: StepAlone, Part: s.order[0], Bound: s.homes.PartBound(s.bound, s.order[0])}
+	s.client.localRequests[s.workspace]++
+	return Step{Kind: StepGrantedLocally, Part: s.order[0], Bound: s.homes.PartBound(s.bound, s.order[0])}
 }
 
-// Ended records the end of a request that ran; local is set if StepAlone admitted it.
-func (a *Asker) Ended(workspace string, local bool) {
-	delete(a.fullUntil, workspace)
+// Ended records the end of a request that ran; local is set if StepGrantedLocally
+// admitted it.
+func (c *Client) Ended(workspace string, local bool) {
+	delete(c.fullUntil, workspace)
 	if !local {
 		return
 	}
-	a.localRequests[workspace]--
-	if a.localRequests[workspace] <= 0 {
-		delete(a.localRequests, workspace)
+	c.localRequests[workspace]--
+	if c.localRequests[workspace] <= 0 {
+		delete(c.localRequests, workspace)
 	}
 }
 
 // Suspects returns the number of homes that did not respond to their latest query.
-func (a *Asker) Suspects() int { return len(a.suspects) }
+func (c *Client) Suspects() int { return len(c.suspects) }
--- a/core/share/held.go
+++ b/core/share/held.go
@@ -21,33 +21,33 @@
 	Incarnation core.Incarnation
 }
 
-// Heard records the incarnation in a home's response. A new incarnation means that the
-// home restarted and its ledger lost the permits counted before.
-func (a *Asker) Heard(home string, incarnation core.Incarnation) { a.incarnations[home] = incarnation }
+// ObserveIncarnation records the incarnation in a home's response. A new incarnation
+// means that the home restarted and its ledger lost the permits counted before.
+func (c *Client) ObserveIncarnation(home string, inc core.Incarnation) { c.incarnations[home] = inc }
 
-// Move returns the home that should count a permit but does not, and the request to
+// Reassign returns the home that should count a permit but does not, and the request to
 // send to it. It returns false if the right home counts the permit, no home is
 // available or the permit has expired. The right home changes when the host list
 // changes or a home stops or resumes responding; a home that restarted must count its
 // permits again.
-func (a *Asker) Move(now time.Time, homes *Homes, held Held) (Home, Ask, bool) {
+func (c *Client) Reassign(now time.Time, homes *Homes, held Held) (Home, AcquireRequest, bool) {
 	candidates := homes.Of(held.Workspace, held.Part)
-	first := slices.IndexFunc(candidates, func(h Home) bool { return a.available(now, h) })
+	first := slices.IndexFunc(candidates, func(h Home) bool { return c.available(now, h) })
 	if first < 0 || !now.Before(held.End) {
-		return Home{}, Ask{}, false
+		return Home{}, AcquireRequest{}, false
 	}
 	home := candidates[first]
-	known, answered := a.incarnations[home.Name]
-	if held.Home == home.Name && (!answered || held.Incarnation == known) {
-		return Home{}, Ask{}, false
+	known, responded := c.incarnations[home.Name]
+	if held.Home == home.Name && (!responded || held.Incarnation == known) {
+		return Home{}, AcquireRequest{}, false
 	}
-	ask := Ask{
+	request := AcquireRequest{
 		Workspace: held.Workspace,
 		Part:      held.Part,
 		Bound:     held.Bound,
 		Permit:    held.Permit,
-		Life:      held.End.Sub(now),
+		TTL:       held.End.Sub(now),
 		Running:   true,
 	}
-	return home, ask, true
+	return home, request, true
 }
--- a/core/share/ledger.go
+++ b/core/share/ledger.go
@@ -22,23 +22,23 @@
 // PermitID identifies a permit. Entries choose it at random.
 type PermitID uint64
 
-// Ask is a request for a permit.
-type Ask struct {
+// AcquireRequest is a request for a permit.
+type AcquireRequest struct {
 	Workspace string
 	// Part is the index of a part of the workspace's bound, and Bound that part's bound.
 	Part  int
 	Bound int
 	// Permit is the same in each retry, which makes the request idempotent.
 	Permit PermitID
-	// Life is the time after which the permit expires unless it is released.
-	Life time.Duration
+	// TTL is the time after which the permit expires unless it is released.
+	TTL time.Duration
 	// Running is set if the request is running already, because another home granted
 	// it or it was admitted locally. It is then counted even beyond the bound.
 	Running bool
 }
 
-// Answer is the response to an Ask.
-type Answer struct {
+// AcquireResponse is the response to an AcquireRequest.
+type AcquireResponse struct {
 	Granted bool
 	// Hold is the time for which the entry must not request again if no permit was
 	// granted. It grows with the home's rate of refusals.
@@ -76,18 +76,18 @@
 
 // Acquire grants a permit if the part's bound allows it. A retry of a request gets the
 // same permit. A request that arrives after the release of its permit gets none.
-func (l *Ledger) Acquire(now time.Time, a Ask) Answer {
+func (l *Ledger) Acquire(now time.Time, request AcquireRequest) AcquireResponse {
 	l.sweep(now)
-	if _, released := l.tombstones[a.Permit]; released {
-		return Answer{}
+	if _, released := l.tombstones[request.Permit]; released {
+		return AcquireResponse{}
 	}
-	b := l.part(partKey{a.Workspace, a.Part})
-	_, known := b.permits[a.Permit]
-	if !known && !a.Running && b.full(now, a.Bound) {
-		return Answer{Hold: b.refuse(now)}
+	b := l.part(partKey{request.Workspace, request.Part})
+	_, known := b.permits[request.Permit]
+	if !known && !request.Running && b.full(now, request.Bound) {
+		return AcquireResponse{Hold: b.refuse(now)}
 	}
-	b.permits[a.Permit] = now.Add(a.Life)
-	return Answer{Granted: true}
+	b.permits[request.Permit] = now.Add(request.TTL)
+	return AcquireResponse{Granted: true}
 }
 
 // part returns the ledger of a part, which it creates if there is none.
--- a/core/share/property_test.go
+++ b/core/share/property_test.go
@@ -88,8 +88,8 @@
 		if !c.running || c.crashed {
 			continue
 		}
-		if home, ask, ok := n.asker.Move(cl.now, n.homes, c.held); ok {
-			cl.ask(c, home, ask)
+		if home, req, ok := n.client.Reassign(cl.now, n.homes, c.held); ok {
+			cl.send(c, home, req)
 		}
 	}
 }
@@ -110,7 +110,7 @@
 	switch cl.pick("fault", 8) {
 	case 0: // the process crashes and restarts; its requests continue at the upstreams
 		n := cl.nodes[entry]
-		n.ledger, n.asker = share.NewLedger(), share.NewAsker()
+		n.ledger, n.client = share.NewLedger(), share.NewClient()
 		n.incarnation += core.Incarnation(entries)
 		for _, c := range cl.requests {
 			if c.entry == entry {
@@ -127,7 +127,7 @@
 	default: // all pending permit requests time out
 		for _, c := range cl.requests {
 			if c.searching {
-				cl.step(c, c.search.Silent(cl.now))
+				cl.step(c, c.search.Failed(cl.now))
 			}
 		}
 	}
--- a/core/share/share_test.go
+++ b/core/share/share_test.go
@@ -22,19 +22,19 @@
 	now := time.Unix(1000, 0)
 	for _, bound := range []int{1, 31, 64, 70, 400, 2001} {
 		ledgers := make(map[string]*share.Ledger)
-		asker := share.NewAsker()
+		client := share.NewClient()
 		for i := range bound + 1 {
-			search, step := asker.Begin(now, homes, "w", bound, uint64(i*i))
-			for step.Kind == share.StepAsk {
+			search, step := client.Begin(now, homes, "w", bound, uint64(i*i))
+			for step.Kind == share.StepAcquire {
 				ledger, ok := ledgers[step.Home.Name]
 				if !ok {
 					ledger = share.NewLedger()
 					ledgers[step.Home.Name] = ledger
 				}
-				answer := ledger.Acquire(now, share.Ask{
-					Workspace: "w", Part: step.Part, Bound: step.Bound, Permit: share.PermitID(i + 1), Life: time.Second,
+				response := ledger.Acquire(now, share.AcquireRequest{
+					Workspace: "w", Part: step.Part, Bound: step.Bound, Permit: share.PermitID(i + 1), TTL: time.Second,
 				})
-				step = search.Answered(now, answer)
+				step = search.Answered(now, response)
 			}
 			assert.Equal(t, step.Kind == share.StepGranted, i < bound, "request %d of %d", i, bound)
 		}
@@ -71,11 +71,11 @@
 		hosts = append(hosts, fleet.Host{Name: fmt.Sprint("e", i), Role: fleet.RoleEntry, Region: fmt.Sprint(i % 3)})
 	}
 	homes := share.NewHomes(hosts, "0")
-	askerA, askerB := share.NewAsker(), share.NewAsker()
+	clientA, clientB := share.NewClient(), share.NewClient()
 	now := time.Unix(1000, 0)
 	for i := range 50 {
 		workspace := fmt.Sprint("w", i)
-		a, b := findHome(now, askerA, homes, workspace), findHome(now, askerB, homes, workspace)
+		a, b := findHome(now, clientA, homes, workspace), findHome(now, clientB, homes, workspace)
 		if i >= 4 { // two homes of each unreachable region have failed to respond
 			assert.Equal(t, a.Region, "0")
 			assert.Equal(t, a.Name, b.Name)
@@ -85,13 +85,13 @@
 
 // findHome returns the first home in region 0 that an entry of that region queries; the
 // other regions do not respond. It returns the zero Home if there is none.
-func findHome(now time.Time, asker *share.Asker, homes *share.Homes, workspace string) share.Home {
-	search, step := asker.Begin(now, homes, workspace, 1, 0)
-	for step.Kind == share.StepAsk {
+func findHome(now time.Time, client *share.Client, homes *share.Homes, workspace string) share.Home {
+	search, step := client.Begin(now, homes, workspace, 1, 0)
+	for step.Kind == share.StepAcquire {
 		if step.Home.Region == "0" {
 			return step.Home
 		}
-		step = search.Silent(now)
+		step = search.Failed(now)
 	}
 	return share.Home{}
 }
--- a/core/share/sim/homes.go
+++ b/core/share/sim/homes.go
@@ -14,7 +14,7 @@
 	s *simulation
 	// byRegion holds the homes from the view of each region.
 	byRegion     [regions]*share.Homes
-	askers       []*share.Asker
+	clients      []*share.Client
 	ledgers      []*share.Ledger
 	incarnations []core.Incarnation
 	// running lists the running requests in the order of their admission.
@@ -32,7 +32,7 @@
 		h.byRegion[region] = share.NewHomes(hostList(), nameOf(region))
 	}
 	for range Entries {
-		h.askers = append(h.askers, share.NewAsker())
+		h.clients = append(h.clients, share.NewClient())
 		h.ledgers = append(h.ledgers, share.NewLedger())
 	}
 	if s.c.Restart {
@@ -51,7 +51,7 @@
 
 func (h *homes) arrive(r *request) {
 	view := h.byRegion[r.entry%regions]
-	search, step := h.askers[r.entry].Begin(h.s.now, view, nameOf(r.workspace), h.s.bounds[r.workspace], h.s.random.Uint64())
+	search, step := h.clients[r.entry].Begin(h.s.now, view, nameOf(r.workspace), h.s.bounds[r.workspace], h.s.random.Uint64())
 	r.search = search
 	r.held = share.Held{Workspace: nameOf(r.workspace), Permit: share.PermitID(r.number), End: h.s.now.Add(maxDuration + share.Grace)}
 	h.step(r, step)
@@ -61,16 +61,16 @@
 func (h *homes) step(r *request, step share.Step) {
 	r.held.Part, r.held.Bound = step.Part, step.Bound
 	switch step.Kind {
-	case share.StepAsk:
-		h.ask(r, step.Home, share.Ask{
+	case share.StepAcquire:
+		h.send(r, step.Home, share.AcquireRequest{
 			Workspace: r.held.Workspace,
 			Part:      step.Part,
 			Bound:     step.Bound,
 			Permit:    r.held.Permit,
-			Life:      r.held.End.Sub(h.s.now),
+			TTL:       r.held.End.Sub(h.s.now),
 		})
-	case share.StepGranted, share.StepAlone:
-		r.local = step.Kind == share.StepAlone
+	case share.StepGranted, share.StepGrantedLocally:
+		r.local = step.Kind == share.StepGrantedLocally
 		h.running = append(h.running, r)
 		h.s.recordWait(r)
 		h.s.admit(r)
@@ -79,45 +79,45 @@
 	}
 }
 
-// ask sends a permit request to a home. The home handles it after the one-way delay, and
+// send sends a permit request to a home. The home handles it after the one-way delay, and
 // the entry receives the response after the same delay again. If the home is unreachable
 // the request times out.
-func (h *homes) ask(r *request, to share.Home, a share.Ask) {
+func (h *homes) send(r *request, to share.Home, req share.AcquireRequest) {
 	home := indexOf(to.Name)
 	delay := oneWayDelay(r.entry, home)
 	openDelay := h.call(r, home)
 	if h.partitioned(r.entry, home) {
-		h.s.after(share.AskTimeout, func() { h.timedOut(r, to, a) })
+		h.s.after(share.AcquireTimeout, func() { h.timedOut(r, to, req) })
 		return
 	}
 	h.s.after(openDelay+delay, func() {
-		answer, incarnation := h.ledgers[home].Acquire(h.s.now, a), h.incarnations[home]
-		if answer.Granted {
+		response, incarnation := h.ledgers[home].Acquire(h.s.now, req), h.incarnations[home]
+		if response.Granted {
 			r.countedBy = append(r.countedBy, home)
 		}
 		h.s.after(delay, func() {
-			h.askers[r.entry].Heard(to.Name, incarnation)
-			if answer.Granted {
+			h.clients[r.entry].ObserveIncarnation(to.Name, incarnation)
+			if response.Granted {
 				r.held.Home, r.held.Incarnation = to.Name, incarnation
 			}
-			if !a.Running {
-				h.step(r, r.search.Answered(h.s.now, answer))
+			if !req.Running {
+				h.step(r, r.search.Answered(h.s.now, response))
 			}
 		})
 	})
 }
 
 // timedOut records at an entry that a home did not respond.
-func (h *homes) timedOut(r *request, to share.Home, a share.Ask) {
-	if a.Running {
-		h.askers[r.entry].Silent(h.s.now, h.byRegion[r.entry%regions], to)
+func (h *homes) timedOut(r *request, to share.Home, req share.AcquireRequest) {
+	if req.Running {
+		h.clients[r.entry].HomeFailed(h.s.now, h.byRegion[r.entry%regions], to)
 		return
 	}
-	h.step(r, r.search.Silent(h.s.now))
+	h.step(r, r.search.Failed(h.s.now))
 }
 
 func (h *homes) ended(r *request) {
-	h.askers[r.entry].Ended(nameOf(r.workspace), r.local)
+	h.clients[r.entry].Ended(nameOf(r.workspace), r.local)
 	h.running = slices.DeleteFunc(h.running, func(other *request) bool { return other == r })
 	for _, home := range r.countedBy {
 		h.call(r, home)
@@ -133,9 +133,9 @@
 // tick requests that the right homes count the running requests.
 func (h *homes) tick() {
 	for _, r := range h.running {
-		home, ask, needed := h.askers[r.entry].Move(h.s.now, h.byRegion[r.entry%regions], r.held)
+		home, req, needed := h.clients[r.entry].Reassign(h.s.now, h.byRegion[r.entry%regions], r.held)
 		if needed {
-			h.ask(r, home, ask)
+			h.send(r, home, req)
 		}
 	}
 }
--- a/core/share/world_test.go
+++ b/core/share/world_test.go
@@ -33,7 +33,7 @@
 
 // node is one entry: its state as a caller of homes, and its ledger as a home.
 type node struct {
-	asker       *share.Asker
+	client      *share.Client
 	homes       *share.Homes
 	ledger      *share.Ledger
 	incarnation core.Incarnation
@@ -83,7 +83,7 @@
 	cl := &cluster{pick: pick, broken: broken, now: time.Unix(1000, 0)}
 	cl.bound = []int{1, 2, 5}[pick("bound", 3)]
 	for i := range entries {
-		cl.nodes = append(cl.nodes, &node{asker: share.NewAsker(), homes: views[entries][i], ledger: share.NewLedger(), incarnation: core.Incarnation(i + 1)})
+		cl.nodes = append(cl.nodes, &node{client: share.NewClient(), homes: views[entries][i], ledger: share.NewLedger(), incarnation: core.Incarnation(i + 1)})
 	}
 	return cl
 }
@@ -119,7 +119,7 @@
 	c := &request{permit: share.PermitID(len(cl.requests) + 1), entry: entry, deadline: cl.now.Add(requestTimeout), released: map[string]bool{}, searching: true, releasesAtBegin: cl.releases}
 	cl.requests = append(cl.requests, c)
 	n := cl.nodes[entry]
-	search, step := n.asker.Begin(cl.now, n.homes, workspaceName, cl.bound, uint64(c.permit))
+	search, step := n.client.Begin(cl.now, n.homes, workspaceName, cl.bound, uint64(c.permit))
 	c.search = search
 	cl.step(c, step)
 }
@@ -129,12 +129,12 @@
 	c.stepNumber++
 	c.held = share.Held{Workspace: workspaceName, Part: step.Part, Bound: step.Bound, Permit: c.permit, End: c.deadline.Add(share.Grace)}
 	switch step.Kind {
-	case share.StepAsk:
-		cl.ask(c, step.Home, share.Ask{Workspace: workspaceName, Part: step.Part, Bound: step.Bound, Permit: c.permit, Life: c.held.End.Sub(cl.now)})
+	case share.StepAcquire:
+		cl.send(c, step.Home, share.AcquireRequest{Workspace: workspaceName, Part: step.Part, Bound: step.Bound, Permit: c.permit, TTL: c.held.End.Sub(cl.now)})
 		return
 	case share.StepGranted:
 		c.running = true
-	case share.StepAlone:
+	case share.StepGrantedLocally:
 		c.running, c.local = true, true
 		if !cl.faulty {
 			cl.fail("admitted locally without any fault")
@@ -158,8 +158,8 @@
 	c.ended = true
 }
 
-// ask sends a permit request to a home.
-func (cl *cluster) ask(c *request, home share.Home, a share.Ask) {
+// send sends a permit request to a home.
+func (cl *cluster) send(c *request, home share.Home, req share.AcquireRequest) {
 	stepNumber, sentAt := c.stepNumber, cl.now
 	cl.messages = append(cl.messages, func() {
 		if cl.now.Sub(sentAt) > maxAskDelay {
@@ -168,62 +168,62 @@
 		var i int
 		_, _ = fmt.Sscan(home.Name, &i)
 		n := cl.nodes[i]
-		key := fmt.Sprint(i, "/", n.incarnation, "/", a.Part)
-		answer := cl.acquire(n, key, c, a)
+		key := fmt.Sprint(i, "/", n.incarnation, "/", req.Part)
+		response := cl.acquire(n, key, c, req)
 		incarnation := n.incarnation
-		cl.messages = append(cl.messages, func() { cl.answered(c, stepNumber, home.Name, key, incarnation, a.Running, answer) })
+		cl.messages = append(cl.messages, func() { cl.receive(c, stepNumber, home.Name, key, incarnation, req.Running, response) })
 	})
 }
 
 // acquire handles a permit request at a home and checks refusals.
-func (cl *cluster) acquire(n *node, key string, c *request, a share.Ask) share.Answer {
-	bound := a.Bound
+func (cl *cluster) acquire(n *node, key string, c *request, req share.AcquireRequest) share.AcquireResponse {
+	bound := req.Bound
 	switch cl.broken {
 	case boundPlusOne:
-		a.Bound++
+		req.Bound++
 	case shortLifetime:
-		a.Life /= 4
+		req.TTL /= 4
 	case changedPermitID:
-		a.Permit += share.PermitID(1000 * len(cl.messages))
+		req.Permit += share.PermitID(1000 * len(cl.messages))
 	}
 	released := c.released[key]
 	c.released[key] = released
-	answer := n.ledger.Acquire(cl.now, a)
-	if end := cl.now.Add(a.Life); answer.Granted && end.After(c.latestExpiry) {
+	response := n.ledger.Acquire(cl.now, req)
+	if end := cl.now.Add(req.TTL); response.Granted && end.After(c.latestExpiry) {
 		c.latestExpiry = end
 	}
-	if answer.Granted || released || c.ended {
-		return answer
+	if response.Granted || released || c.ended {
+		return response
 	}
 	// Each permit that uses the bound belongs to another request that sent a permit
 	// request here, has not released it, and whose permit has not expired. The lifetime
 	// of a permit counts from the arrival of a permit request, also of a delayed one.
 	inUse := 0
 	for _, other := range cl.requests {
-		if returned, asked := other.released[key]; asked && !returned && other != c && cl.now.Before(other.latestExpiry) {
+		if returned, requested := other.released[key]; requested && !returned && other != c && cl.now.Before(other.latestExpiry) {
 			inUse++
 		}
 	}
 	if inUse < bound {
 		cl.fail("refused by %s though only %d of %d permits are in use", key, inUse, bound)
 	}
-	return answer
+	return response
 }
 
-// answered passes a response to its request, unless the request waits for the response
+// receive passes a response to its request, unless the request waits for the response
 // to a later query.
-func (cl *cluster) answered(c *request, stepNumber int, home, key string, incarnation core.Incarnation, running bool, answer share.Answer) {
+func (cl *cluster) receive(c *request, stepNumber int, home, key string, incarnation core.Incarnation, running bool, response share.AcquireResponse) {
 	n := cl.nodes[c.entry]
 	if c.crashed {
 		return
 	}
-	n.asker.Heard(home, incarnation)
+	n.client.ObserveIncarnation(home, incarnation)
 	switch {
-	case running && answer.Granted && !c.ended:
+	case running && response.Granted && !c.ended:
 		c.held.Home, c.held.Incarnation = home, incarnation
 	case running || !c.searching || stepNumber != c.stepNumber:
 	default:
-		cl.step(c, c.search.Answered(cl.now, answer))
+		cl.step(c, c.search.Answered(cl.now, response))
 		if c.running {
 			c.held.Home, c.held.Incarnation = home, incarnation
 			c.grantedBy = key
@@ -236,7 +236,7 @@
 	c.ended = true
 	n := cl.nodes[c.entry]
 	if c.running && !c.crashed {
-		n.asker.Ended(workspaceName, c.local)
+		n.client.Ended(workspaceName, c.local)
 	}
 	c.searching, c.running = false, false
 	if c.crashed {
@@ -254,9 +254,9 @@
 	cl.releases++
 	n := cl.nodes[i]
 	key := fmt.Sprint(i, "/", n.incarnation, "/", part)
-	_, asked := c.released[key]
+	_, requested := c.released[key]
 	c.released[key] = true
-	if cl.broken == droppedRelease || cl.broken == noTombstone && !asked {
+	if cl.broken == droppedRelease || cl.broken == noTombstone && !requested {
 		return
 	}
 	n.ledger.Release(cl.now, workspaceName, part, c.permit)
--- a/entry/limit/home.go
+++ b/entry/limit/home.go
@@ -20,12 +20,12 @@
 	if key.GetWorkspace() == "" || request.GetBound() == 0 {
 		return nil, fault.New(fault.Invalid, "limit.acquire", key.GetWorkspace(), "the workspace or the bound is missing")
 	}
-	response := l.acquireLocal(share.Ask{
+	response := l.acquireLocal(share.AcquireRequest{
 		Workspace: key.GetWorkspace(),
 		Part:      int(key.GetPart()),
 		Bound:     int(request.GetBound()),
 		Permit:    share.PermitID(key.GetPermit()),
-		Life:      min(time.Duration(request.GetLifeMs())*time.Millisecond, maxLifetime),
+		TTL:       min(time.Duration(request.GetLifeMs())*time.Millisecond, maxLifetime),
 		Running:   request.GetRunning(),
 	})
 	return &wirepb.AcquirePermitReply{
@@ -43,10 +43,10 @@
 }
 
 // acquireLocal requests a permit from this entry's own ledger.
-func (l *Limiter) acquireLocal(ask share.Ask) share.Answer {
+func (l *Limiter) acquireLocal(request share.AcquireRequest) share.AcquireResponse {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	response := l.ledger.Acquire(time.Now(), ask)
+	response := l.ledger.Acquire(time.Now(), request)
 	l.metrics.answeredAsHome(response)
 	l.metrics.homePermits.Update(float64(l.ledger.Permits()))
 	return response
@@ -61,22 +61,22 @@
 }
 
 // acquireFrom requests a permit from a home, which may be this entry.
-func (l *Limiter) acquireFrom(ctx context.Context, home share.Home, ask share.Ask) (share.Answer, core.Incarnation, error) {
+func (l *Limiter) acquireFrom(ctx context.Context, home share.Home, request share.AcquireRequest) (share.AcquireResponse, core.Incarnation, error) {
 	if home.Name == l.opts.Self {
-		return l.acquireLocal(ask), l.opts.Incarnation, nil
+		return l.acquireLocal(request), l.opts.Incarnation, nil
 	}
 	conn := l.opts.Dialer.Conn(ctx, home.Addr)
 	defer func() { _ = conn.Close() }() // the call is over, and the connection is not reused if closing it fails
 	reply, err := wirepb.NewDRPCEntryClient(conn).AcquirePermit(ctx, &wirepb.AcquirePermitRequest{
-		Key:     keyOf(ask.Workspace, ask.Part, ask.Permit),
-		Bound:   uint32(ask.Bound),
-		LifeMs:  uint32(ask.Life.Milliseconds()),
-		Running: ask.Running,
+		Key:     keyOf(request.Workspace, request.Part, request.Permit),
+		Bound:   uint32(request.Bound),
+		LifeMs:  uint32(request.TTL.Milliseconds()),
+		Running: request.Running,
 	})
 	if err != nil {
-		return share.Answer{}, 0, err
+		return share.AcquireResponse{}, 0, err
 	}
-	response := share.Answer{Granted: reply.GetGranted(), Hold: time.Duration(reply.GetHoldMs()) * time.Millisecond}
+	response := share.AcquireResponse{Granted: reply.GetGranted(), Hold: time.Duration(reply.GetHoldMs()) * time.Millisecond}
 	return response, core.Incarnation(reply.GetIncarnation()), nil
 }
 
--- a/entry/limit/limiter.go
+++ b/entry/limit/limiter.go
@@ -55,7 +55,7 @@
 	metrics *metrics
 
 	mu     sync.Mutex
-	asker  *share.Asker
+	client *share.Client
 	ledger *share.Ledger
 	// homes are the homes according to the host list at homesVersion.
 	homes        *share.Homes
@@ -69,7 +69,7 @@
 	return &Limiter{
 		opts:    opts,
 		metrics: newMetrics(opts.Scope),
-		asker:   share.NewAsker(),
+		client:  share.NewClient(),
 		ledger:  share.NewLedger(),
 		running: make(map[share.PermitID]*Permit),
 	}
--- a/entry/limit/limiter_test.go
+++ b/entry/limit/limiter_test.go
@@ -91,8 +91,8 @@
 	return home, deputy
 }
 
-// ask requests a permit at an entry and waits for the decision.
-func (n *node) ask(workspace string, bound int) *Permit {
+// acquire requests a permit at an entry and waits for the decision.
+func (n *node) acquire(workspace string, bound int) *Permit {
 	p := n.limiter.Ask("r", workspace, bound, 20*time.Second)
 	<-p.Decided()
 	return p
@@ -119,15 +119,15 @@
 	caller := ns.list[(home+1)%3]
 	var permits []*Permit
 	for range bound {
-		p := caller.ask("w", bound)
+		p := caller.acquire("w", bound)
 		assert.Assert(t, p.Refusal() == nil)
 		permits = append(permits, p)
 	}
-	assert.Equal(t, caller.ask("w", bound).Refusal().Detail, reasonFull)
-	assert.Assert(t, ns.list[home].ask("w", bound).Refusal() != nil)
+	assert.Equal(t, caller.acquire("w", bound).Refusal().Detail, reasonFull)
+	assert.Assert(t, ns.list[home].acquire("w", bound).Refusal() != nil)
 	permits[0].Release()
 	ns.list[home].awaitPermits(t, bound-1)
-	assert.Assert(t, caller.ask("w", bound).Refusal() == nil)
+	assert.Assert(t, caller.acquire("w", bound).Refusal() == nil)
 }
 
 // TestRestartedHomeCountsRunningRequests stops the home, so that the deputy enforces the
@@ -137,18 +137,18 @@
 	ns := newNodes(t, 3)
 	home, deputy := ns.homesOf("w")
 	caller := ns.list[3-home-deputy]
-	before := caller.ask("w", bound)
+	before := caller.acquire("w", bound)
 	ns.list[home].stop()
 	for range bound {
-		assert.Assert(t, caller.ask("w", bound).Refusal() == nil)
+		assert.Assert(t, caller.acquire("w", bound).Refusal() == nil)
 	}
-	assert.Equal(t, caller.ask("w", bound).Refusal().Detail, reasonFull)
+	assert.Equal(t, caller.acquire("w", bound).Refusal().Detail, reasonFull)
 	ns.list[home] = ns.start(home)
-	caller.limiter.asker = share.NewAsker() // a new one does not suspect the home any longer
+	caller.limiter.client = share.NewClient() // a new one does not suspect the home any longer
 	caller.limiter.moveAll(context.Background())
 	ns.list[home].awaitPermits(t, bound)
 	before.Release()
-	assert.Assert(t, ns.list[home].ask("w", bound).Refusal() != nil)
+	assert.Assert(t, ns.list[home].acquire("w", bound).Refusal() != nil)
 }
 
 // TestReleaseDuringSearchMakesNoHomeSuspect releases permits while they are requested from
@@ -181,7 +181,7 @@
 	}
 	caller.limiter.mu.Lock()
 	defer caller.limiter.mu.Unlock()
-	assert.Equal(t, caller.limiter.asker.Suspects(), 0)
+	assert.Equal(t, caller.limiter.client.Suspects(), 0)
 }
 
 // TestEntryRunsItsShareWithoutHomes stops the home and the deputy: the entry may run only
@@ -198,12 +198,12 @@
 	}
 	ns.list[home].stop()
 	ns.list[deputy].stop()
-	first := caller.ask("w", bound)
+	first := caller.acquire("w", bound)
 	assert.Assert(t, first.Refusal() == nil && first.unchecked)
-	assert.Assert(t, caller.ask("w", bound).Refusal() == nil)
-	assert.Equal(t, caller.ask("w", bound).Refusal().Detail, reasonUnchecked)
+	assert.Assert(t, caller.acquire("w", bound).Refusal() == nil)
+	assert.Equal(t, caller.acquire("w", bound).Refusal().Detail, reasonUnchecked)
 	first.Release()
-	assert.Assert(t, caller.ask("w", bound).Refusal() == nil)
+	assert.Assert(t, caller.acquire("w", bound).Refusal() == nil)
 }
 
 // BenchmarkPermit measures acquiring and releasing a permit over TCP: the bytes per call
@@ -216,8 +216,8 @@
 	permit := share.PermitID(0)
 	for b.Loop() {
 		permit++
-		_, _, err := caller.limiter.acquireFrom(context.Background(), to, share.Ask{
-			Workspace: "pensionistas", Bound: 8, Permit: permit, Life: 4 * time.Second,
+		_, _, err := caller.limiter.acquireFrom(context.Background(), to, share.AcquireRequest{
+			Workspace: "pensionistas", Bound: 8, Permit: permit, TTL: 4 * time.Second,
 		})
 		assert.NilError(b, err)
 		caller.limiter.releaseAt(to, "pensionistas", 0, permit)
--- a/entry/limit/metrics.go
+++ b/entry/limit/metrics.go
@@ -53,17 +53,17 @@
 	switch kind {
 	case share.StepGranted:
 		m.granted.Inc(1)
-	case share.StepAlone:
+	case share.StepGrantedLocally:
 		m.unchecked.Inc(1)
 	case share.StepRefused:
 		m.refused.Inc(1)
-	case share.StepRefusedAlone:
+	case share.StepRefusedLocally:
 		m.refusedUnchecked.Inc(1)
 	}
 }
 
 // answeredAsHome counts a response that this entry gives as a home.
-func (m *metrics) answeredAsHome(response share.Answer) {
+func (m *metrics) answeredAsHome(response share.AcquireResponse) {
 	if response.Granted {
 		m.homeGranted.Inc(1)
 		return
--- a/entry/limit/move.go
+++ b/entry/limit/move.go
@@ -11,9 +11,9 @@
 
 // move is a permit that another home should count, with the request to that home.
 type move struct {
-	permit *Permit
-	home   share.Home
-	ask    share.Ask
+	permit  *Permit
+	home    share.Home
+	request share.AcquireRequest
 }
 
 // moveAll makes the right homes count the running requests.
@@ -30,8 +30,8 @@
 	homes := l.currentHomes()
 	var moves []move
 	for _, p := range l.running {
-		if home, ask, due := l.asker.Move(time.Now(), homes, p.held); due {
-			moves = append(moves, move{permit: p, home: home, ask: ask})
+		if home, request, due := l.client.Reassign(time.Now(), homes, p.held); due {
+			moves = append(moves, move{permit: p, home: home, request: request})
 		}
 	}
 	return moves
@@ -40,23 +40,23 @@
 // changeHome makes a home count a running request. If the home does not respond, the
 // permit keeps its previous home.
 func (l *Limiter) changeHome(ctx context.Context, m move) {
-	ctx, cancel := context.WithTimeout(ctx, share.AskTimeout)
+	ctx, cancel := context.WithTimeout(ctx, share.AcquireTimeout)
 	defer cancel()
-	_, incarnation, err := l.acquireFrom(ctx, m.home, m.ask)
+	_, incarnation, err := l.acquireFrom(ctx, m.home, m.request)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := m.permit
-	p.noteCounted(share.Step{Home: m.home, Part: m.ask.Part})
+	p.noteCounted(share.Step{Home: m.home, Part: m.request.Part})
 	if p.released {
 		p.releaseAtHomes()
 		return
 	}
 	if err != nil {
-		l.asker.Silent(time.Now(), l.currentHomes(), m.home)
+		l.client.HomeFailed(time.Now(), l.currentHomes(), m.home)
 		l.metrics.silences.Inc(1)
 		return
 	}
-	l.asker.Heard(m.home.Name, incarnation)
+	l.client.ObserveIncarnation(m.home.Name, incarnation)
 	before := p.held.Home
 	p.held.Home, p.held.Incarnation = m.home.Name, incarnation
 	l.metrics.moves.Inc(1)
--- a/entry/limit/permit.go
+++ b/entry/limit/permit.go
@@ -62,7 +62,7 @@
 	p.cancel()
 	if _, runs := l.running[p.held.Permit]; runs {
 		delete(l.running, p.held.Permit)
-		l.asker.Ended(p.held.Workspace, p.unchecked)
+		l.client.Ended(p.held.Workspace, p.unchecked)
 	}
 	p.releaseAtHomes()
 }
@@ -79,10 +79,10 @@
 func (p *Permit) search(ctx context.Context) {
 	l := p.limiter
 	l.mu.Lock()
-	search, step := l.asker.Begin(time.Now(), l.currentHomes(), p.held.Workspace, p.bound, rand.Uint64())
+	search, step := l.client.Begin(time.Now(), l.currentHomes(), p.held.Workspace, p.bound, rand.Uint64())
 	l.mu.Unlock()
-	for step.Kind == share.StepAsk {
-		response, incarnation, err := p.ask(ctx, step)
+	for step.Kind == share.StepAcquire {
+		response, incarnation, err := p.acquire(ctx, step)
 		l.mu.Lock()
 		switch {
 		case p.released:
@@ -92,9 +92,9 @@
 			return
 		case err != nil:
 			p.noteSilent(step, err)
-			step = search.Silent(time.Now())
+			step = search.Failed(time.Now())
 		default:
-			l.asker.Heard(step.Home.Name, incarnation)
+			l.client.ObserveIncarnation(step.Home.Name, incarnation)
 			if response.Granted {
 				p.noteCounted(step)
 				p.held.Home, p.held.Incarnation = step.Home.Name, incarnation
@@ -106,16 +106,16 @@
 	p.decide(step)
 }
 
-// ask requests the permit from the home of a step.
-func (p *Permit) ask(ctx context.Context, step share.Step) (share.Answer, core.Incarnation, error) {
-	ctx, cancel := context.WithTimeout(ctx, share.AskTimeout)
+// acquire requests the permit from the home of a step.
+func (p *Permit) acquire(ctx context.Context, step share.Step) (share.AcquireResponse, core.Incarnation, error) {
+	ctx, cancel := context.WithTimeout(ctx, share.AcquireTimeout)
 	defer cancel()
-	return p.limiter.acquireFrom(ctx, step.Home, share.Ask{
+	return p.limiter.acquireFrom(ctx, step.Home, share.AcquireRequest{
 		Workspace: p.held.Workspace,
 		Part:      step.Part,
 		Bound:     step.Bound,
 		Permit:    p.held.Permit,
-		Life:      time.Until(p.held.End),
+		TTL:       time.Until(p.held.End),
 	})
 }
 
@@ -153,16 +153,16 @@
 	case share.StepRefused:
 		p.refuse(reasonFull)
 		return
-	case share.StepRefusedAlone:
+	case share.StepRefusedLocally:
 		p.refuse(reasonUnchecked)
 		return
-	case share.StepAlone:
+	case share.StepGrantedLocally:
 		p.unchecked = true
 		l.opts.Log.Event(event.LimitUnchecked, p.fields())
 	}
 	p.held.Part, p.held.Bound = step.Part, step.Bound
 	if p.released {
-		l.asker.Ended(p.held.Workspace, p.unchecked)
+		l.client.Ended(p.held.Workspace, p.unchecked)
 		p.releaseAtHomes()
 		return
 	}
