--- a/core/claim/gate_test.go
+++ b/core/claim/gate_test.go
@@ -55,7 +55,7 @@
 func (s *gateSide) run(w *world, record claim.Record) dispatchOutcome {
 	ticket := ticketOf(record)
 	key := record.AttemptKey()
-	decision := s.gate.Submit(s.now, gate.Ask{
+	decision := s.gate.Submit(s.now, gate.Attempt{
 		Key: key, Workspace: "w", Ticket: &ticket, Remaining: time.Hour, Weight: 1, Cost: 1,
 	})
 	switch decision.Verdict {
--- a/core/gate/ask.go
+++ b/core/gate/ask.go
@@ -14,8 +14,8 @@
 	Clock time.Duration
 }
 
-// Ask is one attempt that is submitted to run.
-type Ask struct {
+// Attempt is an attempt that is submitted to run.
+type Attempt struct {
 	Key       core.AttemptKey
 	Workspace string
 	// Ticket is nil for an idempotent stage.
--- a/core/gate/claim_test.go
+++ b/core/gate/claim_test.go
@@ -24,7 +24,7 @@
 	b := newTestBench(t, Options{})
 	running := b.admit(b.newClaimedAttempt())
 	waiting := b.admit(b.newClaimedAttempt())
-	expect := func(attempt Ask, want State) {
+	expect := func(attempt Attempt, want State) {
 		t.Helper()
 		state, detail := b.g.Resolve(b.now, attempt.Key, *attempt.Ticket)
 		assert.Equal(t, state, want, detail)
@@ -127,7 +127,7 @@
 
 func TestOutputsAreBoundedInBytes(t *testing.T) {
 	b := newTestBench(t, Options{MaxKeptBytes: 25})
-	var attempts []Ask
+	var attempts []Attempt
 	for range 3 {
 		attempt := b.admit(b.newClaimedAttempt())
 		b.finish(attempt.Key)
--- a/core/gate/helper_test.go
+++ b/core/gate/helper_test.go
@@ -45,9 +45,9 @@
 }
 
 // newAttempt returns an idempotent attempt with a new key and a distant deadline.
-func (b *testBench) newAttempt(workspace string) Ask {
+func (b *testBench) newAttempt(workspace string) Attempt {
 	b.created++
-	return Ask{
+	return Attempt{
 		Key:       core.AttemptKey{Request: core.RequestID(fmt.Sprintf("r-%d", b.created)), Stage: "s", Number: 1, Side: incarnation},
 		Workspace: workspace,
 		Remaining: time.Hour,
@@ -57,14 +57,14 @@
 }
 
 // newClaimedAttempt returns a claimed attempt whose ticket has the present time.
-func (b *testBench) newClaimedAttempt() Ask {
+func (b *testBench) newClaimedAttempt() Attempt {
 	attempt := b.newAttempt("w")
 	attempt.Ticket = &Ticket{Nonce: uint64(b.created), Clock: b.now}
 	return attempt
 }
 
 // submit submits attempt, follows it if it is admitted, and advances the gate.
-func (b *testBench) submit(attempt Ask) Decision {
+func (b *testBench) submit(attempt Attempt) Decision {
 	d := b.g.Submit(b.now, attempt)
 	if d.Verdict == Admitted {
 		b.g.Watch(attempt.Key)
@@ -74,7 +74,7 @@
 }
 
 // admit submits attempt and fails the test if it is not admitted.
-func (b *testBench) admit(attempt Ask) Ask {
+func (b *testBench) admit(attempt Attempt) Attempt {
 	b.t.Helper()
 	d := b.submit(attempt)
 	assert.Equal(b.t, d.Verdict, Admitted, "%+v", d)
--- a/core/gate/load.go
+++ b/core/gate/load.go
@@ -9,17 +9,17 @@
 	Capacity int
 	// Wait is the expected wait of a new attempt of priority 0 from a workspace
 	// without waiting attempts.
-	Wait       time.Duration
-	ServiceP50 time.Duration
-	ServiceP95 time.Duration
-	FirstP50   time.Duration
-	FirstP95   time.Duration
-	GapP95     time.Duration
-	Draining   bool
-	Stalled    bool
-	Models     []string
-	Finished   uint64
-	Failed     uint64
+	Wait          time.Duration
+	ServiceP50    time.Duration
+	ServiceP95    time.Duration
+	FirstChunkP50 time.Duration
+	FirstChunkP95 time.Duration
+	ChunkGapP95   time.Duration
+	Draining      bool
+	Stalled       bool
+	Models        []string
+	Finished      uint64
+	Failed        uint64
 }
 
 // Load returns the present load. Unfinished work counts in the latency quantiles as
@@ -28,20 +28,20 @@
 	services := g.pendingServiceTimes(now)
 	firsts := g.pendingFirstChunks(now)
 	return Load{
-		Queued:     g.queue.size,
-		InFlight:   len(g.running),
-		Capacity:   g.upstream.capacity,
-		Wait:       g.expectedWait(now, "", 0),
-		ServiceP50: g.serviceTimes.p50(now, services),
-		ServiceP95: g.serviceTimes.p95(now, services),
-		FirstP50:   g.firstChunkTimes.p50(now, firsts),
-		FirstP95:   g.firstChunkTimes.p95(now, firsts),
-		GapP95:     g.chunkGaps.p95(now, g.pendingChunkGaps(now)),
-		Draining:   len(g.drain.sources) > 0,
-		Stalled:    g.Stalled(now),
-		Models:     g.Models(now),
-		Finished:   g.finished,
-		Failed:     g.failed,
+		Queued:        g.queue.size,
+		InFlight:      len(g.running),
+		Capacity:      g.upstream.capacity,
+		Wait:          g.expectedWait(now, "", 0),
+		ServiceP50:    g.serviceTimes.p50(now, services),
+		ServiceP95:    g.serviceTimes.p95(now, services),
+		FirstChunkP50: g.firstChunkTimes.p50(now, firsts),
+		FirstChunkP95: g.firstChunkTimes.p95(now, firsts),
+		ChunkGapP95:   g.chunkGaps.p95(now, g.pendingChunkGaps(now)),
+		Draining:      len(g.drain.sources) > 0,
+		Stalled:       g.Stalled(now),
+		Models:        g.Models(now),
+		Finished:      g.finished,
+		Failed:        g.failed,
 	}
 }
 
--- a/core/gate/model.go
+++ b/core/gate/model.go
@@ -28,8 +28,8 @@
 	u.pendingUnloads = slices.DeleteFunc(u.pendingUnloads, func(e pendingUnload) bool { return e.model == model })
 }
 
-// Using returns how many waiting or running attempts use a model.
-func (g *Gate) Using(model string) int {
+// CountUsing returns how many waiting or running attempts use a model.
+func (g *Gate) CountUsing(model string) int {
 	count := 0
 	for _, list := range [][]*record{g.queue.all(), g.running} {
 		for _, r := range list {
@@ -62,5 +62,6 @@
 	return slices.Contains(g.Models(now), modelName(model, version))
 }
 
-// Reported returns the models that the engine reports, including those being unloaded.
-func (g *Gate) Reported() []string { return slices.Clone(g.upstream.models) }
+// ReportedModels returns the models that the engine reports, including those being
+// unloaded.
+func (g *Gate) ReportedModels() []string { return slices.Clone(g.upstream.models) }
--- a/core/gate/overload_test.go
+++ b/core/gate/overload_test.go
@@ -69,7 +69,7 @@
 	key := core.AttemptKey{Request: core.RequestID(fmt.Sprint(len(s.submitted))), Side: incarnation}
 	s.submitted[key] = simAttempt{workspace: workspace, at: s.now}
 	s.arrived[workspace]++
-	d := s.g.Submit(s.now, Ask{Key: key, Workspace: workspace, Remaining: s.deadline, Weight: 1, Cost: 1})
+	d := s.g.Submit(s.now, Attempt{Key: key, Workspace: workspace, Remaining: s.deadline, Weight: 1, Cost: 1})
 	if d.Verdict == Admitted {
 		s.g.Watch(key)
 	}
--- a/core/gate/promise_test.go
+++ b/core/gate/promise_test.go
@@ -154,7 +154,7 @@
 }
 
 // wasStarted reports whether attempt was started.
-func wasStarted(b *testBench, attempt Ask) bool {
+func wasStarted(b *testBench, attempt Attempt) bool {
 	for _, key := range b.started {
 		if key == attempt.Key {
 			return true
--- a/core/gate/protocol_test.go
+++ b/core/gate/protocol_test.go
@@ -103,7 +103,7 @@
 	if attempt == nil {
 		return
 	}
-	d := m.g.Submit(m.now, Ask{
+	d := m.g.Submit(m.now, Attempt{
 		Key:       attempt.key,
 		Workspace: rapid.SampledFrom([]string{"a", "b"}).Draw(m.t, "workspace"),
 		Ticket:    attempt.ticket,
--- a/core/gate/state.go
+++ b/core/gate/state.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// Why returns the reason for the upstream's present state.
-func (g *Gate) Why() string {
+// StateReason returns the reason for the upstream's present state.
+func (g *Gate) StateReason() string {
 	switch g.State() {
 	case stateConnecting, stateStalled:
 		return g.upstream.stallDetail()
--- a/core/gate/submit.go
+++ b/core/gate/submit.go
@@ -8,7 +8,7 @@
 )
 
 // Submit decides whether an attempt is admitted, and queues it if so.
-func (g *Gate) Submit(now time.Duration, attempt Ask) Decision {
+func (g *Gate) Submit(now time.Duration, attempt Attempt) Decision {
 	d := g.decide(now, attempt)
 	d.Queued = g.queue.size
 	d.Running = len(g.running)
@@ -23,7 +23,7 @@
 
 // decide returns the decision on attempt. Its only side effect is that it may evict
 // another attempt from a full queue.
-func (g *Gate) decide(now time.Duration, attempt Ask) Decision {
+func (g *Gate) decide(now time.Duration, attempt Attempt) Decision {
 	if attempt.Key.Side != g.options.Incarnation {
 		return refusal(ReasonIncarnation, 0, "the attempt is meant for another incarnation")
 	}
@@ -93,7 +93,7 @@
 }
 
 // checkUpstream refuses work that the upstream must not or can't accept.
-func (g *Gate) checkUpstream(now time.Duration, attempt Ask) (Decision, bool) {
+func (g *Gate) checkUpstream(now time.Duration, attempt Attempt) (Decision, bool) {
 	switch g.State() {
 	case stateDraining, stateDrained:
 		return refusal(ReasonDraining, 0, "the upstream is draining: %v", g.drain.sources), false
@@ -119,7 +119,7 @@
 // deadline and the margin is reserved for it. It has no precedence in the queue, so
 // that the sharing between workspaces holds; popNext starts it early if its deadline
 // is at risk.
-func waitMarginFor(attempt Ask) time.Duration {
+func waitMarginFor(attempt Attempt) time.Duration {
 	if attempt.Committed {
 		return 1
 	}
@@ -128,7 +128,7 @@
 
 // decideAdmission admits attempt if it can finish in time and the queue has room or
 // can evict another attempt.
-func (g *Gate) decideAdmission(now time.Duration, attempt Ask) Decision {
+func (g *Gate) decideAdmission(now time.Duration, attempt Attempt) Decision {
 	if g.options.FIFO {
 		return Decision{Verdict: Admitted}
 	}
@@ -169,7 +169,7 @@
 
 // enqueue adds an admitted attempt to the table and the queue. It has no reader
 // until Watch is called.
-func (g *Gate) enqueue(now time.Duration, attempt Ask) {
+func (g *Gate) enqueue(now time.Duration, attempt Attempt) {
 	r := newRecord(attempt)
 	if g.options.FIFO {
 		r.workspace, r.priority = "", 0
@@ -185,7 +185,7 @@
 }
 
 // newRecord returns a record for attempt.
-func newRecord(attempt Ask) *record {
+func newRecord(attempt Attempt) *record {
 	return &record{
 		key:       attempt.Key,
 		workspace: attempt.Workspace,
@@ -199,7 +199,7 @@
 
 // leaveTombstone adds or updates a tombstone for a claimed attempt that was refused.
 // An attempt for another incarnation needs none, since it can never be accepted.
-func (g *Gate) leaveTombstone(now time.Duration, attempt Ask, d Decision) {
+func (g *Gate) leaveTombstone(now time.Duration, attempt Attempt, d Decision) {
 	if known, ok := g.table[attempt.Key]; ok {
 		g.bindTombstone(now, known, attempt.Ticket)
 		return
--- a/core/gate/submit_test.go
+++ b/core/gate/submit_test.go
@@ -87,7 +87,7 @@
 	assert.Equal(t, b.submit(attempt).Reason, ReasonModelNotLoaded)
 	b.g.ObserveReport(b.now, Report{Models: []string{"m@1", "m@2"}})
 	b.admit(attempt)
-	assert.Equal(t, b.g.Using("m@2"), 1)
+	assert.Equal(t, b.g.CountUsing("m@2"), 1)
 	b.g.BeginUnload(b.now, "m@2")
 	// The report is delayed and still lists the model.
 	b.g.ObserveReport(b.now, Report{Models: []string{"m@1", "m@2"}})
--- a/core/gate/upstream.go
+++ b/core/gate/upstream.go
@@ -5,7 +5,7 @@
 // Report is an upstream's report of its own state.
 type Report struct {
 	Capacity int
-	Leaving  bool
+	Draining bool
 	// Models lists the loaded models as "model@version"; nil if the upstream is not an
 	// engine.
 	Models []string
@@ -73,13 +73,13 @@
 		u.stall = stallNone
 	}
 	g.fencing = max(g.fencing, report.LastFencing)
-	g.SetDrain(now, DrainNotice, report.Leaving)
+	g.SetDrain(now, DrainNotice, report.Draining)
 	g.updateState()
 }
 
-// Judged reports whether it is known if the upstream responds: it has either reported
-// or was silent for long enough to count as stalled.
-func (g *Gate) Judged() bool { return g.upstream.reported || g.upstream.stall != stallNone }
+// HealthKnown reports whether it is known if the upstream responds: it has either
+// reported or was silent for long enough to count as stalled.
+func (g *Gate) HealthKnown() bool { return g.upstream.reported || g.upstream.stall != stallNone }
 
 // ObserveSilence records that the upstream gave no report or refused a connection.
 func (g *Gate) ObserveSilence(now time.Duration) {
--- a/core/gate/upstream_test.go
+++ b/core/gate/upstream_test.go
@@ -93,7 +93,7 @@
 
 func TestDrainLastsUntilEverySourceEndsIt(t *testing.T) {
 	b := newTestBench(t, Options{})
-	b.g.ObserveReport(b.now, Report{Leaving: true})
+	b.g.ObserveReport(b.now, Report{Draining: true})
 	assert.Equal(t, b.submit(b.newAttempt("a")).Reason, ReasonDraining)
 	b.g.SetDrain(b.now, DrainHostList, true)
 	b.g.ObserveReport(b.now, Report{})
--- a/entry/claims/fixture_test.go
+++ b/entry/claims/fixture_test.go
@@ -155,7 +155,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	key := c.ClaimKey()
-	decision := s.gate.Submit(s.now, gate.Ask{
+	decision := s.gate.Submit(s.now, gate.Attempt{
 		Key:       keyOf(c.AttemptKey()),
 		Workspace: "w",
 		Ticket:    &gate.Ticket{Nonce: key.Nonce, Clock: time.Duration(key.SideClockUs) * time.Microsecond},
--- a/side/admin.go
+++ b/side/admin.go
@@ -79,7 +79,7 @@
 // fillStatus adds the gate's state.
 func fillStatus(s *Status, now time.Duration, g *gate.Gate) {
 	s.State = string(g.State())
-	s.Why = g.Why()
+	s.Why = g.StateReason()
 	s.ClockMS = now.Milliseconds()
 	s.LoadStatus = loadStatus(g.Load(now))
 	s.Drain = g.DrainSources()
@@ -101,8 +101,8 @@
 		WaitMS:       load.Wait.Milliseconds(),
 		ServiceP50MS: load.ServiceP50.Milliseconds(),
 		ServiceP95MS: load.ServiceP95.Milliseconds(),
-		FirstP95MS:   load.FirstP95.Milliseconds(),
-		GapP95MS:     load.GapP95.Milliseconds(),
+		FirstP95MS:   load.FirstChunkP95.Milliseconds(),
+		GapP95MS:     load.ChunkGapP95.Milliseconds(),
 		Draining:     load.Draining,
 		Stalled:      load.Stalled,
 		Models:       load.Models,
--- a/side/fields.go
+++ b/side/fields.go
@@ -33,7 +33,7 @@
 }
 
 // logDecision logs the gate's decision about a Run call. The mutex must be held.
-func (d *dispatcher) logDecision(request *wirepb.RunRequest, submission gate.Ask, decision gate.Decision) {
+func (d *dispatcher) logDecision(request *wirepb.RunRequest, submission gate.Attempt, decision gate.Decision) {
 	fields := mergeFields(attemptFields(submission.Key), observe.Fields{
 		"workspace":    submission.Workspace,
 		"queued":       decision.Queued,
--- a/side/keeper.go
+++ b/side/keeper.go
@@ -141,7 +141,7 @@
 		"upstream": string(d.options.upstream),
 		"from":     string(d.state),
 		"to":       string(state),
-		"reason":   d.gate.Why(),
+		"reason":   d.gate.StateReason(),
 	})
 	d.state = state
 }
--- a/side/message.go
+++ b/side/message.go
@@ -78,12 +78,12 @@
 
 // submissionOf converts a Run message to the gate's input. Cost is in tokens for an
 // engine, where a resumed attempt has fewer tokens remaining, and 1 for other upstreams.
-func submissionOf(request *wirepb.RunRequest, engine bool) gate.Ask {
+func submissionOf(request *wirepb.RunRequest, engine bool) gate.Attempt {
 	cost := 1
 	if engine {
 		cost = max(1, int(request.GetMaxTokens())-len(request.GetResume()))
 	}
-	return gate.Ask{
+	return gate.Attempt{
 		Key:       keyOf(request.GetKey()),
 		Workspace: request.GetWorkspace(),
 		Ticket:    ticketOf(request.GetClaim()),
@@ -140,9 +140,9 @@
 		WaitUs:       uint64(load.Wait.Microseconds()),
 		ServiceP50Us: uint64(load.ServiceP50.Microseconds()),
 		ServiceP95Us: uint64(load.ServiceP95.Microseconds()),
-		FirstP50Us:   uint64(load.FirstP50.Microseconds()),
-		FirstP95Us:   uint64(load.FirstP95.Microseconds()),
-		GapP95Us:     uint64(load.GapP95.Microseconds()),
+		FirstP50Us:   uint64(load.FirstChunkP50.Microseconds()),
+		FirstP95Us:   uint64(load.FirstChunkP95.Microseconds()),
+		GapP95Us:     uint64(load.ChunkGapP95.Microseconds()),
 		Draining:     load.Draining,
 		Stalled:      load.Stalled,
 		Models:       models,
--- a/side/monitor.go
+++ b/side/monitor.go
@@ -41,7 +41,7 @@
 // missed report is no proof: the upstream may be starting together with the sidecar.
 func (d *dispatcher) upstreamHealthKnown() bool {
 	known := false
-	d.read(func(time.Duration) { known = d.gate.Judged() })
+	d.read(func(time.Duration) { known = d.gate.HealthKnown() })
 	return known
 }
 
@@ -66,7 +66,7 @@
 	before := slices.Contains(d.gate.DrainSources(), gate.DrainNotice)
 	d.gate.ObserveReport(now, gate.Report{
 		Capacity:    status.Capacity,
-		Leaving:     status.Leaving,
+		Draining:    status.Leaving,
 		Models:      status.Models,
 		LastFencing: status.LastFencing,
 	})
--- a/side/orders.go
+++ b/side/orders.go
@@ -198,12 +198,12 @@
 // is unloaded when no attempt uses it. The dispatcher's mutex must be held.
 func (r *modelReconciler) unloadOrders(now time.Duration, plan enginePlan) []upstream.Order {
 	var list []upstream.Order
-	for _, model := range r.dispatcher.gate.Reported() {
+	for _, model := range r.dispatcher.gate.ReportedModels() {
 		if slices.Contains(plan.models, model) {
 			continue
 		}
 		r.dispatcher.gate.BeginUnload(now, model)
-		if r.dispatcher.gate.Using(model) == 0 {
+		if r.dispatcher.gate.CountUsing(model) == 0 {
 			list = append(list, newOrder(actionUnload, model, plan.version))
 		}
 	}
--- a/side/orders_test.go
+++ b/side/orders_test.go
@@ -75,7 +75,7 @@
 func (h *harness) reported() []string {
 	h.dispatcher.mu.Lock()
 	defer h.dispatcher.mu.Unlock()
-	return h.dispatcher.gate.Reported()
+	return h.dispatcher.gate.ReportedModels()
 }
 
 func TestModelInUseIsUnloadedWhenItsAttemptsHaveEnded(t *testing.T) {
