--- a/core/claim/actor_test.go
+++ b/core/claim/actor_test.go
@@ -13,17 +13,17 @@
 
 // rules has small limits, so that interleavings are short and some results are too
 // large for their record.
-var rules = claim.Rules{Patience: 1, MaxPatience: 4, MaxRounds: 4, MaxReads: 6, RetryAfter: 1, MaxResultBytes: 9}
+var rules = claim.Rules{MinWait: 1, MaxWait: 4, MaxRounds: 4, MaxReads: 6, RetryAfter: 1, MaxResultBytes: 9}
 
 // actor is one request at one entry. Each of its steps is either one effect or the
 // receipt of one response, so that any other event may happen in between.
 type actor struct {
 	w       *world
-	spec    claim.Ask
+	spec    claim.AttemptSpec
 	lookup  bool
 	rng     *rand.Rand
 	machine *claim.Machine
-	finish  *claim.Finishing
+	finish  *claim.ResultRecorder
 	// receive passes on the response that the next step receives; nil if none.
 	receive func()
 	// owned is the claim whose attempt is to be dispatched or was dispatched.
@@ -49,9 +49,9 @@
 	}
 	id := claim.Identity{Workspace: "w", Pipeline: "p", Key: key, Stage: "s"}
 	a := &actor{w: w, rng: rand.New(rand.NewPCG(uint64(w.started), uint64(w.pick("rng", 1<<16))))}
-	a.spec = claim.Ask{Identity: id, Request: request, Attempt: 1, Target: w.probe(w.pick("target", 2)), Minted: minted}
+	a.spec = claim.AttemptSpec{Identity: id, Request: request, Attempt: 1, Target: w.probe(w.pick("target", 2)), KeyGenerated: minted}
 	if w.disabled == noMintedRule {
-		a.spec.Minted = true
+		a.spec.KeyGenerated = true
 	}
 	lookupOdds := 6
 	if w.disabled == noEpoch {
@@ -61,7 +61,7 @@
 	}
 	a.lookup = !minted && w.pick("look", lookupOdds) == lookupOdds-1
 	if a.lookup {
-		a.machine = claim.Look(id, rules, a.rng)
+		a.machine = claim.Lookup(id, rules, a.rng)
 		return a
 	}
 	a.machine = claim.Open(a.spec, rules, a.rng)
@@ -159,7 +159,7 @@
 		a.w.fail("%s got the verdict %s and the key as not run, but %v ran", a.spec.Request, verdict.Status, ran)
 	}
 	switch verdict.Status {
-	case claim.Mine:
+	case claim.Owned:
 		a.owned, a.version = verdict.Record, verdict.Version
 		a.sent, a.noResponse, a.running = false, false, false
 		a.releasing = a.w.chance("release", 12)
--- a/core/claim/ask.go
+++ b/core/claim/ask.go
@@ -6,15 +6,15 @@
 	"acaciawinch/core"
 )
 
-// Ask describes the attempt for which a claim is opened.
-type Ask struct {
+// AttemptSpec describes the attempt for which a claim is opened.
+type AttemptSpec struct {
 	Identity
 	Request core.RequestID
 	Attempt uint32
 	Target  Target
-	// Minted is set if the entry generated the key itself, so that no other
+	// KeyGenerated is set if the entry generated the key itself, so that no other
 	// request can have it.
-	Minted bool
+	KeyGenerated bool
 	// DispatchWithin is the time after which the caller expects to dispatch the
 	// claimed stage; zero means immediately.
 	DispatchWithin time.Duration
@@ -23,29 +23,29 @@
 }
 
 // record returns an open record for the described attempt.
-func (a Ask) record(nonce uint64) Record {
+func (s AttemptSpec) record(nonce uint64) Record {
 	return Record{
-		Identity:         a.Identity,
+		Identity:         s.Identity,
 		State:            StateOpen,
-		Request:          a.Request,
-		Attempt:          a.Attempt,
+		Request:          s.Request,
+		Attempt:          s.Attempt,
 		Nonce:            nonce,
-		Minted:           a.Minted,
-		Target:           a.Target,
-		DispatchWithinMS: a.DispatchWithin.Milliseconds(),
-		CreatedUnix:      a.NowUnix,
+		Minted:           s.KeyGenerated,
+		Target:           s.Target,
+		DispatchWithinMS: s.DispatchWithin.Milliseconds(),
+		CreatedUnix:      s.NowUnix,
 	}
 }
 
 // Rules are the limits of the protocol. The zero value is not usable; see
 // DefaultRules.
 type Rules struct {
-	// Patience is the minimum wait before the sidecar of another request's open
+	// MinWait is the minimum wait before the sidecar of another request's open
 	// claim is queried: Resolve makes the sidecar refuse an attempt that was not
 	// dispatched yet. It doubles with each further round.
-	Patience time.Duration
-	// MaxPatience bounds each wait, also one for the owner's DispatchWithin.
-	MaxPatience time.Duration
+	MinWait time.Duration
+	// MaxWait bounds each wait, also one for the owner's DispatchWithin.
+	MaxWait time.Duration
 	// MaxRounds bounds how often an open claim of another request is found before
 	// the verdict is Unknown.
 	MaxRounds int
@@ -61,8 +61,8 @@
 // at most 700 KB in the record's base64, below the store's limit of 1 MB.
 func DefaultRules() Rules {
 	return Rules{
-		Patience:       25 * time.Millisecond,
-		MaxPatience:    time.Second,
+		MinWait:        25 * time.Millisecond,
+		MaxWait:        time.Second,
 		MaxRounds:      6,
 		MaxReads:       12,
 		RetryAfter:     time.Second,
--- a/core/claim/claim_test.go
+++ b/core/claim/claim_test.go
@@ -13,17 +13,17 @@
 
 // newAttempt returns the description of an attempt with the given key and body, and
 // a random source.
-func newAttempt(key, body string) (claim.Ask, *rand.Rand) {
+func newAttempt(key, body string) (claim.AttemptSpec, *rand.Rand) {
 	id := claim.Identity{Workspace: "w", Pipeline: "p", Key: key, Stage: "s", BodyDigest: claim.DigestBody([]byte(body))}
 	target := claim.Target{Upstream: "u", Addr: "127.0.0.1:1", Incarnation: 7, SideClockUS: 3}
-	return claim.Ask{Identity: id, Request: "r", Attempt: 1, Target: target, NowUnix: 100}, rand.New(rand.NewPCG(1, 2))
+	return claim.AttemptSpec{Identity: id, Request: "r", Attempt: 1, Target: target, NowUnix: 100}, rand.New(rand.NewPCG(1, 2))
 }
 
 // openConflicted returns a machine whose create conflicted with an existing claim
 // and that expects the result of the read.
-func openConflicted(t *testing.T, a claim.Ask, rng *rand.Rand) *claim.Machine {
+func openConflicted(t *testing.T, spec claim.AttemptSpec, rng *rand.Rand) *claim.Machine {
 	t.Helper()
-	m := claim.Open(a, claim.DefaultRules(), rng)
+	m := claim.Open(spec, claim.DefaultRules(), rng)
 	assert.Equal(t, m.Next().Call, claim.CallCreate)
 	assert.NilError(t, m.Wrote(claim.WriteConflict, 0))
 	assert.Equal(t, m.Next().Call, claim.CallRead)
@@ -55,34 +55,34 @@
 }
 
 func TestDeletedClaimIsUnknown(t *testing.T) {
-	a, rng := newAttempt("k", "body")
-	other := a
+	spec, rng := newAttempt("k", "body")
+	other := spec
 	other.Request = "r2"
 	written := claim.Open(other, claim.DefaultRules(), rng).Next().Record
-	m := openConflicted(t, a, rng)
+	m := openConflicted(t, spec, rng)
 	assert.NilError(t, m.Found(written, 1))
 	assert.NilError(t, m.Waited())
-	assert.NilError(t, m.Resolved(claim.SideAnswer{State: claim.SideNotRun, Incarnation: 7}))
+	assert.NilError(t, m.Resolved(claim.SidecarResponse{State: claim.SideNotRun, Incarnation: 7}))
 	assert.NilError(t, m.Wrote(claim.WriteConflict, 0))
 	assert.NilError(t, m.Missing())
 	assert.Equal(t, m.Verdict().Status, claim.Unknown)
 }
 
 func TestUnexpectedResponseIsAnInternalError(t *testing.T) {
-	a, rng := newAttempt("k", "body")
-	m := claim.Open(a, claim.DefaultRules(), rng)
+	spec, rng := newAttempt("k", "body")
+	m := claim.Open(spec, claim.DefaultRules(), rng)
 	assert.Assert(t, fault.Is(m.Waited(), fault.Internal))
 	assert.Assert(t, fault.Is(m.Missing(), fault.Internal))
-	assert.Assert(t, fault.Is(m.Resolved(claim.SideAnswer{}), fault.Internal))
+	assert.Assert(t, fault.Is(m.Resolved(claim.SidecarResponse{}), fault.Internal))
 	assert.NilError(t, m.Wrote(claim.WriteOK, 1))
-	assert.Equal(t, m.Verdict().Status, claim.Mine)
+	assert.Equal(t, m.Verdict().Status, claim.Owned)
 	assert.Assert(t, fault.Is(m.Wrote(claim.WriteOK, 1), fault.Internal))
 }
 
 func TestRecordFitsTheStore(t *testing.T) {
 	rules := claim.DefaultRules()
-	a, rng := newAttempt("k", "body")
-	record := claim.Open(a, rules, rng).Next().Record
+	spec, rng := newAttempt("k", "body")
+	record := claim.Open(spec, rules, rng).Next().Record
 	record.Result = claim.NewResult([][]byte{make([]byte, rules.MaxResultBytes)}, rules.MaxResultBytes)
 	assert.Assert(t, !record.Result.Omitted)
 	value, err := record.Encode()
--- a/core/claim/events.go
+++ b/core/claim/events.go
@@ -20,7 +20,7 @@
 // Events of the claim chart.
 const (
 	eventOpen            chart.Event = "open"
-	eventLook            chart.Event = "look"
+	eventLookup          chart.Event = "look"
 	eventReplace         chart.Event = "replace"
 	eventWritten         chart.Event = "written"
 	eventRetired         chart.Event = "retired"
@@ -54,7 +54,7 @@
 
 // verdictOf maps the chart's final states to verdicts.
 var verdictOf = map[chart.State]Status{
-	"mine":        Mine,
+	"mine":        Owned,
 	"done":        Done,
 	"running":     Running,
 	"unknown":     Unknown,
--- a/core/claim/expiry.go
+++ b/core/claim/expiry.go
@@ -15,7 +15,7 @@
 	idleMargin = time.Hour
 )
 
-// Expiry decides which claims are old enough to delete. See must be called with
+// Expiry decides which claims are old enough to delete. Observe must be called with
 // every claim that a pass over the store reads.
 //
 // The wall clock of a single host is not trusted. The current time is assumed to
@@ -30,8 +30,8 @@
 	newest int64
 }
 
-// See records the creation time of a claim if it is the newest so far.
-func (e *Expiry) See(record Record) {
+// Observe records the creation time of a claim if it is the newest so far.
+func (e *Expiry) Observe(record Record) {
 	e.newest = max(e.newest, record.CreatedUnix)
 }
 
--- a/core/claim/gate_test.go
+++ b/core/claim/gate_test.go
@@ -87,10 +87,10 @@
 }
 
 // resolve implements sideProcess.
-func (s *gateSide) resolve(w *world, record claim.Record) claim.SideAnswer {
+func (s *gateSide) resolve(w *world, record claim.Record) claim.SidecarResponse {
 	state, _ := s.gate.Resolve(s.now, record.AttemptKey(), ticketOf(record))
 	s.advance(w)
-	response := claim.SideAnswer{Incarnation: s.incarnation, State: sideStates[state]}
+	response := claim.SidecarResponse{Incarnation: s.incarnation, State: sideStates[state]}
 	if state == gate.StateDone {
 		response.Chunks = resultOf(s.records[record.AttemptKey()])
 	}
--- a/core/claim/inputs.go
+++ b/core/claim/inputs.go
@@ -7,7 +7,7 @@
 
 // Wrote processes the store's response to a create or an update. The argument
 // version is the new version if the write took effect.
-func (m *Machine) Wrote(response WriteAnswer, version uint64) error {
+func (m *Machine) Wrote(response WriteResponse, version uint64) error {
 	if err := m.expectState(stateCreating, stateUpdating); err != nil {
 		return err
 	}
@@ -25,7 +25,7 @@
 // of the first nonce. Every other response leads to a read or ends without a
 // dispatch. An ambiguous create that takes effect after the verdict leaves an
 // open claim that nobody dispatches; the Resolve of the next caller proves that.
-func (m *Machine) handleCreate(response WriteAnswer, version uint64) {
+func (m *Machine) handleCreate(response WriteResponse, version uint64) {
 	switch response {
 	case WriteOK:
 		m.observe(m.first, version)
@@ -48,7 +48,7 @@
 // the nonce in between. After a conflict, pending is kept: the version may have
 // been changed by an earlier transmission of the same update, whose response was
 // lost.
-func (m *Machine) handleUpdate(response WriteAnswer, version uint64) {
+func (m *Machine) handleUpdate(response WriteResponse, version uint64) {
 	switch response {
 	case WriteOK:
 		m.updateApplied(version)
@@ -91,11 +91,11 @@
 }
 
 // endOwned ends the machine with the attempt owned. The verdict does not say that
-// the key has not run, unless the key is minted: while the response was in flight,
+// the key has not run, unless the key is generated: while the response was in flight,
 // another request may have had the attempt refused and have run its own. Release
 // can prove that the key has not run.
 func (m *Machine) endOwned(event chart.Event) {
-	m.end(event, Verdict{KeyNotRun: m.spec.Minted})
+	m.end(event, Verdict{KeyNotRun: m.spec.KeyGenerated})
 }
 
 // Missing processes a read that found no object.
@@ -221,7 +221,7 @@
 // request must not run, even if a later request with the key has reopened the
 // claim.
 func (m *Machine) foundLaterEpoch(record Record) {
-	m.end(eventClosed, Verdict{KeyNotRun: m.spec.Minted || record.State == StateAbandoned})
+	m.end(eventClosed, Verdict{KeyNotRun: m.spec.KeyGenerated || record.State == StateAbandoned})
 }
 
 // foundAbandoned processes a claim whose last attempt was proved not to have run.
--- a/core/claim/machine.go
+++ b/core/claim/machine.go
@@ -32,7 +32,7 @@
 // constant, until the call is CallNone. A Machine does no I/O and must not be used
 // by several goroutines at once.
 type Machine struct {
-	spec  Ask
+	spec  AttemptSpec
 	name  string
 	rules Rules
 	rng   *rand.Rand
@@ -71,7 +71,7 @@
 // Open returns a machine that claims the described attempt. Nonces come from rng:
 // they must differ from those of all other processes, so production code seeds it
 // from the system's random source.
-func Open(spec Ask, rules Rules, rng *rand.Rand) *Machine {
+func Open(spec AttemptSpec, rules Rules, rng *rand.Rand) *Machine {
 	m := newMachine(spec, rules, rng, goalRun)
 	m.first = spec.record(m.nonce())
 	m.spec.Attempt++
@@ -105,32 +105,32 @@
 	return m
 }
 
-// Look returns a machine that looks up the outcome of a claim without running the
+// Lookup returns a machine that looks up the outcome of a claim without running the
 // stage. An attempt that has not run is abandoned, so that the verdict NotRun
 // stays true of the request that had claimed it: the sidecar refuses its dispatch
 // because of the tombstone, and its Reassign fails because the version is newer.
-func Look(id Identity, rules Rules, rng *rand.Rand) *Machine {
-	m := newMachine(Ask{Identity: id}, rules, rng, goalLookup)
-	m.fire(eventLook)
+func Lookup(id Identity, rules Rules, rng *rand.Rand) *Machine {
+	m := newMachine(AttemptSpec{Identity: id}, rules, rng, goalLookup)
+	m.fire(eventLookup)
 	return m
 }
 
 // newMachine returns a machine in the chart's initial state.
-func newMachine(spec Ask, rules Rules, rng *rand.Rand, g goal) *Machine {
+func newMachine(spec AttemptSpec, rules Rules, rng *rand.Rand, g goal) *Machine {
 	name := spec.Name()
 	return &Machine{spec: spec, name: name, rules: rules, rng: rng, goal: g, chart: claimChart.Start(name)}
 }
 
 // specOf returns the description of the attempt that follows an owned one, at the
 // given target.
-func specOf(owned Record, target Target) Ask {
-	return Ask{
-		Identity: owned.Identity,
-		Request:  owned.Request,
-		Attempt:  owned.Attempt + 1,
-		Target:   target,
-		Minted:   owned.Minted,
-		NowUnix:  owned.CreatedUnix,
+func specOf(owned Record, target Target) AttemptSpec {
+	return AttemptSpec{
+		Identity:     owned.Identity,
+		Request:      owned.Request,
+		Attempt:      owned.Attempt + 1,
+		Target:       target,
+		KeyGenerated: owned.Minted,
+		NowUnix:      owned.CreatedUnix,
 	}
 }
 
@@ -231,8 +231,8 @@
 // queried. The random part keeps two callers that replace each other's attempts
 // from doing so in lockstep.
 func (m *Machine) waitTime() time.Duration {
-	wait := m.rules.Patience << min(m.rounds-1, maxDoublings)
+	wait := m.rules.MinWait << min(m.rounds-1, maxDoublings)
 	wait += time.Duration(m.rng.Int64N(int64(wait) + 1))
 	wait = max(wait, m.seen.DispatchWithin())
-	return min(wait, m.rules.MaxPatience)
+	return min(wait, m.rules.MaxWait)
 }
--- a/core/claim/resolve.go
+++ b/core/claim/resolve.go
@@ -1,7 +1,7 @@
 package claim
 
 // Resolved processes the sidecar's response about the attempt in the seen record.
-func (m *Machine) Resolved(response SideAnswer) error {
+func (m *Machine) Resolved(response SidecarResponse) error {
 	if err := m.expectState(stateAsking); err != nil {
 		return err
 	}
@@ -29,7 +29,7 @@
 // incarnation is not the one in the claim. A sidecar that was restarted, or another
 // host that got the address, has an empty table: its "never seen" proves nothing
 // about what the earlier process handed to the upstream.
-func (m *Machine) verifiedState(response SideAnswer) SideState {
+func (m *Machine) verifiedState(response SidecarResponse) SideState {
 	if response.State == SideUnreachable {
 		return SideUnreachable
 	}
@@ -75,7 +75,7 @@
 	case state == stateWaiting || state == stateAsking || m.otherMayRun():
 		m.end(eventGaveUp, Verdict{RetryAfter: m.rules.RetryAfter})
 	default:
-		m.end(eventOutOfTime, Verdict{RetryAfter: m.rules.RetryAfter, KeyNotRun: m.spec.Minted})
+		m.end(eventOutOfTime, Verdict{RetryAfter: m.rules.RetryAfter, KeyNotRun: m.spec.KeyGenerated})
 	}
 }
 
@@ -91,10 +91,10 @@
 		m.end(eventLostSight, Verdict{RetryAfter: m.rules.RetryAfter})
 		return
 	}
-	m.end(eventStoreDown, Verdict{RetryAfter: m.rules.RetryAfter, KeyNotRun: m.spec.Minted})
+	m.end(eventStoreDown, Verdict{RetryAfter: m.rules.RetryAfter, KeyNotRun: m.spec.KeyGenerated})
 }
 
 // otherMayRun reports whether another request is known to have claimed the stage.
-// Besides its owner, only lookups write the claim of a minted key, and they run
+// Besides its owner, only lookups write the claim of a generated key, and they run
 // nothing.
-func (m *Machine) otherMayRun() bool { return m.otherWrote && !m.spec.Minted }
+func (m *Machine) otherMayRun() bool { return m.otherWrote && !m.spec.KeyGenerated }
--- a/core/claim/step.go
+++ b/core/claim/step.go
@@ -12,8 +12,8 @@
 
 // The verdicts.
 const (
-	// Mine: the caller owns the attempt and may dispatch it, once.
-	Mine Status = iota + 1
+	// Owned: the caller owns the attempt and may dispatch it, once.
+	Owned Status = iota + 1
 	// Done: the stage ran; its result is present.
 	Done
 	// Running: an attempt of another request with the same key is running; attach
@@ -34,7 +34,7 @@
 )
 
 var statusNames = map[Status]string{
-	Mine:        "mine",
+	Owned:       "mine",
 	Done:        "done",
 	Running:     "running",
 	Unknown:     "unknown",
@@ -61,8 +61,8 @@
 	Recorded bool
 	// KeyNotRun is set if no attempt of any request with this key had run at the
 	// moment on which the verdict is based, and those that had claimed it by then
-	// never will. It can be set with NotRun and, for a minted key, with Mine and
-	// Unavailable: no other request can have a minted key.
+	// never will. It can be set with NotRun and, for a generated key, with Owned and
+	// Unavailable: no other request can have a generated key.
 	KeyNotRun bool
 	// RetryAfter is when a retry may succeed; zero if a retry is of no use.
 	RetryAfter time.Duration
@@ -102,13 +102,13 @@
 	Wait    time.Duration
 }
 
-// WriteAnswer is the store's response to a conditional write.
-type WriteAnswer int
+// WriteResponse is the store's response to a conditional write.
+type WriteResponse int
 
 // The responses to a write.
 const (
 	// WriteOK: the write took effect.
-	WriteOK WriteAnswer = iota + 1
+	WriteOK WriteResponse = iota + 1
 	// WriteConflict: the condition did not hold.
 	WriteConflict
 	// WriteAmbiguous: the write may have taken effect, or may do so later.
@@ -137,8 +137,8 @@
 	SideUnreachable
 )
 
-// SideAnswer is a sidecar's response to Resolve.
-type SideAnswer struct {
+// SidecarResponse is a sidecar's response to Resolve.
+type SidecarResponse struct {
 	State SideState
 	// Incarnation is that of the responding sidecar.
 	Incarnation core.Incarnation
--- a/core/claim/world_test.go
+++ b/core/claim/world_test.go
@@ -65,7 +65,7 @@
 	id() core.Incarnation
 	clock() uint64
 	run(w *world, record claim.Record) dispatchOutcome
-	resolve(w *world, record claim.Record) claim.SideAnswer
+	resolve(w *world, record claim.Record) claim.SidecarResponse
 	// tick advances the clock, evict drops old results, and endRuns ends all running
 	// attempts.
 	tick(ticks uint64)
@@ -160,7 +160,7 @@
 }
 
 // apply carries out a conditional write.
-func (w *world) apply(step claim.Step) (claim.WriteAnswer, uint64) {
+func (w *world) apply(step claim.Step) (claim.WriteResponse, uint64) {
 	name := w.name(step)
 	current, exists := w.objects[name]
 	create := step.Call == claim.CallCreate
@@ -177,7 +177,7 @@
 }
 
 // write calls apply, with faults of the network and the store.
-func (w *world) write(step claim.Step) (claim.WriteAnswer, uint64) {
+func (w *world) write(step claim.Step) (claim.WriteResponse, uint64) {
 	if w.down {
 		return claim.WriteUnavailable, 0
 	}
@@ -248,16 +248,16 @@
 }
 
 // resolve queries the sidecar of an attempt, which may be unreachable.
-func (w *world) resolve(record claim.Record) claim.SideAnswer {
+func (w *world) resolve(record claim.Record) claim.SidecarResponse {
 	if w.chance("unreachable", 8) {
-		return claim.SideAnswer{State: claim.SideUnreachable}
+		return claim.SidecarResponse{State: claim.SideUnreachable}
 	}
 	return w.side(record.Target).resolve(w, record)
 }
 
 // resolve implements sideProcess.
-func (s *sideModel) resolve(w *world, record claim.Record) claim.SideAnswer {
-	response := claim.SideAnswer{Incarnation: s.incarnation}
+func (s *sideModel) resolve(w *world, record claim.Record) claim.SidecarResponse {
+	response := claim.SidecarResponse{Incarnation: s.incarnation}
 	if w.disabled == noResolveIncarnation {
 		response.Incarnation = record.Target.Incarnation
 	} else if record.Target.Incarnation != s.incarnation {
--- a/entry/claims/drive.go
+++ b/entry/claims/drive.go
@@ -62,7 +62,7 @@
 
 // write makes one conditional write. It returns an error only if the record can't be
 // encoded; errors of the store are part of the returned result.
-func (k *Keeper) write(ctx context.Context, step claim.Step) (claim.WriteAnswer, uint64, error) {
+func (k *Keeper) write(ctx context.Context, step claim.Step) (claim.WriteResponse, uint64, error) {
 	value, err := step.Record.Encode()
 	if err != nil {
 		return 0, 0, err
@@ -78,7 +78,7 @@
 
 // classifyWrite classifies the error of a write. An error that doesn't prove that the
 // write had no effect is ambiguous.
-func classifyWrite(err error) claim.WriteAnswer {
+func classifyWrite(err error) claim.WriteResponse {
 	switch fault.CodeOf(err) {
 	case "":
 		return claim.WriteOK
@@ -108,7 +108,7 @@
 }
 
 // resolve asks the sidecar that the record names for the state of the record's attempt.
-func (k *Keeper) resolve(ctx context.Context, record claim.Record) claim.SideAnswer {
+func (k *Keeper) resolve(ctx context.Context, record claim.Record) claim.SidecarResponse {
 	attempt := Claim{Record: record}
 	req := &wirepb.ResolveRequest{Key: attempt.AttemptKey(), Claim: attempt.ClaimKey()}
 	reply, err := k.resolver.Resolve(ctx, record.Target.Addr, req)
@@ -116,9 +116,9 @@
 		k.log.Warn(event.ClaimSideUnreachable, observe.Fields{
 			"claim": record.Name(), "upstream": record.Target.Upstream, "addr": record.Target.Addr, "error": err.Error(),
 		})
-		return claim.SideAnswer{State: claim.SideUnreachable}
+		return claim.SidecarResponse{State: claim.SideUnreachable}
 	}
-	return claim.SideAnswer{
+	return claim.SidecarResponse{
 		State:       sideStates[reply.State],
 		Incarnation: core.Incarnation(reply.Incarnation),
 		Chunks:      reply.Chunks,
@@ -139,17 +139,17 @@
 // have sent the response, off the critical path. The calls are bounded by ctx. An error
 // means that the claim stays open; the sidecar still keeps the result for some time.
 func (k *Keeper) Finish(ctx context.Context, c Claim, chunks [][]byte) error {
-	finishing := claim.Finish(c.Record, c.Version, chunks, k.rules)
+	recorder := claim.Finish(c.Record, c.Version, chunks, k.rules)
 	for {
-		step := finishing.Next()
+		step := recorder.Next()
 		if step.Call == claim.CallNone {
 			break
 		}
-		if err := k.finishCall(ctx, finishing, step); err != nil {
+		if err := k.finishCall(ctx, recorder, step); err != nil {
 			return err
 		}
 	}
-	err := finishing.Err()
+	err := recorder.Err()
 	if err != nil {
 		k.log.Warn(event.ClaimNotRecorded, observe.Fields{"claim": c.Record.Name(), "error": err.Error()})
 	}
@@ -157,29 +157,29 @@
 }
 
 // finishCall makes one call that recording a result requires and passes on its result.
-func (k *Keeper) finishCall(ctx context.Context, finishing *claim.Finishing, step claim.Step) error {
+func (k *Keeper) finishCall(ctx context.Context, recorder *claim.ResultRecorder, step claim.Step) error {
 	k.metrics.called(step.Call)
 	if step.Call == claim.CallUpdate {
 		result, _, err := k.write(ctx, step)
 		if err == nil {
-			finishing.Wrote(result)
+			recorder.Wrote(result)
 		}
 		return err
 	}
 	object, err := k.objects.Get(ctx, step.Name)
 	if fault.Is(err, fault.NotFound) {
-		finishing.Missing()
+		recorder.Missing()
 		return nil
 	}
 	if err != nil {
-		finishing.Unreadable()
+		recorder.Unreadable()
 		return nil
 	}
 	record, err := claim.Decode(object.Value)
 	if err != nil {
 		return err
 	}
-	finishing.Found(record, object.Version)
+	recorder.Found(record, object.Version)
 	return nil
 }
 
--- a/entry/claims/fixture_test.go
+++ b/entry/claims/fixture_test.go
@@ -197,7 +197,7 @@
 	dialer := link.NewDialer(fleetKey)
 	t.Cleanup(func() { _ = dialer.Close() })
 	rules := claim.DefaultRules()
-	rules.Patience = time.Millisecond
+	rules.MinWait = time.Millisecond
 	rules.MaxResultBytes = 10
 	f.keeper = New(Options{Objects: f.store, Resolver: SideResolver{Dialer: dialer}, Log: logger, Rules: rules})
 	return f
--- a/entry/claims/keeper.go
+++ b/entry/claims/keeper.go
@@ -20,7 +20,7 @@
 
 // The verdicts. Package core/claim documents what each of them proves.
 const (
-	Mine        = claim.Mine
+	Mine        = claim.Owned
 	Done        = claim.Done
 	Running     = claim.Running
 	Unknown     = claim.Unknown
@@ -194,12 +194,12 @@
 // an attempt that has not been dispatched yet will be refused from now on.
 func (k *Keeper) Look(ctx context.Context, workspace, pipeline, key, stage string) (Held, error) {
 	id := claim.Identity{Workspace: workspace, Pipeline: pipeline, Key: key, Stage: stage}
-	return k.drive(ctx, "look", claim.Look(id, k.rules, k.newRand()))
+	return k.drive(ctx, "look", claim.Lookup(id, k.rules, k.newRand()))
 }
 
 // protocolAsk converts an Ask to that of the protocol.
-func (k *Keeper) protocolAsk(ask Ask) claim.Ask {
-	return claim.Ask{
+func (k *Keeper) protocolAsk(ask Ask) claim.AttemptSpec {
+	return claim.AttemptSpec{
 		Identity: claim.Identity{
 			Workspace:  ask.Workspace,
 			Pipeline:   ask.Pipeline,
@@ -210,7 +210,7 @@
 		Request:        ask.Request,
 		Attempt:        ask.Attempt,
 		Target:         ask.Target,
-		Minted:         ask.Minted,
+		KeyGenerated:   ask.Minted,
 		DispatchWithin: ask.DispatchWithin,
 		NowUnix:        k.now().Unix(),
 	}
--- a/entry/claims/keeper_test.go
+++ b/entry/claims/keeper_test.go
@@ -149,7 +149,7 @@
 	_, err := f.keeper.Open(context.Background(), ask)
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	f.keeper.rules.MaxPatience = time.Hour
+	f.keeper.rules.MaxWait = time.Hour
 	f.store.afterRead = func() { go cancel() }
 	held, err := f.keeper.Open(ctx, f.ask("k"))
 	assert.NilError(t, err)
@@ -190,7 +190,7 @@
 				Hosts: func() []fleet.Host { return entries },
 			})
 			// The sweeper has seen a recent claim, from which it estimates the present time.
-			sweeper.expiry.See(claim.Record{CreatedUnix: start.Unix()})
+			sweeper.expiry.Observe(claim.Record{CreatedUnix: start.Unix()})
 			sweeper.limiter = rate.NewLimiter(1, 1000)
 			sweeper.pass(context.Background())
 		}
--- a/entry/claims/sweep.go
+++ b/entry/claims/sweep.go
@@ -153,7 +153,7 @@
 			continue
 		}
 		records[i] = record
-		s.expiry.See(record)
+		s.expiry.Observe(record)
 	}
 	now := s.options.Now().Unix()
 	for i, object := range page {
