--- a/core/request/action.go
+++ b/core/request/action.go
@@ -173,12 +173,12 @@
 
 // The kinds of notes.
 const (
-	NoteDropped  NoteKind = "dropped"
-	NoteStayed   NoteKind = "stayed"
-	NoteNoHedge  NoteKind = "no_hedge"
-	NoteKept     NoteKind = "kept_result"
-	NoteLeft     NoteKind = "left"
-	NoteSettling NoteKind = "settling"
+	NoteDropped    NoteKind = "dropped"
+	NoteKeptSilent NoteKind = "stayed"
+	NoteNoHedge    NoteKind = "no_hedge"
+	NoteKept       NoteKind = "kept_result"
+	NoteReplaced   NoteKind = "left"
+	NoteSettling   NoteKind = "settling"
 	// NoteTrial: a stage is tried although its upstreams are estimated to be too slow.
 	NoteTrial NoteKind = "trial"
 	// NoteBug: a state chart was violated.
--- a/core/request/ahead.go
+++ b/core/request/ahead.go
@@ -41,12 +41,12 @@
 // retries.
 func (m *Machine) checkRefused(a *attempt, e NotChosen) {
 	s := a.stage
-	idle := e.Late && e.RetryAfter <= m.rules.MaxTrialWait && s.spec.Declared > 0
+	idle := e.LackOfTime && e.RetryAfter <= m.rules.MaxTrialWait && s.spec.Declared > 0
 	switch {
 	case idle || m.ending != nil:
 		m.end(a, EndCancelled, "")
 		m.finishCheck(a)
-	case !e.Late && s.choiceRetries < m.rules.ChooseTries:
+	case !e.LackOfTime && s.choiceRetries < m.rules.ChooseTries:
 		s.choiceRetries++
 		m.choose(a, m.rules.ChooseBackoff)
 	default:
--- a/core/request/claimed_test.go
+++ b/core/request/claimed_test.go
@@ -47,7 +47,7 @@
 	assert.Equal(t, actionsOf[Run](s)[1].Stage, 2)
 	s.handle(Chunk{Attempt: 3, Index: 0, Data: []byte("x")}, done(3, "x"), Finished{Attempt: 0, Recorded: true})
 	assert.Equal(t, s.outcome().Outcome, core.OutcomeAnswered)
-	assert.Assert(t, s.m.Over())
+	assert.Assert(t, s.m.Finished())
 }
 
 func TestStoreDownIsNotRun(t *testing.T) {
--- a/core/request/event.go
+++ b/core/request/event.go
@@ -24,9 +24,9 @@
 // NotChosen reports that no upstream could be chosen for an attempt.
 type NotChosen struct {
 	Attempt AttemptID
-	// Late is set if upstreams could do the work, but not in time. Otherwise no
+	// LackOfTime is set if upstreams could do the work, but not in time. Otherwise no
 	// upstream responds or is fit for the work, which may last only a moment.
-	Late       bool
+	LackOfTime bool
 	RetryAfter time.Duration
 	Detail     string
 }
@@ -66,8 +66,8 @@
 type Refused struct {
 	Attempt AttemptID
 	Refusal Refusal
-	// Late is set if the sidecar could do the work, but not in time.
-	Late       bool
+	// LackOfTime is set if the sidecar could do the work, but not in time.
+	LackOfTime bool
 	RetryAfter time.Duration
 	Detail     string
 }
--- a/core/request/failure.go
+++ b/core/request/failure.go
@@ -21,7 +21,7 @@
 	}
 	s := a.stage
 	s.retryAfter = max(s.retryAfter, e.RetryAfter)
-	s.late = s.late || e.Late
+	s.lackOfTime = s.lackOfTime || e.LackOfTime
 	if s.spec.NonIdempotent {
 		m.claimedRefused(a, e)
 		return
@@ -61,7 +61,7 @@
 // refusedCause returns the cause of giving up a request whose stage was refused by
 // the sidecars.
 func (s *stage) refusedCause() GiveUpCause {
-	if s.late {
+	if s.lackOfTime {
 		return GiveUpOverload
 	}
 	return GiveUpNoUpstream
@@ -227,11 +227,11 @@
 	if _, fits := m.allowance(s); !fits || !m.mayRetry(s) {
 		a.keepUntil = m.now.Add(m.rules.KeepSilentFor)
 		a.pingDue = a.keepUntil
-		m.note(a, NoteStayed, reason+"; kept, since there is no time or budget for another attempt")
+		m.note(a, NoteKeptSilent, reason+"; kept, since there is no time or budget for another attempt")
 		return
 	}
 	s.stalled++
-	m.note(a, NoteLeft, reason)
+	m.note(a, NoteReplaced, reason)
 	m.cancel(a, CancelSuperseded, how, reason)
 	event := "failed"
 	if s.call.State() == "reattaching" {
--- a/core/request/machine.go
+++ b/core/request/machine.go
@@ -12,7 +12,7 @@
 // concurrent use.
 type Machine struct {
 	plan     Plan
-	services Knowledge
+	services Services
 	rules    Rules
 	// lifecycle holds the state in the request chart.
 	lifecycle *chart.Machine
@@ -65,14 +65,14 @@
 	trial      bool
 	exclude    []core.UpstreamID
 	retryAfter time.Duration
-	// late is set once a sidecar refused for lack of time or capacity.
-	late bool
+	// lackOfTime is set once a sidecar refused for lack of time or capacity.
+	lackOfTime bool
 
 	claim claimState
 }
 
 // New returns the machine of one request. The id identifies it in errors.
-func New(id core.RequestID, plan Plan, services Knowledge, rules Rules) *Machine {
+func New(id core.RequestID, plan Plan, services Services, rules Rules) *Machine {
 	m := &Machine{
 		plan:      plan,
 		services:  services,
@@ -159,8 +159,8 @@
 // Answered reports whether the caller has its final answer.
 func (m *Machine) Answered() bool { return m.answered }
 
-// Over reports whether all work has ended, including the work after the answer.
-func (m *Machine) Over() bool {
+// Finished reports whether all work has ended, including the work after the answer.
+func (m *Machine) Finished() bool {
 	if !m.answered {
 		return false
 	}
--- a/core/request/machine_test.go
+++ b/core/request/machine_test.go
@@ -22,7 +22,7 @@
 		w := newSimulation(t, stages, claimed)
 		gone := w.random.IntN(500)
 		denied := w.random.IntN(200)
-		for i := 0; i < maxSteps && (!w.m.Over() || len(w.pending) > 0); i++ {
+		for i := 0; i < maxSteps && (!w.m.Finished() || len(w.pending) > 0); i++ {
 			if i == gone {
 				w.handle(CallerGone{})
 			}
@@ -37,7 +37,7 @@
 
 // check compares the answer of a request that is over with what actually ran.
 func (w *simulation) check(claimed int) {
-	assert.Assert(w.t, w.m.Over(), "the request has not ended after maxSteps steps")
+	assert.Assert(w.t, w.m.Finished(), "the request has not ended after maxSteps steps")
 	assert.Equal(w.t, w.answers, 1)
 	assert.Assert(w.t, !w.answerAt.After(w.deadline), "the answer came %s after the deadline", w.answerAt.Sub(w.deadline))
 	for i, chunk := range w.emitted {
--- a/core/request/plan.go
+++ b/core/request/plan.go
@@ -23,9 +23,9 @@
 // Plan describes a request. It is immutable.
 type Plan struct {
 	Stages []Stage
-	// Minted is set if the entry generated the idempotency key itself. No other
+	// KeyGenerated is set if the entry generated the idempotency key itself. No other
 	// request can use the key, so an unused claim need not be released.
-	Minted bool
+	KeyGenerated bool
 	// Deadline is the time allowed, counted from Start.
 	Deadline time.Duration
 }
@@ -39,8 +39,8 @@
 	Withdraw(now time.Time) bool
 }
 
-// Knowledge is the entry's view of the services, shared by all requests.
-type Knowledge interface {
+// Services is the entry's view of the services, shared by all requests.
+type Services interface {
 	// Estimate returns the latency estimate of a service.
 	Estimate(service string) latency.Estimate
 	// RetryBudget and HedgeBudget bound the extra calls of a service.
--- a/core/request/resolve.go
+++ b/core/request/resolve.go
@@ -99,7 +99,7 @@
 // release releases a claim under which nothing has run. No caller knows a key
 // that the entry generated itself, so its claim is left to expire.
 func (m *Machine) release(s *stage) {
-	if !s.claim.held || s.claim.used || s.claim.inFlight > 0 || m.plan.Minted {
+	if !s.claim.held || s.claim.used || s.claim.inFlight > 0 || m.plan.KeyGenerated {
 		return
 	}
 	s.claim.held = false
--- a/core/request/scenario_test.go
+++ b/core/request/scenario_test.go
@@ -11,7 +11,7 @@
 	"acaciawinch/core/latency"
 )
 
-// fixedEstimate is a Knowledge with one estimate for all services. Its budgets are
+// fixedEstimate is a Services with one estimate for all services. Its budgets are
 // unlimited, or exhausted if empty is set.
 type fixedEstimate struct{ empty bool }
 
@@ -34,7 +34,7 @@
 }
 
 // newScenario starts a request of the given stages with a deadline of one second.
-func newScenario(t *testing.T, services Knowledge, stages ...Stage) *scenario {
+func newScenario(t *testing.T, services Services, stages ...Stage) *scenario {
 	s := &scenario{t: t, now: time.Unix(1000, 0)}
 	if len(stages) == 0 {
 		return s
@@ -134,7 +134,7 @@
 
 func TestStageMeasuredAsTooSlowGetsOneTrial(t *testing.T) {
 	declared := Stage{Name: "x", Service: "x", Declared: 60 * time.Millisecond}
-	slow := NotChosen{Attempt: 0, Late: true, RetryAfter: DefaultRules().MaxTrialWait}
+	slow := NotChosen{Attempt: 0, LackOfTime: true, RetryAfter: DefaultRules().MaxTrialWait}
 	s := newScenario(t, fixedEstimate{}, declared)
 	s.handle(slow)
 	assert.Equal(t, actionsOf[Choose](s)[1].Remaining, time.Duration(0))
@@ -180,7 +180,7 @@
 	assert.Equal(t, len(actionsOf[Emit](s)), 2)
 }
 
-// noEstimate is a Knowledge without an estimate for any service.
+// noEstimate is a Services without an estimate for any service.
 type noEstimate struct{ fixedEstimate }
 
 func (noEstimate) Estimate(string) latency.Estimate { return latency.Estimate{} }
@@ -254,9 +254,9 @@
 }
 
 func TestLackOfTimeIsFinalOnceAnUpstreamRefusedForIt(t *testing.T) {
-	late := NotChosen{Attempt: 1, Late: true, RetryAfter: time.Second}
+	late := NotChosen{Attempt: 1, LackOfTime: true, RetryAfter: time.Second}
 	s := newScenario(t, fixedEstimate{}, generate)
-	s.handle(Chosen{Attempt: 0, Upstream: "a"}, Refused{Attempt: 0, Late: true}, late)
+	s.handle(Chosen{Attempt: 0, Upstream: "a"}, Refused{Attempt: 0, LackOfTime: true}, late)
 	assert.Equal(t, s.outcome().Outcome, core.OutcomeNotRun)
 	s = newScenario(t, fixedEstimate{}, generate)
 	s.handle(Chosen{Attempt: 0, Upstream: "a"}, Refused{Attempt: 0}, late)
@@ -267,7 +267,7 @@
 // TestLaterStagesAreCheckedBeforeDispatch refuses a request whose last stage can't
 // finish in time, at admission and before a stage that must run at most once.
 func TestLaterStagesAreCheckedBeforeDispatch(t *testing.T) {
-	full := NotChosen{Late: true, RetryAfter: time.Second, Detail: "full"}
+	full := NotChosen{LackOfTime: true, RetryAfter: time.Second, Detail: "full"}
 	s := &scenario{t: t, now: time.Unix(1000, 0), refuseChecks: true}
 	s.m = New("e-1", Plan{Stages: []Stage{encode, pay, generate}, Deadline: time.Second}, fixedEstimate{}, DefaultRules())
 	s.start()
--- a/core/request/stage.go
+++ b/core/request/stage.go
@@ -172,7 +172,7 @@
 
 // causeOf returns the cause of giving up a request without an upstream.
 func causeOf(e NotChosen) GiveUpCause {
-	if e.Late {
+	if e.LackOfTime {
 		return GiveUpOverload
 	}
 	return GiveUpNoUpstream
@@ -186,10 +186,10 @@
 	switch {
 	case s.choiceRetries >= m.rules.ChooseTries:
 		return false
-	case e.Late && s.late && !m.mayHaveRun():
+	case e.LackOfTime && s.lackOfTime && !m.mayHaveRun():
 		return false
 	}
-	return !e.Late || len(s.exclude) > 0
+	return !e.LackOfTime || len(s.exclude) > 0
 }
 
 // mayRunTrial reports whether a stage is tried although its upstreams are estimated
@@ -197,7 +197,7 @@
 // alone; if it refused every request, nothing would be measured again. The retry
 // budget bounds these trials.
 func (m *Machine) mayRunTrial(s *stage, e NotChosen) bool {
-	if s.trial || !e.Late || e.RetryAfter > m.rules.MaxTrialWait || s.spec.Declared == 0 {
+	if s.trial || !e.LackOfTime || e.RetryAfter > m.rules.MaxTrialWait || s.spec.Declared == 0 {
 		return false
 	}
 	_, fits := m.bestCaseAllowance(s)
--- a/core/request/world_test.go
+++ b/core/request/world_test.go
@@ -16,7 +16,7 @@
 // chunksPerStage is how many chunks each simulated stage produces.
 const chunksPerStage = 3
 
-// randomSource is a uniform random source, seeded by rapid, and a Knowledge whose
+// randomSource is a uniform random source, seeded by rapid, and a Services whose
 // budgets allow calls at random. Rapid's own draws favour small numbers, which
 // would end most requests after a few steps.
 type randomSource struct{ *rand.Rand }
@@ -175,7 +175,7 @@
 // choose schedules the response to a Choose.
 func (w *simulation) choose(a Choose) {
 	if w.random.chance(10) {
-		w.schedule(NotChosen{Attempt: a.Attempt, Late: w.random.chance(50), RetryAfter: time.Second})
+		w.schedule(NotChosen{Attempt: a.Attempt, LackOfTime: w.random.chance(50), RetryAfter: time.Second})
 		return
 	}
 	w.schedule(Chosen{Attempt: a.Attempt, Upstream: core.UpstreamID(fmt.Sprint(w.random.IntN(4)))})
@@ -228,7 +228,7 @@
 	case 2:
 		r.tombstone = true
 		r.proved = true
-		w.schedule(Refused{Attempt: a.Attempt, Refusal: RefusalProved, Late: w.random.chance(50), RetryAfter: time.Second})
+		w.schedule(Refused{Attempt: a.Attempt, Refusal: RefusalProved, LackOfTime: w.random.chance(50), RetryAfter: time.Second})
 	case 3:
 		w.deliver(r)
 		if w.random.chance(50) {
--- a/entry/pipeline/act.go
+++ b/entry/pipeline/act.go
@@ -118,7 +118,7 @@
 	f.post(post{
 		event: request.NotChosen{
 			Attempt:    a.Attempt,
-			Late:       route.Late(err),
+			LackOfTime: route.Late(err),
 			RetryAfter: route.RetryAfter(err),
 			Detail:     err.Error(),
 		},
--- a/entry/pipeline/budgets.go
+++ b/entry/pipeline/budgets.go
@@ -27,13 +27,13 @@
 	}
 }
 
-// Estimate implements request.Knowledge.
+// Estimate implements request.Services.
 func (s *sharedState) Estimate(service string) latency.Estimate { return s.router.Estimate(service) }
 
-// RetryBudget implements request.Knowledge.
+// RetryBudget implements request.Services.
 func (s *sharedState) RetryBudget(service string) request.Budget { return s.retry.forService(service) }
 
-// HedgeBudget implements request.Knowledge.
+// HedgeBudget implements request.Services.
 func (s *sharedState) HedgeBudget(service string) request.Budget { return s.hedge.forService(service) }
 
 // budgets holds one budget per service.
--- a/entry/pipeline/receive.go
+++ b/entry/pipeline/receive.go
@@ -112,7 +112,7 @@
 		return request.Refused{
 			Attempt:    s.attempt,
 			Refusal:    refusalOf(e.Refused.GetReason()),
-			Late:       isLate(e.Refused.GetReason()),
+			LackOfTime: isLackOfTime(e.Refused.GetReason()),
 			RetryAfter: time.Duration(e.Refused.GetRetryAfterMs()) * time.Millisecond,
 			Detail:     e.Refused.GetReason().String() + " " + e.Refused.GetDetail(),
 		}, e.Refused.GetLoad()
@@ -134,8 +134,8 @@
 	return request.RefusalProved
 }
 
-// isLate reports whether a sidecar refused because its queue is full or the deadline
-// can't be met.
-func isLate(reason wirepb.RefusalReason) bool {
+// isLackOfTime reports whether a sidecar refused because its queue is full or the
+// deadline can't be met.
+func isLackOfTime(reason wirepb.RefusalReason) bool {
 	return reason == wirepb.RefusalReason_REFUSAL_DEADLINE || reason == wirepb.RefusalReason_REFUSAL_QUEUE_FULL
 }
--- a/entry/pipeline/runner.go
+++ b/entry/pipeline/runner.go
@@ -62,7 +62,7 @@
 	f.loop(ctx.Done(), f.machine.Answered)
 	go func() {
 		defer r.flows.Done()
-		f.loop(nil, f.machine.Over)
+		f.loop(nil, f.machine.Finished)
 		f.close()
 	}()
 	return f.result
@@ -91,7 +91,7 @@
 
 // planOf returns the request's stages and the machine's plan for them.
 func planOf(req Request) ([]stagePlan, request.Plan) {
-	plan := request.Plan{Deadline: req.Deadline, Minted: req.Minted}
+	plan := request.Plan{Deadline: req.Deadline, KeyGenerated: req.Minted}
 	var stages []stagePlan
 	for _, declared := range req.Template.Stages {
 		stage, prefix := effectiveStage(req, declared)
