--- a/core/placement/input.go
+++ b/core/placement/input.go
@@ -91,7 +91,7 @@
 // loaded.
 func (f *fleet) loaded(a Assignment) bool {
 	engine, ok := f.engines[a.Upstream]
-	return ok && slices.Contains(engine.Loaded, a.Holds())
+	return ok && slices.Contains(engine.Loaded, a.Assigned())
 }
 
 // stuck reports whether the load of an assignment timed out.
--- a/core/placement/lease.go
+++ b/core/placement/lease.go
@@ -48,8 +48,8 @@
 	// unconfirmedAt is the time before the first write whose result is unknown.
 	unconfirmed   bool
 	unconfirmedAt time.Duration
-	// fresh is set from the acquisition of the lease until the first plan is written.
-	fresh bool
+	// needsPlan is set from the acquisition of the lease until the first plan is written.
+	needsPlan bool
 }
 
 // NewLease returns the view of a process that does not hold the lease. The term is a
@@ -120,13 +120,13 @@
 	return l.held && now-l.heldSince < l.ttl
 }
 
-// Fresh reports whether the holder has not written a plan since it acquired the lease.
-// It must then write one even without a change: that changes the plan's version, so that
-// pending writes of an earlier holder fail.
-func (l *Lease) Fresh() bool { return l.fresh }
+// NeedsPlan reports whether the holder has not written a plan since it acquired the
+// lease. It must then write one even without a change: that changes the plan's version,
+// so that pending writes of an earlier holder fail.
+func (l *Lease) NeedsPlan() bool { return l.needsPlan }
 
 // Planned records that a plan was written.
-func (l *Lease) Planned() { l.fresh = false }
+func (l *Lease) Planned() { l.needsPlan = false }
 
 // Release gives up the lease and returns the write that releases it; no write if the
 // lease is not held.
@@ -147,12 +147,12 @@
 // acquire records that the lease is held since now.
 func (l *Lease) acquire(now time.Duration) {
 	l.held = true
-	l.fresh = true
+	l.needsPlan = true
 	l.heldSince = now
 }
 
 // drop records that the lease is not held.
 func (l *Lease) drop() {
 	l.held = false
-	l.fresh = false
+	l.needsPlan = false
 }
--- a/core/placement/lease_test.go
+++ b/core/placement/lease_test.go
@@ -179,7 +179,7 @@
 			written = cl.version
 			return ok
 		}
-		p.receive = cl.put(apply, answered, func() { round.LeaseLost(before) })
+		p.receive = cl.put(apply, answered, func() { round.LeaseUnconfirmed(before) })
 	case placement.RoundReadPlan:
 		plan, version := placement.Plan{}, uint64(0)
 		if cl.plan != nil {
@@ -226,7 +226,7 @@
 	loaded := []placement.ModelVersion{}
 	if cl.plan != nil {
 		for _, a := range cl.plan.value.Assignments {
-			loaded = append(loaded, a.Holds())
+			loaded = append(loaded, a.Assigned())
 		}
 	}
 	in := placement.Input{
--- a/core/placement/plan.go
+++ b/core/placement/plan.go
@@ -45,8 +45,8 @@
 // String returns "model@version".
 func (m ModelVersion) String() string { return m.Model + "@" + m.Version }
 
-// Holds returns the model version that is assigned to the engine.
-func (a Assignment) Holds() ModelVersion { return ModelVersion{Model: a.Model, Version: a.Version} }
+// Assigned returns the model version assigned to the engine.
+func (a Assignment) Assigned() ModelVersion { return ModelVersion{Model: a.Model, Version: a.Version} }
 
 // compareAssignments orders assignments by model, version and upstream.
 func compareAssignments(a, b Assignment) int {
--- a/core/placement/propose_test.go
+++ b/core/placement/propose_test.go
@@ -62,8 +62,8 @@
 	for _, a := range b.in.Current.Assignments {
 		switch {
 		case a.Upstream != e.Upstream:
-		case slices.Contains(e.Loaded, a.Holds()):
-			loaded = append(loaded, a.Holds())
+		case slices.Contains(e.Loaded, a.Assigned()):
+			loaded = append(loaded, a.Assigned())
 		default:
 			b.loading[a] = true
 		}
@@ -77,7 +77,7 @@
 		e := &b.in.Engines[i]
 		for a := range b.loading {
 			if a.Upstream == e.Upstream && pick(a) {
-				e.Loaded = append(e.Loaded, a.Holds())
+				e.Loaded = append(e.Loaded, a.Assigned())
 			}
 		}
 	}
--- a/core/placement/round.go
+++ b/core/placement/round.go
@@ -12,8 +12,8 @@
 	// RoundReadLease: read the lease object, then call LeaseAbsent, LeaseFound or
 	// Unreadable.
 	RoundReadLease
-	// RoundWriteLease: write the lease object, then call LeaseWritten, LeaseLost or
-	// NotWritten.
+	// RoundWriteLease: write the lease object, then call LeaseWritten,
+	// LeaseUnconfirmed or NotWritten.
 	RoundWriteLease
 	// RoundReadPlan: read the plan object, then call PlanRead or Unreadable.
 	RoundReadPlan
@@ -58,8 +58,8 @@
 // Next returns the call to make.
 func (r *Round) Next() RoundStep { return r.step }
 
-// Present returns the current plan after it was read.
-func (r *Round) Present() Plan { return r.current }
+// CurrentPlan returns the current plan after it was read.
+func (r *Round) CurrentPlan() Plan { return r.current }
 
 // Decisions returns the changes of the plan to write, and their reasons.
 func (r *Round) Decisions() []Decision { return r.decisions }
@@ -95,9 +95,9 @@
 	r.step = RoundStep{Call: RoundReadPlan}
 }
 
-// LeaseLost records that the response to the write of the lease was lost; before is the
-// time before the write was sent.
-func (r *Round) LeaseLost(before time.Duration) {
+// LeaseUnconfirmed records that the response to the write of the lease was lost; before
+// is the time before the write was sent.
+func (r *Round) LeaseUnconfirmed(before time.Duration) {
 	r.lease.Unconfirmed(before)
 	r.end()
 }
@@ -115,7 +115,7 @@
 	in.Current = r.current
 	plan, decisions, changed := Propose(in)
 	stale := in.Revision < r.current.Revision
-	if stale || !r.lease.Holds(now) || (!changed && !r.lease.Fresh()) {
+	if stale || !r.lease.Holds(now) || (!changed && !r.lease.NeedsPlan()) {
 		r.end()
 		return
 	}
--- a/core/placement/target.go
+++ b/core/placement/target.go
@@ -97,7 +97,7 @@
 func (f *fleet) added(model config.Model, assignments []Assignment) ([]Assignment, []Decision) {
 	wanted := ModelVersion{Model: model.Name, Version: model.Version}
 	existing := slices.DeleteFunc(slices.Clone(assignments), func(a Assignment) bool {
-		return a.Holds() != wanted || f.engines[a.Upstream].Service != model.Service
+		return a.Assigned() != wanted || f.engines[a.Upstream].Service != model.Service
 	})
 	var added []Assignment
 	var decisions []Decision
--- a/entry/place/engines.go
+++ b/entry/place/engines.go
@@ -38,7 +38,7 @@
 
 // holds reports whether the engine had loaded the model of an assignment when it last
 // responded.
-func (e *engine) holds(a placement.Assignment) bool { return slices.Contains(e.loaded, a.Holds()) }
+func (e *engine) holds(a placement.Assignment) bool { return slices.Contains(e.loaded, a.Assigned()) }
 
 // engines is the state of all engines. It must be used by one goroutine only. Times are
 // those of the process's monotonic clock.
--- a/entry/place/log.go
+++ b/entry/place/log.go
@@ -21,7 +21,7 @@
 		}
 	}
 	reason := "changed"
-	if p.lease.Fresh() {
+	if p.lease.NeedsPlan() {
 		reason = "first plan of a new holder"
 	}
 	p.options.Log.Event(event.PlacementWritten, observe.Fields{
--- a/entry/place/place_test.go
+++ b/entry/place/place_test.go
@@ -132,11 +132,11 @@
 	unfinished := 0
 	var own []placement.ModelVersion
 	for _, a := range f.store.plan().Assignments {
-		if !slices.Contains(f.loaded[string(a.Upstream)], a.Holds()) {
+		if !slices.Contains(f.loaded[string(a.Upstream)], a.Assigned()) {
 			unfinished++
 		}
 		if string(a.Upstream) == addr {
-			own = append(own, a.Holds())
+			own = append(own, a.Assigned())
 		}
 	}
 	f.maxUnfinished = max(f.maxUnfinished, unfinished)
@@ -205,7 +205,7 @@
 	defer f.mu.Unlock()
 	count := 0
 	for _, a := range f.store.plan().Assignments {
-		if !f.silent[string(a.Upstream)] && slices.Contains(f.loaded[string(a.Upstream)], a.Holds()) {
+		if !f.silent[string(a.Upstream)] && slices.Contains(f.loaded[string(a.Upstream)], a.Assigned()) {
 			count++
 		}
 	}
--- a/entry/place/proposer.go
+++ b/entry/place/proposer.go
@@ -217,14 +217,14 @@
 // gather probes the engines' sidecars and passes the input of the plan to the round.
 func (p *Proposer) gather(ctx context.Context, round *placement.Round, facts Facts) {
 	p.engines.update(facts)
-	hosts := p.engines.toProbe(round.Present())
+	hosts := p.engines.toProbe(round.CurrentPlan())
 	replies := p.probe(ctx, hosts, facts.Revision)
 	for i, host := range hosts {
 		p.engines.noteReply(p.now(), core.UpstreamID(host.Name), replies[i])
 	}
 	p.logSilent(hosts)
-	p.logStuck(p.engines.noteLoads(p.now(), round.Present()))
-	p.metrics.assignments.Update(float64(len(round.Present().Assignments)))
+	p.logStuck(p.engines.noteLoads(p.now(), round.CurrentPlan()))
+	p.metrics.assignments.Update(float64(len(round.CurrentPlan().Assignments)))
 	p.metrics.unfinished.Update(float64(len(p.engines.unfinishedSince)))
 	now := p.now()
 	round.Gathered(now, p.engines.input(now, facts, p.options.Self))
--- a/entry/place/store.go
+++ b/entry/place/store.go
@@ -52,7 +52,7 @@
 	case fault.Conflict, fault.NotFound, fault.Unavailable:
 		round.NotWritten()
 	default:
-		round.LeaseLost(before)
+		round.LeaseUnconfirmed(before)
 	}
 }
 
