--- a/acaciawinch/accept.go
+++ b/acaciawinch/accept.go
@@ -52,8 +52,8 @@
 			machine.GiveUp()
 			return
 		}
-		if ahead := machine.Ahead(); len(replies) == 0 && len(ahead) > 1 {
-			replies = executeAll(ctx, api, ahead)
+		if concurrent := machine.Concurrent(); len(replies) == 0 && len(concurrent) > 1 {
+			replies = executeAll(ctx, api, concurrent)
 		}
 		reply, fetched := replies[action.Key]
 		if !fetched {
--- a/acaciawinch/apply.go
+++ b/acaciawinch/apply.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	if err := declared.check(declared.change().Repeated()); err != nil {
+	if err := declared.check(declared.change().ValidateUnique()); err != nil {
 		return err
 	}
 	api, err := c.env.objects()
@@ -83,7 +83,7 @@
 	if !c.Prune {
 		return nil
 	}
-	snapshot, err := reader.Load(ctx, config.Outline(base, nil))
+	snapshot, err := reader.Load(ctx, config.NewUnloaded(base, nil))
 	if err != nil {
 		return err
 	}
@@ -124,6 +124,6 @@
 	if err != nil {
 		return nil, head, err
 	}
-	snapshot, err := reader.Load(ctx, config.Outline(head, config.Empty()))
+	snapshot, err := reader.Load(ctx, config.NewUnloaded(head, config.Empty()))
 	return snapshot, head, err
 }
--- a/core/config/accept/accept_test.go
+++ b/core/config/accept/accept_test.go
@@ -156,7 +156,7 @@
 
 // load returns the snapshot of a head, with all parts loaded.
 func (w *simulation) load(t *testing.T, head config.Head) *config.Snapshot {
-	snapshot := config.Outline(head, config.Empty())
+	snapshot := config.NewUnloaded(head, config.Empty())
 	for _, hash := range snapshot.Missing() {
 		loaded, err := snapshot.WithPart(hash, w.store.objects[config.PartKey(hash)].value)
 		assert.NilError(t, err)
@@ -369,7 +369,7 @@
 }
 
 // reads runs a request on a store without faults and returns the keys that it read. It
-// checks that the calls returned by Ahead begin with the one returned by Next.
+// checks that the calls returned by Concurrent begin with the one returned by Next.
 func reads(t *testing.T, s *fakeStore, request Request) []string {
 	machine := New(request)
 	var keys []string
@@ -380,8 +380,8 @@
 			return keys
 		}
 		action := machine.Next()
-		if ahead := machine.Ahead(); len(ahead) > 0 {
-			assert.Equal(t, ahead[0].Key, action.Key)
+		if concurrent := machine.Concurrent(); len(concurrent) > 0 {
+			assert.Equal(t, concurrent[0].Key, action.Key)
 		}
 		if action.Kind == ActionGet {
 			keys = append(keys, action.Key)
--- a/core/config/accept/action.go
+++ b/core/config/accept/action.go
@@ -28,11 +28,11 @@
 	return Action{Kind: ActionCreate, Key: config.PartKey(part.Hash), Value: part.Encode()}
 }
 
-// Ahead returns the calls of the present step that may be carried out concurrently,
-// including the one that Next returns. The caller passes their replies to Handle in
-// the order in which Next returns the calls. Ahead returns only calls on parts, which
-// are immutable, so the order of execution doesn't matter.
-func (m *Machine) Ahead() []Action {
+// Concurrent returns the calls of the present step that may be carried out
+// concurrently, including the one that Next returns. The caller passes their replies to
+// Handle in the order in which Next returns the calls. Concurrent returns only calls on
+// parts, which are immutable, so the order of execution doesn't matter.
+func (m *Machine) Concurrent() []Action {
 	var actions []Action
 	switch m.state.State() {
 	case stateChecking:
--- a/core/config/accept/merge.go
+++ b/core/config/accept/merge.go
@@ -21,7 +21,7 @@
 	}
 	m.currentHead, m.headVersion = head, version
 	m.setBase(head)
-	m.current = config.Outline(head, m.reusable())
+	m.current = config.NewUnloaded(head, m.reusable())
 	m.fire(eventHeadRead, "")
 	m.mergeIfLoaded()
 }
@@ -34,7 +34,7 @@
 	if m.request.Base != nil {
 		head = *m.request.Base
 	}
-	m.base = config.Outline(head, config.Empty())
+	m.base = config.NewUnloaded(head, config.Empty())
 	m.result.Base = head.Revision
 }
 
@@ -111,7 +111,7 @@
 // merge applies the change to the head in force by a three-way merge of base, mine and
 // theirs. An item that only one side touched is taken from that side.
 func (m *Machine) merge() {
-	if problems := m.request.Change.Repeated(); len(problems) > 0 {
+	if problems := m.request.Change.ValidateUnique(); len(problems) > 0 {
 		m.result.Problems = problems
 		m.fire(eventInvalid, "the change puts an item more than once")
 		return
--- a/core/config/delta.go
+++ b/core/config/delta.go
@@ -23,9 +23,9 @@
 	Digest uint64
 }
 
-// Between returns the delta from one snapshot to another, both of which must be
+// Diff returns the delta from one snapshot to another, both of which must be
 // loaded. From is nil for a receiver that has no configuration yet.
-func Between(from, to *Snapshot) Delta {
+func Diff(from, to *Snapshot) Delta {
 	d := Delta{Revision: to.revision, ChangeID: to.changeID, Digest: to.Digest()}
 	if from == nil {
 		d.Full = true
--- a/core/config/delta_test.go
+++ b/core/config/delta_test.go
@@ -39,9 +39,9 @@
 func TestADeltaLeadsToTheFullState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := drawConfiguration(t, 1), drawConfiguration(t, 2)
-		delta, err := from.Apply(jsonRoundTrip(t, Between(from, to)))
+		delta, err := from.Apply(jsonRoundTrip(t, Diff(from, to)))
 		assert.NilError(t, err)
-		full, err := (*Snapshot)(nil).Apply(jsonRoundTrip(t, Between(nil, to)))
+		full, err := (*Snapshot)(nil).Apply(jsonRoundTrip(t, Diff(nil, to)))
 		assert.NilError(t, err)
 		assert.Equal(t, string(encode(delta.Head("", "", ""))), string(encode(to.Head("", "", ""))))
 		assert.Equal(t, string(encode(full.Head("", "", ""))), string(encode(to.Head("", "", ""))))
@@ -52,7 +52,7 @@
 func TestADeltaToAnotherStateIsRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, other, to := drawConfiguration(t, 1), drawConfiguration(t, 1), drawConfiguration(t, 2)
-		next, err := other.Apply(Between(from, to))
+		next, err := other.Apply(Diff(from, to))
 		if err == nil {
 			assert.Assert(t, Compare(next, to).Empty(), "a delta was applied to the wrong base, and the result was accepted")
 			return
@@ -73,7 +73,7 @@
 		from, to := drawConfiguration(t, 1), drawConfiguration(t, 2)
 		head, err := DecodeHead(to.Head("p", "a", "n").Encode())
 		assert.NilError(t, err)
-		loaded := Outline(head, from)
+		loaded := NewUnloaded(head, from)
 		for _, part := range to.PartsSince(from) {
 			next, err := loaded.WithPart(part.Hash, part.Data)
 			if !fault.Is(err, fault.NotFound) {
@@ -89,8 +89,8 @@
 
 func TestAPartWithOtherBytesIsRefused(t *testing.T) {
 	s := NewSnapshot(1, "c", validTemplates(), nil)
-	outline := Outline(s.Head("", "", ""), Empty())
-	_, err := outline.WithPart(outline.MissingTemplates(), []byte(`{"templates":null}`))
+	unloaded := NewUnloaded(s.Head("", "", ""), Empty())
+	_, err := unloaded.WithPart(unloaded.MissingTemplates(), []byte(`{"templates":null}`))
 	assert.Equal(t, fault.CodeOf(err), fault.Invalid)
 }
 
--- a/core/config/fuzz_test.go
+++ b/core/config/fuzz_test.go
@@ -23,7 +23,7 @@
 		decoded, err := DecodeHead(head.Encode())
 		assert.NilError(t, err)
 		assert.DeepEqual(t, decoded, head)
-		snapshot := Outline(head, Empty())
+		snapshot := NewUnloaded(head, Empty())
 		assert.Assert(t, len(snapshot.Missing()) <= 1+ShardCount)
 	})
 }
@@ -47,8 +47,8 @@
 		}
 		part := newPart(data)
 		head.Templates, head.Shards[3] = part.Hash, part.Hash
-		outline := Outline(head, nil)
-		loaded, err := outline.WithPart(part.Hash, value)
+		unloaded := NewUnloaded(head, nil)
+		loaded, err := unloaded.WithPart(part.Hash, value)
 		if err != nil {
 			assert.Equal(t, fault.CodeOf(err), fault.Invalid)
 			return
@@ -56,6 +56,6 @@
 		assert.Equal(t, len(loaded.Missing()), 0)
 		loaded.Validate()
 		loaded.Digest()
-		Between(nil, loaded)
+		Diff(nil, loaded)
 	})
 }
--- a/core/config/load.go
+++ b/core/config/load.go
@@ -2,9 +2,9 @@
 
 import "acaciawinch/core/fault"
 
-// Outline returns the snapshot that head describes. Parts that known, which may
+// NewUnloaded returns the snapshot that head describes. Parts that known, which may
 // be nil, has loaded under the same hashes are shared; all others are not loaded yet.
-func Outline(head Head, known *Snapshot) *Snapshot {
+func NewUnloaded(head Head, known *Snapshot) *Snapshot {
 	s := &Snapshot{revision: head.Revision, changeID: head.ChangeID, templatesHash: head.Templates}
 	if known != nil && known.templatesLoaded && known.templatesHash == head.Templates {
 		s.templates, s.templatesLoaded = known.templates, true
--- a/core/config/validate.go
+++ b/core/config/validate.go
@@ -60,9 +60,9 @@
 	return v.problems
 }
 
-// Repeated returns a problem for each name that the change puts more than once, as
+// ValidateUnique returns a problem for each name that the change puts more than once, as
 // it is not known which of the declarations is meant.
-func (c Change) Repeated() []Problem {
+func (c Change) ValidateUnique() []Problem {
 	v := newValidator(Templates{Templates: c.PutTemplates, Models: c.PutModels, Drained: c.Drain})
 	v.checkNamesUnique()
 	v.checkUnique(SectionWorkspaces, keys(c.PutWorkspaces, workspaceName))
--- a/core/config/validate_test.go
+++ b/core/config/validate_test.go
@@ -113,6 +113,6 @@
 
 func TestRepeatedNamesAreFoundInAChange(t *testing.T) {
 	w := validWorkspace()
-	problems := Change{PutWorkspaces: []Workspace{w, w}}.Repeated()
+	problems := Change{PutWorkspaces: []Workspace{w, w}}.ValidateUnique()
 	assert.DeepEqual(t, problems, []Problem{{Section: SectionWorkspaces, Name: "w", Key: "name", Text: "stands twice"}})
 }
--- a/feed/pack_test.go
+++ b/feed/pack_test.go
@@ -70,7 +70,7 @@
 
 func TestABadPackedUpdateIsRefusedAndKeepsTheState(t *testing.T) {
 	newer := config.Empty().Change(workspaces(50, 2), 2, "")
-	parts, err := encodeDelta(config.Between(nil, newer))
+	parts, err := encodeDelta(config.Diff(nil, newer))
 	assert.NilError(t, err)
 	good := marshal(t, &wirepb.FleetUpdate{Config: parts[0]})
 	packed := compress(good)
--- a/feed/platform.go
+++ b/feed/platform.go
@@ -123,7 +123,7 @@
 	if latest == nil {
 		latest = config.Empty()
 	}
-	return f.loadParts(ctx, config.Outline(head, latest))
+	return f.loadParts(ctx, config.NewUnloaded(head, latest))
 }
 
 // loadParts reads the missing parts of a snapshot and applies it.
--- a/feed/watch.go
+++ b/feed/watch.go
@@ -139,7 +139,7 @@
 	if head.Revision <= latest.Revision() {
 		return nil
 	}
-	snapshot := config.Outline(head, latest)
+	snapshot := config.NewUnloaded(head, latest)
 	for _, hash := range snapshot.Missing() {
 		data, found := w.pendingParts[hash]
 		if !found {
--- a/feed/wire.go
+++ b/feed/wire.go
@@ -172,7 +172,7 @@
 			from = from.WithoutWorkspaces()
 		}
 	}
-	updates, err := packDelta(config.Between(from, to))
+	updates, err := packDelta(config.Diff(from, to))
 	if err != nil {
 		return nil, err
 	}
