--- a/core/request/claimed.go
+++ b/core/request/claimed.go
@@ -74,13 +74,13 @@
 	}
 	s := a.stage
 	s.claim.inFlight--
-	s.claim.held = e.Status == ClaimMine
+	s.claim.held = e.Status == ClaimOwned
 	if a.state != claiming || m.ending != nil {
 		m.handleLateClaim(a, e)
 		return
 	}
 	switch e.Status {
-	case ClaimMine:
+	case ClaimOwned:
 		a.state = ready
 		if m.current == s.index {
 			m.dispatchClaimed(s)
@@ -100,7 +100,7 @@
 	m.end(a, EndCancelled, "")
 	s := a.stage
 	switch e.Status {
-	case ClaimMine:
+	case ClaimOwned:
 		m.release(s)
 	case ClaimDone, ClaimRunning, ClaimUnknown:
 		s.claim.mayHaveRun = true
--- a/core/request/claimed_test.go
+++ b/core/request/claimed_test.go
@@ -11,7 +11,7 @@
 
 func TestClaimedStageIsNeverHedgedOrReplaced(t *testing.T) {
 	s := newScenario(t, fixedEstimate{}, pay)
-	s.handle(Chosen{Attempt: 0}, Claimed{Attempt: 0, Status: ClaimMine}, Started{Attempt: 0})
+	s.handle(Chosen{Attempt: 0}, Claimed{Attempt: 0, Status: ClaimOwned}, Started{Attempt: 0})
 	s.wait(900 * time.Millisecond)
 	assert.Equal(t, len(actionsOf[Run](s)), 1)
 	assert.Equal(t, len(actionsOf[Choose](s)), 1)
@@ -24,7 +24,7 @@
 	s := newScenario(t, fixedEstimate{}, pay)
 	s.m = New("e-1", Plan{Stages: []Stage{pay}, Deadline: time.Minute}, fixedEstimate{}, DefaultRules())
 	s.start()
-	s.handle(Chosen{Attempt: 0}, Claimed{Attempt: 0, Status: ClaimMine}, Started{Attempt: 0})
+	s.handle(Chosen{Attempt: 0}, Claimed{Attempt: 0, Status: ClaimOwned}, Started{Attempt: 0})
 	began := s.now
 	for i := 0; i < 100 && !s.m.Answered(); i++ {
 		s.wait(DefaultRules().PingAfter)
@@ -61,7 +61,7 @@
 
 func TestClaimedAttemptNotStartedByTheDeadlineIsNotRun(t *testing.T) {
 	s := newScenario(t, fixedEstimate{}, pay)
-	s.handle(Chosen{Attempt: 0}, Claimed{Attempt: 0, Status: ClaimMine})
+	s.handle(Chosen{Attempt: 0}, Claimed{Attempt: 0, Status: ClaimOwned})
 	s.wait(time.Second - DefaultRules().SettleMargin)
 	assert.Equal(t, actionsOf[Cancel](s)[0].Reason, CancelDeadline)
 	s.handle(Cancelled{Attempt: 0, Confirmed: true})
@@ -71,7 +71,7 @@
 
 func TestFailureAfterClaimedStageIsUnknown(t *testing.T) {
 	s := newScenario(t, fixedEstimate{empty: true}, pay, generate)
-	s.handle(Chosen{Attempt: 0}, Claimed{Attempt: 0, Status: ClaimMine})
+	s.handle(Chosen{Attempt: 0}, Claimed{Attempt: 0, Status: ClaimOwned})
 	s.handle(Chunk{Attempt: 0, Index: 0, Data: []byte("p")}, done(0, "p"), Finished{Attempt: 0, Recorded: true})
 	assert.Equal(t, len(actionsOf[Acknowledge](s)), 1)
 	s.handle(Chosen{Attempt: 2}, Failed{Attempt: 2, Detail: "broke"})
--- a/core/request/event.go
+++ b/core/request/event.go
@@ -136,7 +136,7 @@
 
 // The claim statuses; see core/claim.
 const (
-	ClaimMine ClaimStatus = iota + 1
+	ClaimOwned ClaimStatus = iota + 1
 	ClaimDone
 	ClaimRunning
 	ClaimUnknown
--- a/core/request/scenario_test.go
+++ b/core/request/scenario_test.go
@@ -283,7 +283,7 @@
 
 	s.m = New("e-1", Plan{Stages: []Stage{encode, pay, generate}, Deadline: time.Second}, fixedEstimate{}, DefaultRules())
 	s.start()
-	s.handle(Chosen{Attempt: 0, Upstream: "p"}, Claimed{Attempt: 0, Status: ClaimMine}, Chosen{Attempt: 1}, Chosen{Attempt: 2})
+	s.handle(Chosen{Attempt: 0, Upstream: "p"}, Claimed{Attempt: 0, Status: ClaimOwned}, Chosen{Attempt: 1}, Chosen{Attempt: 2})
 	s.handle(Chunk{Attempt: 1, Index: 0, Data: []byte("x")}, done(1, "x"))
 	again := actionsOf[Choose](s)[len(actionsOf[Choose](s))-1]
 	assert.Assert(t, again.Check && again.Attempt != 2)
--- a/core/request/world_test.go
+++ b/core/request/world_test.go
@@ -183,7 +183,7 @@
 
 // claim schedules the response to an OpenClaim or a Reassign.
 func (w *simulation) claim(id AttemptID, stage int) {
-	e := Claimed{Attempt: id, Status: ClaimMine}
+	e := Claimed{Attempt: id, Status: ClaimOwned}
 	if w.random.chance(30) {
 		e.Status = ClaimStatus(1 + w.random.IntN(7))
 	}
--- a/entry/admit/admit.go
+++ b/entry/admit/admit.go
@@ -22,8 +22,8 @@
 	Overloaded      Refusal = "the upstreams can't keep up with the workspace's requests"
 )
 
-// Ask describes a request that is to be admitted.
-type Ask struct {
+// Request describes a request that is to be admitted.
+type Request struct {
 	Workspace string
 	Pipeline  string
 	// Bound limits the workspace's requests in flight; zero means no limit. It is the
@@ -40,8 +40,8 @@
 const (
 	// EndOther says nothing about the upstreams' load.
 	EndOther End = iota
-	// EndAnswered means that the whole response arrived in time.
-	EndAnswered
+	// EndCompleted means that the whole response arrived in time.
+	EndCompleted
 	// EndOverloaded means that the request was refused after its admission because its
 	// remaining time was too short.
 	EndOverloaded
@@ -76,25 +76,25 @@
 // limitKey identifies the requests that share an adaptive limit.
 type limitKey struct{ workspace, pipeline string }
 
-// Ticket is one admitted request. Leave must be called once.
+// Ticket is one admitted request. Done must be called once.
 type Ticket struct {
 	gate     *Gate
-	ask      Ask
+	request  Request
 	adaptive *adaptiveLimit
 	// nearLimit is set if the adaptive limit was nearly reached when the request was
 	// admitted.
 	nearLimit bool
 }
 
-// Enter admits a request, or returns why not and after how long to retry. The duration
+// Admit admits a request, or returns why not and after how long to retry. The duration
 // is zero if that is not known.
-func (g *Gate) Enter(now time.Time, ask Ask) (*Ticket, Refusal, time.Duration) {
+func (g *Gate) Admit(now time.Time, request Request) (*Ticket, Refusal, time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if refusal := g.refusal(ask); refusal != Admitted {
+	if refusal := g.refusal(request); refusal != Admitted {
 		return nil, refusal, 0
 	}
-	key := limitKey{ask.Workspace, ask.Pipeline}
+	key := limitKey{request.Workspace, request.Pipeline}
 	limit, ok := g.adaptive[key]
 	if !ok {
 		limit = &adaptiveLimit{}
@@ -105,51 +105,51 @@
 	}
 	nearLimit := limit.admit()
 	g.inFlight++
-	g.byWorkspace[ask.Workspace]++
-	if ask.Stream {
+	g.byWorkspace[request.Workspace]++
+	if request.Stream {
 		g.streams++
 	}
-	return &Ticket{gate: g, ask: ask, adaptive: limit, nearLimit: nearLimit}, Admitted, 0
+	return &Ticket{gate: g, request: request, adaptive: limit, nearLimit: nearLimit}, Admitted, 0
 }
 
 // refusal checks the fixed limits, those of the whole entry first.
-func (g *Gate) refusal(ask Ask) Refusal {
+func (g *Gate) refusal(request Request) Refusal {
 	switch {
 	case g.draining:
 		return Draining
 	case g.inFlight >= g.limits.InFlight:
 		return TooManyRequests
-	case ask.Stream && g.streams >= g.limits.Streams:
+	case request.Stream && g.streams >= g.limits.Streams:
 		return TooManyStreams
-	case ask.Bound > 0 && g.byWorkspace[ask.Workspace] >= ask.Bound:
+	case request.Bound > 0 && g.byWorkspace[request.Workspace] >= request.Bound:
 		return WorkspaceFull
 	}
 	return Admitted
 }
 
-// Leave ends the request. With EndOverloaded, retryAfter is the retry delay that the client
-// was given.
-func (t *Ticket) Leave(now time.Time, end End, retryAfter time.Duration) {
+// Done ends the request. With EndOverloaded, retryAfter is the retry delay that the
+// client was given.
+func (t *Ticket) Done(now time.Time, end End, retryAfter time.Duration) {
 	g := t.gate
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch end {
-	case EndAnswered:
-		t.adaptive.answered(now, t.nearLimit)
+	case EndCompleted:
+		t.adaptive.completed(now, t.nearLimit)
 	case EndOverloaded:
 		t.adaptive.overloaded(now, retryAfter)
 	}
 	t.adaptive.inFlight--
 	if t.adaptive.inFlight == 0 && t.adaptive.limit == 0 {
-		delete(g.adaptive, limitKey{t.ask.Workspace, t.ask.Pipeline})
+		delete(g.adaptive, limitKey{t.request.Workspace, t.request.Pipeline})
 	}
 	g.inFlight--
-	if t.ask.Stream {
+	if t.request.Stream {
 		g.streams--
 	}
-	g.byWorkspace[t.ask.Workspace]--
-	if g.byWorkspace[t.ask.Workspace] == 0 {
-		delete(g.byWorkspace, t.ask.Workspace)
+	g.byWorkspace[t.request.Workspace]--
+	if g.byWorkspace[t.request.Workspace] == 0 {
+		delete(g.byWorkspace, t.request.Workspace)
 	}
 	g.closeIfIdle()
 }
--- a/entry/admit/admit_test.go
+++ b/entry/admit/admit_test.go
@@ -10,35 +10,35 @@
 
 var now = time.Unix(1000, 0)
 
-// enter requests admission at the time now.
-func enter(g *Gate, workspace string, bound int, stream bool) (*Ticket, Refusal) {
-	ticket, refusal, _ := g.Enter(now, Ask{Workspace: workspace, Pipeline: "p", Bound: bound, Stream: stream})
+// admit requests admission at the time now.
+func admit(g *Gate, workspace string, bound int, stream bool) (*Ticket, Refusal) {
+	ticket, refusal, _ := g.Admit(now, Request{Workspace: workspace, Pipeline: "p", Bound: bound, Stream: stream})
 	return ticket, refusal
 }
 
 func TestGateCountsAndDrains(t *testing.T) {
 	g := NewGate(Limits{InFlight: 3, Streams: 1})
-	first, refusal := enter(g, "w", 2, true)
+	first, refusal := admit(g, "w", 2, true)
 	assert.Equal(t, refusal, Admitted)
-	_, refusal = enter(g, "w", 2, true)
+	_, refusal = admit(g, "w", 2, true)
 	assert.Equal(t, refusal, TooManyStreams)
-	second, _ := enter(g, "w", 2, false)
-	_, refusal = enter(g, "w", 2, false)
+	second, _ := admit(g, "w", 2, false)
+	_, refusal = admit(g, "w", 2, false)
 	assert.Equal(t, refusal, WorkspaceFull)
-	third, _ := enter(g, "x", 0, false)
-	_, refusal = enter(g, "y", 0, false)
+	third, _ := admit(g, "x", 0, false)
+	_, refusal = admit(g, "y", 0, false)
 	assert.Equal(t, refusal, TooManyRequests)
 	idle := g.Drain()
-	first.Leave(now, EndOther, 0)
-	second.Leave(now, EndAnswered, 0)
+	first.Done(now, EndOther, 0)
+	second.Done(now, EndCompleted, 0)
 	select {
 	case <-idle:
 		t.Fatal("idle with a request in flight")
 	default:
 	}
-	_, refusal = enter(g, "w", 0, false)
+	_, refusal = admit(g, "w", 0, false)
 	assert.Equal(t, refusal, Draining)
-	third.Leave(now, EndOther, 0)
+	third.Done(now, EndOther, 0)
 	<-idle
 	assert.Equal(t, g.Counts(), Counts{Draining: true})
 	assert.Equal(t, len(g.adaptive), 0)
@@ -55,19 +55,19 @@
 		at = at.Add(cutInterval)
 		var admitted []*Ticket
 		for range 2 * capacity {
-			if ticket, refusal, _ := g.Enter(at, Ask{Workspace: "w", Pipeline: "p"}); refusal == Admitted {
+			if ticket, refusal, _ := g.Admit(at, Request{Workspace: "w", Pipeline: "p"}); refusal == Admitted {
 				admitted = append(admitted, ticket)
 			}
 		}
 		for i, ticket := range admitted {
-			end := EndAnswered
+			end := EndCompleted
 			if i >= capacity {
 				end = EndOverloaded
 				late++
 			} else {
 				served++
 			}
-			ticket.Leave(at, end, time.Second)
+			ticket.Done(at, end, time.Second)
 		}
 	}
 	assert.Assert(t, served >= rounds*capacity*9/10, "served %d", served)
@@ -75,16 +75,16 @@
 	_, refusal, after := enterAll(g, at)
 	assert.Equal(t, refusal, Overloaded)
 	assert.Equal(t, after, time.Second)
-	_, refusal, _ = g.Enter(at, Ask{Workspace: "w", Pipeline: "q"})
+	_, refusal, _ = g.Admit(at, Request{Workspace: "w", Pipeline: "q"})
 	assert.Equal(t, refusal, Admitted)
-	_, refusal, _ = g.Enter(at.Add(2*limitLifetime), Ask{Workspace: "w", Pipeline: "p"})
+	_, refusal, _ = g.Admit(at.Add(2*limitLifetime), Request{Workspace: "w", Pipeline: "p"})
 	assert.Equal(t, refusal, Admitted)
 }
 
 // enterAll requests admission until a request is refused.
 func enterAll(g *Gate, at time.Time) (*Ticket, Refusal, time.Duration) {
 	for {
-		if ticket, refusal, after := g.Enter(at, Ask{Workspace: "w", Pipeline: "p"}); refusal != Admitted {
+		if ticket, refusal, after := g.Admit(at, Request{Workspace: "w", Pipeline: "p"}); refusal != Admitted {
 			return ticket, refusal, after
 		}
 	}
@@ -130,14 +130,14 @@
 	limit.overloaded(now.Add(cutInterval), 0)
 	assert.Assert(t, limit.limit < 9)
 	before := limit.limit
-	limit.answered(now, false)
+	limit.completed(now, false)
 	assert.Equal(t, limit.limit, before)
 	for range 9 {
-		limit.answered(now, true)
+		limit.completed(now, true)
 	}
 	assert.Assert(t, limit.limit > before+0.9 && limit.limit < before+1.2)
 	before = limit.limit
-	limit.answered(now.Add(cutInterval+fastGrowthAfter+1), true)
+	limit.completed(now.Add(cutInterval+fastGrowthAfter+1), true)
 	assert.Equal(t, limit.limit, before+1)
 	for i := range 100 {
 		limit.overloaded(now.Add(time.Duration(i)*time.Minute), 0)
--- a/entry/admit/pace.go
+++ b/entry/admit/pace.go
@@ -71,10 +71,10 @@
 	return l.limit > 0 && float64(l.inFlight) >= nearLimitShare*l.limit
 }
 
-// answered counts a response. It raises the limit by one for as many responses as the
+// completed counts a response. It raises the limit by one for as many responses as the
 // limit allows requests in flight, if the limit was nearly reached (nearLimit) when the
 // request was admitted.
-func (l *adaptiveLimit) answered(now time.Time, nearLimit bool) {
+func (l *adaptiveLimit) completed(now time.Time, nearLimit bool) {
 	switch {
 	case l.limit == 0 || !nearLimit:
 	case now.Sub(l.lastOverload) > fastGrowthAfter:
--- a/entry/callers/callers_test.go
+++ b/entry/callers/callers_test.go
@@ -70,7 +70,7 @@
 // grantingLimiter grants every permit and counts the permits not yet released.
 type grantingLimiter struct{ outstanding int }
 
-func (l *grantingLimiter) Ask(pipeline.Request) Permit { l.outstanding++; return grantedPermit{l} }
+func (l *grantingLimiter) Acquire(pipeline.Request) Permit { l.outstanding++; return grantedPermit{l} }
 
 // grantedPermit is a permit that is granted at once.
 type grantedPermit struct{ limiter *grantingLimiter }
@@ -162,11 +162,11 @@
 	send(s, "POST", path, "{}", headerDeadline, "60000", headerKey, "k")
 	assert.Equal(t, runner.got.Deadline, 5*time.Second)
 	assert.Equal(t, runner.got.Revision, core.Revision(5))
-	assert.Assert(t, !runner.got.Minted)
+	assert.Assert(t, !runner.got.KeyGenerated)
 	send(s, "POST", path, "{}")
 	assert.Equal(t, runner.got.Deadline, 3*time.Second)
 	assert.Equal(t, runner.got.Key, "e-00000000000000ff")
-	assert.Assert(t, runner.got.Minted)
+	assert.Assert(t, runner.got.KeyGenerated)
 }
 
 // digestOf returns the digest of a complete output in the form that callers receive.
@@ -239,7 +239,7 @@
 	assert.Equal(t, endOf(usual, overload), admit.EndOverloaded)
 	assert.Equal(t, endOf(shortDeadline, overload), admit.EndOther)
 	assert.Equal(t, endOf(usual, pipeline.Result{Outcome: core.OutcomeFailed, Cause: request.GiveUpDeadline}), admit.EndOther)
-	assert.Equal(t, endOf(usual, pipeline.Result{Outcome: core.OutcomeAnswered}), admit.EndAnswered)
+	assert.Equal(t, endOf(usual, pipeline.Result{Outcome: core.OutcomeAnswered}), admit.EndCompleted)
 }
 
 func TestLimitsRefuse(t *testing.T) {
--- a/entry/callers/server.go
+++ b/entry/callers/server.go
@@ -30,8 +30,8 @@
 
 // Limiter issues permits for the requests of workspaces that have a limit.
 type Limiter interface {
-	// Ask requests a permit. It does not block.
-	Ask(request pipeline.Request) Permit
+	// Acquire requests a permit. It does not block.
+	Acquire(request pipeline.Request) Permit
 }
 
 // Permit is the permit of one request. Release must be called once, when the request
--- a/entry/callers/submit.go
+++ b/entry/callers/submit.go
@@ -34,16 +34,16 @@
 		return
 	}
 	stream := strings.Contains(r.Header.Get("Accept"), "text/event-stream")
-	ticket, problem := s.enter(admitted, stream)
+	ticket, problem := s.admit(admitted, stream)
 	if problem != nil {
 		s.refuse(w, r, *problem)
 		return
 	}
 	result := pipeline.Result{}
 	// Deferred, so that a panic of the handler releases the ticket too.
-	defer func() { ticket.Leave(s.opts.Now(), endOf(admitted, result), result.RetryAfter) }()
+	defer func() { ticket.Done(s.opts.Now(), endOf(admitted, result), result.RetryAfter) }()
 	if admitted.Workspace.MaxInFlight > 0 {
-		permit := s.opts.Limiter.Ask(admitted)
+		permit := s.opts.Limiter.Acquire(admitted)
 		defer permit.Release()
 		admitted.Permit = permit
 	}
@@ -57,16 +57,16 @@
 	defaultDeadline := time.Duration(admitted.Template.DeadlineMS) * time.Millisecond
 	switch {
 	case result.Outcome == core.OutcomeAnswered:
-		return admit.EndAnswered
+		return admit.EndCompleted
 	case result.Cause == request.GiveUpOverload && admitted.Deadline >= defaultDeadline:
 		return admit.EndOverloaded
 	}
 	return admit.EndOther
 }
 
-// enter requests admission at the gate.
-func (s *Server) enter(request pipeline.Request, stream bool) (*admit.Ticket, *Problem) {
-	ticket, refusal, retryAfter := s.opts.Gate.Enter(s.opts.Now(), admit.Ask{
+// admit requests admission at the gate.
+func (s *Server) admit(request pipeline.Request, stream bool) (*admit.Ticket, *Problem) {
+	ticket, refusal, retryAfter := s.opts.Gate.Admit(s.opts.Now(), admit.Request{
 		Workspace: request.Workspace.Name,
 		Pipeline:  request.Template.Name,
 		Bound:     request.Workspace.MaxInFlight,
--- a/entry/callers/validate.go
+++ b/entry/callers/validate.go
@@ -54,14 +54,14 @@
 		key = string(id)
 	}
 	return pipeline.Request{
-		ID:        id,
-		Workspace: workspace,
-		Template:  template,
-		Revision:  revision,
-		Key:       key,
-		Minted:    generated,
-		Deadline:  deadline,
-		Body:      body,
+		ID:           id,
+		Workspace:    workspace,
+		Template:     template,
+		Revision:     revision,
+		Key:          key,
+		KeyGenerated: generated,
+		Deadline:     deadline,
+		Body:         body,
 	}, nil
 }
 
--- a/entry/claims/drive.go
+++ b/entry/claims/drive.go
@@ -16,7 +16,7 @@
 
 // drive makes the calls that the machine requests until it has a verdict, and logs the
 // verdict.
-func (k *Keeper) drive(ctx context.Context, action string, machine *claim.Machine) (Held, error) {
+func (k *Keeper) drive(ctx context.Context, action string, machine *claim.Machine) (State, error) {
 	name := machine.Next().Name
 	for {
 		step := machine.Next()
@@ -29,13 +29,13 @@
 		}
 		if err := k.call(ctx, machine, step); err != nil {
 			k.log.Warn(event.ClaimRefused, observe.Fields{"action": action, "claim": name, "error": err.Error()})
-			return heldOf(machine.Verdict()), err
+			return stateOf(machine.Verdict()), err
 		}
 	}
-	held := heldOf(machine.Verdict())
-	k.metrics.decided(action, held.Status)
-	k.logVerdict(action, name, held)
-	return held, nil
+	state := stateOf(machine.Verdict())
+	k.metrics.decided(action, state.Status)
+	k.logVerdict(action, name, state)
+	return state, nil
 }
 
 // call makes one call that the machine requests and passes it the result.
@@ -193,9 +193,9 @@
 	}
 }
 
-// heldOf converts a verdict of the protocol.
-func heldOf(v claim.Verdict) Held {
-	return Held{
+// stateOf converts a verdict of the protocol.
+func stateOf(v claim.Verdict) State {
+	return State{
 		Status:     v.Status,
 		Claim:      Claim{Record: v.Record, Version: v.Version},
 		Chunks:     v.Chunks,
@@ -216,17 +216,17 @@
 }
 
 // logVerdict logs the verdict on a claim.
-func (k *Keeper) logVerdict(action, name string, held Held) {
-	record := held.Claim.Record
+func (k *Keeper) logVerdict(action, name string, state State) {
+	record := state.Claim.Record
 	k.log.Event(event.ClaimDecided, observe.Fields{
 		"action":   action,
 		"claim":    name,
-		"status":   held.Status.String(),
-		"reason":   held.Reason,
+		"status":   state.Status.String(),
+		"reason":   state.Reason,
 		"request":  record.Request,
 		"attempt":  record.Attempt,
 		"nonce":    record.Nonce,
 		"upstream": record.Target.Upstream,
-		"version":  held.Claim.Version,
+		"version":  state.Claim.Version,
 	})
 }
--- a/entry/claims/fixture_test.go
+++ b/entry/claims/fixture_test.go
@@ -203,20 +203,20 @@
 	return f
 }
 
-// ask returns the Ask of a new request with a key.
-func (f *fixture) ask(key string) Ask {
+// request returns the OpenRequest of a new request with a key.
+func (f *fixture) request(key string) OpenRequest {
 	f.next++
-	return Ask{
+	return OpenRequest{
 		Workspace: "w", Pipeline: "p", Key: key, BodyDigest: claim.DigestBody([]byte("body")),
 		Request: core.RequestID("r" + string(rune('0'+f.next))), Stage: "s", Attempt: 1, Target: f.side.target(),
 	}
 }
 
 // open opens a claim for a new request and checks the status of the verdict.
-func (f *fixture) open(t *testing.T, key string, want Status) Held {
+func (f *fixture) open(t *testing.T, key string, want Status) State {
 	t.Helper()
-	held, err := f.keeper.Open(context.Background(), f.ask(key))
+	state, err := f.keeper.Open(context.Background(), f.request(key))
 	assert.NilError(t, err)
-	assert.Equal(t, held.Status.String(), want.String(), held.Reason)
-	return held
+	assert.Equal(t, state.Status.String(), want.String(), state.Reason)
+	return state
 }
--- a/entry/claims/keeper.go
+++ b/entry/claims/keeper.go
@@ -20,7 +20,7 @@
 
 // The verdicts. Package core/claim documents what each of them proves.
 const (
-	Mine        = claim.Owned
+	Owned       = claim.Owned
 	Done        = claim.Done
 	Running     = claim.Running
 	Unknown     = claim.Unknown
@@ -33,15 +33,15 @@
 // Target is the sidecar that an attempt is to be dispatched to.
 type Target = claim.Target
 
-// Ask describes the attempt for which a claim is opened.
-type Ask struct {
+// OpenRequest describes the attempt for which a claim is opened.
+type OpenRequest struct {
 	Workspace string
 	Pipeline  string
-	// Key is the caller's idempotency key, or the request ID if Minted is set.
+	// Key is the caller's idempotency key, or the request ID if KeyGenerated is set.
 	Key string
-	// Minted is set if the caller gave no key. No other request can then have the key,
-	// so the keeper can prove not_run while the store is down.
-	Minted bool
+	// KeyGenerated is set if the caller gave no key. No other request can then have the
+	// key, so the keeper can prove not_run while the store is down.
+	KeyGenerated bool
 	// BodyDigest is claim.DigestBody of the request's body. A key that was used with
 	// another body is refused with code Invalid.
 	BodyDigest string
@@ -80,10 +80,10 @@
 	}
 }
 
-// Held is the outcome of opening, reassigning, releasing or inspecting a claim.
-type Held struct {
+// State is the outcome of opening, reassigning, releasing or inspecting a claim.
+type State struct {
 	Status Status
-	// Claim is the claim that the status is based on: owned with Mine, another
+	// Claim is the claim that the status is based on: the caller's with Owned, another
 	// request's with Done, Running and Unknown. It is empty if none was seen.
 	Claim Claim
 	// Chunks are the chunks of the result, with Done.
@@ -103,7 +103,7 @@
 }
 
 // Addr returns the IP:port of the sidecar to attach to with Running.
-func (h Held) Addr() string { return h.Claim.Record.Target.Addr }
+func (h State) Addr() string { return h.Claim.Record.Target.Addr }
 
 // Resolver asks a sidecar for the state of an attempt.
 type Resolver interface {
@@ -168,16 +168,16 @@
 // the same key. If nothing fails and no claim exists, it takes a single write. Waiting
 // is bounded by ctx; the verdict is correct also when ctx ends the wait. Errors have
 // code Invalid if the key was used with another body.
-func (k *Keeper) Open(ctx context.Context, ask Ask) (Held, error) {
-	machine := claim.Open(k.protocolAsk(ask), k.rules, k.newRand())
+func (k *Keeper) Open(ctx context.Context, request OpenRequest) (State, error) {
+	machine := claim.Open(k.attemptSpec(request), k.rules, k.newRand())
 	return k.drive(ctx, "open", machine)
 }
 
 // Reassign replaces an owned attempt by one for another target. The caller must have
 // proof that the owned attempt has not run: its sidecar refused every Run, or no Run
-// was sent. The verdict is Mine with a new claim, or the state of the claim that another
-// request has replaced it by.
-func (k *Keeper) Reassign(ctx context.Context, owned Claim, target Target) (Held, error) {
+// was sent. The verdict is Owned with a new claim, or the state of the claim that
+// another request has replaced it by.
+func (k *Keeper) Reassign(ctx context.Context, owned Claim, target Target) (State, error) {
 	machine := claim.Reassign(owned.Record, owned.Version, target, k.rules, k.newRand())
 	return k.drive(ctx, "reassign", machine)
 }
@@ -185,33 +185,33 @@
 // Release abandons an owned attempt. The caller must have sent no Run for it, or the
 // sidecar must have refused every Run, and the caller must send none later. The next
 // request with the key need not ask the sidecar.
-func (k *Keeper) Release(ctx context.Context, owned Claim) (Held, error) {
+func (k *Keeper) Release(ctx context.Context, owned Claim) (State, error) {
 	machine := claim.Release(owned.Record, owned.Version, k.rules, k.newRand())
 	return k.drive(ctx, "release", machine)
 }
 
-// Look returns the state of a stage's claim without claiming it. It has a side effect:
-// an attempt that has not been dispatched yet will be refused from now on.
-func (k *Keeper) Look(ctx context.Context, workspace, pipeline, key, stage string) (Held, error) {
+// Inspect returns the state of a stage's claim without claiming it. It has a side
+// effect: an attempt that has not been dispatched yet will be refused from now on.
+func (k *Keeper) Inspect(ctx context.Context, workspace, pipeline, key, stage string) (State, error) {
 	id := claim.Identity{Workspace: workspace, Pipeline: pipeline, Key: key, Stage: stage}
 	return k.drive(ctx, "look", claim.Lookup(id, k.rules, k.newRand()))
 }
 
-// protocolAsk converts an Ask to that of the protocol.
-func (k *Keeper) protocolAsk(ask Ask) claim.AttemptSpec {
+// attemptSpec converts an OpenRequest to the AttemptSpec of the protocol.
+func (k *Keeper) attemptSpec(request OpenRequest) claim.AttemptSpec {
 	return claim.AttemptSpec{
 		Identity: claim.Identity{
-			Workspace:  ask.Workspace,
-			Pipeline:   ask.Pipeline,
-			Key:        ask.Key,
-			Stage:      ask.Stage,
-			BodyDigest: ask.BodyDigest,
+			Workspace:  request.Workspace,
+			Pipeline:   request.Pipeline,
+			Key:        request.Key,
+			Stage:      request.Stage,
+			BodyDigest: request.BodyDigest,
 		},
-		Request:        ask.Request,
-		Attempt:        ask.Attempt,
-		Target:         ask.Target,
-		KeyGenerated:   ask.Minted,
-		DispatchWithin: ask.DispatchWithin,
+		Request:        request.Request,
+		Attempt:        request.Attempt,
+		Target:         request.Target,
+		KeyGenerated:   request.KeyGenerated,
+		DispatchWithin: request.DispatchWithin,
 		NowUnix:        k.now().Unix(),
 	}
 }
--- a/entry/claims/keeper_test.go
+++ b/entry/claims/keeper_test.go
@@ -20,22 +20,22 @@
 
 func TestOneWriteIfNothingFails(t *testing.T) {
 	f := newFixture(t)
-	f.open(t, "k", Mine)
+	f.open(t, "k", Owned)
 	assert.Equal(t, f.store.calls, 1)
 }
 
 func TestLostWriteResponseIsReadBack(t *testing.T) {
 	f := newFixture(t)
 	f.store.loseResponses = 1
-	held := f.open(t, "k", Mine)
-	assert.Equal(t, held.Reason, "open ambiguous own_nonce")
-	assert.Equal(t, f.side.dispatch(held.Claim), gate.Admitted)
+	state := f.open(t, "k", Owned)
+	assert.Equal(t, state.Reason, "open ambiguous own_nonce")
+	assert.Equal(t, f.side.dispatch(state.Claim), gate.Admitted)
 }
 
 func TestOwnerThatNeverDispatchedIsDisplaced(t *testing.T) {
 	f := newFixture(t)
-	first := f.open(t, "k", Mine)
-	second := f.open(t, "k", Mine)
+	first := f.open(t, "k", Owned)
+	second := f.open(t, "k", Owned)
 	assert.Equal(t, f.side.dispatch(first.Claim), gate.Refused, "a tombstone must refuse the late dispatch")
 	assert.Equal(t, f.side.dispatch(second.Claim), gate.Admitted)
 	lost, err := f.keeper.Reassign(context.Background(), first.Claim, f.side.target())
@@ -46,7 +46,7 @@
 
 func TestRunningThenDoneThenRecorded(t *testing.T) {
 	f := newFixture(t)
-	owner := f.open(t, "k", Mine)
+	owner := f.open(t, "k", Owned)
 	assert.Equal(t, f.side.dispatch(owner.Claim), gate.Admitted)
 	assert.Equal(t, f.open(t, "k", Running).Addr(), f.side.addr)
 	f.side.finish(owner.Claim, "re", "sult")
@@ -62,7 +62,7 @@
 
 func TestLargeResultStaysAtTheSidecar(t *testing.T) {
 	f := newFixture(t)
-	owner := f.open(t, "k", Mine)
+	owner := f.open(t, "k", Owned)
 	f.side.dispatch(owner.Claim)
 	f.side.finish(owner.Claim, "more than ten bytes")
 	assert.NilError(t, f.keeper.Finish(context.Background(), owner.Claim, f.side.output))
@@ -73,70 +73,70 @@
 
 func TestRestartedSidecarMakesAttemptUnknown(t *testing.T) {
 	f := newFixture(t)
-	f.open(t, "k", Mine)
+	f.open(t, "k", Owned)
 	f.side.restart(8)
-	held := f.open(t, "k", Unknown)
-	assert.Equal(t, held.RetryAfter, time.Duration(0))
-	assert.Equal(t, held.Claim.Record.State, claim.StateOpen)
+	state := f.open(t, "k", Unknown)
+	assert.Equal(t, state.RetryAfter, time.Duration(0))
+	assert.Equal(t, state.Claim.Record.State, claim.StateOpen)
 }
 
 func TestUnreachableSidecarMakesAttemptUnknownUntilRetry(t *testing.T) {
 	f := newFixture(t)
-	ask := f.ask("k")
-	ask.Target.Addr = "127.0.0.1:1"
-	_, err := f.keeper.Open(context.Background(), ask)
+	request := f.request("k")
+	request.Target.Addr = "127.0.0.1:1"
+	_, err := f.keeper.Open(context.Background(), request)
 	assert.NilError(t, err)
-	held := f.open(t, "k", Unknown)
-	assert.Assert(t, held.RetryAfter > 0)
+	state := f.open(t, "k", Unknown)
+	assert.Assert(t, state.RetryAfter > 0)
 }
 
 func TestStoreDown(t *testing.T) {
 	f := newFixture(t)
 	f.store.down = true
 	assert.Assert(t, !f.open(t, "k", Unavailable).KeyNotRun, "an earlier request may have run the key")
-	minted := f.ask("r9")
-	minted.Minted = true
-	held, err := f.keeper.Open(context.Background(), minted)
+	generated := f.request("r9")
+	generated.KeyGenerated = true
+	state, err := f.keeper.Open(context.Background(), generated)
 	assert.NilError(t, err)
-	assert.Equal(t, held.Status, Unavailable)
-	assert.Assert(t, held.KeyNotRun)
+	assert.Equal(t, state.Status, Unavailable)
+	assert.Assert(t, state.KeyNotRun)
 }
 
 func TestAnotherBodyIsInvalid(t *testing.T) {
 	f := newFixture(t)
-	f.open(t, "k", Mine)
-	ask := f.ask("k")
-	ask.BodyDigest = claim.DigestBody([]byte("another body"))
-	held, err := f.keeper.Open(context.Background(), ask)
+	f.open(t, "k", Owned)
+	request := f.request("k")
+	request.BodyDigest = claim.DigestBody([]byte("another body"))
+	state, err := f.keeper.Open(context.Background(), request)
 	assert.Assert(t, fault.Is(err, fault.Invalid))
-	assert.Equal(t, held.Status, Invalid)
-	assert.Equal(t, len(held.Chunks), 0)
+	assert.Equal(t, state.Status, Invalid)
+	assert.Equal(t, len(state.Chunks), 0)
 }
 
 func TestReleasedClaimIsReopenedWithoutTheSidecar(t *testing.T) {
 	f := newFixture(t)
-	owner := f.open(t, "k", Mine)
+	owner := f.open(t, "k", Owned)
 	released, err := f.keeper.Release(context.Background(), owner.Claim)
 	assert.NilError(t, err)
 	assert.Equal(t, released.Status, NotRun)
 	f.side.restart(8)
-	assert.Equal(t, f.side.dispatch(f.open(t, "k", Mine).Claim), gate.Admitted)
+	assert.Equal(t, f.side.dispatch(f.open(t, "k", Owned).Claim), gate.Admitted)
 }
 
 func TestLookPreventsALaterDispatch(t *testing.T) {
 	f := newFixture(t)
-	look := func() Held {
-		held, err := f.keeper.Look(context.Background(), "w", "p", "k", "s")
+	inspect := func() State {
+		state, err := f.keeper.Inspect(context.Background(), "w", "p", "k", "s")
 		assert.NilError(t, err)
-		return held
+		return state
 	}
-	assert.Equal(t, look().Status, Absent)
-	owner := f.open(t, "k", Mine)
-	assert.Equal(t, look().Status, NotRun)
+	assert.Equal(t, inspect().Status, Absent)
+	owner := f.open(t, "k", Owned)
+	assert.Equal(t, inspect().Status, NotRun)
 	assert.Equal(t, f.side.dispatch(owner.Claim), gate.Refused)
 	lost, err := f.keeper.Reassign(context.Background(), owner.Claim, f.side.target())
 	assert.NilError(t, err)
-	assert.Equal(t, lost.Status, NotRun, "an attempt that Look returned as not run must not run later")
+	assert.Equal(t, lost.Status, NotRun, "an attempt that Inspect returned as not run must not run later")
 }
 
 // TestCanceledContextEndsTheWaitAsUnknown cancels the context of a request that has read
@@ -144,23 +144,23 @@
 // must be Unknown: the owner may run the stage.
 func TestCanceledContextEndsTheWaitAsUnknown(t *testing.T) {
 	f := newFixture(t)
-	ask := f.ask("k")
-	ask.DispatchWithin = time.Hour
-	_, err := f.keeper.Open(context.Background(), ask)
+	request := f.request("k")
+	request.DispatchWithin = time.Hour
+	_, err := f.keeper.Open(context.Background(), request)
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	f.keeper.rules.MaxWait = time.Hour
 	f.store.afterRead = func() { go cancel() }
-	held, err := f.keeper.Open(ctx, f.ask("k"))
+	state, err := f.keeper.Open(ctx, f.request("k"))
 	assert.NilError(t, err)
-	assert.Equal(t, held.Status, Unknown)
-	assert.Assert(t, held.RetryAfter > 0)
+	assert.Equal(t, state.Status, Unknown)
+	assert.Assert(t, state.RetryAfter > 0)
 }
 
 func TestEachDecisionIsLogged(t *testing.T) {
 	f := newFixture(t)
 	f.store.loseResponses = 1
-	f.open(t, "k", Mine)
+	f.open(t, "k", Owned)
 	var line struct {
 		Message string         `json:"message"`
 		Fields  observe.Fields `json:"fields"`
@@ -180,7 +180,7 @@
 	start := time.Unix(1_000_000, 0)
 	for i, age := range []time.Duration{25 * time.Hour, 24 * time.Hour, 0} {
 		f.keeper.now = func() time.Time { return start.Add(-age) }
-		f.open(t, string(rune('a'+i)), Mine)
+		f.open(t, string(rune('a'+i)), Owned)
 	}
 	entries := []fleet.Host{{Name: "entry-1", Role: fleet.RoleEntry}, {Name: "entry-2", Role: fleet.RoleEntry}}
 	sweep := func(now time.Time, names ...string) int {
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -99,7 +99,7 @@
 		assert.Equal(t, status(admin+path), http.StatusOK, path)
 	}
 	assert.Equal(t, status(admin+"/v1/explain/e-1"), http.StatusNotFound)
-	ticket, refusal, _ := p.gate.Enter(time.Now(), admit.Ask{Workspace: "w"})
+	ticket, refusal, _ := p.gate.Admit(time.Now(), admit.Request{Workspace: "w"})
 	assert.Equal(t, refusal, admit.Admitted)
 	cancel()
 	eventually(t, admin+"/readyz", http.StatusServiceUnavailable)
@@ -109,7 +109,7 @@
 		t.Fatal("run returned while a request was in flight", err)
 	default:
 	}
-	ticket.Leave(time.Now(), admit.EndAnswered, 0)
+	ticket.Done(time.Now(), admit.EndCompleted, 0)
 	assert.NilError(t, <-ended)
 }
 
@@ -156,13 +156,13 @@
 }
 
 // fakeClaimReader maps "key/stage" to the state of a claim.
-type fakeClaimReader map[string]claims.Held
+type fakeClaimReader map[string]claims.State
 
-func (l fakeClaimReader) Look(_ context.Context, _, _, key, stage string) (claims.Held, error) {
+func (l fakeClaimReader) Inspect(_ context.Context, _, _, key, stage string) (claims.State, error) {
 	if claim, ok := l[key+"/"+stage]; ok {
 		return claim, nil
 	}
-	return claims.Held{Status: claims.Absent}, nil
+	return claims.State{Status: claims.Absent}, nil
 }
 
 // fakeView is a fleet with one other entry, b, in which every template has the stage "pay".
--- a/entry/find.go
+++ b/entry/find.go
@@ -23,7 +23,7 @@
 
 // claimReader returns the state of claims. *claims.Keeper implements it.
 type claimReader interface {
-	Look(ctx context.Context, workspace, pipeline, key, stage string) (claims.Held, error)
+	Inspect(ctx context.Context, workspace, pipeline, key, stage string) (claims.State, error)
 }
 
 // fleetView is the state of the fleet that a lookup reads. *feed.State implements it.
@@ -124,7 +124,7 @@
 		if !stage.NonIdempotent {
 			continue
 		}
-		claim, err := f.claims.Look(ctx, workspace, pipeline, key, stage.Name)
+		claim, err := f.claims.Inspect(ctx, workspace, pipeline, key, stage.Name)
 		if err != nil {
 			return trace.Trace{}, false
 		}
@@ -143,7 +143,7 @@
 
 // outcomeOf returns the outcome that the claim of a stage implies for the request, or
 // empty strings if it implies none.
-func outcomeOf(claim claims.Held, stage string) (core.Outcome, string) {
+func outcomeOf(claim claims.State, stage string) (core.Outcome, string) {
 	switch claim.Status {
 	case claims.Done:
 		return core.OutcomeUnknown, "stage " + stage + " has run; retry with the same idempotency key to get the complete response"
--- a/entry/limit/limiter.go
+++ b/entry/limit/limiter.go
@@ -75,9 +75,9 @@
 	}
 }
 
-// Ask starts to acquire a permit for a request of a workspace and returns at once; see
-// Permit.Decided. The deadline is the time within which the request must complete.
-func (l *Limiter) Ask(request core.RequestID, workspace string, bound int, deadline time.Duration) *Permit {
+// Acquire starts to acquire a permit for a request of a workspace and returns at once;
+// see Permit.Decided. The deadline is the time within which the request must complete.
+func (l *Limiter) Acquire(request core.RequestID, workspace string, bound int, deadline time.Duration) *Permit {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &Permit{
 		limiter: l,
--- a/entry/limit/limiter_test.go
+++ b/entry/limit/limiter_test.go
@@ -93,7 +93,7 @@
 
 // acquire requests a permit at an entry and waits for the decision.
 func (n *node) acquire(workspace string, bound int) *Permit {
-	p := n.limiter.Ask("r", workspace, bound, 20*time.Second)
+	p := n.limiter.Acquire("r", workspace, bound, 20*time.Second)
 	<-p.Decided()
 	return p
 }
@@ -171,7 +171,7 @@
 		}
 	}()
 	for range 50 {
-		p := caller.limiter.Ask("r", "w", 1, time.Second)
+		p := caller.limiter.Acquire("r", "w", 1, time.Second)
 		select {
 		case <-connected:
 		case <-p.Decided():
--- a/entry/pipeline/act.go
+++ b/entry/pipeline/act.go
@@ -118,7 +118,7 @@
 	f.post(post{
 		event: request.NotChosen{
 			Attempt:    a.Attempt,
-			LackOfTime: route.Late(err),
+			LackOfTime: route.TooLate(err),
 			RetryAfter: route.RetryAfter(err),
 			Detail:     err.Error(),
 		},
--- a/entry/pipeline/claiming.go
+++ b/entry/pipeline/claiming.go
@@ -33,11 +33,11 @@
 func (f *flow) openClaim(r request.OpenClaim) {
 	a := f.attempts[r.Attempt]
 	a.number = r.Number
-	claimRequest := claims.Ask{
+	claimRequest := claims.OpenRequest{
 		Workspace:      f.req.Workspace.Name,
 		Pipeline:       f.req.Template.Name,
 		Key:            f.req.Key,
-		Minted:         f.req.Minted,
+		KeyGenerated:   f.req.KeyGenerated,
 		BodyDigest:     bodyDigest(f.req),
 		Request:        f.req.ID,
 		Stage:          f.stages[r.Stage].Name,
@@ -45,7 +45,7 @@
 		Target:         claimTargetFromChoice(a.choice),
 		DispatchWithin: r.DispatchWithin,
 	}
-	f.callClaims(a, func(ctx context.Context) (claims.Held, error) {
+	f.callClaims(a, func(ctx context.Context) (claims.State, error) {
 		return f.runner.opts.Claims.Open(ctx, claimRequest)
 	})
 }
@@ -55,7 +55,7 @@
 	a := f.attempts[r.Attempt]
 	a.number = r.Number
 	owned, target := f.claims[r.Stage], claimTargetFromChoice(a.choice)
-	f.callClaims(a, func(ctx context.Context) (claims.Held, error) {
+	f.callClaims(a, func(ctx context.Context) (claims.State, error) {
 		return f.runner.opts.Claims.Reassign(ctx, owned, target)
 	})
 }
@@ -63,7 +63,7 @@
 // callClaims makes one call of the claim protocol and posts its verdict. The call
 // continues after the request is given up, because its verdict tells which claim to
 // release.
-func (f *flow) callClaims(a *attempt, call func(context.Context) (claims.Held, error)) {
+func (f *flow) callClaims(a *attempt, call func(context.Context) (claims.State, error)) {
 	stage, timeout := a.stage, time.Until(f.record.deadline)
 	go func() {
 		ctx, cancel := context.WithTimeout(f.ctx, max(timeout, time.Millisecond))
@@ -72,7 +72,7 @@
 		event := claimedEvent(f.req.ID, a.id, verdict, err)
 		f.post(post{event: event, apply: func() {
 			f.claims[stage] = verdict.Claim
-			if event.Status == request.ClaimMine || event.Status == request.ClaimRunning {
+			if event.Status == request.ClaimOwned || event.Status == request.ClaimRunning {
 				a.target = targetFromClaim(verdict.Claim)
 			}
 			f.record.claimed(a, event)
@@ -82,7 +82,7 @@
 
 // claimStatuses maps the verdicts of claims.Keeper to the machine's.
 var claimStatuses = map[claims.Status]request.ClaimStatus{
-	claims.Mine:        request.ClaimMine,
+	claims.Owned:       request.ClaimOwned,
 	claims.Done:        request.ClaimDone,
 	claims.Running:     request.ClaimRunning,
 	claims.Unknown:     request.ClaimUnknown,
@@ -98,7 +98,7 @@
 // Seen is set only for the claim of another request, because the machine knows what
 // this request's own attempt did. An attempt that its sidecar refused is therefore
 // proved not run even if the store goes down before the claim is reassigned.
-func claimedEvent(requestID core.RequestID, id request.AttemptID, verdict claims.Held, err error) request.Claimed {
+func claimedEvent(requestID core.RequestID, id request.AttemptID, verdict claims.State, err error) request.Claimed {
 	event := request.Claimed{
 		Attempt:    id,
 		Status:     claimStatuses[verdict.Status],
--- a/entry/pipeline/claiming_test.go
+++ b/entry/pipeline/claiming_test.go
@@ -15,7 +15,7 @@
 // it would otherwise not report not run after its own attempt was refused.
 func TestOnlyAnotherRequestsClaimIsSeen(t *testing.T) {
 	seen := func(holder core.RequestID) bool {
-		verdict := claims.Held{
+		verdict := claims.State{
 			Status: claims.Unavailable,
 			Claim:  claims.Claim{Record: claim.Record{Request: holder}},
 		}
--- a/entry/pipeline/fixture_test.go
+++ b/entry/pipeline/fixture_test.go
@@ -200,38 +200,38 @@
 // it instead.
 type fakeClaims struct {
 	mu         sync.Mutex
-	verdict    *claims.Held
+	verdict    *claims.State
 	opened     int
 	reassigned int
 	finished   [][]byte
 	finishes   chan struct{}
 }
 
-func (c *fakeClaims) Open(_ context.Context, request claims.Ask) (claims.Held, error) {
+func (c *fakeClaims) Open(_ context.Context, request claims.OpenRequest) (claims.State, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.opened++
 	if c.verdict != nil {
 		return *c.verdict, nil
 	}
-	return claims.Held{Status: claims.Mine, Claim: claims.Claim{Version: 1, Record: claim.Record{
+	return claims.State{Status: claims.Owned, Claim: claims.Claim{Version: 1, Record: claim.Record{
 		Request: request.Request, Attempt: request.Attempt, Nonce: 1, Target: request.Target,
 		Identity: claim.Identity{Workspace: request.Workspace, Pipeline: request.Pipeline, Key: request.Key, Stage: request.Stage},
 	}}}, nil
 }
 
-func (c *fakeClaims) Reassign(_ context.Context, owned claims.Claim, target claims.Target) (claims.Held, error) {
+func (c *fakeClaims) Reassign(_ context.Context, owned claims.Claim, target claims.Target) (claims.State, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reassigned++
 	owned.Record.Attempt++
 	owned.Record.Nonce++
 	owned.Record.Target = target
-	return claims.Held{Status: claims.Mine, Claim: owned}, nil
+	return claims.State{Status: claims.Owned, Claim: owned}, nil
 }
 
-func (c *fakeClaims) Release(context.Context, claims.Claim) (claims.Held, error) {
-	return claims.Held{Status: claims.NotRun}, nil
+func (c *fakeClaims) Release(context.Context, claims.Claim) (claims.State, error) {
+	return claims.State{Status: claims.NotRun}, nil
 }
 
 func (c *fakeClaims) Finish(_ context.Context, _ claims.Claim, chunks [][]byte) error {
--- a/entry/pipeline/record.go
+++ b/entry/pipeline/record.go
@@ -202,7 +202,7 @@
 }
 
 var claimNames = map[request.ClaimStatus]string{
-	request.ClaimMine:        "mine",
+	request.ClaimOwned:       "mine",
 	request.ClaimDone:        "done",
 	request.ClaimRunning:     "running",
 	request.ClaimUnknown:     "unknown",
--- a/entry/pipeline/runner.go
+++ b/entry/pipeline/runner.go
@@ -91,7 +91,7 @@
 
 // planOf returns the request's stages and the machine's plan for them.
 func planOf(req Request) ([]stagePlan, request.Plan) {
-	plan := request.Plan{Deadline: req.Deadline, KeyGenerated: req.Minted}
+	plan := request.Plan{Deadline: req.Deadline, KeyGenerated: req.KeyGenerated}
 	var stages []stagePlan
 	for _, declared := range req.Template.Stages {
 		stage, prefix := effectiveStage(req, declared)
--- a/entry/pipeline/runner_test.go
+++ b/entry/pipeline/runner_test.go
@@ -171,7 +171,7 @@
 	side.onRun = func(_ *wirepb.RunRequest, stream wirepb.DRPCSide_RunStream) error { return block(stream.Context()) }
 	last := startSide(t, "b")
 	h := newHarness(t, map[string][]*fakeSide{"encode": {side}, "pay": {side}, "generate": {last}})
-	h.claims.verdict = &claims.Held{Status: claims.Done, Chunks: [][]byte{[]byte("paid")}, Recorded: true}
+	h.claims.verdict = &claims.State{Status: claims.Done, Chunks: [][]byte{[]byte("paid")}, Recorded: true}
 	assert.Equal(t, h.run(context.Background(), h.request(encode, pay, generate)).Outcome, core.OutcomeAnswered)
 	assert.DeepEqual(t, h.got, outputOf("generate", []byte("paid")))
 }
--- a/entry/pipeline/types.go
+++ b/entry/pipeline/types.go
@@ -30,10 +30,10 @@
 	// Revision is the configuration revision under which the request was admitted.
 	// It applies until the request ends.
 	Revision core.Revision
-	// Key is the caller's idempotency key. If the caller sent none, Minted is set and
-	// Key is the request's ID.
-	Key    string
-	Minted bool
+	// Key is the caller's idempotency key. If the caller sent none, KeyGenerated is set
+	// and Key is the request's ID.
+	Key          string
+	KeyGenerated bool
 	// Deadline is the time allowed for the request, counted from its admission.
 	Deadline time.Duration
 	Body     []byte
@@ -82,8 +82,8 @@
 
 // Claims manages the claims of non-idempotent stages. *claims.Keeper implements it.
 type Claims interface {
-	Open(ctx context.Context, ask claims.Ask) (claims.Held, error)
-	Reassign(ctx context.Context, owned claims.Claim, target claims.Target) (claims.Held, error)
-	Release(ctx context.Context, owned claims.Claim) (claims.Held, error)
+	Open(ctx context.Context, request claims.OpenRequest) (claims.State, error)
+	Reassign(ctx context.Context, owned claims.Claim, target claims.Target) (claims.State, error)
+	Release(ctx context.Context, owned claims.Claim) (claims.State, error)
 	Finish(ctx context.Context, c claims.Claim, chunks [][]byte) error
 }
--- a/entry/route/refuse.go
+++ b/entry/route/refuse.go
@@ -38,8 +38,9 @@
 	return 0
 }
 
-// Late reports whether err is a refusal of Choose only because no upstream would finish in time.
-func Late(err error) bool {
+// TooLate reports whether err is a refusal of Choose only because no upstream would
+// finish in time.
+func TooLate(err error) bool {
 	var r *refusal
 	return errors.As(err, &r) && r.tooLate
 }
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -37,9 +37,9 @@
 // permitLimiter adapts a limit.Limiter to callers.Limiter.
 type permitLimiter struct{ limiter *limit.Limiter }
 
-// Ask implements callers.Limiter.
-func (p permitLimiter) Ask(r pipeline.Request) callers.Permit {
-	return p.limiter.Ask(r.ID, r.Workspace.Name, r.Workspace.MaxInFlight, r.Deadline)
+// Acquire implements callers.Limiter.
+func (p permitLimiter) Acquire(r pipeline.Request) callers.Permit {
+	return p.limiter.Acquire(r.ID, r.Workspace.Name, r.Workspace.MaxInFlight, r.Deadline)
 }
 
 // newServers returns the HTTP servers for callers and for operators.
