--- a/standin/faults/tap/forward.go
+++ b/standin/faults/tap/forward.go
@@ -31,7 +31,7 @@
 		return nil, err
 	}
 	broken := &atomic.Bool{}
-	over, err := t.dialer.Over(ctx, farConn{Conn: conn, broken: broken}, t.target)
+	over, err := t.dialer.HandshakeOver(ctx, farConn{Conn: conn, broken: broken}, t.target)
 	if err != nil {
 		return nil, err
 	}
--- a/wire/link/dialer.go
+++ b/wire/link/dialer.go
@@ -67,13 +67,13 @@
 	if err != nil {
 		return nil, fault.Wrap(fault.Unavailable, stepDial, addr, err)
 	}
-	return d.Over(ctx, opened, addr)
+	return d.HandshakeOver(ctx, opened, addr)
 }
 
-// Over makes the handshake on an open connection to addr and returns the connection for
-// calls, outside of the pool. If the handshake fails, Over closes the connection and
-// returns the same error as a call that could not be sent.
-func (d *Dialer) Over(ctx context.Context, opened net.Conn, addr string) (drpcpool.Conn, error) {
+// HandshakeOver makes the handshake on an open connection to addr and returns the
+// connection for calls, outside of the pool. If the handshake fails, it closes the
+// connection and returns the same error as a call that could not be sent.
+func (d *Dialer) HandshakeOver(ctx context.Context, opened net.Conn, addr string) (drpcpool.Conn, error) {
 	conn := countedConn{Conn: opened, traffic: &d.traffic}
 	if err := withTimeout(ctx, conn, d.handshakeTimeout, func() error { return respond(conn, d.key) }); err != nil {
 		_ = conn.Close() // the returned error says more
