--- a/entry/pipeline/record.go
+++ b/entry/pipeline/record.go
@@ -126,7 +126,7 @@
 	if !report.Sent {
 		return
 	}
-	r.recordDecision(event.PassEnded, a, string(report.End), observe.Fields{
+	r.recordDecision(event.AttemptUnused, a, string(report.End), observe.Fields{
 		"wasted":      report.Wasted,
 		"duration_us": report.Duration.Microseconds(),
 	})
@@ -155,7 +155,7 @@
 	request.NoteNoHedge:    event.HedgeDeclined,
 	request.NoteKept:       event.ResultKept,
 	request.NoteReplaced:   event.AttemptLeft,
-	request.NoteSettling:   event.RequestSettling,
+	request.NoteSettling:   event.RequestAwaitingProof,
 	request.NoteTrial:      event.StageTried,
 	request.NoteBug:        event.ChartViolated,
 }
--- a/gateway/quarantine/guard.go
+++ b/gateway/quarantine/guard.go
@@ -273,7 +273,7 @@
 	}
 	incarnation := StartOf(upstream)
 	if g.book.Answered(incarnation, sent, clock.Boot()) {
-		g.options.Logger.Event(event.CrashDisproved, observe.Fields{"upstream": incarnation})
+		g.options.Logger.Event(event.CrashDismissed, observe.Fields{"upstream": incarnation})
 		g.wakeWriter()
 	}
 }
--- a/gateway/view/evacuations.go
+++ b/gateway/view/evacuations.go
@@ -75,7 +75,7 @@
 		return
 	}
 	delete(r.since, zone)
-	r.view.options.Logger.Event(event.ZoneTakenBack, observe.Fields{
+	r.view.options.Logger.Event(event.ZoneEvacuationEnded, observe.Fields{
 		"zone": zone, "after_ms": (clock.Boot() - since).Milliseconds(), "upstreams": r.upstreams.countIn(zone)})
 }
 
--- a/gateway/view/upstreams.go
+++ b/gateway/view/upstreams.go
@@ -102,7 +102,7 @@
 	if after.leaving == before.leaving && after.backoffUntil.Equal(before.backoffUntil) {
 		return
 	}
-	r.view.options.Logger.Event(event.UpstreamAsked, observe.Fields{"upstream": a.Upstream.ID, "service": a.Upstream.Service,
+	r.view.options.Logger.Event(event.UpstreamBackoff, observe.Fields{"upstream": a.Upstream.ID, "service": a.Upstream.Service,
 		"request": a.Request, "leaving": a.Leaving, "retry_after_ms": a.Pause.Milliseconds()})
 	r.publish()
 }
@@ -182,7 +182,7 @@
 	}
 	old, known := r.known[upstream.ID]
 	if known && old.Born > upstream.Born {
-		r.view.options.Logger.Warn(event.UpstreamOutdated, observe.Fields{"upstream": object.Name, "revision": object.Revision,
+		r.view.options.Logger.Warn(event.UpstreamEntryStale, observe.Fields{"upstream": object.Name, "revision": object.Revision,
 			"born": upstream.Born, "known_born": old.Born})
 		return
 	}
--- a/observe/event/request.go
+++ b/observe/event/request.go
@@ -16,7 +16,7 @@
 		"request", "stage", "attempt", "upstream", "reason", "from")
 	AttemptCancelled = define(1107, "attempt_cancelled", "A sidecar was requested to cancel an attempt.",
 		"request", "stage", "attempt", "upstream", "reason", "cause")
-	PassEnded = define(1108, "pass_ended", "An attempt ended without contributing to the response.",
+	AttemptUnused = define(1108, "pass_ended", "An attempt ended without contributing to the response.",
 		"request", "stage", "attempt", "upstream", "reason", "wasted", "duration_us")
 	AttemptLeft = define(1109, "attempt_left", "An attempt makes no progress; another upstream takes over the stage.",
 		"request", "stage", "attempt", "upstream", "reason")
@@ -32,7 +32,7 @@
 		"request", "stage", "attempt", "upstream", "reason")
 	StageClaimed = define(1115, "stage_claimed", "The claim of a non-idempotent stage was decided.",
 		"request", "stage", "attempt", "upstream", "reason")
-	RequestSettling = define(1116, "request_settling", "A request is given up; its response waits for proof that no attempt can start later.",
+	RequestAwaitingProof = define(1116, "request_settling", "A request is given up; its response waits for proof that no attempt can start later.",
 		"request", "stage", "attempt", "upstream", "reason")
 	StageTried = define(1118, "stage_tried", "A stage is tried although its upstreams were too slow when last measured.",
 		"request", "stage", "attempt", "upstream", "reason")
