--- a/entry/limit/limiter.go
+++ b/entry/limit/limiter.go
@@ -55,7 +55,7 @@
 	metrics *metrics
 
 	mu     sync.Mutex
-	asker  *share.Asker
+	client *share.Client
 	ledger *share.Ledger
 	// homes are the homes according to the host list at homesVersion.
 	homes        *share.Homes
@@ -69,15 +69,15 @@
 	return &Limiter{
 		opts:    opts,
 		metrics: newMetrics(opts.Scope),
-		asker:   share.NewAsker(),
+		client:  share.NewClient(),
 		ledger:  share.NewLedger(),
 		running: make(map[share.PermitID]*Permit),
 	}
 }
 
-// Ask starts to acquire a permit for a request of a workspace and returns at once; see
-// Permit.Decided. The deadline is the time within which the request must complete.
-func (l *Limiter) Ask(request core.RequestID, workspace string, bound int, deadline time.Duration) *Permit {
+// Acquire starts to acquire a permit for a request of a workspace and returns at once;
+// see Permit.Decided. The deadline is the time within which the request must complete.
+func (l *Limiter) Acquire(request core.RequestID, workspace string, bound int, deadline time.Duration) *Permit {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &Permit{
 		limiter: l,
--- a/entry/pipeline/record.go
+++ b/entry/pipeline/record.go
@@ -126,7 +126,7 @@
 	if !report.Sent {
 		return
 	}
-	r.recordDecision(event.PassEnded, a, string(report.End), observe.Fields{
+	r.recordDecision(event.AttemptUnused, a, string(report.End), observe.Fields{
 		"wasted":      report.Wasted,
 		"duration_us": report.Duration.Microseconds(),
 	})
@@ -150,14 +150,14 @@
 
 // noteEvents maps the kinds of the machine's notes to log events.
 var noteEvents = map[request.NoteKind]event.Event{
-	request.NoteDropped:  event.EventDropped,
-	request.NoteStayed:   event.AttemptKept,
-	request.NoteNoHedge:  event.HedgeDeclined,
-	request.NoteKept:     event.ResultKept,
-	request.NoteLeft:     event.AttemptLeft,
-	request.NoteSettling: event.RequestSettling,
-	request.NoteTrial:    event.StageTried,
-	request.NoteBug:      event.ChartViolated,
+	request.NoteDropped:    event.EventDropped,
+	request.NoteKeptSilent: event.AttemptKept,
+	request.NoteNoHedge:    event.HedgeDeclined,
+	request.NoteKept:       event.ResultKept,
+	request.NoteReplaced:   event.AttemptLeft,
+	request.NoteSettling:   event.RequestAwaitingProof,
+	request.NoteTrial:      event.StageTried,
+	request.NoteBug:        event.ChartViolated,
 }
 
 // note records a decision that leads to no other action.
@@ -202,7 +202,7 @@
 }
 
 var claimNames = map[request.ClaimStatus]string{
-	request.ClaimMine:        "mine",
+	request.ClaimOwned:       "mine",
 	request.ClaimDone:        "done",
 	request.ClaimRunning:     "running",
 	request.ClaimUnknown:     "unknown",
--- a/gateway/quarantine/guard.go
+++ b/gateway/quarantine/guard.go
@@ -275,7 +275,7 @@
 	}
 	incarnation := IncarnationOf(upstream)
 	if g.state.Responded(incarnation, sent, clock.Boot()) {
-		g.options.Logger.Event(event.CrashDisproved, observe.Fields{"upstream": incarnation})
+		g.options.Logger.Event(event.CrashDismissed, observe.Fields{"upstream": incarnation})
 		g.wakeWriter()
 	}
 }
--- a/gateway/view/upstreams.go
+++ b/gateway/view/upstreams.go
@@ -102,7 +102,7 @@
 	if after.leaving == before.leaving && after.backoffUntil.Equal(before.backoffUntil) {
 		return
 	}
-	r.view.options.Logger.Event(event.UpstreamAsked, observe.Fields{"upstream": received.Upstream.ID, "service": received.Upstream.Service,
+	r.view.options.Logger.Event(event.UpstreamBackoff, observe.Fields{"upstream": received.Upstream.ID, "service": received.Upstream.Service,
 		"request": received.Request, "leaving": received.Leaving, "retry_after_ms": received.Backoff.Milliseconds()})
 	r.publish()
 }
@@ -182,7 +182,7 @@
 	}
 	old, known := r.known[upstream.ID]
 	if known && old.Incarnation > upstream.Incarnation {
-		r.view.options.Logger.Warn(event.UpstreamOutdated, observe.Fields{"upstream": object.Name, "revision": object.Revision,
+		r.view.options.Logger.Warn(event.UpstreamEntryStale, observe.Fields{"upstream": object.Name, "revision": object.Revision,
 			"born": upstream.Incarnation, "known_born": old.Incarnation})
 		return
 	}
--- a/standin/faults/tap/forward.go
+++ b/standin/faults/tap/forward.go
@@ -31,7 +31,7 @@
 		return nil, err
 	}
 	broken := &atomic.Bool{}
-	drpcConn, err := t.dialer.Over(ctx, sideConn{Conn: conn, broken: broken}, t.target)
+	drpcConn, err := t.dialer.HandshakeOver(ctx, sideConn{Conn: conn, broken: broken}, t.target)
 	if err != nil {
 		return nil, err
 	}
