--- a/core/routing/table.go
+++ b/core/routing/table.go
@@ -96,8 +96,8 @@
 	state.recentChoices = append(state.recentChoices, now)
 }
 
-// RecordEnd records the end of an attempt recorded with RecordChoice. Finished work clears the
-// suspicion with its strikes.
+// RecordEnd records the end of an attempt recorded with RecordChoice. Finished work
+// clears the suspicion with its strikes.
 func (t *Table) RecordEnd(id core.UpstreamID, finished bool) {
 	state := t.stateOf(id)
 	state.inFlight = max(0, state.inFlight-1)
