--- a/standin/bench/spread/change.go
+++ b/standin/bench/spread/change.go
@@ -35,7 +35,7 @@
 	m.revision++
 	var command errgroup.Group
 	command.Go(func() error {
-		_, err := m.fleet.Accept(ctx, path)
+		_, err := m.fleet.Submit(ctx, path)
 		return err
 	})
 	if err := m.awaitWrites(ctx, stats.Writes+writesPerAccept); err != nil {
--- a/standin/bench/spread/condition.go
+++ b/standin/bench/spread/condition.go
@@ -101,7 +101,7 @@
 // resumeFrozen resumes the frozen processes.
 func resumeFrozen(_ context.Context, m *measurement) error {
 	for process := range m.frozen {
-		if err := process.Wake(); err != nil {
+		if err := process.Resume(); err != nil {
 			return err
 		}
 		delete(m.frozen, process)
--- a/standin/bench/spread/spread.go
+++ b/standin/bench/spread/spread.go
@@ -135,7 +135,7 @@
 		return err
 	}
 	began := time.Now()
-	m.revision, err = m.fleet.Accept(ctx, path)
+	m.revision, err = m.fleet.Submit(ctx, path)
 	if err != nil {
 		return err
 	}
--- a/standin/bench/trial/fault.go
+++ b/standin/bench/trial/fault.go
@@ -26,7 +26,7 @@
 	victim := r.fleet.Service(r.options.Size.Engine)[0]
 	switch r.options.Case.Fault {
 	case scene.Slow:
-		return victim.Set(ctx, upstream.Control{SlowFactor: scene.SlowFactor})
+		return victim.SetControl(ctx, upstream.Control{SlowFactor: scene.SlowFactor})
 	case scene.FreezeUpstream:
 		return victim.Worker.Freeze()
 	case scene.FreezeSide:
--- a/standin/cmd/demo/requests.go
+++ b/standin/cmd/demo/requests.go
@@ -158,7 +158,7 @@
 		if u.Group.Kind != config.KindEngine {
 			continue
 		}
-		if err := u.Set(ctx, upstream.Control{SlowFactor: slowdownAtStop}); err != nil {
+		if err := u.SetControl(ctx, upstream.Control{SlowFactor: slowdownAtStop}); err != nil {
 			return err
 		}
 	}
--- a/standin/faults/drain.go
+++ b/standin/faults/drain.go
@@ -105,7 +105,7 @@
 }
 
 // drainBySide starts a planned stop of the upstream's sidecar.
-func drainBySide(_ context.Context, s *CellRun) error { return s.Upstream.Side.Interrupt() }
+func drainBySide(_ context.Context, s *CellRun) error { return s.Upstream.Side.SignalTerminate() }
 
 // awaitFinalStop waits until the sidecar has stopped and does not start it again.
 func awaitFinalStop(ctx context.Context, s *CellRun) error {
--- a/standin/faults/fault.go
+++ b/standin/faults/fault.go
@@ -148,10 +148,10 @@
 	return func(_ context.Context, s *CellRun) error { return choose(s).Freeze() }
 }
 
-// wake returns a heal that resumes a frozen process.
-func wake(choose func(*CellRun) *harness.Process) func(context.Context, *CellRun) error {
+// resume returns a heal that resumes a frozen process.
+func resume(choose func(*CellRun) *harness.Process) func(context.Context, *CellRun) error {
 	return func(ctx context.Context, s *CellRun) error {
-		if err := choose(s).Wake(); err != nil {
+		if err := choose(s).Resume(); err != nil {
 			return err
 		}
 		s.armed.resume(ctx)
@@ -159,14 +159,14 @@
 	}
 }
 
-// Functions that select a process for freeze, wake, stop and Fault.Stopping.
+// Functions that select a process for freeze, resume, stop and Fault.Stopping.
 func entryProcess(s *CellRun) *harness.Process  { return s.Entry.Process }
 func sideProcess(s *CellRun) *harness.Process   { return s.Upstream.Side }
 func workerProcess(s *CellRun) *harness.Process { return s.Upstream.Worker }
 
 // stop returns an injection that requests a planned stop of a process with SIGTERM.
 func stop(choose func(*CellRun) *harness.Process) func(context.Context, *CellRun) error {
-	return func(_ context.Context, s *CellRun) error { return choose(s).Interrupt() }
+	return func(_ context.Context, s *CellRun) error { return choose(s).SignalTerminate() }
 }
 
 // stopTimeout bounds a planned stop.
@@ -229,7 +229,7 @@
 // stopAndReturn stops the upstream, which must have nothing in flight, starts it again
 // and withdraws the notice.
 func stopAndReturn(ctx context.Context, s *CellRun) error {
-	if err := s.Upstream.Worker.Interrupt(); err != nil {
+	if err := s.Upstream.Worker.SignalTerminate(); err != nil {
 		return err
 	}
 	if err := awaitStop(ctx, s.Upstream.Worker); err != nil {
--- a/standin/faults/placement.go
+++ b/standin/faults/placement.go
@@ -49,7 +49,7 @@
 		return s.Step.Kind == kindPlan && m.Point == storetap.Before && m.Method == http.MethodPut &&
 			m.Path == planPath && strings.Contains(string(m.Body), `"3.3"`)
 	})
-	if _, err := s.Site.Fleet.Accept(ctx, s.Site.files[configFourth]); err != nil {
+	if _, err := s.Site.Fleet.Submit(ctx, s.Site.files[configFourth]); err != nil {
 		return err
 	}
 	if err := s.reachPlacement(ctx, held.Stopped()); err != nil {
@@ -168,6 +168,6 @@
 func placementFaults() []Fault {
 	return []Fault{
 		{Name: "lease lapsed while its holder is paused", ScenarioSteps: []Kind{kindPlan}, Affects: partEntry, HoldMessage: true,
-			inject: freeze(entryProcess), heal: wake(entryProcess)},
+			inject: freeze(entryProcess), heal: resume(entryProcess)},
 	}
 }
--- a/standin/faults/replacement.go
+++ b/standin/faults/replacement.go
@@ -14,19 +14,19 @@
 func replacementFaults() []Fault {
 	return []Fault{
 		{Name: "side frozen, replaced, woken", Affects: partSide, Excludes: noStep,
-			inject: both(freeze(sideProcess), replaceSide), heal: both(wake(replacedProcess), awaitReplacementWork)},
+			inject: both(freeze(sideProcess), replaceSide), heal: both(resume(replacedProcess), awaitReplacementWork)},
 		{Name: "side replaced before it stops", Affects: partSide, Planned: true, Excludes: noStep, Stopping: replacedProcess,
 			inject: both(replaceSide, stop(replacedProcess)), heal: both(awaitReplacementWork, awaitReplacedStop)},
 	}
 }
 
-// stalePlanFaults returns the fault that wakes a sidecar with a stale plan beside its
+// stalePlanFaults returns the fault that resumes a sidecar with a stale plan beside its
 // replacement, in a region that is cut off, so that it can't receive the newer plan.
 func stalePlanFaults() []Fault {
 	return []Fault{{
 		Name: "side frozen, replaced, woken in a region cut off", ScenarioSteps: []Kind{kindPlan}, Affects: partSide,
 		Needs:  siteOptions{Zones: true, Regions: true},
-		inject: both(chooseEngine, both(freeze(sideProcess), both(replaceSide, restartZoneEntry))), heal: wakeWithStalePlan,
+		inject: both(chooseEngine, both(freeze(sideProcess), both(replaceSide, restartZoneEntry))), heal: resumeWithStalePlan,
 	}}
 }
 
@@ -51,13 +51,13 @@
 	return nil
 }
 
-// stalePlanTime is how long the woken sidecar has to send an order of its stale plan: it
+// stalePlanTime is how long the resumed sidecar has to send an order of its stale plan: it
 // compares its engine with the plan twice a second.
 const stalePlanTime = 2 * time.Second
 
-// wakeWithStalePlan waits until the new sidecar has sent its order, cuts the region off,
-// wakes the sidecar that was replaced and then reconnects the region.
-func wakeWithStalePlan(ctx context.Context, s *CellRun) error {
+// resumeWithStalePlan waits until the new sidecar has sent its order, cuts the region off,
+// resumes the sidecar that was replaced and then reconnects the region.
+func resumeWithStalePlan(ctx context.Context, s *CellRun) error {
 	limited, cancel := context.WithTimeout(ctx, convergeLimit)
 	defer cancel()
 	_, err := s.Site.awaitRecord(limited, "the new sidecar sent no order", func(r ledger.Record) bool {
@@ -69,7 +69,7 @@
 	fleet := s.Site.Fleet
 	fleet.PartitionZone(s.Upstream.Zone, harness.Everything, harness.Lost)
 	defer fleet.HealZone(s.Upstream.Zone)
-	if err := s.replaced.Wake(); err != nil {
+	if err := s.replaced.Resume(); err != nil {
 		return err
 	}
 	sleep(ctx, stalePlanTime)
--- a/standin/faults/sabotage_test.go
+++ b/standin/faults/sabotage_test.go
@@ -191,7 +191,7 @@
 		if err := restart(ctx, fleet.Objects); err != nil {
 			return err
 		}
-		if _, err := fleet.Accept(ctx, s.Site.files[configFirst]); err != nil {
+		if _, err := fleet.Submit(ctx, s.Site.files[configFirst]); err != nil {
 			return err
 		}
 		for i, entry := range fleet.Entries {
--- a/standin/faults/site.go
+++ b/standin/faults/site.go
@@ -240,7 +240,7 @@
 	change(&control)
 	s.controls[name] = control
 	s.mu.Unlock()
-	return s.Fleet.Upstream(name).Set(ctx, control)
+	return s.Fleet.Upstream(name).SetControl(ctx, control)
 }
 
 // hang stops or resumes the work of all running upstreams of a service.
--- a/standin/faults/zoneloss.go
+++ b/standin/faults/zoneloss.go
@@ -15,7 +15,7 @@
 		{Name: "zone killed", Affects: partEntry | partZone, EntryGone: true, HidesDispatch: true, Excludes: noStep,
 			inject: killZone, heal: startZone},
 		{Name: "zone frozen and woken", Affects: partEntry | partZone, EntryGone: true, HoldMessage: true, Excludes: noStep,
-			inject: onZone((*harness.Process).Freeze), heal: wakeZone},
+			inject: onZone((*harness.Process).Freeze), heal: resumeZone},
 	}
 }
 
@@ -68,9 +68,9 @@
 	return onZone(func(p *harness.Process) error { return restart(ctx, p) })(ctx, s)
 }
 
-// wakeZone resumes the processes of the zone.
-func wakeZone(ctx context.Context, s *CellRun) error {
-	if err := onZone((*harness.Process).Wake)(ctx, s); err != nil {
+// resumeZone resumes the processes of the zone.
+func resumeZone(ctx context.Context, s *CellRun) error {
+	if err := onZone((*harness.Process).Resume)(ctx, s); err != nil {
 		return err
 	}
 	s.armed.resume(ctx)
--- a/standin/harness/apply.go
+++ b/standin/harness/apply.go
@@ -23,16 +23,16 @@
 // Apply applies the operators' files and waits until every running entry has their
 // revision.
 func (f *Fleet) Apply(ctx context.Context, files ...string) error {
-	revision, err := f.Accept(ctx, files...)
+	revision, err := f.Submit(ctx, files...)
 	if err != nil {
 		return err
 	}
 	return f.AwaitRevision(ctx, revision)
 }
 
-// Accept applies the operators' files and returns the accepted revision without
+// Submit applies the operators' files and returns the accepted revision without
 // waiting until the entries have it.
-func (f *Fleet) Accept(ctx context.Context, files ...string) (core.Revision, error) {
+func (f *Fleet) Submit(ctx context.Context, files ...string) (core.Revision, error) {
 	output, err := f.Command(ctx, append([]string{"--output", "json", "apply"}, files...)...)
 	if err != nil {
 		return 0, err
--- a/standin/harness/control.go
+++ b/standin/harness/control.go
@@ -59,8 +59,8 @@
 	return send(ctx, http.MethodPost, f.hostsURL+"/control/remove", hostlist.Remove{Name: name}, nil)
 }
 
-// Set replaces the fault switches of the worker.
-func (u *Upstream) Set(ctx context.Context, control upstream.Control) error {
+// SetControl replaces the fault switches of the worker.
+func (u *Upstream) SetControl(ctx context.Context, control upstream.Control) error {
 	return send(ctx, http.MethodPost, u.WorkerURL+"/control", control, nil)
 }
 
--- a/standin/harness/process.go
+++ b/standin/harness/process.go
@@ -119,16 +119,16 @@
 // Freeze suspends the process with SIGSTOP.
 func (p *Process) Freeze() error { return p.signal(syscall.SIGSTOP) }
 
-// Wake resumes a frozen process with SIGCONT.
-func (p *Process) Wake() error { return p.signal(syscall.SIGCONT) }
+// Resume resumes a frozen process with SIGCONT.
+func (p *Process) Resume() error { return p.signal(syscall.SIGCONT) }
 
-// Interrupt sends SIGTERM to the process and does not wait for its exit.
-func (p *Process) Interrupt() error { return p.signal(syscall.SIGTERM) }
+// SignalTerminate sends SIGTERM to the process and does not wait for its exit.
+func (p *Process) SignalTerminate() error { return p.signal(syscall.SIGTERM) }
 
 // Terminate sends SIGTERM to the process and waits for its exit. It fails if the exit
 // code is not 0 or if ctx ends first.
 func (p *Process) Terminate(ctx context.Context) error {
-	if err := p.Interrupt(); err != nil {
+	if err := p.SignalTerminate(); err != nil {
 		return err
 	}
 	return p.AwaitExit(ctx)
--- a/standin/harness/process_test.go
+++ b/standin/harness/process_test.go
@@ -96,12 +96,12 @@
 	assert.Assert(t, process.PID() != first)
 }
 
-func TestProcessIsFrozenAndWoken(t *testing.T) {
+func TestProcessIsFrozenAndResumed(t *testing.T) {
 	process := newProcess(t, modeServe)
 	assert.NilError(t, process.AwaitReady(t.Context()))
 	assert.NilError(t, process.Freeze())
 	awaitState(t, process, "T")
-	assert.NilError(t, process.Wake())
+	assert.NilError(t, process.Resume())
 	awaitState(t, process, "SR")
 	assert.NilError(t, process.AwaitReady(t.Context()))
 }
--- a/standin/platformfleet/fleet.go
+++ b/standin/platformfleet/fleet.go
@@ -209,7 +209,7 @@
 func (f *Fleet) Stop(ctx context.Context) error {
 	var failed []error
 	for _, g := range f.Gateways {
-		failed = append(failed, g.Interrupt())
+		failed = append(failed, g.SignalTerminate())
 	}
 	for _, g := range f.Gateways {
 		failed = append(failed, g.AwaitExit(ctx))
--- a/standin/soak/faults.go
+++ b/standin/soak/faults.go
@@ -96,11 +96,11 @@
 			return nil // the process was killed meanwhile: there is nothing to freeze
 		}
 		sleep(ctx, step.For)
-		_ = process.Wake() // fails if the process was killed meanwhile
+		_ = process.Resume() // fails if the process was killed meanwhile
 		return nil
 	case StopGateway:
 		s.endedBySteps[number].Store(true)
-		if process.Interrupt() == nil {
+		if process.SignalTerminate() == nil {
 			s.awaitEnd(ctx, process)
 		}
 	}
--- a/standin/trials/limits_test.go
+++ b/standin/trials/limits_test.go
@@ -201,7 +201,7 @@
 		all.stream(tr, (home+1)%len(tr.fleet.Entries))
 	}
 	all.firstChunks.Wait()
-	assert.NilError(t, tr.fleet.Entries[home].Wake())
+	assert.NilError(t, tr.fleet.Entries[home].Resume())
 	for range maxInFlight {
 		all.stream(tr, (home+2)%len(tr.fleet.Entries))
 	}
