--- a/standin/bench/trial/trial.go
+++ b/standin/bench/trial/trial.go
@@ -23,9 +23,9 @@
 	hostLag   = time.Second
 )
 
-// patience is how long a caller waits for a response after the deadline. A response
+// gracePeriod is how long a caller waits for a response after the deadline. A response
 // within that time counts as late, not as missing.
-const patience = 2 * time.Second
+const gracePeriod = 2 * time.Second
 
 // Options configure a trial.
 type Options struct {
@@ -123,9 +123,9 @@
 	var group sync.WaitGroup
 	group.Go(func() { faultErr = r.injectFault(ctx) })
 	r.records = load.Run(ctx, arrivals, load.Options{
-		Client:   r.client,
-		Entry:    r.entryURL,
-		Patience: patience,
+		Client:      r.client,
+		Entry:       r.entryURL,
+		GracePeriod: gracePeriod,
 	})
 	cancel()
 	group.Wait()
--- a/standin/load/run.go
+++ b/standin/load/run.go
@@ -33,8 +33,8 @@
 	// Entry returns the URL of the entry for arrival i. It stands in for the platform's
 	// load balancer.
 	Entry func(i int) string
-	// Patience is the time beyond its deadline for which a caller waits for a response.
-	Patience time.Duration
+	// GracePeriod is the time beyond its deadline for which a caller waits for a response.
+	GracePeriod time.Duration
 }
 
 // Run sends every arrival when it is due, waits for all results and returns the records
@@ -71,7 +71,7 @@
 // send sends the request of arrival i and returns its record.
 func send(ctx context.Context, start time.Time, i int, arrival Arrival, o Options) Record {
 	due := start.Add(arrival.At)
-	ctx, cancel := context.WithDeadline(ctx, due.Add(arrival.Deadline+o.Patience))
+	ctx, cancel := context.WithDeadline(ctx, due.Add(arrival.Deadline+o.GracePeriod))
 	defer cancel()
 	result := o.Client.Send(ctx, o.Entry(i), arrival.Request)
 	record := Record{Arrival: arrival, Result: result, Late: result.Began.Sub(due)}
