--- a/standin/faults/storetap/addresses.go
+++ b/standin/faults/storetap/addresses.go
@@ -26,7 +26,7 @@
 		return value
 	}
 	for _, address := range a.view.Addresses {
-		value = bytes.ReplaceAll(value, quoted(address.Addr), quoted(address.Own))
+		value = bytes.ReplaceAll(value, quoted(address.Addr), quoted(address.HostAddr))
 	}
 	return value
 }
@@ -38,7 +38,7 @@
 		return value
 	}
 	for _, address := range a.view.Addresses {
-		value = bytes.ReplaceAll(value, quoted(address.Own), quoted(address.Addr))
+		value = bytes.ReplaceAll(value, quoted(address.HostAddr), quoted(address.Addr))
 	}
 	return value
 }
--- a/standin/harness/zones.go
+++ b/standin/harness/zones.go
@@ -115,7 +115,7 @@
 		view := hostlist.View{Zone: zone}
 		for _, link := range f.zoneLinks {
 			if link.from == zone && link.scope == OtherZones {
-				view.Addresses = append(view.Addresses, hostlist.Address{Host: link.host, Addr: link.relayAddr, Own: link.targetAddr})
+				view.Addresses = append(view.Addresses, hostlist.Address{Host: link.host, Addr: link.relayAddr, HostAddr: link.targetAddr})
 			}
 		}
 		views = append(views, view)
--- a/standin/harness/zones_test.go
+++ b/standin/harness/zones_test.go
@@ -52,5 +52,5 @@
 	assert.Equal(t, views[0].Zone, "a")
 	assert.Equal(t, len(views[0].Addresses), 1)
 	assert.Equal(t, views[0].Addresses[0].Addr, "b-from-a")
-	assert.Equal(t, views[1].Addresses[0].Own, "own-a")
+	assert.Equal(t, views[1].Addresses[0].HostAddr, "own-a")
 }
--- a/standin/hostlist/view.go
+++ b/standin/hostlist/view.go
@@ -16,10 +16,10 @@
 // Address replaces the address of one host in a view.
 type Address struct {
 	Host string `json:"host"`
-	// Addr is the IP:port in the view. Own is the host's own; the entry applies only
+	// Addr is the IP:port in the view. HostAddr is the host's own; the entry applies only
 	// while the host list has this address for the host.
-	Addr string `json:"addr"`
-	Own  string `json:"own"`
+	Addr     string `json:"addr"`
+	HostAddr string `json:"own"`
 }
 
 // AddView adds a view and serves it below ViewPath. It must be called before the server
@@ -38,7 +38,7 @@
 	viewed := fleet.List{Version: list.Version}
 	for _, host := range list.Hosts {
 		for _, address := range v.Addresses {
-			if address.Host == host.Name && address.Own == host.Addr {
+			if address.Host == host.Name && address.HostAddr == host.Addr {
 				host.Addr = address.Addr
 			}
 		}
