--- a/standin/cmd/standin/upstream.go
+++ b/standin/cmd/standin/upstream.go
@@ -63,17 +63,17 @@
 		})
 	}
 	return engine.New(ctx, engine.Options{
-		Capacity:      c.Capacity,
-		TokenTime:     milliseconds(c.TokenMS),
-		FirstTime:     milliseconds(c.FirstMS),
-		BatchSlope:    c.BatchSlope,
-		HonourFencing: c.Fencing == "honour",
-		Models:        strings.FieldsFunc(c.Models, func(r rune) bool { return r == ',' }),
-		LoadTime:      milliseconds(c.LoadMS),
-		CacheEntries:  c.CacheSize,
-		CacheLag:      c.CacheLag,
-		Spread:        upstream.NewSpread(c.Spread, c.Name),
-		Conditions:    conditions,
+		Capacity:       c.Capacity,
+		TokenTime:      milliseconds(c.TokenMS),
+		PrefillTime:    milliseconds(c.FirstMS),
+		BatchSlope:     c.BatchSlope,
+		EnforceFencing: c.Fencing == "honour",
+		Models:         strings.FieldsFunc(c.Models, func(r rune) bool { return r == ',' }),
+		LoadTime:       milliseconds(c.LoadMS),
+		CacheEntries:   c.CacheSize,
+		CacheLag:       c.CacheLag,
+		Spread:         upstream.NewSpread(c.Spread, c.Name),
+		Conditions:     conditions,
 	})
 }
 
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -21,13 +21,13 @@
 	Capacity int
 	// TokenTime is the duration of one decoding step of a batch of one sequence.
 	TokenTime time.Duration
-	// FirstTime is the prefill time of a prompt whose prefix is not cached.
-	FirstTime time.Duration
+	// PrefillTime is how long the prefill of a prompt takes whose prefix is not cached.
+	PrefillTime time.Duration
 	// BatchSlope is the fraction of TokenTime that each further sequence of the
 	// batch adds to a step.
 	BatchSlope float64
-	// HonourFencing makes the engine reject orders with stale fencing tokens.
-	HonourFencing bool
+	// EnforceFencing makes the engine reject orders with stale fencing tokens.
+	EnforceFencing bool
 	// Models are the models loaded at startup, as "model@version".
 	Models []string
 	// LoadTime is how long a model version takes to load.
@@ -36,7 +36,7 @@
 	CacheEntries int
 	// CacheLag is the delay after which cache events are visible.
 	CacheLag time.Duration
-	// Spread varies the prefill times around FirstTime.
+	// Spread varies the prefill times around PrefillTime.
 	Spread     *upstream.Spread
 	Conditions *upstream.Conditions
 }
@@ -74,7 +74,7 @@
 func New(ctx context.Context, o Options) *Engine {
 	e := &Engine{
 		options: o,
-		models:  newModels(o.Models, o.LoadTime, o.HonourFencing),
+		models:  newModels(o.Models, o.LoadTime, o.EnforceFencing),
 		cache:   newCache(o.CacheEntries, o.CacheLag),
 		wake:    make(chan struct{}, 1),
 	}
@@ -207,7 +207,7 @@
 // prefill returns the prefill time of a prompt with the given prefix, and caches
 // the prefix.
 func (e *Engine) prefill(prefix uint64) time.Duration {
-	duration := e.options.Spread.Draw(e.options.FirstTime)
+	duration := e.options.Spread.Draw(e.options.PrefillTime)
 	if control, _ := e.options.Conditions.Get(); control.SlowFactor > 0 {
 		duration = time.Duration(float64(duration) * control.SlowFactor)
 	}
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -21,12 +21,12 @@
 	t.Cleanup(cancel)
 	conditions := upstream.NewConditions()
 	e := New(ctx, Options{
-		Capacity:      capacity,
-		TokenTime:     time.Millisecond,
-		HonourFencing: true,
-		Models:        []string{"m@1"},
-		CacheEntries:  2,
-		Conditions:    conditions,
+		Capacity:       capacity,
+		TokenTime:      time.Millisecond,
+		EnforceFencing: true,
+		Models:         []string{"m@1"},
+		CacheEntries:   2,
+		Conditions:     conditions,
 	})
 	return e, conditions
 }
