--- a/standin/cmd/standin/upstream.go
+++ b/standin/cmd/standin/upstream.go
@@ -48,7 +48,7 @@
 		Ledger:     records,
 		ReportLag:  c.ReportLag,
 	})
-	return serve(c.Listen, server, server.Refuse)
+	return serve(c.Listen, server, server.RejectNewCalls)
 }
 
 // worker returns the worker of the upstream's kind.
--- a/standin/upstream/server.go
+++ b/standin/upstream/server.go
@@ -58,8 +58,8 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// Refuse begins a planned stop: the server rejects all new calls from now on.
-func (s *Server) Refuse() {
+// RejectNewCalls begins a planned stop: the server rejects all new calls from now on.
+func (s *Server) RejectNewCalls() {
 	s.mu.Lock()
 	s.stopping = true
 	s.mu.Unlock()
--- a/standin/upstream/server_test.go
+++ b/standin/upstream/server_test.go
@@ -140,7 +140,7 @@
 
 func TestStoppingUpstreamRejectsCalls(t *testing.T) {
 	ts := newTestServer(t)
-	ts.server.Refuse()
+	ts.server.RejectNewCalls()
 	status, _, err := ts.post(t.Context(), upstream.Call{ID: "r/s/1"})
 	assert.NilError(t, err)
 	assert.Equal(t, status, http.StatusConflict)
