--- a/standin/bench/trial/gather.go
+++ b/standin/bench/trial/gather.go
@@ -95,7 +95,7 @@
 	switch {
 	case record.Attained():
 		return account.Attained
-	case record.Result.Verdict == caller.Whole:
+	case record.Result.Verdict == caller.Complete:
 		return account.Late
 	default:
 		return account.Unanswered
@@ -120,7 +120,7 @@
 func problems(records []load.Record) map[string]int {
 	counts := map[string]int{}
 	for _, record := range records {
-		if record.Result.Verdict != caller.Whole {
+		if record.Result.Verdict != caller.Complete {
 			counts[problemText(record.Result)]++
 		} else if !record.Attained() {
 			counts["late"]++
--- a/standin/bench/trial/trial_test.go
+++ b/standin/bench/trial/trial_test.go
@@ -26,10 +26,10 @@
 // records holds a response in time, a late response, a refusal, and a response that
 // is complete only after the load has ended.
 var records = []load.Record{
-	recordOf(0, 500*time.Millisecond, "a", caller.Whole),
-	recordOf(1500*time.Millisecond, 1100*time.Millisecond, "b", caller.Whole),
+	recordOf(0, 500*time.Millisecond, "a", caller.Complete),
+	recordOf(1500*time.Millisecond, 1100*time.Millisecond, "b", caller.Complete),
 	recordOf(2100*time.Millisecond, 10*time.Millisecond, "a", caller.Problem),
-	recordOf(2900*time.Millisecond, 900*time.Millisecond, "b", caller.Whole),
+	recordOf(2900*time.Millisecond, 900*time.Millisecond, "b", caller.Complete),
 }
 
 func TestRecordsAreJudgedByTheTimeTheyAreDue(t *testing.T) {
--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -42,18 +42,18 @@
 
 // The verdicts.
 const (
-	// Whole is a complete response with the expected output of the request.
-	Whole Verdict = "whole"
+	// Complete is a complete response with the expected output of the request.
+	Complete Verdict = "whole"
 	// Mismatch is a response that claims to be complete but differs from the
 	// expected output of the request.
 	Mismatch Verdict = "mismatch"
 	// Problem is a problem document, as the whole response or as the last event of
 	// a stream.
 	Problem Verdict = "problem"
-	// Cut is a stream without its closing event.
-	Cut Verdict = "cut"
-	// Broken is a missing response, or one that cannot be decoded.
-	Broken Verdict = "broken"
+	// Truncated is a stream without its closing event.
+	Truncated Verdict = "cut"
+	// Unreadable is a missing response, or one that cannot be decoded.
+	Unreadable Verdict = "broken"
 )
 
 // Result is the record that a caller keeps of one request.
@@ -110,7 +110,7 @@
 	result := Result{Began: time.Now()}
 	response, err := c.post(ctx, url, r)
 	if err != nil {
-		result.Verdict = Broken
+		result.Verdict = Unreadable
 		result.Detail = err.Error()
 	} else {
 		c.read(response, r, &result)
@@ -181,7 +181,7 @@
 		result.Detail = "the output is not this request's"
 		return
 	}
-	result.Verdict = Whole
+	result.Verdict = Complete
 }
 
 // Expected returns the steps that the pipeline of the request is expected to take,
--- a/standin/caller/caller_test.go
+++ b/standin/caller/caller_test.go
@@ -69,8 +69,8 @@
 		text string
 		want Verdict
 	}{
-		{"whole", stream(good, true), Whole},
-		{"cut", stream(good, false), Cut},
+		{"whole", stream(good, true), Complete},
+		{"cut", stream(good, false), Truncated},
 		{"short", stream(good[:2], true), Mismatch},
 		{"another request's", stream(foreign, true), Mismatch},
 		{"out of order", swapped, Mismatch},
@@ -88,26 +88,26 @@
 func TestJSONVerdicts(t *testing.T) {
 	r := request
 	r.Stream = false
-	for _, whole := range []bool{true, false} {
+	for _, complete := range []bool{true, false} {
 		output := answer.Join(tokens())
-		if !whole {
+		if !complete {
 			output = output[1:]
 		}
 		text, err := json.Marshal(jsonResponse{Outcome: "answered", Output: string(output), Digest: answer.Digest(output)})
 		assert.NilError(t, err)
 		result := send(t, r, "application/json", string(text))
-		assert.Equal(t, result.Verdict == Whole, whole)
+		assert.Equal(t, result.Verdict == Complete, complete)
 	}
 	result := send(t, r, "application/problem+json", `{"outcome":"not_run","retry_after_ms":5}`)
 	assert.Equal(t, result.Verdict, Problem)
 	assert.Equal(t, result.RetryAfter.Milliseconds(), int64(5))
 }
 
-func TestMissingResponseIsBroken(t *testing.T) {
+func TestMissingResponseIsUnreadable(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		panic(http.ErrAbortHandler)
 	}))
 	defer server.Close()
 	result := New(testCatalog).Send(t.Context(), server.URL, request)
-	assert.Equal(t, result.Verdict, Broken)
+	assert.Equal(t, result.Verdict, Unreadable)
 }
--- a/standin/caller/read.go
+++ b/standin/caller/read.go
@@ -55,7 +55,7 @@
 func (c *Client) readJSON(body io.Reader, r Request, result *Result) {
 	var got jsonResponse
 	if err := json.NewDecoder(body).Decode(&got); err != nil {
-		result.Verdict = Broken
+		result.Verdict = Unreadable
 		result.Detail = err.Error()
 		return
 	}
@@ -78,7 +78,7 @@
 func readProblem(body io.Reader, result *Result) {
 	var got problemDocument
 	if err := json.NewDecoder(body).Decode(&got); err != nil {
-		result.Verdict = Broken
+		result.Verdict = Unreadable
 		result.Detail = err.Error()
 		return
 	}
@@ -108,7 +108,7 @@
 	for {
 		e, ok := nextEvent(scanner)
 		if !ok {
-			result.Verdict = Cut
+			result.Verdict = Truncated
 			result.Detail = fmt.Sprintf("the stream ended behind %d chunks without its closing event", len(result.Chunks))
 			return
 		}
@@ -186,7 +186,7 @@
 func (c *Client) checkDone(e event, r Request, result *Result) {
 	var done doneEvent
 	if err := json.Unmarshal(e.data, &done); err != nil {
-		result.Verdict = Cut
+		result.Verdict = Truncated
 		result.Detail = err.Error()
 		return
 	}
--- a/standin/cmd/demo/demo.go
+++ b/standin/cmd/demo/demo.go
@@ -99,7 +99,7 @@
 
 // answered reports whether the caller got a complete response.
 func answered(r caller.Result) bool {
-	return r.Verdict == caller.Whole && r.Outcome == core.OutcomeAnswered
+	return r.Verdict == caller.Complete && r.Outcome == core.OutcomeAnswered
 }
 
 // stream sends one streamed request, prints its chunks as they arrive and returns the
--- a/standin/faults/course.go
+++ b/standin/faults/course.go
@@ -128,7 +128,7 @@
 	return entries
 }
 
-// awaitAnswered waits until enough returns true for the exchanges with a whole response
+// awaitAnswered waits until enough returns true for the exchanges with a complete response
 // of each of the given entries.
 func (t *traffic) awaitAnswered(ctx context.Context, limit time.Duration, what string, entries []int, enough func([]Exchange) bool) error {
 	return t.awaitResults(ctx, limit, what, entries, t.answered, enough)
@@ -199,7 +199,7 @@
 func (j *judge) checkNotCut(t *traffic) {
 	for _, sent := range t.sent {
 		for _, e := range sent {
-			if e.Result.Verdict != caller.Whole && e.Excused == "" {
+			if e.Result.Verdict != caller.Complete && e.Excused == "" {
 				j.addFinding(NotCut, "%s", describe(e))
 			}
 		}
--- a/standin/faults/exchange.go
+++ b/standin/faults/exchange.go
@@ -77,7 +77,7 @@
 	maxRetryWait = 700 * time.Millisecond
 )
 
-// requestUntilSettled sends a request with the same key until the response is whole or
+// requestUntilSettled sends a request with the same key until the response is complete or
 // its outcome unknown, honoring Retry-After within the bounds. It returns the last
 // result.
 func (s *Site) requestUntilSettled(ctx context.Context, entry int, r caller.Request, revision int) caller.Result {
--- a/standin/faults/judge.go
+++ b/standin/faults/judge.go
@@ -135,7 +135,7 @@
 	c := &j.counts
 	c.Sent++
 	switch {
-	case e.Result.Verdict == caller.Whole:
+	case e.Result.Verdict == caller.Complete:
 		c.Answered++
 	case e.Result.Verdict != caller.Problem && e.Excused != "":
 		c.Excused++
@@ -160,7 +160,7 @@
 	switch e.Result.Verdict {
 	case caller.Mismatch:
 		j.addFinding(NotCrossed, "%s", describe(e))
-	case caller.Cut, caller.Broken:
+	case caller.Truncated, caller.Unreadable:
 		if e.Excused == "" {
 			j.addFinding(NotLost, "%s", describe(e))
 		}
@@ -199,7 +199,7 @@
 
 // checkPaid checks that the claimed stage of an answered request was executed.
 func (j *judge) checkPaid(e Exchange) {
-	if e.Result.Verdict != caller.Whole {
+	if e.Result.Verdict != caller.Complete {
 		return
 	}
 	for _, step := range j.expected(e) {
@@ -224,13 +224,13 @@
 	}
 }
 
-// checkStray checks that each execution belongs to a request. A request without a whole
+// checkStray checks that each execution belongs to a request. A request without a complete
 // response may have been processed under any of the configurations.
 func (j *judge) checkStray(all []Exchange) {
 	known := map[string]bool{}
 	for _, e := range all {
 		for i := range j.clients {
-			if e.Result.Verdict == caller.Whole && i != e.Revision {
+			if e.Result.Verdict == caller.Complete && i != e.Revision {
 				continue
 			}
 			steps, _ := j.clients[i].Expected(e.Request)
--- a/standin/faults/partition.go
+++ b/standin/faults/partition.go
@@ -135,7 +135,7 @@
 	for _, entry := range s.servingEntries(f) {
 		group.Go(func() error {
 			fresh := site.newRequest()
-			if result := site.requestUntilSettled(ctx, entry, fresh, configFirst); result.Verdict != caller.Whole {
+			if result := site.requestUntilSettled(ctx, entry, fresh, configFirst); result.Verdict != caller.Complete {
 				return &harmedError{Exchange{Request: fresh, Result: result}}
 			}
 			return nil
--- a/standin/faults/placement.go
+++ b/standin/faults/placement.go
@@ -154,7 +154,7 @@
 func (s *Site) awaitAnswered(ctx context.Context, entry int) error {
 	for {
 		result := s.request(ctx, entry, s.newRequest(), configFourth)
-		if result.Verdict == caller.Whole {
+		if result.Verdict == caller.Complete {
 			return nil
 		}
 		sleep(ctx, minRetryWait)
--- a/standin/faults/request.go
+++ b/standin/faults/request.go
@@ -112,7 +112,7 @@
 	for entry := range site.Fleet.Entries {
 		group.Go(func() error {
 			result := site.requestUntilSettled(ctx, entry, site.newRequest(), site.revision(f))
-			if result.Verdict == caller.Whole {
+			if result.Verdict == caller.Complete {
 				return nil
 			}
 			return fmt.Errorf("%w: through %s: %s", errNotRecovered, site.Fleet.Entries[entry].Name, outcomeOf(result))
@@ -136,7 +136,7 @@
 	}
 	request.BeforeBody = nil
 	for range triesWhileStoreDown {
-		if s.request(ctx, 1, request, configFirst).Verdict == caller.Whole {
+		if s.request(ctx, 1, request, configFirst).Verdict == caller.Complete {
 			return
 		}
 		sleep(ctx, minRetryWait)
@@ -211,10 +211,10 @@
 // affect it.
 func (j *judge) checkFirst(f Fault, step Step, first Exchange) {
 	refusedAtAdmission := step.Kind == kindAdmission && first.Result.Outcome == core.OutcomeNotRun
-	if f.Planned && first.Result.Verdict != caller.Whole && !refusedAtAdmission {
+	if f.Planned && first.Result.Verdict != caller.Complete && !refusedAtAdmission {
 		j.addFinding(NotCut, "%s", describe(first))
 	}
-	if f.Harmless && first.Result.Verdict != caller.Whole {
+	if f.Harmless && first.Result.Verdict != caller.Complete {
 		j.addFinding(Harmless, "%s", describe(first))
 	}
 }
@@ -242,7 +242,7 @@
 	switch {
 	case last.Outcome == core.OutcomeUnknown && !mayStayUnknown(f, step):
 		j.addFinding(TrueUnknown, "the key stays unknown behind the fault: %s", last.Detail)
-	case last.Verdict != caller.Whole && last.Outcome != core.OutcomeUnknown:
+	case last.Verdict != caller.Complete && last.Outcome != core.OutcomeUnknown:
 		j.addFinding(Recovers, "the key gets no answer: %s %s", outcomeOf(last), last.Detail)
 	}
 }
--- a/standin/faults/traffic.go
+++ b/standin/faults/traffic.go
@@ -48,7 +48,7 @@
 		t.mu.Lock()
 		t.sent[entry] = append(t.sent[entry], e)
 		t.mu.Unlock()
-		if e.Result.Verdict == caller.Whole {
+		if e.Result.Verdict == caller.Complete {
 			sleep(running, requestInterval)
 		} else {
 			sleep(running, minRetryWait)
@@ -74,17 +74,17 @@
 	return append([]Exchange(nil), t.sent[entry]...)
 }
 
-// answered returns the exchanges of an entry with a whole response so far.
+// answered returns the exchanges of an entry with a complete response so far.
 func (t *traffic) answered(entry int) []Exchange {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var whole []Exchange
+	var complete []Exchange
 	for _, e := range t.sent[entry] {
-		if e.Result.Verdict == caller.Whole {
-			whole = append(whole, e)
+		if e.Result.Verdict == caller.Complete {
+			complete = append(complete, e)
 		}
 	}
-	return whole
+	return complete
 }
 
 // exchange sends one new request and determines which configuration its response
@@ -112,7 +112,7 @@
 		steps, ok := caller.New(c).Expected(e.Request)
 		if ok && bytes.Equal(got, answer.Join(steps[len(steps)-1].Chunks)) {
 			e.Revision = i
-			e.Result.Verdict = caller.Whole
+			e.Result.Verdict = caller.Complete
 			return
 		}
 	}
--- a/standin/load/load_test.go
+++ b/standin/load/load_test.go
@@ -50,12 +50,12 @@
 
 func TestSummaryCountsFromTheScheduledTime(t *testing.T) {
 	arrival := Arrival{Deadline: time.Second, Request: caller.Request{Workspace: "w"}}
-	complete := caller.Result{Verdict: caller.Whole, Outcome: core.OutcomeAnswered}
+	complete := caller.Result{Verdict: caller.Complete, Outcome: core.OutcomeAnswered}
 	records := []Record{
 		{Arrival: arrival, Result: complete, Latency: time.Second},
 		{Arrival: arrival, Result: complete, Latency: time.Second + 1},
 		{Arrival: arrival, Result: caller.Result{Verdict: caller.Problem, Outcome: core.OutcomeNotRun}},
-		{Arrival: arrival, Result: caller.Result{Verdict: caller.Cut}},
+		{Arrival: arrival, Result: caller.Result{Verdict: caller.Truncated}},
 	}
 	report := SummarizeByWorkspace(records)["w"]
 	assert.Equal(t, report.Sent, 4)
--- a/standin/load/report.go
+++ b/standin/load/report.go
@@ -35,7 +35,7 @@
 	NotRun     int     `json:"not_run"`
 	Failed     int     `json:"failed"`
 	Unknown    int     `json:"unknown"`
-	// Other counts truncated, broken and mismatched responses.
+	// Other counts truncated, unreadable and mismatched responses.
 	Other int `json:"other"`
 	// First, Gap and Latency cover complete responses: the time until the first chunk,
 	// between chunks, and until the end of the response. Refusal is the time until a
@@ -102,7 +102,7 @@
 		s.counts.Attained++
 	}
 	switch {
-	case r.Result.Verdict == caller.Whole:
+	case r.Result.Verdict == caller.Complete:
 		s.counts.Answered++
 		s.addLatencies(r)
 	case r.Result.Verdict != caller.Problem:
--- a/standin/load/run.go
+++ b/standin/load/run.go
@@ -24,7 +24,7 @@
 
 // Attained reports whether the response completed within the deadline.
 func (r Record) Attained() bool {
-	return r.Result.Verdict == caller.Whole && r.Latency <= r.Arrival.Deadline
+	return r.Result.Verdict == caller.Complete && r.Latency <= r.Arrival.Deadline
 }
 
 // Options configure a run.
--- a/standin/trials/limits_test.go
+++ b/standin/trials/limits_test.go
@@ -90,7 +90,7 @@
 	b.group.Wait()
 	count := 0
 	for _, result := range b.results {
-		if result.Verdict == caller.Whole {
+		if result.Verdict == caller.Complete {
 			count++
 			continue
 		}
@@ -213,7 +213,7 @@
 
 // sendOne sends a request and returns an error unless it succeeds.
 func (tr *trial) sendOne(entry int) error {
-	if result := tr.send(entry, tr.request(limitedWorkspace, "consulta"), false); result.Verdict != caller.Whole {
+	if result := tr.send(entry, tr.request(limitedWorkspace, "consulta"), false); result.Verdict != caller.Complete {
 		return errors.New(result.Detail)
 	}
 	return nil
--- a/standin/trials/trials_test.go
+++ b/standin/trials/trials_test.go
@@ -150,7 +150,7 @@
 	r := tr.request("pensionistas", "consulta")
 	r.Stream = true
 	result := tr.send(0, r, false)
-	assert.Equal(t, result.Verdict, caller.Whole, result.Detail)
+	assert.Equal(t, result.Verdict, caller.Complete, result.Detail)
 	assert.Equal(t, len(result.Chunks), 32)
 	tr.stop()
 	assert.Equal(t, tr.judge().Answered, 1)
@@ -227,7 +227,7 @@
 	}
 	group.Wait()
 	retried := tr.send(0, r, false)
-	assert.Equal(t, retried.Verdict, caller.Whole, retried.Detail)
+	assert.Equal(t, retried.Verdict, caller.Complete, retried.Detail)
 	tr.stop()
 	assert.Equal(t, tr.judge().Answered, len(tr.fleet.Entries)+1)
 }
--- a/standin/verdict/verdict.go
+++ b/standin/verdict/verdict.go
@@ -142,11 +142,11 @@
 	s := &j.summary
 	name := e.Request.Workspace + "/" + e.Request.Pipeline + " " + e.Result.RequestID
 	switch e.Result.Verdict {
-	case caller.Whole:
+	case caller.Complete:
 		s.Answered++
 	case caller.Mismatch:
 		j.addFinding(&s.Crossed, "crossed: %s: %s", name, e.Result.Detail)
-	case caller.Cut, caller.Broken:
+	case caller.Truncated, caller.Unreadable:
 		j.addFinding(&s.Lost, "lost: %s: %s", name, e.Result.Detail)
 	case caller.Problem:
 		j.countProblem(e, name)
@@ -181,7 +181,7 @@
 		}
 		x := executionOf(step)
 		ran := j.starts[x] > 0
-		if e.Result.Verdict == caller.Whole && !ran {
+		if e.Result.Verdict == caller.Complete && !ran {
 			j.addFinding(&j.summary.Lost, "lost: %s was answered but %s never ran", e.Result.RequestID, x.service)
 		}
 		if !mayHaveRun(e.Result.Outcome) && ran && !j.possiblyRun[x] {
--- a/standin/verdict/verdict_test.go
+++ b/standin/verdict/verdict_test.go
@@ -36,7 +36,7 @@
 }
 
 func TestJudge(t *testing.T) {
-	whole := exchange(caller.Whole, core.OutcomeAnswered)
+	complete := exchange(caller.Complete, core.OutcomeAnswered)
 	notRun := exchange(caller.Problem, core.OutcomeNotRun)
 	bad := notRun
 	bad.Bad = true
@@ -48,21 +48,21 @@
 		records   []ledger.Record
 		want      Summary
 	}{
-		{"answered", []Exchange{whole}, once, Summary{Answered: 1}},
-		{"sent twice, run once", []Exchange{whole, whole}, once, Summary{Answered: 2}},
-		{"doubled", []Exchange{whole}, twice, Summary{Answered: 1, Doubled: 1}},
-		{"doubled over two attempts", []Exchange{whole, whole}, twice, Summary{Answered: 2, Doubled: 1}},
-		{"answered without running", []Exchange{whole}, nil, Summary{Answered: 1, Lost: 1}},
+		{"answered", []Exchange{complete}, once, Summary{Answered: 1}},
+		{"sent twice, run once", []Exchange{complete, complete}, once, Summary{Answered: 2}},
+		{"doubled", []Exchange{complete}, twice, Summary{Answered: 1, Doubled: 1}},
+		{"doubled over two attempts", []Exchange{complete, complete}, twice, Summary{Answered: 2, Doubled: 1}},
+		{"answered without running", []Exchange{complete}, nil, Summary{Answered: 1, Lost: 1}},
 		{"not run", []Exchange{notRun}, nil, Summary{NotRun: 1}},
 		{"falsely not run", []Exchange{notRun}, once, Summary{NotRun: 1, FalseNotRun: 1}},
-		{"not run, then retried", []Exchange{notRun, whole}, once, Summary{NotRun: 1, Answered: 1}},
+		{"not run, then retried", []Exchange{notRun, complete}, once, Summary{NotRun: 1, Answered: 1}},
 		{"falsely failed", []Exchange{exchange(caller.Problem, core.OutcomeFailed)}, once, Summary{Failed: 1, FalseNotRun: 1}},
 		{"unknown", []Exchange{exchange(caller.Problem, core.OutcomeUnknown)}, once, Summary{Unknown: 1}},
-		{"cut", []Exchange{exchange(caller.Cut, "")}, once, Summary{Lost: 1}},
-		{"broken", []Exchange{exchange(caller.Broken, "")}, nil, Summary{Lost: 1}},
+		{"cut", []Exchange{exchange(caller.Truncated, "")}, once, Summary{Lost: 1}},
+		{"broken", []Exchange{exchange(caller.Unreadable, "")}, nil, Summary{Lost: 1}},
 		{"problem without outcome", []Exchange{exchange(caller.Problem, "")}, nil, Summary{Lost: 1}},
 		{"crossed", []Exchange{exchange(caller.Mismatch, core.OutcomeAnswered)}, once, Summary{Crossed: 1}},
-		{"foreign input", []Exchange{whole}, append(once, startRecord("b")), Summary{Answered: 1, Stray: 1}},
+		{"foreign input", []Exchange{complete}, append(once, startRecord("b")), Summary{Answered: 1, Stray: 1}},
 		{"bad request refused", []Exchange{bad}, nil, Summary{NotRun: 1}},
 		{"bad request reached an upstream", []Exchange{bad}, once, Summary{NotRun: 1, Stray: 1}},
 	}
