--- a/standin/cmd/demo/main.go
+++ b/standin/cmd/demo/main.go
@@ -86,7 +86,7 @@
 func selectDeployment(o options) deployment.Deployment {
 	switch {
 	case o.Thin:
-		return deployment.Thin()
+		return deployment.Minimal()
 	case o.Name == "cascade-grind":
 		return deployment.CascadeGrind()
 	}
--- a/standin/deployment/users.go
+++ b/standin/deployment/users.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// Thin is the smallest deployment that can serve the Institute's pipeline
+// Minimal is the smallest deployment that can serve the Institute's pipeline
 // "consulta": one entry and one upstream for each stage.
-func Thin() Deployment {
+func Minimal() Deployment {
 	return Deployment{
 		Name:    "thin",
 		Region:  "sierra-norte",
--- a/standin/trials/trials_test.go
+++ b/standin/trials/trials_test.go
@@ -146,7 +146,7 @@
 }
 
 func TestStreamedRequestEndToEnd(t *testing.T) {
-	tr := startTrial(t, deployment.Thin())
+	tr := startTrial(t, deployment.Minimal())
 	r := tr.request("pensionistas", "consulta")
 	r.Stream = true
 	result := tr.send(0, r, false)
@@ -157,7 +157,7 @@
 }
 
 func TestBadRequestsReachNoUpstream(t *testing.T) {
-	tr := startTrial(t, deployment.Thin())
+	tr := startTrial(t, deployment.Minimal())
 	badJSON := tr.request("pensionistas", "consulta")
 	badJSON.Body = badJSON.Body[1:]
 	unknown := tr.request("nobody", "consulta")
@@ -189,7 +189,7 @@
 
 func TestPlannedStopCutsNoStream(t *testing.T) {
 	const streams = 4
-	slow := deployment.Thin()
+	slow := deployment.Minimal()
 	for i := range slow.Groups {
 		slow.Groups[i].TokenMS = slowTokenMS
 		slow.Groups[i].BatchSlope = 0
