--- a/standin/bench/report/report.go
+++ b/standin/bench/report/report.go
@@ -96,9 +96,9 @@
 	Counters map[string]float64 `json:"counters,omitempty"`
 }
 
-// Keep adds the trials of an earlier run for the cases that this run did not
+// Merge adds the trials of an earlier run for the cases that this run did not
 // measure. The trials of a case under all policies always come from the same run.
-func (r *Run) Keep(earlier Run) {
+func (r *Run) Merge(earlier Run) {
 	for _, t := range earlier.Trials {
 		rerun := slices.ContainsFunc(r.Trials, func(own Trial) bool {
 			return own.Size == t.Size && own.Case == t.Case && !own.fromEarlier
--- a/standin/bench/report/report_test.go
+++ b/standin/bench/report/report_test.go
@@ -72,7 +72,7 @@
 
 func TestRerunCasesReplaceAllEarlierTrials(t *testing.T) {
 	run := Run{Trials: []Trial{trialOf(scene.Rack, scene.Ours, 1)}}
-	run.Keep(Run{Trials: []Trial{
+	run.Merge(Run{Trials: []Trial{
 		trialOf(scene.Rack, scene.Ours, 0.5), trialOf(scene.Rack, "random", 0.5),
 		trialOf(scene.Steady, scene.Ours, 0.5), trialOf(scene.Steady, "random", 0.5),
 	}})
--- a/standin/cmd/bench/load.go
+++ b/standin/cmd/bench/load.go
@@ -107,7 +107,7 @@
 	if err := readJSON(filepath.Join(c.Out, jsonName), &earlier); err != nil {
 		return err
 	}
-	run.Keep(earlier)
+	run.Merge(earlier)
 	return nil
 }
 
