--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"acaciawinch/core"
-	"acaciawinch/standin/answer"
 	"acaciawinch/standin/catalog"
+	"acaciawinch/standin/output"
 )
 
 // Request is one request of a caller.
@@ -176,7 +176,7 @@
 		result.Detail = fmt.Sprintf("%d chunks, expected %d", len(result.Chunks), len(chunks))
 		return
 	}
-	if !bytes.Equal(answer.Join(chunks), answer.Join(result.Chunks)) {
+	if !bytes.Equal(output.Join(chunks), output.Join(result.Chunks)) {
 		result.Verdict = Mismatch
 		result.Detail = "the output is not this request's"
 		return
@@ -186,13 +186,13 @@
 
 // Expected returns the steps that the pipeline of the request is expected to take,
 // or false if the configuration lacks the pipeline or the workspace.
-func (c *Client) Expected(r Request) ([]answer.Step, bool) {
+func (c *Client) Expected(r Request) ([]output.Step, bool) {
 	template, found := c.catalog.Template(r.Pipeline)
 	workspace, known := c.catalog.Workspace(r.Workspace)
 	if !found || !known {
 		return nil, false
 	}
-	return answer.Expected(template, workspace, r.Body), true
+	return output.Expected(template, workspace, r.Body), true
 }
 
 // delayedBody is a request body that calls before ahead of its first read.
--- a/standin/caller/caller_test.go
+++ b/standin/caller/caller_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 
 	"acaciawinch/core/config"
-	"acaciawinch/standin/answer"
 	"acaciawinch/standin/catalog"
+	"acaciawinch/standin/output"
 )
 
 // testCatalog has one pipeline with a single engine stage.
@@ -29,7 +29,7 @@
 
 // tokens returns the expected chunks of the response.
 func tokens() [][]byte {
-	return answer.Output(testCatalog.Templates[0].Stages[0], request.Body)
+	return output.StageOutput(testCatalog.Templates[0].Stages[0], request.Body)
 }
 
 // stream formats chunks as server-sent events, with a closing event if closing is
@@ -40,7 +40,7 @@
 		fmt.Fprintf(&text, "event: chunk\nid: %d\ndata: {\"index\":%d,\"text\":%q}\n\n", i, i, chunk)
 	}
 	if closing {
-		digest := answer.Digest(answer.Join(chunks))
+		digest := output.Digest(output.Join(chunks))
 		fmt.Fprintf(&text, "event: done\ndata: {\"request_id\":\"r\",\"outcome\":\"answered\",\"chunks\":%d,\"digest\":%q}\n\n", len(chunks), digest)
 	}
 	return text.String()
@@ -89,11 +89,11 @@
 	r := request
 	r.Stream = false
 	for _, complete := range []bool{true, false} {
-		output := answer.Join(tokens())
+		joined := output.Join(tokens())
 		if !complete {
-			output = output[1:]
+			joined = joined[1:]
 		}
-		text, err := json.Marshal(jsonResponse{Outcome: "answered", Output: string(output), Digest: answer.Digest(output)})
+		text, err := json.Marshal(jsonResponse{Outcome: "answered", Output: string(joined), Digest: output.Digest(joined)})
 		assert.NilError(t, err)
 		result := send(t, r, "application/json", string(text))
 		assert.Equal(t, result.Verdict == Complete, complete)
--- a/standin/caller/read.go
+++ b/standin/caller/read.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"acaciawinch/core"
-	"acaciawinch/standin/answer"
+	"acaciawinch/standin/output"
 )
 
 // maxEventBytes bounds one line of a server-sent event.
@@ -61,12 +61,12 @@
 	}
 	result.RequestID = got.RequestID
 	result.Outcome = got.Outcome
-	output := got.OutputBase64
-	if output == nil {
-		output = []byte(got.Output)
+	chunk := got.OutputBase64
+	if chunk == nil {
+		chunk = []byte(got.Output)
 	}
-	result.Chunks = [][]byte{output}
-	if got.Digest != answer.Digest(output) {
+	result.Chunks = [][]byte{chunk}
+	if got.Digest != output.Digest(chunk) {
 		result.Verdict = Mismatch
 		result.Detail = "the digest does not match the output"
 		return
@@ -192,7 +192,7 @@
 	}
 	result.RequestID = done.RequestID
 	result.Outcome = done.Outcome
-	if done.Chunks != len(result.Chunks) || done.Digest != answer.Digest(answer.Join(result.Chunks)) {
+	if done.Chunks != len(result.Chunks) || done.Digest != output.Digest(output.Join(result.Chunks)) {
 		result.Verdict = Mismatch
 		result.Detail = "the closing event does not match the chunks"
 		return
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"acaciawinch/standin/answer"
+	"acaciawinch/standin/output"
 	"acaciawinch/standin/upstream"
 )
 
@@ -133,7 +133,7 @@
 		return fmt.Errorf("%w: max_tokens is %d", upstream.ErrNotRun, call.MaxTokens)
 	}
 	for i, chunk := range call.Resume {
-		if !bytes.Equal(chunk, answer.Token(call.Input, i)) {
+		if !bytes.Equal(chunk, output.Token(call.Input, i)) {
 			return fmt.Errorf("%w: resume chunk %d does not belong to this input", upstream.ErrNotRun, i)
 		}
 	}
@@ -227,7 +227,7 @@
 			return false
 		}
 		if s.next < s.call.MaxTokens {
-			s.tokens <- answer.Token(s.call.Input, s.next)
+			s.tokens <- output.Token(s.call.Input, s.next)
 			s.next++
 		}
 		if s.next < s.call.MaxTokens {
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 	"gotest.tools/v3/poll"
 
-	"acaciawinch/standin/answer"
+	"acaciawinch/standin/output"
 	"acaciawinch/standin/upstream"
 )
 
@@ -66,14 +66,14 @@
 	for chunk := range r.chunks {
 		chunks = append(chunks, chunk)
 	}
-	return answer.Join(chunks)
+	return output.Join(chunks)
 }
 
 // expected returns the joined tokens of input whose indexes are in [from, to).
 func expected(input string, from, to int) []byte {
 	var all []byte
 	for i := from; i < to; i++ {
-		all = append(all, answer.Token([]byte(input), i)...)
+		all = append(all, output.Token([]byte(input), i)...)
 	}
 	return all
 }
@@ -94,7 +94,7 @@
 func TestResumeSkipsWhatTheCallerHas(t *testing.T) {
 	e, _ := newEngine(t, 1)
 	call := upstream.Call{Input: []byte("a"), MaxTokens: 4}
-	call.Resume = [][]byte{answer.Token(call.Input, 0), answer.Token(call.Input, 1)}
+	call.Resume = [][]byte{output.Token(call.Input, 0), output.Token(call.Input, 1)}
 	assert.Assert(t, bytes.Equal(startCall(t.Context(), e, call).output(), expected("a", 2, 4)))
 	call.Resume = call.Resume[1:]
 	r := startCall(t.Context(), e, call)
--- a/standin/faults/judge.go
+++ b/standin/faults/judge.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"acaciawinch/core"
-	"acaciawinch/standin/answer"
 	"acaciawinch/standin/caller"
 	"acaciawinch/standin/catalog"
 	"acaciawinch/standin/ledger"
+	"acaciawinch/standin/output"
 )
 
 // Counts sums up what the callers and upstreams of a cell recorded.
@@ -108,7 +108,7 @@
 }
 
 // expected returns the steps of an exchange under its configuration.
-func (j *judge) expected(e Exchange) []answer.Step {
+func (j *judge) expected(e Exchange) []output.Step {
 	steps, _ := j.clients[e.Revision].Expected(e.Request)
 	return steps
 }
@@ -203,7 +203,7 @@
 		return
 	}
 	for _, step := range j.expected(e) {
-		if step.Stage.NonIdempotent && len(j.paid[answer.Digest(step.Input)]) == 0 {
+		if step.Stage.NonIdempotent && len(j.paid[output.Digest(step.Input)]) == 0 {
 			j.addFinding(NotLost, "answered, but %s never ran: %s", step.Stage.Name, describe(e))
 		}
 	}
@@ -235,7 +235,7 @@
 			}
 			steps, _ := j.clients[i].Expected(e.Request)
 			for _, step := range steps {
-				known[step.Stage.Service+" "+answer.Digest(step.Input)] = true
+				known[step.Stage.Service+" "+output.Digest(step.Input)] = true
 			}
 		}
 	}
@@ -261,7 +261,7 @@
 // claimedStageBegan reports whether the claimed stage of an exchange began.
 func (j *judge) claimedStageBegan(e Exchange) bool {
 	for _, step := range j.expected(e) {
-		if step.Stage.NonIdempotent && len(j.paid[answer.Digest(step.Input)]) > 0 {
+		if step.Stage.NonIdempotent && len(j.paid[output.Digest(step.Input)]) > 0 {
 			return true
 		}
 	}
--- a/standin/faults/step.go
+++ b/standin/faults/step.go
@@ -11,11 +11,11 @@
 	"time"
 
 	"acaciawinch/core/claim"
-	"acaciawinch/standin/answer"
 	"acaciawinch/standin/caller"
 	"acaciawinch/standin/faults/storetap"
 	"acaciawinch/standin/faults/tap"
 	"acaciawinch/standin/ledger"
+	"acaciawinch/standin/output"
 )
 
 // Kind groups steps by the message or work that is in progress.
@@ -210,7 +210,7 @@
 	steps, _ := caller.New(s.catalogs[0]).Expected(r)
 	for _, step := range steps {
 		if step.Stage.Name == stage {
-			return answer.Digest(step.Input)
+			return output.Digest(step.Input)
 		}
 	}
 	return ""
--- a/standin/faults/traffic.go
+++ b/standin/faults/traffic.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"acaciawinch/standin/answer"
 	"acaciawinch/standin/caller"
+	"acaciawinch/standin/output"
 )
 
 // requestsPerEntry is the number of requests in flight at each entry.
@@ -107,10 +107,10 @@
 	if e.Result.Verdict != caller.Mismatch {
 		return
 	}
-	got := answer.Join(e.Result.Chunks)
+	got := output.Join(e.Result.Chunks)
 	for i, c := range s.catalogs {
 		steps, ok := caller.New(c).Expected(e.Request)
-		if ok && bytes.Equal(got, answer.Join(steps[len(steps)-1].Chunks)) {
+		if ok && bytes.Equal(got, output.Join(steps[len(steps)-1].Chunks)) {
 			e.Revision = i
 			e.Result.Verdict = caller.Complete
 			return
--- a/standin/answer/answer.go
+++ b/standin/output/output.go
@@ -1,6 +1,6 @@
-// Package answer computes the output that the stand-in upstreams produce. Callers
+// Package output computes the output that the stand-in upstreams produce. Callers
 // compare the responses that they receive with it, byte by byte.
-package answer
+package output
 
 import (
 	"fmt"
@@ -17,8 +17,8 @@
 	return fmt.Sprintf("%016x", xxhash.Sum64(input))
 }
 
-// Simple returns the single chunk that a stage pool or plain service produces.
-func Simple(service string, input []byte) []byte {
+// ServiceOutput returns the single chunk that a stage pool or plain service produces.
+func ServiceOutput(service string, input []byte) []byte {
 	return []byte(service + ":" + Digest(input))
 }
 
@@ -46,7 +46,7 @@
 	for _, stage := range template.Stages {
 		stage, prefix := applyParameters(template.Name, stage, workspace)
 		step := Step{Stage: stage, Input: append([]byte(prefix), input...)}
-		step.Chunks = Output(stage, step.Input)
+		step.Chunks = StageOutput(stage, step.Input)
 		steps = append(steps, step)
 		input = Join(step.Chunks)
 	}
@@ -75,10 +75,10 @@
 	return stage, prefix
 }
 
-// Output returns the chunks that the upstreams of the stage produce for input.
-func Output(stage config.Stage, input []byte) [][]byte {
+// StageOutput returns the chunks that the upstreams of the stage produce for input.
+func StageOutput(stage config.Stage, input []byte) [][]byte {
 	if stage.Kind != config.KindEngine {
-		return [][]byte{Simple(stage.Service, input)}
+		return [][]byte{ServiceOutput(stage.Service, input)}
 	}
 	chunks := make([][]byte, stage.MaxTokens)
 	for i := range chunks {
--- a/standin/answer/answer_test.go
+++ b/standin/output/output_test.go
@@ -1,4 +1,4 @@
-package answer
+package output
 
 import (
 	"testing"
--- a/standin/pool/pool.go
+++ b/standin/pool/pool.go
@@ -6,7 +6,7 @@
 	"context"
 	"time"
 
-	"acaciawinch/standin/answer"
+	"acaciawinch/standin/output"
 	"acaciawinch/standin/upstream"
 )
 
@@ -44,7 +44,7 @@
 	if err := p.options.Conditions.Work(ctx, p.options.Spread.Draw(p.options.Duration)); err != nil {
 		return 0, err
 	}
-	if err := out.Emit(answer.Simple(p.options.Service, call.Input)); err != nil {
+	if err := out.Emit(output.ServiceOutput(p.options.Service, call.Input)); err != nil {
 		return 1, err
 	}
 	return 1, nil
--- a/standin/upstream/run.go
+++ b/standin/upstream/run.go
@@ -7,9 +7,9 @@
 	"net/http"
 	"time"
 
-	"acaciawinch/standin/answer"
 	"acaciawinch/standin/internal/jsonhttp"
 	"acaciawinch/standin/ledger"
+	"acaciawinch/standin/output"
 )
 
 // responseLine is one line of the response to POST /v1/run.
@@ -47,7 +47,7 @@
 	record := ledger.Record{
 		ID:          call.ID,
 		Workspace:   call.Workspace,
-		InputDigest: answer.Digest(call.Input),
+		InputDigest: output.Digest(call.Input),
 	}
 	started := func() {
 		record.Event = ledger.Start
--- a/standin/verdict/verdict.go
+++ b/standin/verdict/verdict.go
@@ -6,9 +6,9 @@
 	"fmt"
 
 	"acaciawinch/core"
-	"acaciawinch/standin/answer"
 	"acaciawinch/standin/caller"
 	"acaciawinch/standin/ledger"
+	"acaciawinch/standin/output"
 )
 
 // Exchange is one request and its result.
@@ -50,7 +50,7 @@
 
 // Expecter computes the steps that a request must take.
 type Expecter interface {
-	Expected(caller.Request) ([]answer.Step, bool)
+	Expected(caller.Request) ([]output.Step, bool)
 }
 
 // execution identifies the execution of a stage by its service and the digest of its
@@ -133,8 +133,8 @@
 }
 
 // executionOf returns the execution that a step must have.
-func executionOf(step answer.Step) execution {
-	return execution{step.Stage.Service, answer.Digest(step.Input)}
+func executionOf(step output.Step) execution {
+	return execution{step.Stage.Service, output.Digest(step.Input)}
 }
 
 // countOutcome counts the result that the caller got.
--- a/standin/verdict/verdict_test.go
+++ b/standin/verdict/verdict_test.go
@@ -7,10 +7,10 @@
 
 	"acaciawinch/core"
 	"acaciawinch/core/config"
-	"acaciawinch/standin/answer"
 	"acaciawinch/standin/caller"
 	"acaciawinch/standin/catalog"
 	"acaciawinch/standin/ledger"
+	"acaciawinch/standin/output"
 )
 
 // expecter expects one pipeline whose only stage is non-idempotent.
@@ -27,7 +27,7 @@
 
 // startRecord returns the ledger record of the stage's start with the given body.
 func startRecord(body string) ledger.Record {
-	return ledger.Record{Event: ledger.Start, Service: "s", InputDigest: answer.Digest([]byte(body))}
+	return ledger.Record{Event: ledger.Start, Service: "s", InputDigest: output.Digest([]byte(body))}
 }
 
 // exchange returns an exchange of request with the given result.
