--- a/standin/bench/report/report.go
+++ b/standin/bench/report/report.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"acaciawinch/standin/bench/account"
-	"acaciawinch/standin/bench/scene"
+	"acaciawinch/standin/bench/scenario"
 	"acaciawinch/standin/load"
 )
 
@@ -113,9 +113,9 @@
 	})
 }
 
-// caseIndex returns the index of a case in scene.Cases.
+// caseIndex returns the index of a case in scenario.Cases.
 func caseIndex(name string) int {
-	return slices.IndexFunc(scene.Cases(), func(c scene.Case) bool { return c.Name == name })
+	return slices.IndexFunc(scenario.Cases(), func(c scenario.Case) bool { return c.Name == name })
 }
 
 // Generation returns the cost of the engines' service.
--- a/standin/bench/report/report_test.go
+++ b/standin/bench/report/report_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 
 	"acaciawinch/standin/bench/account"
-	"acaciawinch/standin/bench/scene"
+	"acaciawinch/standin/bench/scenario"
 	"acaciawinch/standin/load"
 )
 
@@ -30,16 +30,16 @@
 }
 
 func TestTargetChecks(t *testing.T) {
-	straggler := trialOf(scene.Straggler, scene.Ours, 0.995)
+	straggler := trialOf(scenario.Straggler, scenario.Ours, 0.995)
 	straggler.Stages = []account.Stage{{Service: "llm", Extra: 0.03}}
-	overload := trialOf(scene.Overload, scene.Ours, 0.94)
+	overload := trialOf(scenario.Overload, scenario.Ours, 0.94)
 	overload.Judged.Refusal = load.Quantiles{Count: 9, P99: 49}
-	broken := trialOf(scene.Burst, scene.Ours, 0.985)
+	broken := trialOf(scenario.Burst, scenario.Ours, 0.985)
 	broken.Violations = 1
 	got := met(Run{Trials: []Trial{
-		trialOf(scene.Steady, scene.Ours, 0.9991), trialOf(scene.Steady, "random", 1),
-		straggler, trialOf(scene.Straggler, "random", 0.99),
-		trialOf(scene.Capacity, scene.Ours, 1),
+		trialOf(scenario.Steady, scenario.Ours, 0.9991), trialOf(scenario.Steady, "random", 1),
+		straggler, trialOf(scenario.Straggler, "random", 0.99),
+		trialOf(scenario.Capacity, scenario.Ours, 1),
 		overload,
 		broken,
 	}})
@@ -63,7 +63,7 @@
 
 func TestEqualAttainmentsAreRankedByLatency(t *testing.T) {
 	for p95, want := range map[float64]bool{99: true, 100: false, 101: false} {
-		ours, other := trialOf(scene.Steady, scene.Ours, 1), trialOf(scene.Steady, "random", 1)
+		ours, other := trialOf(scenario.Steady, scenario.Ours, 1), trialOf(scenario.Steady, "random", 1)
 		ours.Judged.Latency.P95, other.Judged.Latency.P95 = p95, 100
 		got := met(Run{Trials: []Trial{ours, other}})
 		assert.Equal(t, got["steady: attainment ahead of random"], want)
@@ -71,19 +71,19 @@
 }
 
 func TestRerunCasesReplaceAllEarlierTrials(t *testing.T) {
-	run := Run{Trials: []Trial{trialOf(scene.Rack, scene.Ours, 1)}}
+	run := Run{Trials: []Trial{trialOf(scenario.Rack, scenario.Ours, 1)}}
 	run.Merge(Run{Trials: []Trial{
-		trialOf(scene.Rack, scene.Ours, 0.5), trialOf(scene.Rack, "random", 0.5),
-		trialOf(scene.Steady, scene.Ours, 0.5), trialOf(scene.Steady, "random", 0.5),
+		trialOf(scenario.Rack, scenario.Ours, 0.5), trialOf(scenario.Rack, "random", 0.5),
+		trialOf(scenario.Steady, scenario.Ours, 0.5), trialOf(scenario.Steady, "random", 0.5),
 	}})
 	assert.Equal(t, len(run.Trials), 3)
-	assert.Equal(t, run.Trials[0].Case, scene.Steady)
+	assert.Equal(t, run.Trials[0].Case, scenario.Steady)
 	assert.Equal(t, run.Trials[1].Policy, "random")
 	assert.Equal(t, run.Trials[2].Judged.Attainment, 1.0)
 }
 
 func TestTablesHaveARowForEachPolicy(t *testing.T) {
-	run := Run{Trials: []Trial{trialOf(scene.Rack, scene.Ours, 1), trialOf(scene.Rack, "random", 0.5)}}
+	run := Run{Trials: []Trial{trialOf(scenario.Rack, scenario.Ours, 1), trialOf(scenario.Rack, "random", 0.5)}}
 	tables := run.Tables()
 	assert.Equal(t, len(tables), 6)
 	var text, page strings.Builder
--- a/standin/bench/report/target.go
+++ b/standin/bench/report/target.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"acaciawinch/standin/bench/scene"
+	"acaciawinch/standin/bench/scenario"
 )
 
 // The targets, and the verdicts on them as the tables show them.
@@ -32,7 +32,7 @@
 func (r Run) Checks() []Check {
 	var checks []Check
 	for _, g := range r.groups() {
-		ours, ok := r.find(g.size, g.name, scene.Ours)
+		ours, ok := r.find(g.size, g.name, scenario.Ours)
 		if !ok {
 			continue
 		}
@@ -52,17 +52,17 @@
 // caseChecks checks a trial against the targets of its case.
 func (r Run) caseChecks(t Trial) []Check {
 	switch t.Case {
-	case scene.Steady:
+	case scenario.Steady:
 		return []Check{attainmentCheck(t, t.Judged.Attainment, steadyTarget, "attainment")}
-	case scene.Burst:
+	case scenario.Burst:
 		return []Check{attainmentCheck(t, t.Others.Attainment, othersTarget, "attainment of the other workspaces")}
-	case scene.Straggler, scene.FrozenUpstream, scene.FrozenSide:
+	case scenario.Straggler, scenario.FrozenUpstream, scenario.FrozenSide:
 		extra := t.Generation().Extra
 		return []Check{
 			attainmentCheck(t, t.Judged.Attainment, faultTarget, "attainment from 2 s on"),
 			checkOf(t, "under 3% extra generation passes", percent(extra), extra < extraLimit),
 		}
-	case scene.Overload:
+	case scenario.Overload:
 		return r.overloadChecks(t)
 	default:
 		return nil
@@ -81,7 +81,7 @@
 	checks := []Check{checkOf(t, "refusals under 50 ms",
 		fmt.Sprintf("p50 %.0f ms, p99 %.0f ms, max %.0f ms of %d", t.Judged.Refusal.P50, refusal, t.Judged.Refusal.Max, t.Judged.Refusal.Count),
 		refusal < refusalLimitMS)}
-	capacity, ok := r.find(t.Size, scene.Capacity, t.Policy)
+	capacity, ok := r.find(t.Size, scenario.Capacity, t.Policy)
 	if !ok || capacity.Goodput == 0 {
 		return checks
 	}
@@ -101,9 +101,9 @@
 // scoreOf returns the score of a trial.
 func scoreOf(t Trial) score {
 	switch t.Case {
-	case scene.Burst:
+	case scenario.Burst:
 		return score{"attainment of the other workspaces", t.Others.Attainment, t.Others.Latency.P95}
-	case scene.Overload, scene.Capacity:
+	case scenario.Overload, scenario.Capacity:
 		return score{"goodput by capacity", t.Goodput / t.Capacity, t.Judged.Latency.P95}
 	default:
 		return score{"attainment", t.Judged.Attainment, t.Judged.Latency.P95}
--- a/standin/bench/scene/case.go
+++ b/standin/bench/scenario/case.go
@@ -1,4 +1,4 @@
-package scene
+package scenario
 
 import (
 	"fmt"
--- a/standin/bench/scene/size.go
+++ b/standin/bench/scenario/size.go
@@ -1,7 +1,7 @@
-// Package scene defines the scenarios of the bench: the deployments of the two
+// Package scenario defines the scenarios of the bench: the deployments of the two
 // users with the load of their workspaces, the cases of load and faults, and the
 // policies that are compared. It starts no processes.
-package scene
+package scenario
 
 import (
 	"path/filepath"
--- a/standin/bench/trial/fault.go
+++ b/standin/bench/trial/fault.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"acaciawinch/standin/bench/scene"
+	"acaciawinch/standin/bench/scenario"
 	"acaciawinch/standin/harness"
 	"acaciawinch/standin/upstream"
 )
@@ -13,7 +13,7 @@
 // injectFault injects the fault of the case at its time. It returns nil without a
 // fault if the load ends first.
 func (r *run) injectFault(ctx context.Context) error {
-	if r.options.Case.Fault == scene.NoFault {
+	if r.options.Case.Fault == scenario.NoFault {
 		return nil
 	}
 	timer := time.NewTimer(r.options.Case.At)
@@ -25,13 +25,13 @@
 	}
 	victim := r.fleet.Service(r.options.Size.Engine)[0]
 	switch r.options.Case.Fault {
-	case scene.Slow:
-		return victim.SetControl(ctx, upstream.Control{SlowFactor: scene.SlowFactor})
-	case scene.FreezeUpstream:
+	case scenario.Slow:
+		return victim.SetControl(ctx, upstream.Control{SlowFactor: scenario.SlowFactor})
+	case scenario.FreezeUpstream:
 		return victim.Worker.Freeze()
-	case scene.FreezeSide:
+	case scenario.FreezeSide:
 		return victim.Side.Freeze()
-	case scene.KillRack:
+	case scenario.KillRack:
 		killZone(r.fleet, victim.Zone)
 	}
 	return nil
@@ -89,5 +89,5 @@
 // frozen reports whether the fault of the case froze this upstream.
 func (r *run) frozen(u *harness.Upstream) bool {
 	victim := r.fleet.Service(r.options.Size.Engine)[0]
-	return u == victim && r.options.Case.Fault == scene.FreezeUpstream
+	return u == victim && r.options.Case.Fault == scenario.FreezeUpstream
 }
--- a/standin/bench/trial/trial.go
+++ b/standin/bench/trial/trial.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"acaciawinch/standin/bench/report"
-	"acaciawinch/standin/bench/scene"
+	"acaciawinch/standin/bench/scenario"
 	"acaciawinch/standin/caller"
 	"acaciawinch/standin/catalog"
 	"acaciawinch/standin/harness"
@@ -32,9 +32,9 @@
 	// Bin is the directory of the binaries; Examples that of the configurations.
 	Bin      string
 	Examples string
-	Size     scene.Size
-	Case     scene.Case
-	Policy   scene.Policy
+	Size     scenario.Size
+	Case     scenario.Case
+	Policy   scenario.Policy
 	// Seed determines the arrivals, which are the same for every policy.
 	Seed uint64
 	// Keep preserves the directory of settings, logs and ledgers.
--- a/standin/cmd/bench/load.go
+++ b/standin/cmd/bench/load.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"acaciawinch/standin/bench/report"
-	"acaciawinch/standin/bench/scene"
+	"acaciawinch/standin/bench/scenario"
 	"acaciawinch/standin/bench/trial"
 	"acaciawinch/standin/internal/command"
 )
@@ -114,15 +114,15 @@
 // plan returns the trials of each size in order. The policies of a case run one after
 // the other, so that other work on the machine affects them alike.
 func (c *loadCommand) plan() ([][]trial.Options, error) {
-	sizes, err := scene.Select(scene.Sizes(), c.Sizes, func(s scene.Size) string { return s.Name })
+	sizes, err := scenario.Select(scenario.Sizes(), c.Sizes, func(s scenario.Size) string { return s.Name })
 	if err != nil {
 		return nil, err
 	}
-	cases, err := scene.Select(scene.Cases(), c.Cases, func(c scene.Case) string { return c.Name })
+	cases, err := scenario.Select(scenario.Cases(), c.Cases, func(c scenario.Case) string { return c.Name })
 	if err != nil {
 		return nil, err
 	}
-	policies, err := scene.Select(scene.Policies(), c.Policies, func(p scene.Policy) string { return p.Name })
+	policies, err := scenario.Select(scenario.Policies(), c.Policies, func(p scenario.Policy) string { return p.Name })
 	if err != nil {
 		return nil, err
 	}
