--- a/standin/bench/report/report.go
+++ b/standin/bench/report/report.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"acaciawinch/standin/bench/account"
-	"acaciawinch/standin/bench/scene"
+	"acaciawinch/standin/bench/scenario"
 	"acaciawinch/standin/load"
 )
 
@@ -96,9 +96,9 @@
 	Counters map[string]float64 `json:"counters,omitempty"`
 }
 
-// Keep adds the trials of an earlier run for the cases that this run did not
+// Merge adds the trials of an earlier run for the cases that this run did not
 // measure. The trials of a case under all policies always come from the same run.
-func (r *Run) Keep(earlier Run) {
+func (r *Run) Merge(earlier Run) {
 	for _, t := range earlier.Trials {
 		rerun := slices.ContainsFunc(r.Trials, func(own Trial) bool {
 			return own.Size == t.Size && own.Case == t.Case && !own.fromEarlier
@@ -113,9 +113,9 @@
 	})
 }
 
-// caseIndex returns the index of a case in scene.Cases.
+// caseIndex returns the index of a case in scenario.Cases.
 func caseIndex(name string) int {
-	return slices.IndexFunc(scene.Cases(), func(c scene.Case) bool { return c.Name == name })
+	return slices.IndexFunc(scenario.Cases(), func(c scenario.Case) bool { return c.Name == name })
 }
 
 // Generation returns the cost of the engines' service.
--- a/standin/bench/trial/trial.go
+++ b/standin/bench/trial/trial.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"acaciawinch/standin/bench/report"
-	"acaciawinch/standin/bench/scene"
+	"acaciawinch/standin/bench/scenario"
 	"acaciawinch/standin/caller"
 	"acaciawinch/standin/catalog"
 	"acaciawinch/standin/harness"
@@ -23,18 +23,18 @@
 	hostLag   = time.Second
 )
 
-// patience is how long a caller waits for a response after the deadline. A response
+// gracePeriod is how long a caller waits for a response after the deadline. A response
 // within that time counts as late, not as missing.
-const patience = 2 * time.Second
+const gracePeriod = 2 * time.Second
 
 // Options configure a trial.
 type Options struct {
 	// Bin is the directory of the binaries; Examples that of the configurations.
 	Bin      string
 	Examples string
-	Size     scene.Size
-	Case     scene.Case
-	Policy   scene.Policy
+	Size     scenario.Size
+	Case     scenario.Case
+	Policy   scenario.Policy
 	// Seed determines the arrivals, which are the same for every policy.
 	Seed uint64
 	// Keep preserves the directory of settings, logs and ledgers.
@@ -123,9 +123,9 @@
 	var group sync.WaitGroup
 	group.Go(func() { faultErr = r.injectFault(ctx) })
 	r.records = load.Run(ctx, arrivals, load.Options{
-		Client:   r.client,
-		Entry:    r.entryURL,
-		Patience: patience,
+		Client:      r.client,
+		Entry:       r.entryURL,
+		GracePeriod: gracePeriod,
 	})
 	cancel()
 	group.Wait()
--- a/standin/caller/caller_test.go
+++ b/standin/caller/caller_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 
 	"acaciawinch/core/config"
-	"acaciawinch/standin/answer"
 	"acaciawinch/standin/catalog"
+	"acaciawinch/standin/output"
 )
 
 // testCatalog has one pipeline with a single engine stage.
@@ -29,7 +29,7 @@
 
 // tokens returns the expected chunks of the response.
 func tokens() [][]byte {
-	return answer.Output(testCatalog.Templates[0].Stages[0], request.Body)
+	return output.StageOutput(testCatalog.Templates[0].Stages[0], request.Body)
 }
 
 // stream formats chunks as server-sent events, with a closing event if closing is
@@ -40,7 +40,7 @@
 		fmt.Fprintf(&text, "event: chunk\nid: %d\ndata: {\"index\":%d,\"text\":%q}\n\n", i, i, chunk)
 	}
 	if closing {
-		digest := answer.Digest(answer.Join(chunks))
+		digest := output.Digest(output.Join(chunks))
 		fmt.Fprintf(&text, "event: done\ndata: {\"request_id\":\"r\",\"outcome\":\"answered\",\"chunks\":%d,\"digest\":%q}\n\n", len(chunks), digest)
 	}
 	return text.String()
@@ -69,8 +69,8 @@
 		text string
 		want Verdict
 	}{
-		{"whole", stream(good, true), Whole},
-		{"cut", stream(good, false), Cut},
+		{"whole", stream(good, true), Complete},
+		{"cut", stream(good, false), Truncated},
 		{"short", stream(good[:2], true), Mismatch},
 		{"another request's", stream(foreign, true), Mismatch},
 		{"out of order", swapped, Mismatch},
@@ -88,26 +88,26 @@
 func TestJSONVerdicts(t *testing.T) {
 	r := request
 	r.Stream = false
-	for _, whole := range []bool{true, false} {
-		output := answer.Join(tokens())
-		if !whole {
-			output = output[1:]
+	for _, complete := range []bool{true, false} {
+		joined := output.Join(tokens())
+		if !complete {
+			joined = joined[1:]
 		}
-		text, err := json.Marshal(jsonResponse{Outcome: "answered", Output: string(output), Digest: answer.Digest(output)})
+		text, err := json.Marshal(jsonResponse{Outcome: "answered", Output: string(joined), Digest: output.Digest(joined)})
 		assert.NilError(t, err)
 		result := send(t, r, "application/json", string(text))
-		assert.Equal(t, result.Verdict == Whole, whole)
+		assert.Equal(t, result.Verdict == Complete, complete)
 	}
 	result := send(t, r, "application/problem+json", `{"outcome":"not_run","retry_after_ms":5}`)
 	assert.Equal(t, result.Verdict, Problem)
 	assert.Equal(t, result.RetryAfter.Milliseconds(), int64(5))
 }
 
-func TestMissingResponseIsBroken(t *testing.T) {
+func TestMissingResponseIsUnreadable(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		panic(http.ErrAbortHandler)
 	}))
 	defer server.Close()
 	result := New(testCatalog).Send(t.Context(), server.URL, request)
-	assert.Equal(t, result.Verdict, Broken)
+	assert.Equal(t, result.Verdict, Unreadable)
 }
--- a/standin/caller/read.go
+++ b/standin/caller/read.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"acaciawinch/core"
-	"acaciawinch/standin/answer"
+	"acaciawinch/standin/output"
 )
 
 // maxEventBytes bounds one line of a server-sent event.
@@ -55,18 +55,18 @@
 func (c *Client) readJSON(body io.Reader, r Request, result *Result) {
 	var got jsonResponse
 	if err := json.NewDecoder(body).Decode(&got); err != nil {
-		result.Verdict = Broken
+		result.Verdict = Unreadable
 		result.Detail = err.Error()
 		return
 	}
 	result.RequestID = got.RequestID
 	result.Outcome = got.Outcome
-	output := got.OutputBase64
-	if output == nil {
-		output = []byte(got.Output)
+	chunk := got.OutputBase64
+	if chunk == nil {
+		chunk = []byte(got.Output)
 	}
-	result.Chunks = [][]byte{output}
-	if got.Digest != answer.Digest(output) {
+	result.Chunks = [][]byte{chunk}
+	if got.Digest != output.Digest(chunk) {
 		result.Verdict = Mismatch
 		result.Detail = "the digest does not match the output"
 		return
@@ -78,7 +78,7 @@
 func readProblem(body io.Reader, result *Result) {
 	var got problemDocument
 	if err := json.NewDecoder(body).Decode(&got); err != nil {
-		result.Verdict = Broken
+		result.Verdict = Unreadable
 		result.Detail = err.Error()
 		return
 	}
@@ -108,7 +108,7 @@
 	for {
 		e, ok := nextEvent(scanner)
 		if !ok {
-			result.Verdict = Cut
+			result.Verdict = Truncated
 			result.Detail = fmt.Sprintf("the stream ended behind %d chunks without its closing event", len(result.Chunks))
 			return
 		}
@@ -186,13 +186,13 @@
 func (c *Client) checkDone(e event, r Request, result *Result) {
 	var done doneEvent
 	if err := json.Unmarshal(e.data, &done); err != nil {
-		result.Verdict = Cut
+		result.Verdict = Truncated
 		result.Detail = err.Error()
 		return
 	}
 	result.RequestID = done.RequestID
 	result.Outcome = done.Outcome
-	if done.Chunks != len(result.Chunks) || done.Digest != answer.Digest(answer.Join(result.Chunks)) {
+	if done.Chunks != len(result.Chunks) || done.Digest != output.Digest(output.Join(result.Chunks)) {
 		result.Verdict = Mismatch
 		result.Detail = "the closing event does not match the chunks"
 		return
--- a/standin/faults/judge.go
+++ b/standin/faults/judge.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"acaciawinch/core"
-	"acaciawinch/standin/answer"
 	"acaciawinch/standin/caller"
 	"acaciawinch/standin/catalog"
 	"acaciawinch/standin/ledger"
+	"acaciawinch/standin/output"
 )
 
 // Counts sums up what the callers and upstreams of a cell recorded.
@@ -108,7 +108,7 @@
 }
 
 // expected returns the steps of an exchange under its configuration.
-func (j *judge) expected(e Exchange) []answer.Step {
+func (j *judge) expected(e Exchange) []output.Step {
 	steps, _ := j.clients[e.Revision].Expected(e.Request)
 	return steps
 }
@@ -135,7 +135,7 @@
 	c := &j.counts
 	c.Sent++
 	switch {
-	case e.Result.Verdict == caller.Whole:
+	case e.Result.Verdict == caller.Complete:
 		c.Answered++
 	case e.Result.Verdict != caller.Problem && e.Excused != "":
 		c.Excused++
@@ -160,7 +160,7 @@
 	switch e.Result.Verdict {
 	case caller.Mismatch:
 		j.addFinding(NotCrossed, "%s", describe(e))
-	case caller.Cut, caller.Broken:
+	case caller.Truncated, caller.Unreadable:
 		if e.Excused == "" {
 			j.addFinding(NotLost, "%s", describe(e))
 		}
@@ -199,11 +199,11 @@
 
 // checkPaid checks that the claimed stage of an answered request was executed.
 func (j *judge) checkPaid(e Exchange) {
-	if e.Result.Verdict != caller.Whole {
+	if e.Result.Verdict != caller.Complete {
 		return
 	}
 	for _, step := range j.expected(e) {
-		if step.Stage.NonIdempotent && len(j.paid[answer.Digest(step.Input)]) == 0 {
+		if step.Stage.NonIdempotent && len(j.paid[output.Digest(step.Input)]) == 0 {
 			j.addFinding(NotLost, "answered, but %s never ran: %s", step.Stage.Name, describe(e))
 		}
 	}
@@ -224,18 +224,18 @@
 	}
 }
 
-// checkStray checks that each execution belongs to a request. A request without a whole
+// checkStray checks that each execution belongs to a request. A request without a complete
 // response may have been processed under any of the configurations.
 func (j *judge) checkStray(all []Exchange) {
 	known := map[string]bool{}
 	for _, e := range all {
 		for i := range j.clients {
-			if e.Result.Verdict == caller.Whole && i != e.Revision {
+			if e.Result.Verdict == caller.Complete && i != e.Revision {
 				continue
 			}
 			steps, _ := j.clients[i].Expected(e.Request)
 			for _, step := range steps {
-				known[step.Stage.Service+" "+answer.Digest(step.Input)] = true
+				known[step.Stage.Service+" "+output.Digest(step.Input)] = true
 			}
 		}
 	}
@@ -261,7 +261,7 @@
 // claimedStageBegan reports whether the claimed stage of an exchange began.
 func (j *judge) claimedStageBegan(e Exchange) bool {
 	for _, step := range j.expected(e) {
-		if step.Stage.NonIdempotent && len(j.paid[answer.Digest(step.Input)]) > 0 {
+		if step.Stage.NonIdempotent && len(j.paid[output.Digest(step.Input)]) > 0 {
 			return true
 		}
 	}
--- a/standin/trials/limits_test.go
+++ b/standin/trials/limits_test.go
@@ -90,7 +90,7 @@
 	b.group.Wait()
 	count := 0
 	for _, result := range b.results {
-		if result.Verdict == caller.Whole {
+		if result.Verdict == caller.Complete {
 			count++
 			continue
 		}
@@ -201,7 +201,7 @@
 		all.stream(tr, (home+1)%len(tr.fleet.Entries))
 	}
 	all.firstChunks.Wait()
-	assert.NilError(t, tr.fleet.Entries[home].Wake())
+	assert.NilError(t, tr.fleet.Entries[home].Resume())
 	for range maxInFlight {
 		all.stream(tr, (home+2)%len(tr.fleet.Entries))
 	}
@@ -213,7 +213,7 @@
 
 // sendOne sends a request and returns an error unless it succeeds.
 func (tr *trial) sendOne(entry int) error {
-	if result := tr.send(entry, tr.request(limitedWorkspace, "consulta"), false); result.Verdict != caller.Whole {
+	if result := tr.send(entry, tr.request(limitedWorkspace, "consulta"), false); result.Verdict != caller.Complete {
 		return errors.New(result.Detail)
 	}
 	return nil
--- a/standin/trials/trials_test.go
+++ b/standin/trials/trials_test.go
@@ -146,18 +146,18 @@
 }
 
 func TestStreamedRequestEndToEnd(t *testing.T) {
-	tr := startTrial(t, deployment.Thin())
+	tr := startTrial(t, deployment.Minimal())
 	r := tr.request("pensionistas", "consulta")
 	r.Stream = true
 	result := tr.send(0, r, false)
-	assert.Equal(t, result.Verdict, caller.Whole, result.Detail)
+	assert.Equal(t, result.Verdict, caller.Complete, result.Detail)
 	assert.Equal(t, len(result.Chunks), 32)
 	tr.stop()
 	assert.Equal(t, tr.judge().Answered, 1)
 }
 
 func TestBadRequestsReachNoUpstream(t *testing.T) {
-	tr := startTrial(t, deployment.Thin())
+	tr := startTrial(t, deployment.Minimal())
 	badJSON := tr.request("pensionistas", "consulta")
 	badJSON.Body = badJSON.Body[1:]
 	unknown := tr.request("nobody", "consulta")
@@ -189,7 +189,7 @@
 
 func TestPlannedStopCutsNoStream(t *testing.T) {
 	const streams = 4
-	slow := deployment.Thin()
+	slow := deployment.Minimal()
 	for i := range slow.Groups {
 		slow.Groups[i].TokenMS = slowTokenMS
 		slow.Groups[i].BatchSlope = 0
@@ -227,7 +227,7 @@
 	}
 	group.Wait()
 	retried := tr.send(0, r, false)
-	assert.Equal(t, retried.Verdict, caller.Whole, retried.Detail)
+	assert.Equal(t, retried.Verdict, caller.Complete, retried.Detail)
 	tr.stop()
 	assert.Equal(t, tr.judge().Answered, len(tr.fleet.Entries)+1)
 }
--- a/standin/verdict/verdict.go
+++ b/standin/verdict/verdict.go
@@ -6,9 +6,9 @@
 	"fmt"
 
 	"acaciawinch/core"
-	"acaciawinch/standin/answer"
 	"acaciawinch/standin/caller"
 	"acaciawinch/standin/ledger"
+	"acaciawinch/standin/output"
 )
 
 // Exchange is one request and its result.
@@ -50,7 +50,7 @@
 
 // Expecter computes the steps that a request must take.
 type Expecter interface {
-	Expected(caller.Request) ([]answer.Step, bool)
+	Expected(caller.Request) ([]output.Step, bool)
 }
 
 // execution identifies the execution of a stage by its service and the digest of its
@@ -133,8 +133,8 @@
 }
 
 // executionOf returns the execution that a step must have.
-func executionOf(step answer.Step) execution {
-	return execution{step.Stage.Service, answer.Digest(step.Input)}
+func executionOf(step output.Step) execution {
+	return execution{step.Stage.Service, output.Digest(step.Input)}
 }
 
 // countOutcome counts the result that the caller got.
@@ -142,11 +142,11 @@
 	s := &j.summary
 	name := e.Request.Workspace + "/" + e.Request.Pipeline + " " + e.Result.RequestID
 	switch e.Result.Verdict {
-	case caller.Whole:
+	case caller.Complete:
 		s.Answered++
 	case caller.Mismatch:
 		j.addFinding(&s.Crossed, "crossed: %s: %s", name, e.Result.Detail)
-	case caller.Cut, caller.Broken:
+	case caller.Truncated, caller.Unreadable:
 		j.addFinding(&s.Lost, "lost: %s: %s", name, e.Result.Detail)
 	case caller.Problem:
 		j.countProblem(e, name)
@@ -181,7 +181,7 @@
 		}
 		x := executionOf(step)
 		ran := j.starts[x] > 0
-		if e.Result.Verdict == caller.Whole && !ran {
+		if e.Result.Verdict == caller.Complete && !ran {
 			j.addFinding(&j.summary.Lost, "lost: %s was answered but %s never ran", e.Result.RequestID, x.service)
 		}
 		if !mayHaveRun(e.Result.Outcome) && ran && !j.possiblyRun[x] {
