--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Developers' and users' commands. `make help` lists them.
+# Commands for developers and users; `make help` lists them.
 .PHONY: help build test docs generate thin demo bench spread faults soak
 
 help: ## list the commands
@@ -7,30 +7,30 @@
 build: ## build both binaries and the stand-ins into bin/
 	go build -o bin/ ./acaciawinchd/... ./acaciawinch/... ./standin/cmd/...
 
-test: ## formatter, linters and all tests, with the race detector where goroutines meet
+test: ## check the format, run the linters and all tests; only core packages without goroutines and locks skip the race detector
 	scripts/test.sh
 
-thin: build ## run one entry and one upstream per stage, and stream one request
+thin: build ## run one entry and one upstream per stage, and send one streamed request
 	bin/demo --bin bin --thin
 
-demo: build ## run the Institute's deployment, then gateways on the users' platform, and send requests of each kind
+demo: build ## run the Institute's deployment, then gateways against stand-ins of the users' platform, and send requests of each kind
 	bin/demo --bin bin
 	bin/platformdemo --bin bin
 
-bench: build ## offer load to both deployments under our policy and the baselines; writes docs/measurements/
+bench: build ## run the load benchmark on both deployments under our policy and the baseline policies; writes docs/measurements/
 	bin/bench load --version $(shell git rev-parse --short HEAD) --out docs/measurements
 
-spread: build ## time accepted changes over 200 processes; writes docs/measurements/
+spread: build ## measure the time until an accepted configuration change is in force in 200 processes; writes docs/measurements/
 	bin/bench spread --out docs/measurements
 
-faults: build ## run the fault matrix with the real binaries and write docs/FAULTS.md
+faults: build ## run the fault matrix with the real binaries; writes docs/FAULTS.md
 	bin/faults --bin bin --page docs/FAULTS.md --commit $$(git rev-parse --short HEAD)
 
-soak: build ## play the soak's failed seeds and 50 fresh ones: real processes under random faults
+soak: build ## run the soak test, real processes under random faults: the seeds that failed before, then 50 new ones
 	bin/soak --bin bin --regressions --jobs 3
 	bin/soak --bin bin --fresh --seeds 50 --jobs 6
 
-docs: ## rewrite the pages that are made from the code, and check the others
+docs: ## regenerate the pages that are derived from the code, and check the others
 	go run ./observe/cmd/events > docs/EVENTS.md
 	go run ./core/chart/cmd/charts > docs/CHARTS.md
 	go test -count=1 -run 'Page|Settings|Examples' ./observe/event ./core/chart ./acaciawinch ./standin/pages
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Formatter, linters and all tests, with the race detector where goroutines meet. Exits non-zero on any
-# failure. Tests listed in KNOWN-RED.txt (test, cause, issue) are left out and
-# printed.
+# Checks the format, runs the linters, all tests and a short soak. Only core packages
+# without goroutines and locks are tested without the race detector. Exits non-zero on any failure.
+# Tests listed in KNOWN-RED.txt (test, cause, issue) are skipped, and the list is printed.
 set -eu
 cd "$(dirname "$0")/.."
 
@@ -16,7 +16,7 @@
 GOWORK=off go build -C tools -o ../bin/staticcheck honnef.co/go/tools/cmd/staticcheck
 ./bin/staticcheck work
 
-# The users' platform builds with the line of the deploy file; the same line must work here.
+# The users' platform builds with the command in the deploy file, so it must succeed here too.
 build=$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/system.toml)
 echo "deploy: $build"
 sh -c "$build"
@@ -33,8 +33,9 @@
   skip="^($names)$"
 fi
 
-# A package that starts no goroutine and holds no lock has no data race of its own, and the
-# detector makes its models ten times as slow. What uses it is built and tested with the detector.
+# A core package without goroutines and locks has no data races of its own, and the race detector
+# makes its model-based tests ten times as slow. Packages that import it are tested with the
+# detector.
 alone=()
 shared=()
 while IFS=' ' read -r package folder; do
@@ -48,6 +49,6 @@
 go test -count=1 -timeout 20m -skip "$skip" "${alone[@]}"
 go test -race -count=1 -timeout 20m -skip "$skip" "${shared[@]}"
 
-# A short run of the soak: the seeds that failed once, with the real programs.
+# A short soak: the seeds that failed in earlier runs, with the real binaries.
 go build -o bin/ ./acaciawinchd ./standin/cmd/soak
 bin/soak --bin bin --regressions --jobs 3
--- a/tools/tools.go
+++ b/tools/tools.go
@@ -1,3 +1,4 @@
-// Package tools pins the programs that the build's checks use. The module is not
-// part of the workspace, so that its dependencies stay out of the binaries.
+// Package tools pins the versions of the programs that scripts/test.sh runs. The
+// module is not part of the workspace, so that its dependencies stay out of the
+// binaries.
 package tools
