--- a/core/routing/baseline.go
+++ b/core/routing/baseline.go
@@ -10,7 +10,7 @@
 // The policy needs the incarnation and clock of the sidecar from the reply, not its load.
 const baselineReplyAge = 20 * time.Second
 
-// pickFunc reorders candidates; the first one is chosen.
+// pickFunc moves the upstream that it picks to the front of candidates, which is not empty.
 type pickFunc func(r *Round, candidates []Upstream)
 
 // baseline chooses without regard to the load that upstreams report. The baseline policies
@@ -40,7 +40,7 @@
 	return ProbePlan{Upstreams: candidates[:1], Age: baselineReplyAge, Uses: baselineReplyUses}
 }
 
-// baselineReplyUses is effectively no limit.
+// baselineReplyUses lets any number of choices rely on one reply.
 const baselineReplyUses = 1 << 30
 
 // Decide implements Policy. It accepts the upstream of the last reply unless that upstream
--- a/core/routing/decide.go
+++ b/core/routing/decide.go
@@ -5,8 +5,8 @@
 // Thresholds of the choice among candidates.
 const (
 	// spillMargin is by how much the wait in the own zone may exceed the extra latency of
-	// another zone before other zones are probed. The limit on slow service has the same
-	// margin.
+	// another zone before other zones are probed. It is also added to the expected time
+	// above which a candidate counts as slow.
 	spillMargin = 5 * time.Millisecond
 	// slowServiceFactor is the multiple of the usual service time above which a candidate
 	// counts as slow and more upstreams are probed.
@@ -66,7 +66,7 @@
 // affinityChoice returns the index of the first upstream in the prefix's ranking that is
 // within the load bound and nearly as good as best, or -1. Only the tier of best counts,
 // because a ranking holds for one zone. A cached prefix saves at most the time to the first
-// chunk, so the work must not queue longer than that for it.
+// chunk, so a wait longer than that would cost more than the prefix saves.
 func (r *Round) affinityChoice(candidates []Candidate, best Candidate) int {
 	if !r.hasAffinity() {
 		return -1
@@ -94,8 +94,9 @@
 func (r *Round) hasAffinity() bool { return r.Query.Engine && r.Query.Prefix != 0 }
 
 // withinBound returns the first upstreams of a ranking, at most n, whose pending work is
-// within the load bound. An upstream whose load is unknown counts as within the bound, and
-// so does one that is mostly idle, because moving its prefixes would gain nothing.
+// within the load bound. An upstream whose load is unknown counts as within the bound. So
+// does one that is mostly idle, because moving its prefixes to another upstream would gain
+// nothing.
 func (r *Round) withinBound(ranked []Upstream, n int) []Upstream {
 	total, known := 0.0, 0
 	for _, u := range r.Picker.queryGroup(r.Query).tiers[OwnZone] {
--- a/core/routing/decide_test.go
+++ b/core/routing/decide_test.go
@@ -117,9 +117,9 @@
 	assert.Assert(t, h.choose(Query{Service: "llm", Remaining: 900 * ms}).OK)
 }
 
-// TestShortAnswerFitsAShortDeadline checks that a bound on the length of the result bounds
+// TestShortResultFitsAShortDeadline checks that a bound on the length of the result bounds
 // its service time.
-func TestShortAnswerFitsAShortDeadline(t *testing.T) {
+func TestShortResultFitsAShortDeadline(t *testing.T) {
 	h := newHarness(Probe2, 1, hostsIn("a", 2)...)
 	h.reply = func(u Upstream) ProbeResult {
 		load := idle()
@@ -191,8 +191,8 @@
 	assert.Equal(t, probesAfterChoices(), 2)
 }
 
-// TestNearerZoneIsTaken checks that the measured extra latency of other zones counts.
-func TestNearerZoneIsTaken(t *testing.T) {
+// TestNearerZoneIsChosen checks that the measured extra latency of other zones counts.
+func TestNearerZoneIsChosen(t *testing.T) {
 	h := newHarness(Probe2, 1, append(hostsIn("b", 1), hostsIn("c", 1)...)...)
 	h.reply = func(u Upstream) ProbeResult {
 		load, rtt := idle(), ms
--- a/core/routing/failures.go
+++ b/core/routing/failures.go
@@ -12,8 +12,8 @@
 	// failureHalfLife is the half-life of the failure ratio of an upstream that finishes
 	// nothing. The ratio decays so that the upstream is eventually tried again.
 	failureHalfLife = 5 * time.Second
-	// quantileHalfLife is the half-life with which the reported service times of such an
-	// upstream decay towards the usual ones.
+	// quantileHalfLife is the half-life with which the reported service times of an idle
+	// upstream decay towards the usual ones of the service.
 	quantileHalfLife = 5 * time.Second
 )
 
@@ -22,7 +22,8 @@
 // quantiles of an idle upstream are stale.
 type attemptStats struct {
 	finished, failed uint64
-	ratioAtFinish    float64
+	// ratioAtFinish is the failure ratio at lastFinish.
+	ratioAtFinish float64
 	// lastFinish is when finished was last seen to rise.
 	lastFinish time.Time
 }
--- a/core/routing/herd/case.go
+++ b/core/routing/herd/case.go
@@ -53,13 +53,13 @@
 // PushedLeastOfAll returns a case in which entries choose the least loaded of all
 // upstreams, by loads that are pushed to them.
 func PushedLeastOfAll(name string, every time.Duration) Case {
-	return Case{Name: name, Push: every, Policy: func() routing.Policy { return pushed{choices: Upstreams} }}
+	return Case{Name: name, Push: every, Policy: func() routing.Policy { return pushed{sampleSize: Upstreams} }}
 }
 
 // PushedLeastOfTwo is like PushedLeastOfAll but compares only two upstreams drawn at
 // random.
 func PushedLeastOfTwo(name string, every time.Duration) Case {
-	return Case{Name: name, Push: every, Policy: func() routing.Policy { return pushed{choices: 2} }}
+	return Case{Name: name, Push: every, Policy: func() routing.Policy { return pushed{sampleSize: 2} }}
 }
 
 // Cases returns all cases that docs/design/routing.md compares.
@@ -86,9 +86,10 @@
 	return append(cases, warm)
 }
 
-// pushed chooses by loads that were given to the entry some time ago.
+// pushed is a policy that chooses by loads that were given to the entry some time ago.
 type pushed struct {
-	choices int
+	// sampleSize is how many upstreams a decision compares.
+	sampleSize int
 }
 
 // Name implements routing.Policy.
@@ -96,7 +97,7 @@
 
 // Plan implements routing.Policy. It accepts remembered replies of any age.
 func (p pushed) Plan(r *routing.Round) routing.ProbePlan {
-	drawn := r.Sample(r.Eligible(routing.OwnZone), p.choices)
+	drawn := r.Sample(r.Eligible(routing.OwnZone), p.sampleSize)
 	return routing.ProbePlan{Upstreams: drawn, Age: math.MaxInt64, Uses: math.MaxInt}
 }
 
--- a/core/routing/herd/entry.go
+++ b/core/routing/herd/entry.go
@@ -19,7 +19,7 @@
 	probes int
 }
 
-// choose takes one decision at now.
+// choose decides which upstream carries out query and records the choice.
 func (e *entry) choose(now time.Time, query routing.Query) routing.Upstream {
 	round := &routing.Round{
 		Query:  query,
--- a/core/routing/herd/figures.go
+++ b/core/routing/herd/figures.go
@@ -6,15 +6,15 @@
 )
 
 // afterWarmUp reports whether a call arrived after the warm-up.
-func (s *simulation) afterWarmUp(r callEvent) bool { return r.at.Sub(s.start) >= warmUp }
+func (s *simulation) afterWarmUp(call callEvent) bool { return call.at.Sub(s.start) >= warmUp }
 
 // recordWait records how long a call has waited.
-func (s *simulation) recordWait(r callEvent) {
-	if !s.afterWarmUp(r) {
+func (s *simulation) recordWait(call callEvent) {
+	if !s.afterWarmUp(call) {
 		return
 	}
-	s.waits = append(s.waits, s.now.Sub(r.at))
-	if r.upstream == 0 {
+	s.waits = append(s.waits, s.now.Sub(call.at))
+	if call.upstream == 0 {
 		s.firstCount++
 	}
 }
@@ -38,8 +38,8 @@
 // have waited so far.
 func (s *simulation) results(length time.Duration) Results {
 	for _, server := range s.servers {
-		for _, r := range server.queue {
-			s.recordWait(r)
+		for _, call := range server.queue {
+			s.recordWait(call)
 		}
 	}
 	slices.Sort(s.waits)
--- a/core/routing/herd/herd.go
+++ b/core/routing/herd/herd.go
@@ -24,7 +24,8 @@
 	// p95OverMean is the approximate ratio of the 95th percentile to the mean of an
 	// exponential distribution.
 	p95OverMean = 3
-	// oneWayDelay is the age of a probe reply when the request arrives at the upstream.
+	// oneWayDelay is the delay from a decision to the arrival of the call at the upstream.
+	// The replies to the probes are that old by then.
 	oneWayDelay = 500 * time.Microsecond
 	// warmUp is simulated but left out of the results.
 	warmUp = 3 * time.Second
@@ -82,7 +83,7 @@
 	return s
 }
 
-// addServers creates the upstreams and stores their indexes.
+// addServers creates the upstreams, stores their indexes and returns the picker of them all.
 func (s *simulation) addServers(indexes map[routing.Upstream]int) *routing.Picker {
 	var hosts []fleet.Host
 	for i := range Upstreams {
@@ -149,14 +150,14 @@
 }
 
 // handle processes the arrival of a call at an upstream or its completion there.
-func (s *simulation) handle(r callEvent) {
-	s.now = r.at
-	server := s.servers[r.upstream]
-	if r.completion {
+func (s *simulation) handle(call callEvent) {
+	s.now = call.at
+	server := s.servers[call.upstream]
+	if call.completion {
 		server.running--
 		server.finished++
 	} else {
-		server.queue = append(server.queue, r)
+		server.queue = append(server.queue, call)
 	}
 	for server.running < capacity && len(server.queue) > 0 {
 		s.startCall(server, server.queue[0])
@@ -165,14 +166,14 @@
 }
 
 // startCall starts a queued call.
-func (s *simulation) startCall(server *server, r callEvent) {
+func (s *simulation) startCall(server *server, call callEvent) {
 	server.running++
-	cached := server.touchPrefix(r.prefix)
-	if cached && s.afterWarmUp(r) {
+	cached := server.touchPrefix(call.prefix)
+	if cached && s.afterWarmUp(call) {
 		s.cacheHits++
 	}
-	s.recordWait(r)
-	heap.Push(&s.events, callEvent{at: s.now.Add(s.exponential(server.mean)), upstream: r.upstream, completion: true})
+	s.recordWait(call)
+	heap.Push(&s.events, callEvent{at: s.now.Add(s.exponential(server.mean)), upstream: call.upstream, completion: true})
 }
 
 // push gives every entry the load of every upstream.
--- a/core/routing/herd/herd_test.go
+++ b/core/routing/herd/herd_test.go
@@ -19,9 +19,9 @@
 func TestHerd(t *testing.T) {
 	const length = 8 * time.Second
 	run := func(c herd.Case) herd.Results {
-		f := herd.Run(c, length, seed)
-		t.Logf("%s: %+v", c.Name, f)
-		return f
+		results := herd.Run(c, length, seed)
+		t.Logf("%s: %+v", c.Name, results)
+		return results
 	}
 	pushed := run(herd.PushedLeastOfAll("pushed", time.Second))
 	probed := run(herd.PolicyCase(routing.Probe2))
@@ -43,16 +43,16 @@
 func BenchmarkHerd(b *testing.B) {
 	for _, c := range herd.Cases() {
 		b.Run(c.Name, func(b *testing.B) {
-			var f herd.Results
+			var results herd.Results
 			for b.Loop() {
-				f = herd.Run(c, 25*time.Second, seed)
+				results = herd.Run(c, 25*time.Second, seed)
 			}
-			b.ReportMetric(f.MaxOverMean, "max/mean")
-			b.ReportMetric(float64(f.WaitP50.Milliseconds()), "wait-p50-ms")
-			b.ReportMetric(float64(f.WaitP99.Milliseconds()), "wait-p99-ms")
-			b.ReportMetric(f.Probes, "probes/choice")
-			b.ReportMetric(100*f.First, "%first")
-			b.ReportMetric(100*f.Cached, "%cached")
+			b.ReportMetric(results.MaxOverMean, "max/mean")
+			b.ReportMetric(float64(results.WaitP50.Milliseconds()), "wait-p50-ms")
+			b.ReportMetric(float64(results.WaitP99.Milliseconds()), "wait-p99-ms")
+			b.ReportMetric(results.Probes, "probes/choice")
+			b.ReportMetric(100*results.First, "%first")
+			b.ReportMetric(100*results.Cached, "%cached")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
--- a/core/routing/herd/server.go
+++ b/core/routing/herd/server.go
@@ -21,31 +21,32 @@
 type eventHeap []callEvent
 
 // Len implements heap.Interface.
-func (q eventHeap) Len() int { return len(q) }
+func (h eventHeap) Len() int { return len(h) }
 
 // Less implements heap.Interface.
-func (q eventHeap) Less(a, b int) bool { return q[a].at.Before(q[b].at) }
+func (h eventHeap) Less(a, b int) bool { return h[a].at.Before(h[b].at) }
 
 // Swap implements heap.Interface.
-func (q eventHeap) Swap(a, b int) { q[a], q[b] = q[b], q[a] }
+func (h eventHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
 // Push implements heap.Interface.
-func (q *eventHeap) Push(x any) { *q = append(*q, x.(callEvent)) }
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(callEvent)) }
 
 // Pop implements heap.Interface.
-func (q *eventHeap) Pop() any {
-	last := (*q)[len(*q)-1]
-	*q = (*q)[:len(*q)-1]
+func (h *eventHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
 
 // server is an upstream with a FIFO queue.
 type server struct {
+	// mean is the mean service time.
 	mean     time.Duration
 	running  int
 	finished uint64
 	queue    []callEvent
-	// prefixes are the last distinct prefixes, the most recent at the end.
+	// prefixes are the cached prefixes, the most recently used at the end.
 	prefixes []uint64
 }
 
--- a/core/routing/judge.go
+++ b/core/routing/judge.go
@@ -94,9 +94,9 @@
 	return float64(a) / float64(b)
 }
 
-// queueTimes returns the time in the queue and the time needed for the whole queue. Choices
-// that this entry made since the probe was sent are not in the load that the sidecar
-// reported; they take the free slots first.
+// queueTimes returns the time in the queue and the time needed for the whole queue. The load
+// that the sidecar reported does not include the choices that this entry made since the
+// probe was sent. These take the free slots first, and the others of them queue.
 func (r *Round) queueTimes(result ProbeResult, service time.Duration) (wait, backlog time.Duration) {
 	load := result.Load
 	unreported := r.Table.choicesSince(result.Upstream.ID, result.SentAt)
--- a/core/routing/load_test.go
+++ b/core/routing/load_test.go
@@ -133,9 +133,9 @@
 	assert.Equal(t, h.choose(plainQuery).Chosen.Result.Upstream.Zone, "b")
 }
 
-// TestRestartedSideCountsFromZero checks that the failure ratio restarts with the counters
+// TestRestartedSidecarCountsFromZero checks that the failure ratio restarts with the counters
 // of the sidecar.
-func TestRestartedSideCountsFromZero(t *testing.T) {
+func TestRestartedSidecarCountsFromZero(t *testing.T) {
 	var stats attemptStats
 	stats.observe(Load{Finished: 100, Failed: 100}, epoch)
 	assert.Assert(t, stats.failureRatio(epoch) == 1)
@@ -212,9 +212,9 @@
 	assert.Equal(t, h.choose(plainQuery).Chosen.Result.Upstream.ID, core.UpstreamID("a-1"))
 }
 
-// TestOwnChoicesCountBeforeTheSideReportsThem checks that choices made between two reports
+// TestOwnChoicesCountBeforeTheSidecarReportsThem checks that choices made between two reports
 // are spread.
-func TestOwnChoicesCountBeforeTheSideReportsThem(t *testing.T) {
+func TestOwnChoicesCountBeforeTheSidecarReportsThem(t *testing.T) {
 	h := newHarness(Probe2, 1, hostsIn("a", 2)...)
 	counts := make(map[core.UpstreamID]int)
 	for i := range 16 {
--- a/core/routing/policy.go
+++ b/core/routing/policy.go
@@ -9,7 +9,8 @@
 	"acaciawinch/core/latency"
 )
 
-// Round is the input of a policy for one step of a decision.
+// Round is the input of a policy for one decision. A decision takes one or more steps; each
+// step probes some upstreams and then evaluates the replies of all steps so far.
 type Round struct {
 	Query  Query
 	Picker *Picker
@@ -18,7 +19,7 @@
 	Now    time.Time
 	// Usual is the estimate for the service over all its upstreams.
 	Usual latency.Estimate
-	// Step counts the steps of the decision from zero.
+	// Step is the number of the present step, from zero.
 	Step int
 	// Results are the results of the probes of all steps so far.
 	Results []ProbeResult
@@ -28,8 +29,8 @@
 type ProbePlan struct {
 	// Upstreams are probed in parallel; the decision waits for them.
 	Upstreams []Upstream
-	// Age allows a remembered reply of at most this age instead of a probe, if fewer than
-	// Uses choices have relied on it.
+	// Age and Uses allow a remembered reply instead of a probe if it is at most Age old and
+	// fewer than Uses choices have relied on it.
 	Age  time.Duration
 	Uses int
 	// Background upstreams are probed without waiting for them.
@@ -125,8 +126,8 @@
 	return list
 }
 
-// filter returns the upstreams that the query allows, that have not been probed yet and
-// that keep accepts.
+// filter returns those upstreams that the query does not exclude, that no earlier step has
+// probed and for which keep returns true.
 func (r *Round) filter(upstreams []Upstream, keep func(Upstream) bool) []Upstream {
 	var list []Upstream
 	for _, u := range upstreams {
--- a/core/routing/pool.go
+++ b/core/routing/pool.go
@@ -6,7 +6,7 @@
 const (
 	// poolMaxAge is the maximum age of a pooled reply.
 	poolMaxAge = time.Second
-	// poolMaxUses is how many choices may rely on one reply. Each use counts as one more
+	// poolMaxUses is how many choices may rely on one reply. Each of them counts as one more
 	// attempt in flight until the next probe.
 	poolMaxUses = 3
 	// poolBackgroundProbes is how many probes each choice sends for later choices.
@@ -40,7 +40,7 @@
 	}
 	background := r.Sample(unpooled, poolBackgroundProbes)
 	if len(pooled) == 0 {
-		return ProbePlan{Upstreams: r.firstChoices()}
+		return ProbePlan{Upstreams: r.firstProbeTargets()}
 	}
 	return ProbePlan{Upstreams: pooled, Age: poolMaxAge, Uses: poolMaxUses, Background: background}
 }
--- a/core/routing/probe2.go
+++ b/core/routing/probe2.go
@@ -32,11 +32,11 @@
 	var list []Upstream
 	switch r.Step {
 	case 0:
-		list = r.firstChoices()
+		list = r.firstProbeTargets()
 	case 1:
-		list = r.widerChoices()
+		list = r.widerProbeTargets()
 	case 2:
-		list = r.lastResort()
+		list = r.lastResortTargets()
 	}
 	return ProbePlan{Upstreams: list}
 }
@@ -48,12 +48,13 @@
 	return d
 }
 
-// firstChoices draws from the own zone and fills up from farther tiers.
-func (r *Round) firstChoices() []Upstream {
+// firstProbeTargets returns the upstreams to probe in the first step. They are drawn from the
+// own zone, and from farther tiers if the own zone has too few.
+func (r *Round) firstProbeTargets() []Upstream {
 	own := r.Eligible(OwnZone)
 	var list []Upstream
 	if r.hasAffinity() {
-		list = r.warmFirst(own)
+		list = r.warmProbeTargets(own)
 	} else {
 		list = r.Sample(own, firstProbes)
 	}
@@ -61,14 +62,15 @@
 		list = append(list, r.Sample(r.Eligible(tier), firstProbes-len(list))...)
 	}
 	if len(list) == 0 {
-		return r.lastResort()
+		return r.lastResortTargets()
 	}
 	return list
 }
 
-// warmFirst returns the first upstreams in the prefix's ranking that are within the load
-// bound, and one other drawn at random.
-func (r *Round) warmFirst(own []Upstream) []Upstream {
+// warmProbeTargets returns the upstreams of the own zone to probe for a prompt prefix: the
+// first ones in the prefix's ranking that are within the load bound, and one other drawn at
+// random.
+func (r *Round) warmProbeTargets(own []Upstream) []Upstream {
 	list := r.withinBound(rank(prefixKey(r.Query), own), warmProbes)
 	var others []Upstream
 	for _, u := range own {
@@ -79,20 +81,23 @@
 	return append(list, r.Sample(others, 1)...)
 }
 
-// widerChoices draws again from the own zone, and from the other zones of the region.
-func (r *Round) widerChoices() []Upstream {
+// widerProbeTargets returns the upstreams to probe in the second step. They are drawn from
+// the own zone again and from the other zones of the region.
+func (r *Round) widerProbeTargets() []Upstream {
 	list := r.Sample(r.Eligible(OwnZone), widerProbes)
 	list = append(list, r.Sample(r.Eligible(OwnRegion), widerProbes)...)
 	if len(list) == 0 {
-		return r.lastResort()
+		return r.lastResortTargets()
 	}
 	return list
 }
 
-// lastResort draws from other regions, then from the upstreams of the service that the
-// placement does not assign, and, if no usable upstream was found so far, from those that
+// lastResortTargets returns the upstreams to probe in the last step, or earlier if the nearer
+// zones have none. They are drawn from other regions and, if there are too few, from all
+// upstreams of the service, whether or not the placement assigns the model to them. If there
+// are none either and no usable upstream was found so far, they are drawn from those that
 // are avoided.
-func (r *Round) lastResort() []Upstream {
+func (r *Round) lastResortTargets() []Upstream {
 	all := r.Picker.serviceGroup(r.Query.Service)
 	list := r.Sample(r.Eligible(OtherRegion), widerProbes)
 	for tier := range tierCount {
--- a/core/routing/property_test.go
+++ b/core/routing/property_test.go
@@ -66,10 +66,10 @@
 	}
 }
 
-// TestNobodyExcludedIsChosen checks every policy over any fleet and any replies: an
+// TestExcludedUpstreamIsNeverChosen checks every policy over any fleet and any replies: an
 // upstream that cannot take the work is never chosen, and one that must get no new work is
 // never probed.
-func TestNobodyExcludedIsChosen(t *testing.T) {
+func TestExcludedUpstreamIsNeverChosen(t *testing.T) {
 	model := Model{Name: "m", Version: "1"}
 	rapid.Check(t, func(t *rapid.T) {
 		var hosts []fleet.Host
--- a/core/routing/suspicion_test.go
+++ b/core/routing/suspicion_test.go
@@ -91,9 +91,9 @@
 	assert.Assert(t, len(lengths) > 40)
 }
 
-// TestSilentWorkSuspicionOutlastsAnsweredProbes covers an upstream that hangs while its
+// TestSilentWorkSuspicionOutlastsProbeReplies covers an upstream that hangs while its
 // sidecar goes on replying to probes.
-func TestSilentWorkSuspicionOutlastsAnsweredProbes(t *testing.T) {
+func TestSilentWorkSuspicionOutlastsProbeReplies(t *testing.T) {
 	h := newHarness(Probe2, 1, hostsIn("a", 1)...)
 	u, _ := h.picker.Upstream("a-0")
 	reply := ProbeResult{Upstream: u, Replied: true}
@@ -126,9 +126,9 @@
 	assert.Assert(t, h.table.Suspected("a-1"))
 }
 
-// TestPatienceFollowsTheHostsLoad checks that the expected reply time grows with late
+// TestExpectedReplyTimeFollowsTheHostsLoad checks that the expected reply time grows with late
 // replies and shrinks again.
-func TestPatienceFollowsTheHostsLoad(t *testing.T) {
+func TestExpectedReplyTimeFollowsTheHostsLoad(t *testing.T) {
 	table := NewTable()
 	assert.Equal(t, table.ExpectedReplyTime("a"), time.Duration(0))
 	after := func(count int, rtts ...time.Duration) time.Duration {
--- a/core/routing/table.go
+++ b/core/routing/table.go
@@ -27,16 +27,19 @@
 	paths  map[string]pathRTT
 }
 
-// upstreamState is the view of one upstream.
+// upstreamState is what a Table holds about one upstream.
 type upstreamState struct {
 	addr string
 	// result is the last reply; Replied is unset before the first. Its load may be newer
-	// than the rest if another message carried one.
+	// than the rest, because other messages carry loads too.
 	result ProbeResult
+	// loadAt is when the load of result arrived.
 	loadAt time.Time
 	// uses counts the choices that relied on result.
-	uses          int
-	inFlight      int
+	uses int
+	// inFlight counts the attempts of this entry that have not ended.
+	inFlight int
+	// recentChoices holds the times of the last choices, oldest first.
 	recentChoices []time.Time
 	attempts      attemptStats
 	suspicion     Suspicion
@@ -106,9 +109,9 @@
 	}
 }
 
-// RecordSilence records that an upstream did not reply. It returns the suspicion, and
-// whether this silence added a strike. A silence during an active suspicion adds none: it
-// is the same silence observed twice.
+// RecordSilence records that an upstream did not reply or went silent. It returns the
+// suspicion, and whether this silence added a strike. A silence before an active suspicion
+// is due for a probe adds none: it is the same silence observed twice.
 func (t *Table) RecordSilence(id core.UpstreamID, cause Cause, now time.Time, random *rand.Rand) (Suspicion, bool) {
 	state := t.stateOf(id)
 	if state.suspicion.Active && now.Before(state.suspicion.Until) {
--- a/core/routing/upstream.go
+++ b/core/routing/upstream.go
@@ -45,7 +45,8 @@
 	Queued, InFlight, Capacity int
 	Draining, Stalled          bool
 	Models                     []Model
-	// Finished and Failed count attempts since the sidecar started.
+	// Finished counts the attempts that have ended since the sidecar started, and Failed
+	// those of them that failed.
 	Finished, Failed uint64
 }
 
@@ -78,8 +79,8 @@
 	Exclude []core.UpstreamID
 }
 
-// Obstacle returns why the upstream that was probed cannot take the work whatever its load,
-// or "" if it can.
+// Obstacle returns the reason for which the probed upstream cannot take the work even if it
+// is idle, or "" if there is none.
 func (q Query) Obstacle(result ProbeResult) string {
 	switch {
 	case !result.Replied:
@@ -101,28 +102,31 @@
 func (q Query) excludes(id core.UpstreamID) bool { return slices.Contains(q.Exclude, id) }
 
 // wait returns the expected wait in the queue.
-func (a ProbeResult) wait() time.Duration {
-	if a.QueryWaitKnown {
-		return a.QueryWait
+func (p ProbeResult) wait() time.Duration {
+	if p.QueryWaitKnown {
+		return p.QueryWait
 	}
-	return a.Load.Wait
+	return p.Load.Wait
 }
 
 // ProbeResult is the result of probing one upstream.
 type ProbeResult struct {
 	Upstream Upstream
 	// Replied is false if no reply came in time.
-	Replied      bool
-	Load         Load
-	Incarnation  core.Incarnation
-	ClockUS      uint64
+	Replied bool
+	Load    Load
+	// Incarnation identifies the sidecar process, and ClockUS is the reading of its clock
+	// in microseconds.
+	Incarnation core.Incarnation
+	ClockUS     uint64
+	// PrefixCached is set if the upstream is believed to have the prefix of the query cached.
 	PrefixCached bool
 	// QueryWait is the expected wait for the workspace and priority of the query, if
 	// QueryWaitKnown is set. Otherwise only the wait of a workspace without pending work
 	// there is known, in Load.
 	QueryWait      time.Duration
 	QueryWaitKnown bool
-	// SentAt is when the probe was sent. Choices made since then may be missing from Load.
+	// SentAt is when the probe was sent. Load may not include choices made since then.
 	SentAt time.Time
 	// RTT is the time from sending the probe to its reply.
 	RTT time.Duration
