--- a/core/latency/bounds.go
+++ b/core/latency/bounds.go
@@ -4,8 +4,8 @@
 
 // Constants of the hedge delay and of the silence bounds.
 const (
-	// minHedgeDelay keeps a hedge from racing a call that has no reply yet only because the
-	// host is busy.
+	// minHedgeDelay keeps a call from being hedged only because the host is busy for a
+	// moment.
 	minHedgeDelay = 20 * time.Millisecond
 	// silenceFactor is the multiple of the 95th percentile above which a call counts as
 	// silent instead of slow.
@@ -17,9 +17,9 @@
 	unknownBound = 2 * time.Second
 )
 
-// HedgeDelay returns how long after dispatch a second attempt pays: when 95 of 100 calls
-// would have returned their first chunk. It returns false if no quantile is known yet, or
-// if a hedge started then cannot finish within remaining.
+// HedgeDelay returns how long after dispatch a hedge, which is a second attempt in parallel,
+// is worthwhile: when 95 of 100 calls would have returned their first chunk. It returns false
+// if no quantile is known yet, or if a hedge that starts then cannot finish within remaining.
 func HedgeDelay(e Estimate, remaining time.Duration) (time.Duration, bool) {
 	usual := e.FirstP95
 	if usual == 0 {
@@ -49,7 +49,8 @@
 	return silenceBound(e.GapP95, minChunkGapTimeout)
 }
 
-// silenceBound returns the bound for a usual time, which is never below least.
+// silenceBound returns the silence bound for a usual time, zero if that is unknown. The bound
+// is never below least.
 func silenceBound(usual, least time.Duration) time.Duration {
 	if usual == 0 {
 		return unknownBound
--- a/core/latency/estimate.go
+++ b/core/latency/estimate.go
@@ -33,9 +33,9 @@
 // which only the median is declared.
 const declaredSpread = 2
 
-// ForTokens returns the estimate for a response of at most count chunks. The quantiles of
-// the service cover responses of all lengths; the time to the first chunk and that many
-// gaps may show that this one takes less. A count of zero is no bound.
+// ForTokens returns the estimate for a result of at most count chunks, one per token. The
+// quantiles of the service cover results of all lengths; the time to the first chunk and the
+// gaps between count chunks may show that this one takes less. A count of zero is no bound.
 func (e Estimate) ForTokens(count int) Estimate {
 	if count <= 0 || e.FirstP50 == 0 || e.GapP95 == 0 {
 		return e
--- a/core/latency/split.go
+++ b/core/latency/split.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// Split returns the part of a request's remaining time that stage i may use. The later
-// stages keep their median times, and the slack is shared in proportion to the spreads.
-// While there is enough slack, the later stages keep a joint margin of the root of their
-// squared spreads (stages are slow independently of one another), and stage i gets the
-// remainder.
+// Split returns the part of a request's remaining time that stage i may use. Each of the
+// remaining stages gets its median time; the slack is what remains. The later stages keep a
+// joint margin out of the slack, and stage i gets the rest. The margin is the root of the sum
+// of their squared spreads, because stages are slow independently of one another. If the
+// slack is less than the margin and the spread of stage i together, it is divided in
+// proportion to these two.
 //
 // It returns false if the remaining stages do not fit even at their medians: the request
 // cannot meet its deadline and should be refused before stage i costs anything.
@@ -34,12 +35,12 @@
 	return medians, time.Duration(math.Sqrt(squares))
 }
 
-// share returns the part of slack that margin gets when slack is divided between margin and
-// spread in proportion.
+// share returns the part of slack that margin gets when slack is divided in proportion to
+// margin and spread.
 func share(slack, margin, spread time.Duration) time.Duration {
 	if margin <= 0 {
 		return 0
 	}
-	part := float64(margin) / float64(margin+spread)
-	return time.Duration(float64(slack) * part)
+	fraction := float64(margin) / float64(margin+spread)
+	return time.Duration(float64(slack) * fraction)
 }
--- a/core/latency/table.go
+++ b/core/latency/table.go
@@ -8,8 +8,8 @@
 	"acaciawinch/core"
 )
 
-// reportTTL is how long a report counts. An upstream without a report for longer says
-// nothing about the present latency of the service.
+// reportTTL is how long a report counts. An older report says nothing about the present
+// latency of the service.
 const reportTTL = 60 * time.Second
 
 // maxReporterWeight bounds the weight of one upstream, so that a long-running one does not
