--- a/core/gate/ahead.go
+++ b/core/gate/ahead.go
@@ -82,9 +82,10 @@
 // evictionCandidate returns the waiting attempt that is evicted from a full queue to
 // admit a new one, or nil. The queue is shared between workspaces by weight,
 // regardless of class: the newest attempt of the flow with the highest weighted
-// length is evicted if, even after the exchange, that flow's weighted length is not
-// below that of the new attempt's flow. Otherwise an attempt of a lower class is
-// evicted, but never the only attempt of a flow, so that the flow doesn't starve.
+// length is evicted if that length, without the evicted attempt, is not below the
+// weighted length of the new attempt's flow with the new attempt. Otherwise an attempt of
+// a lower class is evicted, but never the only attempt of a flow, so that the flow doesn't
+// starve.
 func (q *queue) evictionCandidate(workspace string, priority, weight int) *record {
 	own := q.waitingCount(workspace, priority)
 	after := float64(own+1) / float64(weight)
--- a/core/gate/claim_test.go
+++ b/core/gate/claim_test.go
@@ -140,7 +140,7 @@
 	assert.Equal(t, state, StateDone)
 }
 
-func TestIdempotentResultIsKeptUntilAcknowledgedOrAged(t *testing.T) {
+func TestIdempotentResultIsKeptUntilAcknowledgedOrExpired(t *testing.T) {
 	b := newTestBench(t, Options{})
 	first, second := b.admit(b.newAttempt("a")), b.admit(b.newAttempt("a"))
 	b.finish(first.Key)
--- a/core/gate/cost.go
+++ b/core/gate/cost.go
@@ -28,15 +28,15 @@
 	Cost uint64 `json:"cost"`
 }
 
-// Charges returns the work charged so far, one entry per cause.
+// Charges returns the work charged so far, one Charge per cause.
 func (g *Gate) Charges() []Charge {
-	lines := make([]Charge, 0, len(Causes))
+	charges := make([]Charge, 0, len(Causes))
 	for _, cause := range Causes {
-		line := g.charges[cause]
-		line.Cause = cause
-		lines = append(lines, line)
+		charge := g.charges[cause]
+		charge.Cause = cause
+		charges = append(charges, charge)
 	}
-	return lines
+	return charges
 }
 
 // charge charges the pass of r to cause, unless it is already charged.
@@ -45,10 +45,10 @@
 		return
 	}
 	r.charged = true
-	line := g.charges[cause]
-	line.Passes++
-	line.Cost += r.passCost
-	g.charges[cause] = line
+	charge := g.charges[cause]
+	charge.Passes++
+	charge.Cost += r.passCost
+	g.charges[cause] = charge
 }
 
 // chargeExpired charges a result that is forgotten without an acknowledgement or
--- a/core/gate/estimate.go
+++ b/core/gate/estimate.go
@@ -16,9 +16,9 @@
 // measured: an upstream without measurements is assumed to be fast until its first
 // responses are in.
 //
-// The members of a batch get their chunks together, so that all gaps of one step
-// together are worth one sample. The median of the gaps therefore covers as many
-// steps as the other medians cover samples.
+// An engine decodes its batch in steps, and in each step every attempt of the batch gets
+// a chunk. All gaps of one step are therefore worth only one sample, and the median of
+// the gaps covers as many steps as the other medians cover samples.
 func (g *Gate) estimateLatency(now time.Duration) latency {
 	gaps := min(windowSamples, medianSamples*max(1, len(g.running)))
 	return latency{
--- a/core/gate/finish.go
+++ b/core/gate/finish.go
@@ -49,34 +49,34 @@
 }
 
 // Finish records the end of a running attempt. A second call has no effect.
-func (g *Gate) Finish(now time.Duration, key core.AttemptKey, end Ending) {
+func (g *Gate) Finish(now time.Duration, key core.AttemptKey, ending Ending) {
 	r, ok := g.table[key]
 	if !ok || r.phase != phaseRunning {
 		return
 	}
 	g.running = slices.DeleteFunc(g.running, func(other *record) bool { return other == r })
 	g.finished++
-	r.passCost = end.Cost
-	switch end.Kind {
+	r.passCost = ending.Cost
+	switch ending.Kind {
 	case EndDone:
-		g.finishDone(now, r, end)
+		g.finishDone(now, r, ending)
 	case EndNotRun:
 		g.failed++
-		g.settle(now, r, phaseRefused, end.Reason, end.Detail)
+		g.settle(now, r, phaseRefused, ending.Reason, ending.Detail)
 	default:
-		g.finishFailed(now, r, end)
+		g.finishFailed(now, r, ending)
 	}
 }
 
 // finishDone settles an attempt with a complete output.
-func (g *Gate) finishDone(now time.Duration, r *record, end Ending) {
+func (g *Gate) finishDone(now time.Duration, r *record, ending Ending) {
 	g.serviceTimes.add(now, now-r.startedAt)
 	if r.chunks == 0 {
 		g.firstChunkTimes.add(now, now-r.startedAt)
 	}
 	g.recordProgress(now)
 	g.settle(now, r, phaseDone, "", "")
-	g.recordKeptOutput(r, end.Bytes)
+	g.recordKeptOutput(r, ending.Bytes)
 	if r.stopCause != "" {
 		g.charge(r, r.stopCause)
 	}
@@ -84,9 +84,9 @@
 
 // finishFailed settles an attempt without a result. If the attempt was stopped by the
 // gate, its failure says nothing about the upstream's health and is not counted.
-func (g *Gate) finishFailed(now time.Duration, r *record, end Ending) {
-	g.settle(now, r, phaseFailed, end.Reason, end.Detail)
-	g.recordKeptOutput(r, end.Bytes)
+func (g *Gate) finishFailed(now time.Duration, r *record, ending Ending) {
+	g.settle(now, r, phaseFailed, ending.Reason, ending.Detail)
+	g.recordKeptOutput(r, ending.Bytes)
 	if r.stopCause != "" {
 		g.charge(r, r.stopCause)
 		return
--- a/core/gate/follow.go
+++ b/core/gate/follow.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// Unwatch records that a reader has left. Complete reports whether it received the
-// closing event.
+// Unwatch records that a reader has left. The argument complete is set if the reader
+// received the closing event.
 func (g *Gate) Unwatch(now time.Duration, key core.AttemptKey, complete bool) {
 	r, ok := g.table[key]
 	if !ok || r.readers == 0 {
--- a/core/gate/gate.go
+++ b/core/gate/gate.go
@@ -25,7 +25,7 @@
 	pendingDrops      []pendingDrop
 	keptBytes         int
 	keptCount         int
-	// horizon is the highest ticket clock of a forgotten claimed attempt, or noHorizon.
+	// horizon is the highest ticket clock of a forgotten claimed attempt, or noHorizon (-1).
 	horizon time.Duration
 
 	serviceTimes    window
@@ -33,10 +33,12 @@
 	chunkGaps       window
 
 	stateMachine *chart.Machine
-	fault        error
-	upstream     upstreamState
-	drain        drainState
-	fencing      uint64
+	// fault is the error of the first event that the state chart did not allow.
+	fault    error
+	upstream upstreamState
+	drain    drainState
+	// fencing is the highest fencing token seen.
+	fencing uint64
 
 	charges  map[Cause]Charge
 	finished uint64
@@ -91,7 +93,7 @@
 	}
 }
 
-// start passes an attempt, which is no longer queued, to the upstream.
+// start passes an attempt that was taken from the queue to the upstream.
 func (g *Gate) start(now time.Duration, r *record) {
 	if len(g.running) == 0 {
 		g.upstream.busySince = now
--- a/core/gate/load.go
+++ b/core/gate/load.go
@@ -18,8 +18,10 @@
 	Draining      bool
 	Stalled       bool
 	Models        []string
-	Finished      uint64
-	Failed        uint64
+	// Finished counts the passes that have ended, and Failed those of them that failed.
+	// A pass is one run of an attempt at the upstream.
+	Finished uint64
+	Failed   uint64
 }
 
 // Load returns the present load. Unfinished work counts in the latency quantiles as
--- a/core/gate/memory.go
+++ b/core/gate/memory.go
@@ -31,8 +31,8 @@
 	return last
 }
 
-// compactionSlack is how many dropped outputs may remain in the list before it is
-// compacted.
+// compactionSlack is how many more dropped outputs than kept ones may remain in
+// Gate.keptOutputs before that list is compacted.
 const compactionSlack = 64
 
 // pendingDrop is the time at which the output of an acknowledged claimed attempt is
@@ -44,8 +44,8 @@
 
 // settle ends an attempt and lists its record to be forgotten later. Only settled
 // attempts are ever forgotten.
-func (g *Gate) settle(now time.Duration, r *record, end phase, reason Reason, detail string) {
-	r.phase = end
+func (g *Gate) settle(now time.Duration, r *record, finalPhase phase, reason Reason, detail string) {
+	r.phase = finalPhase
 	r.reason = reason
 	r.detail = detail
 	r.settledAt = now
@@ -150,11 +150,11 @@
 	}
 }
 
-// forgetKeyOnlyTombstones forgets tombstones of which only the key is known. Their
-// attempt may be claimed. Its ticket is not younger than the tombstone, because a
-// cancellation comes after the probe. The tombstone is kept for the ticket lifetime,
-// after which the attempt's ticket has expired too. If it has to be forgotten earlier
-// to limit their number, the horizon is raised instead.
+// forgetKeyOnlyTombstones forgets tombstones of which only the key is known. The attempt
+// of such a tombstone may be claimed. Its ticket is then not younger than the tombstone,
+// because a cancellation comes after the probe. The tombstone is therefore kept for the
+// ticket lifetime, after which the ticket has expired too. If it is forgotten earlier,
+// because there are too many tombstones, the horizon is raised instead.
 func (g *Gate) forgetKeyOnlyTombstones(now time.Duration) {
 	for len(g.keyOnlyTombstones) > 0 {
 		r := g.keyOnlyTombstones[0]
--- a/core/gate/prefix.go
+++ b/core/gate/prefix.go
@@ -13,8 +13,8 @@
 	hashes []uint64
 }
 
-// Use records that the engine has used a prefix or reported it as cached. Hash 0
-// means no prefix.
+// Use records that the engine has used a prefix or reported it as cached. A hash of 0
+// stands for no prefix.
 func (p *Prefixes) Use(hash uint64) {
 	if hash == 0 {
 		return
--- a/core/gate/promise.go
+++ b/core/gate/promise.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// startSlack is the part of its own expected service time by which a waiting attempt
-// must be able to start before its latest start time, because service times are
-// estimates.
+// startSlack is how long before its latest start time a waiting attempt must be able to
+// start, as a share of its expected service time. The slack is needed because service
+// times are estimates.
 const startSlack = 0.25
 
 // popNext removes and returns the attempt to start: the next in the order of the queue
-// if all others could then still start in time, otherwise the one with the earliest
-// latest start time. It returns nil if no attempt waits.
+// if all others could then still start in time, otherwise the most urgent one, whose
+// latest start time comes first. It returns nil if no attempt waits.
 //
 // Each waiting attempt was admitted because it was expected to meet its deadline.
 // Attempts that arrived later but are served first may use up the time that remained
--- a/core/gate/sample.go
+++ b/core/gate/sample.go
@@ -20,6 +20,7 @@
 	highQuantile = 0.95
 )
 
+// sample is a measured value and the time of its measurement.
 type sample struct {
 	at    time.Duration
 	value time.Duration
@@ -51,15 +52,16 @@
 	return values
 }
 
-// p50 returns the median of the latest samples, or zero without samples. Pending holds
-// the elapsed times of unfinished measurements. Those above the median already count
-// as samples, since their final values can only be higher, so a straggler shows before
-// its first slow response.
+// p50 returns the median of the latest samples, or zero without samples. The argument
+// pending holds the elapsed times of unfinished measurements. Those above the median
+// already count as samples, since their final values can only be higher, so a straggler
+// shows before its first slow response.
 func (w *window) p50(now time.Duration, pending []time.Duration) time.Duration {
 	return w.quantile(now, medianSamples, median, pending)
 }
 
-// p95 returns the 95th percentile in the same way.
+// p95 returns the 95th percentile of the latest samples, or zero without samples.
+// Pending is used as in p50.
 func (w *window) p95(now time.Duration, pending []time.Duration) time.Duration {
 	return w.quantile(now, windowSamples, highQuantile, pending)
 }
--- a/core/gate/state.go
+++ b/core/gate/state.go
@@ -16,11 +16,11 @@
 	stateDraining   chart.State = "draining"
 	stateDrained    chart.State = "drained"
 
-	eventAnswered chart.Event = "answered"
-	eventSilence  chart.Event = "silence"
-	eventDrain    chart.Event = "drain"
-	eventEmptied  chart.Event = "emptied"
-	eventResume   chart.Event = "resume"
+	eventResponded chart.Event = "answered"
+	eventSilence   chart.Event = "silence"
+	eventDrain     chart.Event = "drain"
+	eventEmptied   chart.Event = "emptied"
+	eventResume    chart.Event = "resume"
 )
 
 // State returns the upstream's state in its state chart.
@@ -56,7 +56,7 @@
 	switch g.State() {
 	case stateConnecting, stateStalled:
 		if healthy {
-			g.fire(eventAnswered)
+			g.fire(eventResponded)
 		}
 	case stateAvailable:
 		if !healthy {
--- a/core/gate/submit.go
+++ b/core/gate/submit.go
@@ -77,7 +77,8 @@
 	return ReasonTombstone
 }
 
-// checkTicket refuses a claimed attempt that is not certainly new.
+// checkTicket returns true if an attempt is idempotent or certainly new. Otherwise it
+// returns the decision that refuses it.
 func (g *Gate) checkTicket(now time.Duration, ticket *Ticket) (Decision, bool) {
 	switch {
 	case ticket == nil:
@@ -92,7 +93,8 @@
 	return Decision{}, true
 }
 
-// checkUpstream refuses work that the upstream must not or can't accept.
+// checkUpstream returns true if the upstream can accept an attempt now. Otherwise it
+// returns the decision that refuses it.
 func (g *Gate) checkUpstream(now time.Duration, attempt Attempt) (Decision, bool) {
 	switch g.State() {
 	case stateDraining, stateDrained:
@@ -114,11 +116,11 @@
 // can't.
 const waitMargin = 3
 
-// waitMarginFor returns the multiplier for an attempt. Committed work is admitted
-// without a margin: refusing it leaves an unknown outcome, and the time between the
-// deadline and the margin is reserved for it. It has no precedence in the queue, so
-// that the sharing between workspaces holds; popNext starts it early if its deadline
-// is at risk.
+// waitMarginFor returns the multiplier for an attempt. An attempt of a request that has
+// already run a non-idempotent stage is admitted without a margin: refusing it would leave
+// an unknown outcome, and the time that the margin of other attempts leaves free is meant
+// for it. It has no precedence in the queue, so that the sharing between workspaces holds;
+// popNext starts it early if its deadline is at risk.
 func waitMarginFor(attempt Attempt) time.Duration {
 	if attempt.Committed {
 		return 1
@@ -150,15 +152,15 @@
 	if g.queue.size < g.options.MaxQueued {
 		return d
 	}
-	candidate := g.queue.evictionCandidate(attempt.Workspace, priority, max(1, attempt.Weight))
-	if candidate == nil {
+	evicted := g.queue.evictionCandidate(attempt.Workspace, priority, max(1, attempt.Weight))
+	if evicted == nil {
 		d.Verdict, d.Reason, d.RetryAfter = Refused, ReasonQueueFull, g.nextSlotFree(now)
 		d.Detail = "the queue is full"
 		return d
 	}
-	g.refuseQueued(now, candidate, Decision{
+	g.refuseQueued(now, evicted, Decision{
 		Reason:     ReasonQueueFull,
-		RetryAfter: g.expectedWait(now, candidate.workspace, candidate.priority),
+		RetryAfter: g.expectedWait(now, evicted.workspace, evicted.priority),
 		Detail:     "evicted from the full queue for a workspace below its share",
 	})
 	return d
--- a/core/gate/upstream.go
+++ b/core/gate/upstream.go
@@ -48,9 +48,11 @@
 	busySince    time.Duration
 	lastProgress time.Duration
 	// trialAt is when a hung upstream may get one trial attempt.
-	trialAt    time.Duration
+	trialAt time.Duration
+	// trialDelay is the delay before the trial that follows the next stall.
 	trialDelay time.Duration
-	inTrial    bool
+	// inTrial is set while a trial attempt runs.
+	inTrial bool
 }
 
 // pendingUnload is a model that an order unloads. It overrides the upstream's report
--- a/core/gate/upstream_test.go
+++ b/core/gate/upstream_test.go
@@ -65,7 +65,7 @@
 	assert.Equal(t, len(b.g.running), 2)
 }
 
-func TestSilentUpstreamIsStalledUntilItAnswers(t *testing.T) {
+func TestSilentUpstreamIsStalledUntilItResponds(t *testing.T) {
 	b := newTestBench(t, Options{})
 	b.g.ObserveSilence(b.now)
 	assert.Assert(t, !b.g.Load(b.now).Stalled)
