--- a/core/request/action.go
+++ b/core/request/action.go
@@ -47,7 +47,8 @@
 	Number    uint32
 	Cause     Cause
 	Remaining time.Duration
-	// Resume is the number of chunks of the stage's output received already.
+	// Resume is the number of chunks of the stage's output that were received already,
+	// after which the attempt starts.
 	Resume int
 	Reason string
 }
@@ -110,14 +111,14 @@
 	EndCancelled End = "cancelled"
 )
 
-// Report reports how an attempt ended for which an upstream was chosen. There is
-// exactly one Report for each such attempt. It has no response.
+// Report reports how an attempt ended. There is exactly one Report for each attempt
+// for which an upstream was chosen. It has no response.
 type Report struct {
 	Attempt AttemptID
 	Stage   int
 	End     End
 	// Sent is set if the attempt was dispatched. Wasted is the reason why its work
-	// contributed to no answer, or empty.
+	// contributed to no answer, or empty. Duration is the time since the dispatch.
 	Sent     bool
 	Wasted   string
 	Duration time.Duration
@@ -142,8 +143,8 @@
 	Reason  string
 }
 
-// Release releases a claim under which no Run was sent or every Run was refused;
-// the response is Released.
+// Release gives up a claim under which no Run was sent or every Run was refused; the
+// response is Released.
 type Release struct{ Stage int }
 
 // Finish records the stage's result in the claim; the response is Finished.
--- a/core/request/ahead.go
+++ b/core/request/ahead.go
@@ -9,7 +9,7 @@
 	if s.check != nil || s.cleared {
 		return
 	}
-	later := m.slowest(s)
+	later := m.slowestLater(s)
 	if later == nil || m.mayHaveRun() {
 		s.cleared = true
 		return
@@ -19,9 +19,9 @@
 	m.choose(s.check, 0)
 }
 
-// slowest returns the idempotent stage after s with the longest median service
+// slowestLater returns the idempotent stage after s with the longest median service
 // time, or nil. Non-idempotent stages choose their upstream in advance anyway.
-func (m *Machine) slowest(s *stage) *stage {
+func (m *Machine) slowestLater(s *stage) *stage {
 	estimates := m.estimates()
 	var found *stage
 	for _, later := range m.stages[s.index+1:] {
@@ -35,15 +35,15 @@
 	return found
 }
 
-// checkRefused gives the request up if a later stage can't finish in time. An
-// estimate from past measurements without a queue does not count: the stage itself
-// will show how long it takes. That no upstream is fit counts only after some
-// retries.
-func (m *Machine) checkRefused(a *attempt, e NotChosen) {
+// handleCheckRefused gives the request up if a later stage can't finish in time. It does
+// not if no work is queued, because the estimate then rests on past measurements alone:
+// the stage itself will show how long it takes. If no upstream is fit for the work, the
+// check is first retried up to ChooseTries times.
+func (m *Machine) handleCheckRefused(a *attempt, e NotChosen) {
 	s := a.stage
-	idle := e.LackOfTime && e.RetryAfter <= m.rules.MaxTrialWait && s.spec.Declared > 0
+	unqueued := e.LackOfTime && e.RetryAfter <= m.rules.MaxTrialWait && s.spec.Declared > 0
 	switch {
-	case idle || m.ending != nil:
+	case unqueued || m.ending != nil:
 		m.end(a, EndCancelled, "")
 		m.finishCheck(a)
 	case !e.LackOfTime && s.choiceRetries < m.rules.ChooseTries:
@@ -52,7 +52,7 @@
 	default:
 		m.end(a, EndCancelled, "")
 		m.giveUp(ending{
-			cause:      causeOf(e),
+			cause:      giveUpCauseOf(e),
 			step:       "stage." + s.spec.Name,
 			detail:     e.Detail,
 			retryAfter: e.RetryAfter,
--- a/core/request/attempt.go
+++ b/core/request/attempt.go
@@ -12,6 +12,7 @@
 // the stage's state chart.
 type attemptState int
 
+// The states of an attempt.
 const (
 	// choosing: an upstream is being chosen.
 	choosing attemptState = iota
@@ -60,19 +61,24 @@
 
 	sentAt    time.Time
 	startedAt time.Time
-	lastSeen  time.Time
-	chunkAt   time.Time
+	// lastSeen is when the sidecar last gave a sign of life, and chunkAt when the last
+	// chunk was accepted.
+	lastSeen time.Time
+	chunkAt  time.Time
 	// pingDue is when the sidecar is pinged next; pinging is set while a response is
 	// awaited; pingEvery doubles with each response.
 	pingDue   time.Time
 	pingEvery time.Duration
 	pinging   bool
-	// keepUntil suppresses the silence bounds while no retry is allowed.
-	keepUntil    time.Time
+	// keepUntil is the time before which the attempt is not replaced for silence,
+	// because no retry was allowed.
+	keepUntil time.Time
+	// resolveTries counts the Resolve calls.
 	resolveTries int
 }
 
-// attemptOutput checks the order and the digest of one attempt's chunks.
+// attemptOutput is the state by which the order and the digest of one attempt's chunks
+// are checked.
 type attemptOutput struct {
 	// next is the index of the next chunk.
 	next   uint64
@@ -97,8 +103,8 @@
 	return a
 }
 
-// find returns the attempt with the given ID, or nil if there is none.
-func (m *Machine) find(id AttemptID) *attempt {
+// findAttempt returns the attempt with the given ID, or nil if there is none.
+func (m *Machine) findAttempt(id AttemptID) *attempt {
 	if id < 0 || int(id) >= len(m.attempts) {
 		return nil
 	}
@@ -136,7 +142,7 @@
 	}
 }
 
-// report emits the Report of the attempt, once.
+// report adds the Report of the attempt to the actions, once.
 func (m *Machine) report(a *attempt, how End, wasted string) {
 	if !a.chosen || a.reported {
 		return
@@ -152,7 +158,7 @@
 	m.addAction(r)
 }
 
-// cancel asks the sidecar to cancel the attempt and awaits its confirmation.
+// cancel requests that the sidecar cancel the attempt, and awaits its confirmation.
 func (m *Machine) cancel(a *attempt, reason CancelReason, how End, detail string) {
 	m.end(a, how, string(reason))
 	a.state = cancelling
--- a/core/request/claimed.go
+++ b/core/request/claimed.go
@@ -10,7 +10,8 @@
 	owner *attempt
 	// held is set while this request owns the claim.
 	held bool
-	// used is set while a Run under the claim may have reached its sidecar.
+	// used is set while a Run under the claim may have reached its sidecar, without proof
+	// that the attempt has not run.
 	used bool
 	// mayHaveRun is set once an attempt has run, or no proof shows that it has not.
 	mayHaveRun bool
@@ -68,7 +69,7 @@
 
 // onClaimed handles the status of the claim.
 func (m *Machine) onClaimed(e Claimed) {
-	a := m.find(e.Attempt)
+	a := m.findAttempt(e.Attempt)
 	if a == nil || a.stage.claim.owner != a || a.stage.claim.inFlight == 0 {
 		return
 	}
@@ -130,8 +131,8 @@
 	m.giveUp(reason)
 }
 
-// useEarlierResult uses the result that an earlier request with the same
-// idempotency key stored. The stages before it are no longer needed.
+// useEarlierResult uses the result of the stage that an earlier request with the same
+// idempotency key stored. The stages before this one are no longer needed.
 func (m *Machine) useEarlierResult(a *attempt, e Claimed) {
 	s := a.stage
 	m.end(a, EndCancelled, "")
@@ -141,7 +142,7 @@
 	m.skipTo(s)
 	m.fire(s, "claim_done")
 	if !e.Recorded {
-		m.finish(a)
+		m.recordResult(a)
 	}
 	m.stageDone(s)
 }
@@ -163,12 +164,12 @@
 // longer needed.
 func (m *Machine) skipTo(s *stage) {
 	for _, before := range m.stages[:s.index] {
-		if before.done || before.call.Final() {
+		if before.done || before.callChart.Final() {
 			continue
 		}
 		for _, a := range m.attempts {
 			if a.stage == before {
-				m.withdraw(a, CancelSuperseded, "the result of a later stage is known")
+				m.endUnneeded(a, CancelSuperseded, "the result of a later stage is known")
 			}
 		}
 		m.fire(before, "give_up")
@@ -195,9 +196,10 @@
 	m.send(a)
 }
 
-// claimedRefused handles a refusal of a claimed attempt. Only the response to the
-// Run itself is proof: an Attach may arrive before the Run.
-func (m *Machine) claimedRefused(a *attempt, e Refused) {
+// handleClaimedRefused handles a refusal of a claimed attempt. Only a refusal of the Run
+// itself proves that the attempt has not run: an Attach may be refused because it arrived
+// before the Run.
+func (m *Machine) handleClaimedRefused(a *attempt, e Refused) {
 	if a.reattached || e.Refusal == RefusalAmbiguous || a.foreign {
 		m.resolve(a, "the sidecar refused the attempt: "+e.Detail)
 		return
@@ -205,8 +207,8 @@
 	m.handleNotRun(a, EndRefused, e.Refusal == RefusalInvalid, e.Detail)
 }
 
-// claimedFailed handles the failure of a claimed attempt.
-func (m *Machine) claimedFailed(a *attempt, e Failed) {
+// handleClaimedFailed handles the failure of a claimed attempt.
+func (m *Machine) handleClaimedFailed(a *attempt, e Failed) {
 	if a.foreign && !e.MayHaveRun {
 		m.resolve(a, e.Detail)
 		return
@@ -218,8 +220,8 @@
 	m.handleNotRun(a, EndFailed, false, e.Detail)
 }
 
-// claimedBroken handles a broken stream of a claimed attempt.
-func (m *Machine) claimedBroken(a *attempt, e Broken) {
+// handleClaimedBroken handles a broken stream of a claimed attempt.
+func (m *Machine) handleClaimedBroken(a *attempt, e Broken) {
 	switch {
 	case e.NotSent && !a.reattached:
 		m.handleNotRun(a, EndSilent, false, e.Detail)
@@ -230,10 +232,10 @@
 	}
 }
 
-// claimedSilent handles a sidecar that does not respond. It attaches to the
+// handleClaimedSilent handles a sidecar that does not respond. It attaches to the
 // attempt on a new connection, in case only the previous one is dead, until
 // ClaimedSilenceTimeout has passed.
-func (m *Machine) claimedSilent(a *attempt) {
+func (m *Machine) handleClaimedSilent(a *attempt) {
 	if m.now.Sub(a.lastSeen) >= m.rules.ClaimedSilenceTimeout {
 		m.giveUpUnresolved(a, EndSilent, "the sidecar does not respond")
 		return
@@ -256,14 +258,14 @@
 	s.claim.mayHaveRun = false
 	s.claim.used = false
 	s.output = nil
-	switch s.call.State() {
+	switch s.callChart.State() {
 	case "reattaching":
 		m.fire(s, "not_run")
 	default:
 		m.fire(s, "refused")
 	}
 	s.refusals++
-	reason := ending{cause: s.refusedCause(), step: "stage." + s.spec.Name, detail: detail, retryAfter: s.retryAfter}
+	reason := ending{cause: s.giveUpCauseOfRefusals(), step: "stage." + s.spec.Name, detail: detail, retryAfter: s.retryAfter}
 	switch {
 	case final:
 		reason.cause = GiveUpFailed
--- a/core/request/doc.go
+++ b/core/request/doc.go
@@ -14,9 +14,10 @@
 // upstream that accepts attempts for it. A claim is the record in the platform's
 // store that reserves a non-idempotent stage for one attempt; that attempt is
 // called claimed. A tombstone is the mark by which a sidecar refuses an attempt
-// that it has not run, should the Run still arrive. A request that was given up
-// settles: its answer waits, for a bounded time, for proof that cancelled
-// attempts will not start.
+// that it has not run, should the Run still arrive. The answer is the final result
+// that the caller gets. A request that was given up settles first: it waits, for a
+// bounded time, for proof that cancelled attempts will not start, and is then
+// answered.
 //
 // # Why the reported outcome is correct
 //
--- a/core/request/failure.go
+++ b/core/request/failure.go
@@ -7,13 +7,13 @@
 // onRefused chooses another upstream if the sidecar proved that it does not run the
 // attempt.
 func (m *Machine) onRefused(e Refused) {
-	a := m.find(e.Attempt)
+	a := m.findAttempt(e.Attempt)
 	if a == nil || a.state == ended {
 		return
 	}
 	a.outstanding = a.outstanding && (e.Refusal == RefusalAmbiguous || a.reattached)
 	if a.state == cancelling {
-		m.settled(a, e.Refusal != RefusalAmbiguous && !a.reattached)
+		m.endCancelled(a, e.Refusal != RefusalAmbiguous && !a.reattached)
 		return
 	}
 	if !a.live() {
@@ -23,11 +23,11 @@
 	s.retryAfter = max(s.retryAfter, e.RetryAfter)
 	s.lackOfTime = s.lackOfTime || e.LackOfTime
 	if s.spec.NonIdempotent {
-		m.claimedRefused(a, e)
+		m.handleClaimedRefused(a, e)
 		return
 	}
 	if e.Refusal == RefusalAmbiguous {
-		m.attemptFailed(a, EndSilent, e.Detail)
+		m.handleAttemptFailed(a, EndSilent, e.Detail)
 		return
 	}
 	m.end(a, EndRefused, "")
@@ -46,21 +46,21 @@
 		m.endHedging(s)
 		return
 	}
-	if s.call.State() == "reattaching" {
+	if s.callChart.State() == "reattaching" {
 		event = "lost"
 	}
 	m.fire(s, eventOf(event))
 	s.refusals++
 	if s.refusals > m.rules.MaxRefusals {
-		m.giveUp(ending{cause: s.refusedCause(), step: "stage." + s.spec.Name, detail: detail, retryAfter: s.retryAfter})
+		m.giveUp(ending{cause: s.giveUpCauseOfRefusals(), step: "stage." + s.spec.Name, detail: detail, retryAfter: s.retryAfter})
 		return
 	}
 	m.choose(m.newAttempt(s, m.retryCause(s)), 0)
 }
 
-// refusedCause returns the cause of giving up a request whose stage was refused by
-// the sidecars.
-func (s *stage) refusedCause() GiveUpCause {
+// giveUpCauseOfRefusals returns the cause of giving up a request whose stage was refused
+// by the sidecars.
+func (s *stage) giveUpCauseOfRefusals() GiveUpCause {
 	if s.lackOfTime {
 		return GiveUpOverload
 	}
@@ -69,7 +69,7 @@
 
 // endHedging records that one of two hedged attempts ended and the other continues.
 func (m *Machine) endHedging(s *stage) {
-	if s.call.State() == "hedged" {
+	if s.callChart.State() == "hedged" {
 		m.fire(s, "failed")
 	}
 }
@@ -92,29 +92,29 @@
 
 // onFailed retries the attempt if the retry budget allows it.
 func (m *Machine) onFailed(e Failed) {
-	a := m.find(e.Attempt)
+	a := m.findAttempt(e.Attempt)
 	if a == nil || a.state == ended {
 		return
 	}
 	a.outstanding = false
 	a.started = a.started || e.MayHaveRun
 	if a.state == cancelling {
-		m.settled(a, !e.MayHaveRun)
+		m.endCancelled(a, !e.MayHaveRun)
 		return
 	}
 	if !a.live() {
 		return
 	}
 	if a.stage.spec.NonIdempotent {
-		m.claimedFailed(a, e)
+		m.handleClaimedFailed(a, e)
 		return
 	}
-	m.attemptFailed(a, EndFailed, e.Detail)
+	m.handleAttemptFailed(a, EndFailed, e.Detail)
 }
 
-// attemptFailed ends an idempotent attempt without a result, and starts another if
-// no other is live and the retry budget allows it.
-func (m *Machine) attemptFailed(a *attempt, how End, detail string) {
+// handleAttemptFailed ends an idempotent attempt without a result, and starts another one
+// if no other is live and the retry budget allows it.
+func (m *Machine) handleAttemptFailed(a *attempt, how End, detail string) {
 	s := a.stage
 	if a.outstanding {
 		// The sidecar may still run the attempt, or receive it later.
@@ -127,7 +127,7 @@
 		return
 	}
 	event := "failed"
-	if s.call.State() == "reattaching" {
+	if s.callChart.State() == "reattaching" {
 		event = "lost"
 	}
 	m.fire(s, eventOf(event))
@@ -146,8 +146,8 @@
 	m.choose(m.newAttempt(s, m.retryCause(s)), 0)
 }
 
-// mayRetry reports whether one more attempt of the stage may be made, and withdraws
-// it from the retry budget.
+// mayRetry reports whether one more attempt of the stage may be made. If the number of
+// attempts allows it, this takes the attempt from the retry budget.
 func (m *Machine) mayRetry(s *stage) bool {
 	if s.dispatched >= m.rules.MaxAttempts {
 		return false
@@ -158,12 +158,12 @@
 // onBroken attaches to the attempt on a new stream to the same sidecar, which keeps
 // the attempt for a while; if that stream breaks too, another upstream takes over.
 func (m *Machine) onBroken(e Broken) {
-	a := m.find(e.Attempt)
+	a := m.findAttempt(e.Attempt)
 	if a == nil || a.state != sent {
 		return
 	}
 	if a.stage.spec.NonIdempotent {
-		m.claimedBroken(a, e)
+		m.handleClaimedBroken(a, e)
 		return
 	}
 	switch {
@@ -172,7 +172,7 @@
 		m.end(a, EndSilent, "")
 		m.chooseAnother(a, "refused", e.Detail)
 	case a.reattached || m.liveOthers(a) > 0:
-		m.attemptFailed(a, EndSilent, e.Detail)
+		m.handleAttemptFailed(a, EndSilent, e.Detail)
 	default:
 		m.attach(a, 0, "the stream broke: "+e.Detail)
 	}
@@ -184,7 +184,7 @@
 	a.reattached = true
 	m.markSeen(a)
 	a.pingDue = a.pingDue.Add(after)
-	if state := a.stage.call.State(); state == "dispatched" || state == "receiving" {
+	if state := a.stage.callChart.State(); state == "dispatched" || state == "receiving" {
 		m.fire(a.stage, "broken")
 	}
 	m.addAction(Attach{Attempt: a.id, Stage: a.stage.index, From: a.output.next, After: after, Reason: reason})
@@ -193,7 +193,7 @@
 // onPinged handles the result of a ping: an idempotent attempt whose sidecar does
 // not respond is replaced.
 func (m *Machine) onPinged(e Pinged) {
-	a := m.find(e.Attempt)
+	a := m.findAttempt(e.Attempt)
 	if a == nil || !a.live() || !a.pinging {
 		return
 	}
@@ -208,15 +208,15 @@
 	}
 	a.pingDue = m.now.Add(m.rules.PingAfter)
 	if a.stage.spec.NonIdempotent {
-		m.claimedSilent(a)
+		m.handleClaimedSilent(a)
 		return
 	}
 	m.replaceStalled(a, EndSilent, "the sidecar does not respond")
 }
 
-// replaceStalled cancels an idempotent attempt without progress, and starts another
-// if no other is live. While no retry is allowed the attempt is kept: a slow result
-// is better than none.
+// replaceStalled cancels an idempotent attempt without progress, and starts another one
+// if no other is live. While no retry is allowed the attempt is kept for a further
+// KeepSilentFor: a slow result is better than none.
 func (m *Machine) replaceStalled(a *attempt, how End, reason string) {
 	s := a.stage
 	if m.liveOthers(a) > 0 {
@@ -234,7 +234,7 @@
 	m.note(a, NoteReplaced, reason)
 	m.cancel(a, CancelSuperseded, how, reason)
 	event := "failed"
-	if s.call.State() == "reattaching" {
+	if s.callChart.State() == "reattaching" {
 		event = "lost"
 	}
 	m.fire(s, eventOf(event))
--- a/core/request/giveup.go
+++ b/core/request/giveup.go
@@ -17,11 +17,11 @@
 	settleUntil time.Time
 }
 
-// eventOf returns a chart event by name.
+// eventOf returns the chart event with the given name.
 func eventOf(name string) chart.Event { return chart.Event(name) }
 
-// giveUp withdraws all attempts and answers the caller, at once or as soon as the
-// cancelled attempts have settled.
+// giveUp ends all attempts and answers the caller, at once or as soon as it is proved
+// that the cancelled attempts will not start.
 func (m *Machine) giveUp(e ending) {
 	if m.ending != nil || m.answered {
 		return
@@ -33,7 +33,7 @@
 	m.ending = &e
 	reason := cancelReasonOf(e.cause)
 	for _, a := range m.attempts {
-		m.withdraw(a, reason, e.detail)
+		m.endUnneeded(a, reason, e.detail)
 	}
 	m.releaseUnused()
 	m.trySettle()
@@ -54,13 +54,12 @@
 	return CancelSuperseded
 }
 
-// withdraw ends one attempt of a request or stage that is no longer needed.
+// endUnneeded ends one attempt of a request or stage that is no longer needed.
 //
-// A claimed attempt that has started is not cancelled, as it would then be neither
-// run nor not run. It continues, and its result is recorded for a retry with the
-// same idempotency key. An attempt that belongs to another request is not
-// cancelled either.
-func (m *Machine) withdraw(a *attempt, reason CancelReason, detail string) {
+// A claimed attempt that has started is not cancelled, because its outcome would then
+// stay unknown. It continues, and its result is recorded for a retry with the same
+// idempotency key. An attempt that belongs to another request is not cancelled either.
+func (m *Machine) endUnneeded(a *attempt, reason CancelReason, detail string) {
 	switch {
 	case a.state == choosing || a.state == ready:
 		m.end(a, EndCancelled, "")
@@ -86,7 +85,7 @@
 
 // onCancelled handles the sidecar's response to a Cancel.
 func (m *Machine) onCancelled(e Cancelled) {
-	a := m.find(e.Attempt)
+	a := m.findAttempt(e.Attempt)
 	if a == nil || a.state != cancelling {
 		return
 	}
@@ -99,12 +98,12 @@
 		}
 		return
 	}
-	m.settled(a, e.Confirmed && !e.Started && !a.started)
+	m.endCancelled(a, e.Confirmed && !e.Started && !a.started)
 }
 
-// settled ends a cancelled attempt. The argument proved is set if the attempt is
-// proved not to have run and never to run.
-func (m *Machine) settled(a *attempt, proved bool) {
+// endCancelled ends a cancelled attempt that is no longer awaited. The argument proved is
+// set if there is proof that the attempt has not run and never will.
+func (m *Machine) endCancelled(a *attempt, proved bool) {
 	a.state = ended
 	s := a.stage
 	if s.spec.NonIdempotent {
@@ -173,15 +172,15 @@
 	})
 }
 
-// outcome returns the most definite outcome that is proved.
+// outcome returns the most definite outcome for which there is proof.
 func (m *Machine) outcome() core.Outcome {
-	loose, started := false, false
+	outstanding, started := false, false
 	for _, a := range m.attempts {
 		if a.state == cancelling && a.stage.spec.NonIdempotent {
 			// The sidecar did not report in time whether the attempt had started.
 			a.stage.claim.mayHaveRun = true
 		}
-		loose = loose || a.outstanding
+		outstanding = outstanding || a.outstanding
 		started = started || a.started
 	}
 	switch {
@@ -189,7 +188,7 @@
 		return core.OutcomeUnknown
 	case m.emitted > 0:
 		return core.OutcomeFailed
-	case loose:
+	case outstanding:
 		return core.OutcomeFailed
 	case m.ending.refusal() || !started:
 		return core.OutcomeNotRun
@@ -201,8 +200,8 @@
 func (m *Machine) endStages() {
 	for _, s := range m.stages {
 		switch {
-		case s.call.Final():
-		case s.claim.mayHaveRun && s.call.Allows("abandon"):
+		case s.callChart.Final():
+		case s.claim.mayHaveRun && s.callChart.Allows("abandon"):
 			m.fire(s, "abandon")
 		default:
 			m.fire(s, "give_up")
@@ -222,7 +221,7 @@
 	m.fireLifecycle(eventOf(event))
 }
 
-// followUntil returns how long claimed attempts are followed after the answer.
+// followUntil returns the time until which claimed attempts are followed after the answer.
 func (m *Machine) followUntil() time.Time { return m.deadline.Add(m.rules.FollowGrace) }
 
 // endFollowing stops following claimed attempts once followUntil has passed. Their
--- a/core/request/machine.go
+++ b/core/request/machine.go
@@ -14,7 +14,7 @@
 	plan     Plan
 	services Services
 	rules    Rules
-	// lifecycle holds the state in the request chart.
+	// lifecycle holds the state of the request in the request chart.
 	lifecycle *chart.Machine
 
 	stages   []*stage
@@ -26,7 +26,7 @@
 
 	now      time.Time
 	deadline time.Time
-	out      []Action
+	actions  []Action
 
 	// ending is set once the request is given up, answered once the caller has its
 	// answer.
@@ -42,8 +42,8 @@
 type stage struct {
 	index int
 	spec  Stage
-	// call holds the state in the stage_call chart.
-	call *chart.Machine
+	// callChart holds the state of the stage in the stage_call chart.
+	callChart *chart.Machine
 	// output holds the chunks so far, in order. It is complete if done is set.
 	output [][]byte
 	done   bool
@@ -61,9 +61,12 @@
 	// dispatched; cleared is set once it has passed or is not needed.
 	check   *attempt
 	cleared bool
-	// trial is set once an upstream is chosen without a bound on its time.
-	trial      bool
-	exclude    []core.UpstreamID
+	// trial is set once the stage is tried although its upstreams are estimated to be too
+	// slow: an upstream is then chosen without a bound on its time.
+	trial bool
+	// exclude lists the upstreams that were tried already.
+	exclude []core.UpstreamID
+	// retryAfter is the longest RetryAfter of the refusals so far.
 	retryAfter time.Duration
 	// lackOfTime is set once a sidecar refused for lack of time or capacity.
 	lackOfTime bool
@@ -81,9 +84,9 @@
 	}
 	for i, spec := range plan.Stages {
 		m.stages = append(m.stages, &stage{
-			index: i,
-			spec:  spec,
-			call:  chart.MustLoad("stage_call").Start(spec.Service),
+			index:     i,
+			spec:      spec,
+			callChart: chart.MustLoad("stage_call").Start(spec.Service),
 		})
 	}
 	return m
@@ -99,7 +102,7 @@
 		return m.takeActions()
 	}
 	m.prepareClaim()
-	m.enter(0)
+	m.enterStage(0)
 	return m.takeActions()
 }
 
@@ -108,7 +111,7 @@
 func (m *Machine) Handle(now time.Time, event Event) []Action {
 	m.begin(now)
 	m.handleEvent(event)
-	m.timers()
+	m.handleTimers()
 	return m.takeActions()
 }
 
@@ -153,7 +156,8 @@
 // Output returns the whole output of a stage that is done.
 func (m *Machine) Output(stage int) [][]byte { return m.stages[stage].output }
 
-// Partial returns the chunks after which an attempt that resumes a stage starts.
+// Partial returns the chunks of a stage received so far, after which an attempt that
+// resumes the stage starts.
 func (m *Machine) Partial(stage int) [][]byte { return m.stages[stage].output }
 
 // Answered reports whether the caller has its final answer.
@@ -182,17 +186,17 @@
 	if now.After(m.now) {
 		m.now = now
 	}
-	m.out = nil
+	m.actions = nil
 }
 
-// addAction adds an action to be returned by Start or Handle.
-func (m *Machine) addAction(action Action) { m.out = append(m.out, action) }
+// addAction adds an action to those that Start or Handle returns.
+func (m *Machine) addAction(action Action) { m.actions = append(m.actions, action) }
 
 // takeActions returns the collected actions and clears them.
 func (m *Machine) takeActions() []Action {
-	out := m.out
-	m.out = nil
-	return out
+	actions := m.actions
+	m.actions = nil
+	return actions
 }
 
 // note records a decision that causes no other action.
@@ -282,7 +286,7 @@
 	if m.answered {
 		return
 	}
-	if err := s.call.Fire(event); err != nil {
+	if err := s.callChart.Fire(event); err != nil {
 		m.invariantViolated(err)
 	}
 }
--- a/core/request/output.go
+++ b/core/request/output.go
@@ -2,7 +2,7 @@
 
 // onStarted handles the report that the upstream has the attempt.
 func (m *Machine) onStarted(e Started) {
-	a := m.find(e.Attempt)
+	a := m.findAttempt(e.Attempt)
 	if a == nil || a.state == ended {
 		return
 	}
@@ -19,7 +19,7 @@
 	if a.state != sent {
 		return
 	}
-	switch a.stage.call.State() {
+	switch a.stage.callChart.State() {
 	case "dispatched":
 		m.fire(a.stage, "started")
 	case "reattaching":
@@ -30,28 +30,28 @@
 // onChunk accepts the attempt's next chunk. Chunks that arrive early are buffered,
 // duplicates are dropped.
 func (m *Machine) onChunk(e Chunk) {
-	a := m.find(e.Attempt)
+	a := m.findAttempt(e.Attempt)
 	if a == nil || a.state != sent {
 		m.noteDropped(a, "chunk of an attempt that has ended")
 		return
 	}
 	m.markStarted(a)
-	out := &a.output
+	output := &a.output
 	switch {
-	case e.Index < out.next:
+	case e.Index < output.next:
 		m.note(a, NoteDropped, "duplicate chunk")
 		return
-	case e.Index > out.next:
+	case e.Index > output.next:
 		m.bufferEarly(a, e)
 		return
 	}
 	m.acceptChunk(a, e.Data)
 	for a.state == sent {
-		data, ok := out.pending[out.next]
+		data, ok := output.pending[output.next]
 		if !ok {
 			break
 		}
-		delete(out.pending, out.next)
+		delete(output.pending, output.next)
 		m.acceptChunk(a, data)
 	}
 	m.tryClose(a)
@@ -67,16 +67,16 @@
 // bufferEarly buffers a chunk that arrived before an earlier one. More than
 // MaxPending of them mean that a chunk was lost: the stream then counts as broken.
 func (m *Machine) bufferEarly(a *attempt, e Chunk) {
-	out := &a.output
-	if len(out.pending) >= m.rules.MaxPending {
-		clear(out.pending)
+	output := &a.output
+	if len(output.pending) >= m.rules.MaxPending {
+		clear(output.pending)
 		m.onBroken(Broken{Attempt: a.id, Detail: "chunks are missing"})
 		return
 	}
-	if out.pending == nil {
-		out.pending = make(map[uint64][]byte)
+	if output.pending == nil {
+		output.pending = make(map[uint64][]byte)
 	}
-	out.pending[e.Index] = e.Data
+	output.pending[e.Index] = e.Data
 }
 
 // acceptChunk adds the attempt's next chunk to its digest and, if the attempt leads,
@@ -101,7 +101,7 @@
 func (m *Machine) setLeader(a *attempt) {
 	s := a.stage
 	s.leader = a
-	if s.call.State() == "hedged" {
+	if s.callChart.State() == "hedged" {
 		m.fire(s, "winner")
 	}
 	m.cancelOthers(a, CancelHedgeLost)
@@ -138,7 +138,7 @@
 
 // onDone stores the closing event and closes the output if all chunks were received.
 func (m *Machine) onDone(e Done) {
-	a := m.find(e.Attempt)
+	a := m.findAttempt(e.Attempt)
 	if a == nil || a.state != sent {
 		m.handleLateDone(a)
 		return
@@ -152,7 +152,7 @@
 }
 
 // handleLateDone handles the closing event of an attempt that accepts no output any
-// more. A cancelled claimed attempt has thus run.
+// more. It shows that a cancelled claimed attempt has run nevertheless.
 func (m *Machine) handleLateDone(a *attempt) {
 	m.noteDropped(a, "closing event of an attempt that has ended")
 	if a != nil && a.state == cancelling && a.stage.spec.NonIdempotent {
@@ -170,7 +170,7 @@
 		return
 	}
 	if a.output.next > closing.Chunks || a.output.digest.Sum64() != closing.Digest {
-		m.corrupt(a)
+		m.handleCorruptOutput(a)
 		return
 	}
 	if a.stage.leader != nil && a.stage.leader != a {
@@ -188,7 +188,7 @@
 		// The result is acknowledged only once the claim holds it: until then the
 		// sidecar's copy is the only one that survives a crash of this process.
 		s.claim.mayHaveRun = true
-		m.finish(a)
+		m.recordResult(a)
 	} else {
 		m.addAction(Acknowledge{Attempt: a.id})
 	}
@@ -210,12 +210,12 @@
 		m.prepareClaim()
 	}
 	m.emit(s)
-	m.enter(s.index + 1)
+	m.enterStage(s.index + 1)
 }
 
-// corrupt handles an output that does not match its closing event. No part of it
-// may be used; if the caller already has a part, the request fails.
-func (m *Machine) corrupt(a *attempt) {
+// handleCorruptOutput handles an output that does not match its closing event. None of its
+// chunks may be used; if the caller already has some, the request fails.
+func (m *Machine) handleCorruptOutput(a *attempt) {
 	const detail = "the output does not match the chunk count and digest of its closing event"
 	s := a.stage
 	if s.spec.NonIdempotent {
@@ -232,11 +232,11 @@
 	if s.leader == a {
 		s.output = nil
 	}
-	m.attemptFailed(a, EndFailed, detail)
+	m.handleAttemptFailed(a, EndFailed, detail)
 }
 
-// deliver ends the request with a complete answer.
-func (m *Machine) deliver() {
+// answerComplete ends the request, whose output the caller has completely.
+func (m *Machine) answerComplete() {
 	m.fireLifecycle("delivered")
 	m.answered = true
 	m.addAction(Answer{Outcome: "answered"})
--- a/core/request/plan.go
+++ b/core/request/plan.go
@@ -92,11 +92,11 @@
 	KeepSilentFor time.Duration
 	// MaxPending bounds the chunks that an attempt buffers out of order.
 	MaxPending int
-	// RetryAfterFailure is the retry delay that a caller is told after failures.
+	// RetryAfterFailure is Answer.RetryAfter after failures.
 	RetryAfterFailure time.Duration
 }
 
-// DefaultRules returns the bounds used in production.
+// DefaultRules returns the limits and timeouts used in production.
 func DefaultRules() Rules {
 	return Rules{
 		MaxAttempts:           4,
--- a/core/request/resolve.go
+++ b/core/request/resolve.go
@@ -13,7 +13,7 @@
 		return
 	}
 	a.state = resolving
-	if state := s.call.State(); state == "dispatched" || state == "receiving" {
+	if state := s.callChart.State(); state == "dispatched" || state == "receiving" {
 		m.fire(s, "broken")
 	}
 	wait := m.rules.ResolveBackoff << min(a.resolveTries, m.rules.ResolveTries)
@@ -26,13 +26,13 @@
 
 // onResolved handles the sidecar's report on the outcome of a claimed attempt.
 func (m *Machine) onResolved(e Resolved) {
-	a := m.find(e.Attempt)
+	a := m.findAttempt(e.Attempt)
 	if a == nil || a.state != resolving {
 		return
 	}
 	switch e.Resolution {
 	case ResolvedDone:
-		m.resolvedDone(a, e)
+		m.handleResolvedDone(a, e)
 	case ResolvedRunning:
 		m.attach(a, m.rules.ResolveBackoff, "the sidecar reports the attempt as running")
 	case ResolvedNotRun:
@@ -48,15 +48,15 @@
 	}
 }
 
-// resolvedDone takes the whole result from the sidecar's response. The chunks
-// received before must be its prefix.
-func (m *Machine) resolvedDone(a *attempt, e Resolved) {
+// handleResolvedDone takes the whole result from the sidecar's response, which must begin
+// with the chunks received before.
+func (m *Machine) handleResolvedDone(a *attempt, e Resolved) {
 	s := a.stage
 	if !hasPrefix(e.Chunks, s.output) {
 		m.giveUpUnresolved(a, EndFailed, "the result does not begin with the chunks already received")
 		return
 	}
-	if s.call.State() == "reattaching" {
+	if s.callChart.State() == "reattaching" {
 		m.fire(s, "attached")
 	}
 	s.leader = a
@@ -77,8 +77,8 @@
 	return true
 }
 
-// finish records the result in the claim.
-func (m *Machine) finish(a *attempt) {
+// recordResult records the result in the claim.
+func (m *Machine) recordResult(a *attempt) {
 	s := a.stage
 	s.claim.inFlight++
 	m.addAction(Finish{Attempt: a.id, Stage: s.index, Chunks: s.output})
@@ -86,7 +86,7 @@
 
 // onFinished lets the sidecar delete the result once the claim holds it.
 func (m *Machine) onFinished(e Finished) {
-	a := m.find(e.Attempt)
+	a := m.findAttempt(e.Attempt)
 	if a == nil || a.stage.claim.inFlight == 0 {
 		return
 	}
@@ -96,8 +96,8 @@
 	}
 }
 
-// release releases a claim under which nothing has run. No caller knows a key
-// that the entry generated itself, so its claim is left to expire.
+// release gives up the stage's claim if no attempt under it can have run. No caller knows
+// a key that the entry generated itself, so the claim of such a key is left to expire.
 func (m *Machine) release(s *stage) {
 	if !s.claim.held || s.claim.used || s.claim.inFlight > 0 || m.plan.KeyGenerated {
 		return
--- a/core/request/stage.go
+++ b/core/request/stage.go
@@ -7,19 +7,19 @@
 	"acaciawinch/core/latency"
 )
 
-// enter makes stage i the current one, or ends the request after the last stage.
-func (m *Machine) enter(i int) {
+// enterStage makes stage i the current one, or ends the request after the last stage.
+func (m *Machine) enterStage(i int) {
 	m.current = i
 	if m.ending != nil {
 		return
 	}
 	if i == len(m.stages) {
-		m.deliver()
+		m.answerComplete()
 		return
 	}
 	s := m.stages[i]
 	if s.done {
-		m.enter(i + 1)
+		m.enterStage(i + 1)
 		return
 	}
 	if s.spec.NonIdempotent {
@@ -35,7 +35,8 @@
 	m.choose(first, 0)
 }
 
-// choose requests an upstream for the attempt, after a delay.
+// choose requests the choice of an upstream for the attempt, after a delay. If the
+// remaining stages can't finish in time, it gives the request up instead.
 func (m *Machine) choose(a *attempt, after time.Duration) {
 	allowance, fits := m.allowance(a.stage)
 	if !fits {
@@ -81,7 +82,7 @@
 
 // onChosen dispatches an idempotent attempt, or claims a non-idempotent one.
 func (m *Machine) onChosen(e Chosen) {
-	a := m.find(e.Attempt)
+	a := m.findAttempt(e.Attempt)
 	if a == nil || a.chosen {
 		return
 	}
@@ -136,7 +137,7 @@
 
 // onNotChosen retries the choice, skips the hedge, or gives the request up.
 func (m *Machine) onNotChosen(e NotChosen) {
-	a := m.find(e.Attempt)
+	a := m.findAttempt(e.Attempt)
 	if a == nil || a.state != choosing {
 		return
 	}
@@ -144,7 +145,7 @@
 	s.retryAfter = max(s.retryAfter, e.RetryAfter)
 	switch {
 	case a.cause == CauseCheck:
-		m.checkRefused(a, e)
+		m.handleCheckRefused(a, e)
 	case a.cause == CauseHedge:
 		m.end(a, EndCancelled, "")
 		m.note(a, NoteNoHedge, e.Detail)
@@ -162,7 +163,7 @@
 		m.end(a, EndCancelled, "")
 		m.fire(s, "no_upstream")
 		m.giveUp(ending{
-			cause:      causeOf(e),
+			cause:      giveUpCauseOf(e),
 			step:       "stage." + s.spec.Name,
 			detail:     e.Detail,
 			retryAfter: s.retryAfter,
@@ -170,8 +171,8 @@
 	}
 }
 
-// causeOf returns the cause of giving up a request without an upstream.
-func causeOf(e NotChosen) GiveUpCause {
+// giveUpCauseOf returns the cause of giving up a request for which no upstream was chosen.
+func giveUpCauseOf(e NotChosen) GiveUpCause {
 	if e.LackOfTime {
 		return GiveUpOverload
 	}
@@ -193,9 +194,9 @@
 }
 
 // mayRunTrial reports whether a stage is tried although its upstreams are estimated
-// to be too slow. Without a queue, the estimate rests on the last measurements
-// alone; if it refused every request, nothing would be measured again. The retry
-// budget bounds these trials.
+// to be too slow. While no work is queued, the estimate rests on the last measurements
+// alone; if every request were refused because of it, nothing would be measured again.
+// The retry budget bounds these trials.
 func (m *Machine) mayRunTrial(s *stage, e NotChosen) bool {
 	if s.trial || !e.LackOfTime || e.RetryAfter > m.rules.MaxTrialWait || s.spec.Declared == 0 {
 		return false
@@ -204,9 +205,9 @@
 	return fits && m.services.RetryBudget(s.spec.Service).Withdraw(m.now)
 }
 
-// hedge starts a second attempt beside a slow first one, if the hedge budget
+// startHedge starts a second attempt beside a slow first one, if the hedge budget
 // allows it and the second can still finish in time.
-func (m *Machine) hedge(a *attempt) {
+func (m *Machine) startHedge(a *attempt) {
 	s := a.stage
 	s.hedged = true
 	if !m.services.HedgeBudget(s.spec.Service).Withdraw(m.now) {
@@ -216,8 +217,8 @@
 	m.choose(m.newAttempt(s, CauseHedge), 0)
 }
 
-// hedgeDue returns when the attempt counts as slow enough to hedge, or false if it
-// is not hedged.
+// hedgeDue returns the time from which the attempt is slow enough to be hedged, or false
+// if it is not to be hedged.
 func (m *Machine) hedgeDue(a *attempt) (time.Time, bool) {
 	s := a.stage
 	if s.hedged || s.spec.NonIdempotent || s.leader != nil || len(s.output) > 0 {
@@ -236,7 +237,7 @@
 // sendHedge dispatches a hedge if the slow attempt still has no output.
 func (m *Machine) sendHedge(a *attempt) {
 	s := a.stage
-	slow := s.call.Allows("hedge") && s.leader == nil && len(s.output) == 0
+	slow := s.callChart.Allows("hedge") && s.leader == nil && len(s.output) == 0
 	if !slow {
 		m.end(a, EndCancelled, "")
 		m.note(a, NoteNoHedge, "the first attempt progressed or ended")
--- a/core/request/timers.go
+++ b/core/request/timers.go
@@ -6,8 +6,8 @@
 	"acaciawinch/core/latency"
 )
 
-// timers handles the timers that are due.
-func (m *Machine) timers() {
+// handleTimers handles the timers that are due.
+func (m *Machine) handleTimers() {
 	if m.answered {
 		m.endFollowing()
 		return
@@ -29,12 +29,12 @@
 		if m.ending != nil {
 			return
 		}
-		m.attemptTimers(a)
+		m.handleAttemptTimers(a)
 	}
 }
 
-// attemptTimers handles the timers of one attempt that are due.
-func (m *Machine) attemptTimers(a *attempt) {
+// handleAttemptTimers handles the timers of one attempt that are due.
+func (m *Machine) handleAttemptTimers(a *attempt) {
 	if !a.live() {
 		return
 	}
@@ -43,7 +43,7 @@
 		return
 	}
 	if due, ok := m.hedgeDue(a); ok && !m.now.Before(due) {
-		m.hedge(a)
+		m.startHedge(a)
 	}
 	if m.needsPing(a) && !m.now.Before(a.pingDue) {
 		a.pinging = true
@@ -54,10 +54,10 @@
 // needsPing reports whether the attempt's sidecar is to be pinged while it is silent.
 func (m *Machine) needsPing(a *attempt) bool { return a.state == sent && !a.pinging }
 
-// silenceDue returns when the attempt counts as stalled although its sidecar is
-// alive. Time in the queue does not count: the silence is measured from when the
-// upstream has the attempt. A claimed attempt never counts as stalled, since no
-// other may replace it.
+// silenceDue returns the time from which the attempt counts as stalled although its
+// sidecar is alive, and the reason. Time in the queue does not count: the silence is
+// measured from when the upstream has the attempt. A claimed attempt never counts as
+// stalled, since no other may replace it.
 func (m *Machine) silenceDue(a *attempt) (time.Time, string, bool) {
 	if a.stage.spec.NonIdempotent || a.state != sent || !a.started {
 		return time.Time{}, "", false
@@ -78,19 +78,21 @@
 	return due, reason, true
 }
 
-// leaveTimeForRetry shortens a bound on silence that began at since, so that a
-// second attempt still fits before the deadline, but not so far that a call counts
-// as silent that is only as slow as the usual slow calls.
+// leaveTimeForRetry shortens a bound on silence, so that a second attempt still fits
+// before the deadline. The bound stays above the usual time of slow calls, so that these
+// don't count as silent. The silence began at since.
 func (m *Machine) leaveTimeForRetry(bound, usual time.Duration, since time.Time) time.Duration {
 	room := m.deadline.Sub(since) / silenceDivisor
 	return min(bound, max(room, slowFactor*usual, m.rules.KeepSilentFor))
 }
 
+// Limits of the bound on silence.
 const (
-	// silenceDivisor sets how much of the time between the start of a silence and the
-	// deadline the silence may take: one part in silenceDivisor.
+	// silenceDivisor divides the time between the start of a silence and the deadline: a
+	// silence may last that long before the attempt is replaced.
 	silenceDivisor = 3
-	// slowFactor times the usual 95th percentile still counts as a slow call.
+	// slowFactor is the multiple of the usual 95th percentile up to which a call counts as
+	// slow instead of silent.
 	slowFactor = 2
 	// maxDoublings bounds how often the bound on silence doubles.
 	maxDoublings = 4
@@ -98,7 +100,7 @@
 
 // giveUpTime returns when the request is given up because of its deadline. While a
 // claimed attempt has not started, that is SettleMargin before the deadline, so
-// that the sidecar can still prove that the attempt never will start.
+// that the sidecar can still prove that the attempt will never start.
 func (m *Machine) giveUpTime() time.Time {
 	for _, a := range m.attempts {
 		if a.live() && a.stage.spec.NonIdempotent && !a.started && !a.foreign {
@@ -119,14 +121,14 @@
 	wake := m.giveUpTime()
 	for _, a := range m.attempts {
 		if a.live() {
-			wake = m.earliest(wake, a)
+			wake = m.earliestTimer(wake, a)
 		}
 	}
 	return wake
 }
 
-// earliest returns the earliest of wake and the times of the attempt's timers.
-func (m *Machine) earliest(wake time.Time, a *attempt) time.Time {
+// earliestTimer returns the earliest of wake and the times of the attempt's timers.
+func (m *Machine) earliestTimer(wake time.Time, a *attempt) time.Time {
 	if m.needsPing(a) && a.pingDue.Before(wake) {
 		wake = a.pingDue
 	}
