--- a/core/claim/actor_test.go
+++ b/core/claim/actor_test.go
@@ -176,7 +176,7 @@
 		a.checkResult(verdict.Chunks)
 	case claim.Running:
 		// The real gate has a queue, and reports attempts in the queue as running.
-		_, queues := a.w.side(verdict.Record.Target).(*gateSide)
+		_, queues := a.w.sidecarAt(verdict.Record.Target).(*gateSidecar)
 		if len(ran) == 0 && !queues {
 			a.w.fail("%s got the verdict running, but nothing ran", a.spec.Request)
 		}
@@ -213,14 +213,14 @@
 		a.noResponse = true
 		switch a.w.pick("dispatch fate", 3) {
 		case 0:
-			a.w.side(a.owned.Target).run(a.w, a.owned)
+			a.w.sidecarAt(a.owned.Target).run(a.w, a.owned)
 		case 1:
 			sent := a.owned
 			a.w.delayed = append(a.w.delayed, message{run: &sent})
 		}
 		return
 	}
-	switch a.w.side(a.owned.Target).run(a.w, a.owned) {
+	switch a.w.sidecarAt(a.owned.Target).run(a.w, a.owned) {
 	case admitted:
 		a.running = true
 	case refused:
@@ -255,7 +255,7 @@
 
 // pollResult takes the result of the running attempt once the sidecar has it.
 func (a *actor) pollResult() {
-	switch a.w.side(a.owned.Target).follow(a.owned) {
+	switch a.w.sidecarAt(a.owned.Target).follow(a.owned) {
 	case claim.SideRunning:
 	case claim.SideNotRun:
 		a.reassign()
--- a/core/claim/ask.go
+++ b/core/claim/ask.go
@@ -41,8 +41,9 @@
 // DefaultRules.
 type Rules struct {
 	// MinWait is the minimum wait before the sidecar of another request's open
-	// claim is queried: Resolve makes the sidecar refuse an attempt that was not
-	// dispatched yet. It doubles with each further round.
+	// claim is queried. The wait gives the owner time to dispatch, because Resolve makes
+	// the sidecar refuse an attempt that was not dispatched yet. It doubles with each
+	// further round.
 	MinWait time.Duration
 	// MaxWait bounds each wait, also one for the owner's DispatchWithin.
 	MaxWait time.Duration
@@ -51,7 +52,7 @@
 	MaxRounds int
 	// MaxReads bounds how often the claim is read after lost responses.
 	MaxReads int
-	// RetryAfter is set in verdicts that may change without a further request.
+	// RetryAfter is the value of Verdict.RetryAfter where a retry may succeed.
 	RetryAfter time.Duration
 	// MaxResultBytes is the largest result that a record holds.
 	MaxResultBytes int
--- a/core/claim/doc.go
+++ b/core/claim/doc.go
@@ -8,9 +8,10 @@
 // An entry is the process that admitted a request and drives its stages. A
 // sidecar is the process beside an upstream; it hands attempts to the upstream
 // and keeps their results for a time. A tombstone is a sidecar's record that an
-// attempt has not run and is refused from then on. A ticket is the sidecar's own
-// clock when it was chosen for an attempt. An epoch of a claim ends when a lookup
-// abandons the claim.
+// attempt has not run and is refused from then on. A ticket is the reading of a
+// sidecar's own clock at the time at which the sidecar was chosen for an attempt. To
+// abandon a claim is to record that its attempt has not run and never will. An epoch
+// of a claim ends when a lookup abandons the claim.
 //
 // # Why a stage runs at most once
 //
--- a/core/claim/events.go
+++ b/core/claim/events.go
@@ -10,50 +10,50 @@
 
 // States of the claim chart in which the machine expects the result of a call.
 const (
-	stateCreating chart.State = "creating"
-	stateReading  chart.State = "reading"
-	stateWaiting  chart.State = "waiting"
-	stateAsking   chart.State = "asking"
-	stateUpdating chart.State = "updating"
+	stateCreating  chart.State = "creating"
+	stateReading   chart.State = "reading"
+	stateWaiting   chart.State = "waiting"
+	stateResolving chart.State = "asking"
+	stateUpdating  chart.State = "updating"
 )
 
 // Events of the claim chart.
 const (
-	eventOpen            chart.Event = "open"
-	eventLookup          chart.Event = "look"
-	eventReplace         chart.Event = "replace"
-	eventWritten         chart.Event = "written"
-	eventRetired         chart.Event = "retired"
-	eventConflict        chart.Event = "conflict"
-	eventAmbiguous       chart.Event = "ambiguous"
-	eventStoreDown       chart.Event = "store_down"
-	eventLostSight       chart.Event = "lost_sight"
-	eventMissing         chart.Event = "missing"
-	eventNoClaim         chart.Event = "no_claim"
-	eventExpired         chart.Event = "expired"
-	eventOwnNonce        chart.Event = "own_nonce"
-	eventUnchanged       chart.Event = "unchanged"
-	eventRecorded        chart.Event = "recorded"
-	eventOmitted         chart.Event = "omitted"
-	eventAbandoned       chart.Event = "abandoned"
-	eventClosed          chart.Event = "closed"
-	eventOtherOpen       chart.Event = "other_open"
-	eventContended       chart.Event = "contended"
-	eventMismatch        chart.Event = "mismatch"
-	eventWaited          chart.Event = "waited"
-	eventSideDone        chart.Event = "side_done"
-	eventSideRunning     chart.Event = "side_running"
-	eventSideNotRun      chart.Event = "side_not_run"
-	eventSideGone        chart.Event = "side_gone"
-	eventSideFailed      chart.Event = "side_failed"
-	eventSideUnreachable chart.Event = "side_unreachable"
-	eventResultLost      chart.Event = "result_lost"
-	eventOutOfTime       chart.Event = "out_of_time"
-	eventGaveUp          chart.Event = "gave_up"
+	eventOpen             chart.Event = "open"
+	eventLookup           chart.Event = "look"
+	eventReplace          chart.Event = "replace"
+	eventWritten          chart.Event = "written"
+	eventAbandonWritten   chart.Event = "retired"
+	eventConflict         chart.Event = "conflict"
+	eventAmbiguous        chart.Event = "ambiguous"
+	eventStoreDown        chart.Event = "store_down"
+	eventStoreDownUnknown chart.Event = "lost_sight"
+	eventMissing          chart.Event = "missing"
+	eventNoClaim          chart.Event = "no_claim"
+	eventExpired          chart.Event = "expired"
+	eventOwnNonce         chart.Event = "own_nonce"
+	eventUnchanged        chart.Event = "unchanged"
+	eventRecorded         chart.Event = "recorded"
+	eventOmitted          chart.Event = "omitted"
+	eventAbandoned        chart.Event = "abandoned"
+	eventClosed           chart.Event = "closed"
+	eventOtherOpen        chart.Event = "other_open"
+	eventContended        chart.Event = "contended"
+	eventMismatch         chart.Event = "mismatch"
+	eventWaited           chart.Event = "waited"
+	eventSideDone         chart.Event = "side_done"
+	eventSideRunning      chart.Event = "side_running"
+	eventSideNotRun       chart.Event = "side_not_run"
+	eventSideGone         chart.Event = "side_gone"
+	eventSideFailed       chart.Event = "side_failed"
+	eventSideUnreachable  chart.Event = "side_unreachable"
+	eventResultLost       chart.Event = "result_lost"
+	eventOutOfTime        chart.Event = "out_of_time"
+	eventGaveUp           chart.Event = "gave_up"
 )
 
-// verdictOf maps the chart's final states to verdicts.
-var verdictOf = map[chart.State]Status{
+// statusOf maps the chart's final states to the statuses of verdicts.
+var statusOf = map[chart.State]Status{
 	"mine":        Owned,
 	"done":        Done,
 	"running":     Running,
@@ -79,7 +79,7 @@
 	if m.err != nil {
 		return
 	}
-	v.Status = verdictOf[m.chart.State()]
+	v.Status = statusOf[m.chart.State()]
 	if m.everSeen {
 		v.Record = m.seen
 		v.Version = m.seenVersion
@@ -98,9 +98,10 @@
 	return fault.New(fault.Internal, "claim."+string(m.chart.State()), m.peer(), "no such response is expected in this state")
 }
 
-// peer returns the receiver of the next call, for errors.
+// peer returns the receiver of the next call, for errors: a sidecar's upstream or the
+// object API.
 func (m *Machine) peer() string {
-	if m.chart.State() == stateAsking {
+	if m.chart.State() == stateResolving {
 		return string(m.seen.Target.Upstream)
 	}
 	return "objects"
--- a/core/claim/expiry.go
+++ b/core/claim/expiry.go
@@ -10,8 +10,8 @@
 	// clockMargin is the largest expected difference between the wall clocks of
 	// hosts that work correctly.
 	clockMargin = 10 * time.Minute
-	// idleMargin is how far after the newest claim the current time may be assumed
-	// to be.
+	// idleMargin is how far after the newest claim the current time is assumed to be at
+	// most.
 	idleMargin = time.Hour
 )
 
--- a/core/claim/gate_test.go
+++ b/core/claim/gate_test.go
@@ -8,9 +8,9 @@
 	"acaciawinch/core/gate"
 )
 
-// gateSide is a sidecar that uses the real gate for its decisions. One tick is a
+// gateSidecar is a sidecar that uses the real gate for its decisions. One tick is a
 // millisecond of the gate's clock.
-type gateSide struct {
+type gateSidecar struct {
 	incarnation core.Incarnation
 	gate        *gate.Gate
 	now         time.Duration
@@ -18,10 +18,10 @@
 	running     []core.AttemptKey
 }
 
-// newGateSide returns a gateSide whose limits are so small that it evicts attempts
+// newGateSidecar returns a gateSidecar whose limits are so small that it evicts attempts
 // within an interleaving.
-func newGateSide(incarnation core.Incarnation) sideProcess {
-	s := &gateSide{incarnation: incarnation, now: time.Millisecond, records: make(map[core.AttemptKey]claim.Record)}
+func newGateSidecar(incarnation core.Incarnation) sidecar {
+	s := &gateSidecar{incarnation: incarnation, now: time.Millisecond, records: make(map[core.AttemptKey]claim.Record)}
 	s.gate = gate.New(gate.Options{
 		Upstream:       "u",
 		Incarnation:    incarnation,
@@ -39,11 +39,11 @@
 	return s
 }
 
-// id implements sideProcess.
-func (s *gateSide) id() core.Incarnation { return s.incarnation }
+// id implements sidecar.
+func (s *gateSidecar) id() core.Incarnation { return s.incarnation }
 
-// clock implements sideProcess.
-func (s *gateSide) clock() uint64 { return uint64(s.now.Microseconds()) }
+// clock implements sidecar.
+func (s *gateSidecar) clock() uint64 { return uint64(s.now.Microseconds()) }
 
 // ticketOf returns the ticket of a claim for the gate.
 func ticketOf(record claim.Record) gate.Ticket {
@@ -51,8 +51,8 @@
 	return gate.Ticket{Nonce: record.Nonce, Clock: clock}
 }
 
-// run implements sideProcess.
-func (s *gateSide) run(w *world, record claim.Record) dispatchOutcome {
+// run implements sidecar.
+func (s *gateSidecar) run(w *world, record claim.Record) dispatchOutcome {
 	ticket := ticketOf(record)
 	key := record.AttemptKey()
 	decision := s.gate.Submit(s.now, gate.Attempt{
@@ -71,7 +71,7 @@
 }
 
 // advance carries out the actions that the gate returns.
-func (s *gateSide) advance(w *world) {
+func (s *gateSidecar) advance(w *world) {
 	for _, action := range s.gate.Advance(s.now) {
 		switch action.Kind {
 		case gate.ActionStart:
@@ -86,19 +86,19 @@
 	}
 }
 
-// resolve implements sideProcess.
-func (s *gateSide) resolve(w *world, record claim.Record) claim.SidecarResponse {
+// resolve implements sidecar.
+func (s *gateSidecar) resolve(w *world, record claim.Record) claim.SidecarResponse {
 	state, _ := s.gate.Resolve(s.now, record.AttemptKey(), ticketOf(record))
 	s.advance(w)
-	response := claim.SidecarResponse{Incarnation: s.incarnation, State: sideStates[state]}
+	response := claim.SidecarResponse{Incarnation: s.incarnation, State: sidecarStates[state]}
 	if state == gate.StateDone {
 		response.Chunks = resultOf(s.records[record.AttemptKey()])
 	}
 	return response
 }
 
-// sideStates maps the states of the gate to those of a sidecar's response.
-var sideStates = map[gate.State]claim.SideState{
+// sidecarStates maps the states of the gate to those of a sidecar's response.
+var sidecarStates = map[gate.State]claim.SideState{
 	gate.StateDone:    claim.SideDone,
 	gate.StateRunning: claim.SideRunning,
 	gate.StateNotRun:  claim.SideNotRun,
@@ -106,14 +106,14 @@
 	gate.StateGone:    claim.SideGone,
 }
 
-// tick implements sideProcess.
-func (s *gateSide) tick(ticks uint64) { s.now += time.Duration(ticks) * time.Millisecond }
+// tick implements sidecar.
+func (s *gateSidecar) tick(ticks uint64) { s.now += time.Duration(ticks) * time.Millisecond }
 
-// evict implements sideProcess. The gate evicts attempts by its own limits.
-func (s *gateSide) evict(w *world) { s.advance(w) }
+// evict implements sidecar. The gate evicts attempts by its own limits.
+func (s *gateSidecar) evict(w *world) { s.advance(w) }
 
-// endRuns implements sideProcess.
-func (s *gateSide) endRuns(w *world, failed bool) {
+// endRuns implements sidecar.
+func (s *gateSidecar) endRuns(w *world, failed bool) {
 	kind := gate.EndDone
 	if failed {
 		kind = gate.EndFailed
@@ -126,8 +126,8 @@
 	s.advance(w)
 }
 
-// follow implements sideProcess.
-func (s *gateSide) follow(record claim.Record) claim.SideState {
+// follow implements sidecar.
+func (s *gateSidecar) follow(record claim.Record) claim.SideState {
 	state, _ := s.gate.Resolve(s.now, record.AttemptKey(), ticketOf(record))
-	return sideStates[state]
+	return sidecarStates[state]
 }
--- a/core/claim/inputs.go
+++ b/core/claim/inputs.go
@@ -36,7 +36,7 @@
 		m.endStoreUnavailable()
 	default:
 		m.responseLost = true
-		m.noteMaybeStored(m.first.Epoch)
+		m.recordMaybeStored(m.first.Epoch)
 		m.fire(eventAmbiguous)
 	}
 }
@@ -51,14 +51,14 @@
 func (m *Machine) handleUpdate(response WriteResponse, version uint64) {
 	switch response {
 	case WriteOK:
-		m.updateApplied(version)
+		m.endUpdated(version)
 	case WriteConflict:
 		m.handleConflict()
 	case WriteUnavailable:
 		m.endStoreUnavailable()
 	default:
 		m.responseLost = true
-		m.noteMaybeStored(m.pending.record.Epoch)
+		m.recordMaybeStored(m.pending.record.Epoch)
 		m.fire(eventAmbiguous)
 	}
 }
@@ -72,17 +72,17 @@
 	m.fire(eventConflict)
 }
 
-// updateApplied ends the machine once the pending update is known to be in the
+// endUpdated ends the machine once the pending update is known to be in the
 // object, from the response to the update or by reading back its nonce.
-func (m *Machine) updateApplied(version uint64) {
+func (m *Machine) endUpdated(version uint64) {
 	m.observe(m.pending.record, version)
 	reading := m.chart.State() == stateReading
-	retired := m.seen.State == StateAbandoned
+	abandoned := m.seen.State == StateAbandoned
 	switch {
-	case retired && reading:
+	case abandoned && reading:
 		m.end(eventClosed, Verdict{KeyNotRun: true})
-	case retired:
-		m.end(eventRetired, Verdict{KeyNotRun: true})
+	case abandoned:
+		m.end(eventAbandonWritten, Verdict{KeyNotRun: true})
 	case reading:
 		m.endOwned(eventOwnNonce)
 	default:
@@ -109,7 +109,7 @@
 	case m.everSeen:
 		// The claim existed and expired: it is not known whether its attempt ran.
 		m.end(eventExpired, Verdict{})
-	case m.tooManyReads():
+	case m.countRead():
 		m.endStoreUnavailable()
 	default:
 		// The create whose response was lost has not taken effect yet. The same
@@ -151,18 +151,18 @@
 // update replaces.
 func (m *Machine) handleFound(record Record, version uint64) {
 	if m.pending != nil && record.Nonce == m.pending.record.Nonce && record.State != StateDone {
-		m.updateApplied(version)
+		m.endUpdated(version)
 		return
 	}
 	m.pending = nil
 	m.observe(record, version)
 	switch {
 	case record.State == StateDone:
-		m.foundDone(record)
+		m.handleFoundDone(record)
 	case m.maybeStored && record.Epoch > m.firstEpoch:
-		m.foundLaterEpoch(record)
+		m.handleFoundLaterEpoch(record)
 	case record.State == StateAbandoned:
-		m.foundAbandoned()
+		m.handleFoundAbandoned()
 	case record.Nonce == m.first.Nonce:
 		// Safe: nonces are random, so only this machine's create can have written
 		// this nonce, and the read shows that it has not been replaced. If it is
@@ -170,14 +170,14 @@
 		// refuses the dispatch.
 		m.endOwned(eventOwnNonce)
 	default:
-		m.foundOther()
+		m.handleFoundOther()
 	}
 }
 
-// mismatch returns an error for a record of another key or body, so that no
-// request ever gets the result of another. The error has code Invalid if only the
-// body differs, which is the client's mistake, and Internal if the hash in the
-// object's name is the same for two keys.
+// mismatch returns an error for a record of another key or body, so that no request
+// ever gets the result of another. The error has code Invalid if only the body
+// differs, which is the client's mistake. It has code Internal if the key differs,
+// because the keys have the same hash in the names of their objects.
 func (m *Machine) mismatch(record Record) error {
 	want := m.spec.Identity
 	if m.goal == goalLookup && want.BodyDigest == "" {
@@ -199,16 +199,16 @@
 // Safe: the retry has the same record and the same condition, so both
 // transmissions together take effect at most once.
 func (m *Machine) resend() {
-	if m.tooManyReads() {
+	if m.countRead() {
 		m.endStoreUnavailable()
 		return
 	}
 	m.fire(eventUnchanged)
 }
 
-// foundDone ends the machine with the recorded result, or queries the sidecar for
+// handleFoundDone ends the machine with the recorded result, or queries the sidecar for
 // a result that was too large for the record.
-func (m *Machine) foundDone(record Record) {
+func (m *Machine) handleFoundDone(record Record) {
 	if record.Result == nil || record.Result.Omitted {
 		m.fire(eventOmitted)
 		return
@@ -216,16 +216,15 @@
 	m.end(eventRecorded, Verdict{Recorded: true, Chunks: record.Result.Chunks})
 }
 
-// foundLaterEpoch ends a machine whose request may have had the claim when a
-// lookup abandoned it. That lookup reported that the request will not run, so the
-// request must not run, even if a later request with the key has reopened the
-// claim.
-func (m *Machine) foundLaterEpoch(record Record) {
+// handleFoundLaterEpoch ends a machine whose request may have had the claim when a
+// lookup abandoned the claim. That lookup reported that the request will not run, so the
+// request must not run, even if a later request with the key has claimed the stage again.
+func (m *Machine) handleFoundLaterEpoch(record Record) {
 	m.end(eventClosed, Verdict{KeyNotRun: m.spec.KeyGenerated || record.State == StateAbandoned})
 }
 
-// foundAbandoned processes a claim whose last attempt was proved not to have run.
-func (m *Machine) foundAbandoned() {
+// handleFoundAbandoned processes a claim whose last attempt was proved not to have run.
+func (m *Machine) handleFoundAbandoned() {
 	if m.goal != goalRun {
 		m.end(eventClosed, Verdict{KeyNotRun: true})
 		return
@@ -233,12 +232,12 @@
 	m.startUpdate(eventAbandoned, m.nextAttempt())
 }
 
-// foundOther starts the wait before the query to the sidecar of another request's
-// open claim.
-func (m *Machine) foundOther() {
+// handleFoundOther processes an open claim of another request. It starts the wait before
+// that claim's sidecar is queried, unless the limits are reached.
+func (m *Machine) handleFoundOther() {
 	m.otherWrote = true
 	m.rounds++
-	exhausted := m.rounds > m.rules.MaxRounds || m.tooManyReads()
+	exhausted := m.rounds > m.rules.MaxRounds || m.countRead()
 	if exhausted || m.goal == goalRelease {
 		m.end(eventContended, Verdict{RetryAfter: m.rules.RetryAfter})
 		return
@@ -256,8 +255,8 @@
 	return m.err
 }
 
-// tooManyReads counts a read and reports whether the limit is exceeded.
-func (m *Machine) tooManyReads() bool {
+// countRead counts a read and reports whether the count exceeds MaxReads.
+func (m *Machine) countRead() bool {
 	m.reads++
 	return m.reads > m.rules.MaxReads
 }
--- a/core/claim/machine.go
+++ b/core/claim/machine.go
@@ -7,7 +7,7 @@
 	"acaciawinch/core/chart"
 )
 
-// goal is the purpose of a machine.
+// goal is the purpose for which a machine was created.
 type goal int
 
 const (
@@ -38,13 +38,14 @@
 	rng   *rand.Rand
 	goal  goal
 
+	// chart holds the state in the claim chart, and trail the events fired so far.
 	chart *chart.Machine
 	trail []chart.Event
 	// err is the first violation of the chart or of the claim's identity.
 	err error
 
-	// first is the record of this machine's first attempt. All its creates have
-	// the same nonce.
+	// first is the record that this machine creates. Every transmission of the create
+	// has the same nonce.
 	first Record
 	// seen is the last known content of the claim object, at seenVersion.
 	seen        Record
@@ -90,14 +91,14 @@
 func Reassign(owned Record, version uint64, target Target, rules Rules, rng *rand.Rand) *Machine {
 	m := newMachine(specOf(owned, target), rules, rng, goalReassign)
 	m.observe(owned, version)
-	m.noteMaybeStored(owned.Epoch)
+	m.recordMaybeStored(owned.Epoch)
 	m.startUpdate(eventReplace, m.nextAttempt())
 	return m
 }
 
 // Release returns a machine that abandons the caller's own attempt, under the same
-// condition as Reassign. The next caller then need not query the sidecar, which
-// may no longer run by then.
+// condition as Reassign. The next caller then need not query the sidecar, which may
+// have stopped in the meantime.
 func Release(owned Record, version uint64, rules Rules, rng *rand.Rand) *Machine {
 	m := newMachine(specOf(owned, owned.Target), rules, rng, goalRelease)
 	m.observe(owned, version)
@@ -121,8 +122,8 @@
 	return &Machine{spec: spec, name: name, rules: rules, rng: rng, goal: g, chart: claimChart.Start(name)}
 }
 
-// specOf returns the description of the attempt that follows an owned one, at the
-// given target.
+// specOf returns the description of the attempt that replaces an owned one, at the given
+// target.
 func specOf(owned Record, target Target) AttemptSpec {
 	return AttemptSpec{
 		Identity:     owned.Identity,
@@ -149,7 +150,7 @@
 	case stateWaiting:
 		step.Call = CallWait
 		step.Wait = m.wait
-	case stateAsking:
+	case stateResolving:
 		step.Call = CallResolve
 		step.Record = m.seen
 	case stateUpdating:
@@ -208,16 +209,17 @@
 	return record
 }
 
-// noteMaybeStored records that a record of this machine may have been in the
+// recordMaybeStored records that a record of this machine may have been in the
 // object since the given epoch.
-func (m *Machine) noteMaybeStored(epoch uint64) {
+func (m *Machine) recordMaybeStored(epoch uint64) {
 	if !m.maybeStored {
 		m.maybeStored = true
 		m.firstEpoch = epoch
 	}
 }
 
-// startUpdate makes a conditional update of the seen version the next call.
+// startUpdate fires an event that leads to an update, and makes the next call an update
+// to record, on condition of the seen version.
 func (m *Machine) startUpdate(event chart.Event, record Record) {
 	m.pending = &pendingWrite{record: record, version: m.seenVersion}
 	m.responseLost = false
--- a/core/claim/property_test.go
+++ b/core/claim/property_test.go
@@ -23,8 +23,8 @@
 
 // runInterleaving runs one interleaving with faults and continues it without faults
 // until all actors have ended. It returns the world with the first violation.
-func runInterleaving(pick chooser, disabled mutation, newSide func(core.Incarnation) sideProcess) *world {
-	w := newWorld(pick, disabled, newSide)
+func runInterleaving(pick chooser, disabled mutation, newSidecar func(core.Incarnation) sidecar) *world {
+	w := newWorld(pick, disabled, newSidecar)
 	actors := []*actor{newActor(w)}
 	for range stepsPerWorld {
 		if w.violation != "" {
@@ -45,13 +45,13 @@
 		actors = append(actors, newActor(w))
 	case n == 2:
 		ticks := uint64(w.pick("ticks", ticketLifetime)) + 1
-		for _, s := range w.sides {
+		for _, s := range w.sidecars {
 			s.tick(ticks)
 		}
 	case n == 3:
-		w.finishRuns(w.sides[w.pick("side", 2)])
+		w.finishRuns(w.sidecars[w.pick("side", 2)])
 	case n == 4:
-		w.sides[w.pick("side", 2)].evict(w)
+		w.sidecars[w.pick("side", 2)].evict(w)
 	case n == 5 && w.pick("restart", 4) == 0:
 		w.restart(w.pick("side", 2))
 	case n == 6:
@@ -87,7 +87,7 @@
 				a.step()
 			}
 		}
-		for _, s := range w.sides {
+		for _, s := range w.sidecars {
 			w.finishRuns(s)
 		}
 		if !busy || w.violation != "" {
@@ -110,18 +110,18 @@
 // runs twice, that a request reported as not run never ran, before or after, that
 // results go to their own key, and that all requests end when faults stop.
 func TestAtMostOnce(t *testing.T) {
-	t.Run("model", func(t *testing.T) { checkCoverage(t, runInterleavings(t, newSideModel)) })
-	t.Run("gate", func(t *testing.T) { runInterleavings(t, newGateSide) })
+	t.Run("model", func(t *testing.T) { checkCoverage(t, runInterleavings(t, newSidecarModel)) })
+	t.Run("gate", func(t *testing.T) { runInterleavings(t, newGateSidecar) })
 }
 
 // runInterleavings runs the interleavings and returns the transitions that were
 // taken.
-func runInterleavings(t *testing.T, newSide func(core.Incarnation) sideProcess) map[string]bool {
+func runInterleavings(t *testing.T, newSidecar func(core.Incarnation) sidecar) map[string]bool {
 	t.Helper()
 	taken := make(map[string]bool)
 	ran, completed := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := runInterleaving(func(label string, n int) int { return rapid.IntRange(0, n-1).Draw(t, label) }, none, newSide)
+		w := runInterleaving(func(label string, n int) int { return rapid.IntRange(0, n-1).Draw(t, label) }, none, newSidecar)
 		if w.violation != "" {
 			t.Fatal(w.violation)
 		}
@@ -165,7 +165,7 @@
 		t.Run(names[disabled], func(t *testing.T) {
 			for seed := range uint64(mutationSeeds) {
 				rng := rand.New(rand.NewPCG(seed, 1))
-				w := runInterleaving(func(_ string, n int) int { return rng.IntN(n) }, disabled, newSideModel)
+				w := runInterleaving(func(_ string, n int) int { return rng.IntN(n) }, disabled, newSidecarModel)
 				if w.violation != "" {
 					t.Logf("interleaving %d: %s", seed, w.violation)
 					return
--- a/core/claim/record.go
+++ b/core/claim/record.go
@@ -49,8 +49,8 @@
 	Addr        string           `json:"addr"`
 	Zone        string           `json:"zone"`
 	Incarnation core.Incarnation `json:"incarnation"`
-	// SideClockUS is the ticket: the sidecar's own clock when it was chosen, in
-	// microseconds since the sidecar started.
+	// SideClockUS is the ticket: the reading of the sidecar's own clock at the time at
+	// which the sidecar was chosen, in microseconds since the sidecar started.
 	SideClockUS uint64 `json:"side_clock_us"`
 }
 
@@ -73,7 +73,7 @@
 	// DispatchWithinMS is the time after the write within which the owner intends
 	// to dispatch. Another caller waits that long before it has the attempt refused.
 	DispatchWithinMS int64 `json:"dispatch_within_ms,omitempty"`
-	// Result is present exactly in StateDone.
+	// Result is set in StateDone, and only then.
 	Result *Result `json:"result,omitempty"`
 	// CreatedUnix is the wall clock of the first writer in seconds. It is used only
 	// for the expiry after a day, so the clocks of hosts may differ by minutes.
@@ -82,13 +82,12 @@
 
 // Result is the output of a claimed stage.
 type Result struct {
-	// Chunks are absent if they were larger than the limit; the sidecar may still
-	// keep them.
+	// Chunks are the output, absent if Omitted is set; the sidecar may still keep them.
 	Chunks [][]byte `json:"chunks,omitempty"`
 	// Count is the number of chunks of the whole output, and Digest its digest.
 	Count  int    `json:"count"`
 	Digest string `json:"digest"`
-	// Omitted is set if the chunks were too large for the record.
+	// Omitted is set if the chunks were larger than the limit of a record.
 	Omitted bool `json:"omitted,omitempty"`
 }
 
--- a/core/claim/resolve.go
+++ b/core/claim/resolve.go
@@ -2,7 +2,7 @@
 
 // Resolved processes the sidecar's response about the attempt in the seen record.
 func (m *Machine) Resolved(response SidecarResponse) error {
-	if err := m.expectState(stateAsking); err != nil {
+	if err := m.expectState(stateResolving); err != nil {
 		return err
 	}
 	state := m.verifiedState(response)
@@ -10,13 +10,13 @@
 	case state == SideUnreachable:
 		m.end(eventSideUnreachable, Verdict{RetryAfter: m.rules.RetryAfter})
 	case m.seen.State == StateDone:
-		m.resolvedOmitted(state, response.Chunks)
+		m.handleResolvedOmitted(state, response.Chunks)
 	case state == SideDone:
 		m.end(eventSideDone, Verdict{Chunks: response.Chunks})
 	case state == SideRunning:
 		m.end(eventSideRunning, Verdict{})
 	case state == SideNotRun:
-		m.resolvedNotRun()
+		m.handleResolvedNotRun()
 	case state == SideFailed:
 		m.end(eventSideFailed, Verdict{})
 	default:
@@ -27,8 +27,8 @@
 
 // verifiedState returns the state in the response, or SideGone if the responding
 // incarnation is not the one in the claim. A sidecar that was restarted, or another
-// host that got the address, has an empty table: its "never seen" proves nothing
-// about what the earlier process handed to the upstream.
+// host that got the address, has an empty table: that it has never seen the attempt
+// proves nothing about what the earlier process handed to the upstream.
 func (m *Machine) verifiedState(response SidecarResponse) SideState {
 	if response.State == SideUnreachable {
 		return SideUnreachable
@@ -39,14 +39,14 @@
 	return response.State
 }
 
-// resolvedNotRun replaces the seen attempt, for which the sidecar now has a
-// tombstone.
+// handleResolvedNotRun replaces the seen attempt, for which the sidecar now has a
+// tombstone, or abandons the claim if the machine is a lookup.
 //
 // Safe: the tombstone exists before the update is sent, so the attempt of the old
 // nonce never runs, whether or not the update succeeds. The update is conditional
 // on the version that has the old nonce: of all callers that got the same response
 // one succeeds.
-func (m *Machine) resolvedNotRun() {
+func (m *Machine) handleResolvedNotRun() {
 	if m.goal == goalLookup {
 		m.startUpdate(eventSideNotRun, m.abandonedRecord())
 		return
@@ -54,9 +54,9 @@
 	m.startUpdate(eventSideNotRun, m.nextAttempt())
 }
 
-// resolvedOmitted ends the machine with a result of which the record has only the
-// digest. Chunks with another digest are not accepted as the result.
-func (m *Machine) resolvedOmitted(state SideState, chunks [][]byte) {
+// handleResolvedOmitted ends the machine for a claim whose record has only the digest of
+// the result. Chunks with another digest are not accepted as the result.
+func (m *Machine) handleResolvedOmitted(state SideState, chunks [][]byte) {
 	recorded := m.seen.Result
 	if state == SideDone && recorded != nil && DigestChunks(chunks) == recorded.Digest {
 		m.end(eventSideDone, Verdict{Chunks: chunks, Recorded: true})
@@ -72,7 +72,7 @@
 	state := m.chart.State()
 	switch {
 	case m.err != nil || m.chart.Final():
-	case state == stateWaiting || state == stateAsking || m.otherMayRun():
+	case state == stateWaiting || state == stateResolving || m.otherMayRun():
 		m.end(eventGaveUp, Verdict{RetryAfter: m.rules.RetryAfter})
 	default:
 		m.end(eventOutOfTime, Verdict{RetryAfter: m.rules.RetryAfter, KeyNotRun: m.spec.KeyGenerated})
@@ -88,7 +88,7 @@
 // ruled out only if no other request can have the key.
 func (m *Machine) endStoreUnavailable() {
 	if m.otherMayRun() {
-		m.end(eventLostSight, Verdict{RetryAfter: m.rules.RetryAfter})
+		m.end(eventStoreDownUnknown, Verdict{RetryAfter: m.rules.RetryAfter})
 		return
 	}
 	m.end(eventStoreDown, Verdict{RetryAfter: m.rules.RetryAfter, KeyNotRun: m.spec.KeyGenerated})
--- a/core/claim/step.go
+++ b/core/claim/step.go
@@ -10,7 +10,7 @@
 // Status is the kind of a verdict.
 type Status int
 
-// The verdicts.
+// The statuses of verdicts.
 const (
 	// Owned: the caller owns the attempt and may dispatch it, once.
 	Owned Status = iota + 1
@@ -44,7 +44,7 @@
 	Invalid:     "invalid",
 }
 
-// String returns the verdict's name.
+// String returns the name of the status.
 func (s Status) String() string { return statusNames[s] }
 
 // Verdict is the result of an operation on a claim.
@@ -66,7 +66,7 @@
 	KeyNotRun bool
 	// RetryAfter is when a retry may succeed; zero if a retry is of no use.
 	RetryAfter time.Duration
-	// Trail is the events of the claim chart that led to the verdict, in order.
+	// Trail lists the events of the claim chart that led to the verdict, in order.
 	Trail []chart.Event
 }
 
@@ -99,7 +99,8 @@
 	Record Record
 	// Version is the version on which an update is conditional.
 	Version uint64
-	Wait    time.Duration
+	// Wait is the duration of a CallWait.
+	Wait time.Duration
 }
 
 // WriteResponse is the store's response to a conditional write.
--- a/core/claim/world_test.go
+++ b/core/claim/world_test.go
@@ -59,8 +59,8 @@
 	unclear
 )
 
-// sideProcess is a sidecar: the model below, or the real gate.
-type sideProcess interface {
+// sidecar is a simulated sidecar, which decides by the model below or by the real gate.
+type sidecar interface {
 	// id and clock return what a probe reports.
 	id() core.Incarnation
 	clock() uint64
@@ -83,9 +83,9 @@
 	failed bool
 }
 
-// sideModel is a model of a sidecar: the rules on which the safety of core/claim
+// sidecarModel is a model of a sidecar: the rules on which the safety of core/claim
 // depends.
-type sideModel struct {
+type sidecarModel struct {
 	incarnation core.Incarnation
 	now         uint64
 	seen        map[uint64]*attempt
@@ -101,10 +101,10 @@
 	down      bool
 	objects   map[string]object
 	version   uint64
-	sides     []sideProcess
-	// newSide returns a sidecar with an empty table.
-	newSide func(core.Incarnation) sideProcess
-	delayed []message
+	sidecars  []sidecar
+	// newSidecar returns a sidecar with an empty table.
+	newSidecar func(core.Incarnation) sidecar
+	delayed    []message
 	// ledger lists the requests that ran, by key.
 	ledger map[string][]core.RequestID
 	// toldNotRun holds the requests that were reported as not run, with the verdict.
@@ -117,9 +117,9 @@
 }
 
 // newWorld returns a world without actors.
-func newWorld(pick chooser, disabled mutation, newSide func(core.Incarnation) sideProcess) *world {
+func newWorld(pick chooser, disabled mutation, newSidecar func(core.Incarnation) sidecar) *world {
 	w := &world{
-		newSide:     newSide,
+		newSidecar:  newSidecar,
 		pick:        pick,
 		disabled:    disabled,
 		objects:     make(map[string]object),
@@ -128,14 +128,14 @@
 		transitions: make(map[string]bool),
 	}
 	for i := range 2 {
-		w.sides = append(w.sides, newSide(core.Incarnation(i+1)))
+		w.sidecars = append(w.sidecars, newSidecar(core.Incarnation(i+1)))
 	}
 	return w
 }
 
-// newSideModel returns a sideModel with an empty table.
-func newSideModel(incarnation core.Incarnation) sideProcess {
-	return &sideModel{incarnation: incarnation, now: 1, seen: make(map[uint64]*attempt), tombstones: make(map[uint64]uint64)}
+// newSidecarModel returns a sidecarModel with an empty table.
+func newSidecarModel(incarnation core.Incarnation) sidecar {
+	return &sidecarModel{incarnation: incarnation, now: 1, seen: make(map[uint64]*attempt), tombstones: make(map[uint64]uint64)}
 }
 
 // fail records the first violation.
@@ -196,29 +196,29 @@
 	return claim.WriteAmbiguous, 0
 }
 
-// side returns the sidecar at a target's address, whatever its incarnation.
-func (w *world) side(target claim.Target) sideProcess {
+// sidecarAt returns the sidecar at a target's address, whatever its incarnation.
+func (w *world) sidecarAt(target claim.Target) sidecar {
 	if target.Addr == "side-0" {
-		return w.sides[0]
+		return w.sidecars[0]
 	}
-	return w.sides[1]
+	return w.sidecars[1]
 }
 
 // probe returns the target that a router would choose now for sidecar i.
 func (w *world) probe(i int) claim.Target {
-	s := w.sides[i]
+	s := w.sidecars[i]
 	addr := fmt.Sprintf("side-%d", i)
 	return claim.Target{Upstream: core.UpstreamID(addr), Addr: addr, Incarnation: s.id(), SideClockUS: s.clock()}
 }
 
-// id implements sideProcess.
-func (s *sideModel) id() core.Incarnation { return s.incarnation }
+// id implements sidecar.
+func (s *sidecarModel) id() core.Incarnation { return s.incarnation }
 
-// clock implements sideProcess.
-func (s *sideModel) clock() uint64 { return s.now }
+// clock implements sidecar.
+func (s *sidecarModel) clock() uint64 { return s.now }
 
-// run implements sideProcess.
-func (s *sideModel) run(w *world, record claim.Record) dispatchOutcome {
+// run implements sidecar.
+func (s *sidecarModel) run(w *world, record claim.Record) dispatchOutcome {
 	_, tombstoned := s.tombstones[record.Nonce]
 	_, seen := s.seen[record.Nonce]
 	expired := s.now > record.Target.SideClockUS+ticketLifetime
@@ -252,11 +252,11 @@
 	if w.chance("unreachable", 8) {
 		return claim.SidecarResponse{State: claim.SideUnreachable}
 	}
-	return w.side(record.Target).resolve(w, record)
+	return w.sidecarAt(record.Target).resolve(w, record)
 }
 
-// resolve implements sideProcess.
-func (s *sideModel) resolve(w *world, record claim.Record) claim.SidecarResponse {
+// resolve implements sidecar.
+func (s *sidecarModel) resolve(w *world, record claim.Record) claim.SidecarResponse {
 	response := claim.SidecarResponse{Incarnation: s.incarnation}
 	if w.disabled == noResolveIncarnation {
 		response.Incarnation = record.Target.Incarnation
@@ -289,8 +289,8 @@
 	return [][]byte{[]byte(record.Key), []byte(":" + string(record.Request))}
 }
 
-// tick implements sideProcess.
-func (s *sideModel) tick(ticks uint64) {
+// tick implements sidecar.
+func (s *sidecarModel) tick(ticks uint64) {
 	s.now += ticks
 	for nonce, at := range s.tombstones {
 		if s.now > at+ticketLifetime {
@@ -299,8 +299,8 @@
 	}
 }
 
-// evict implements sideProcess. Dropping a result raises the horizon.
-func (s *sideModel) evict(w *world) {
+// evict implements sidecar. Dropping a result raises the horizon.
+func (s *sidecarModel) evict(w *world) {
 	for nonce, known := range s.seen {
 		if known.done && s.now > known.at+ticketLifetime {
 			delete(s.seen, nonce)
@@ -310,8 +310,8 @@
 	}
 }
 
-// endRuns implements sideProcess.
-func (s *sideModel) endRuns(w *world, failed bool) {
+// endRuns implements sidecar.
+func (s *sidecarModel) endRuns(w *world, failed bool) {
 	for _, known := range s.seen {
 		if !known.done && failed {
 			known.failed = true
@@ -321,8 +321,8 @@
 	}
 }
 
-// follow implements sideProcess.
-func (s *sideModel) follow(record claim.Record) claim.SideState {
+// follow implements sidecar.
+func (s *sidecarModel) follow(record claim.Record) claim.SideState {
 	known, ok := s.seen[record.Nonce]
 	switch {
 	case !ok:
@@ -338,11 +338,11 @@
 
 // finishRuns ends all running attempts of a sidecar, by chance as failed: such an
 // attempt ran and has no result.
-func (w *world) finishRuns(s sideProcess) { s.endRuns(w, w.chance("failed", 6)) }
+func (w *world) finishRuns(s sidecar) { s.endRuns(w, w.chance("failed", 6)) }
 
 // restart replaces a sidecar by a new incarnation with an empty table.
 func (w *world) restart(i int) {
-	w.sides[i] = w.newSide(w.sides[i].id() + 10)
+	w.sidecars[i] = w.newSidecar(w.sidecars[i].id() + 10)
 	w.lossy = true
 }
 
@@ -354,5 +354,5 @@
 		w.apply(*m.write)
 		return
 	}
-	w.side(m.run.Target).run(w, *m.run)
+	w.sidecarAt(m.run.Target).run(w, *m.run)
 }
