--- a/core/share/asker.go
+++ b/core/share/asker.go
@@ -17,15 +17,16 @@
 	maxSuspectBackoff = 10 * time.Second
 )
 
-// maxFailures is the number of unresponsive homes after which a request's search ends.
+// maxFailures is the number of failed permit requests after which a Search ends.
 const maxFailures = 2
 
 // Client is the state of an entry that requests permits from homes. It is not safe for
 // concurrent use.
 type Client struct {
-	suspects map[string]suspect
-	// regions tracks failures of homes by region.
-	regions map[string]regionSuspect
+	// suspects holds the homes that did not respond to their latest query, by name.
+	suspects map[string]failureState
+	// regions holds the failures of homes by region.
+	regions map[string]regionFailureState
 	// fullUntil is the time, by workspace, before which no permit is requested because
 	// the bound was reached. The end of a request on this entry clears it.
 	fullUntil map[string]time.Time
@@ -35,17 +36,18 @@
 	incarnations map[string]core.Incarnation
 }
 
-// suspect is the failure state of a home or region that did not respond.
-type suspect struct {
+// failureState is the backoff state of a home or region that did not respond.
+type failureState struct {
+	// until is the end of the backoff.
 	until    time.Time
 	failures int
 }
 
-// regionSuspect is the failure state of a region that may be unreachable. Permits are
+// regionFailureState is the failure state of a region that may be unreachable. Permits are
 // not requested from the region once two of its homes failed to respond, with no
 // response from another home of the region in between.
-type regionSuspect struct {
-	suspect
+type regionFailureState struct {
+	failureState
 	// lastHome is the home that failed to respond most recently.
 	lastHome    string
 	unreachable bool
@@ -54,8 +56,8 @@
 // NewClient returns a Client without recorded failures.
 func NewClient() *Client {
 	return &Client{
-		suspects:      make(map[string]suspect),
-		regions:       make(map[string]regionSuspect),
+		suspects:      make(map[string]failureState),
+		regions:       make(map[string]regionFailureState),
 		fullUntil:     make(map[string]time.Time),
 		localRequests: make(map[string]int),
 		incarnations:  make(map[string]core.Incarnation),
@@ -104,11 +106,12 @@
 	order    []int
 	tried    int
 	failures int
-	// unreachable counts the parts without an available home.
+	// unreachable counts those of the tried parts that had no available home.
 	unreachable int
 	// shortestHold is the shortest AcquireResponse.Hold of the homes that refused.
 	shortestHold time.Duration
-	lastQuery    Step
+	// lastQuery is the step of the permit request that was sent last.
+	lastQuery Step
 }
 
 // Begin starts the search for a request's permit and returns its first step. The
@@ -158,7 +161,7 @@
 	}
 	region, known := c.regions[home.Region]
 	if known && region.lastHome != home.Name || region.unreachable {
-		region.suspect = region.failedAgain(now)
+		region.failureState = region.failedAgain(now)
 		region.unreachable = true
 	}
 	region.lastHome = home.Name
@@ -166,9 +169,9 @@
 }
 
 // failedAgain returns the state after a further failure at now.
-func (s suspect) failedAgain(now time.Time) suspect {
+func (s failureState) failedAgain(now time.Time) failureState {
 	backoff := min(suspectBackoff<<min(s.failures, 4), maxSuspectBackoff)
-	return suspect{until: now.Add(backoff), failures: s.failures + 1}
+	return failureState{until: now.Add(backoff), failures: s.failures + 1}
 }
 
 // next returns the next home to query, or the result of the search.
@@ -191,9 +194,10 @@
 	return Step{Kind: StepRefused}
 }
 
-// allow reports whether a permit may be requested from a home. A suspect whose backoff
-// has expired is probed by one request; other requests skip it until that request has
-// a response or times out.
+// allow reports whether a permit may be requested from a home now. A home or region whose
+// backoff has expired is probed by one request: allow extends the backoff by
+// AcquireTimeout, so that other requests skip it until that request has a response or
+// times out.
 func (c *Client) allow(now time.Time, home Home) bool {
 	if !c.available(now, home) {
 		return false
--- a/core/share/doc.go
+++ b/core/share/doc.go
@@ -6,7 +6,8 @@
 // rendezvous hashing over the host list, which keeps a ledger of the in-flight
 // requests counted against the part. An entry acquires a permit from the home before
 // a request's first attempt and releases it when the request ends. A permit that is
-// not released expires after its request's deadline. While homes do not respond, an
+// not released expires after its request's deadline. A home counts a permit while the
+// permit is in its ledger. While homes do not respond, an
 // entry admits requests locally, up to its even share of the bound.
 //
 // docs/design/limits.md describes the guarantees when homes crash, change or do not
--- a/core/share/homes.go
+++ b/core/share/homes.go
@@ -13,7 +13,8 @@
 // A bound is divided into parts so that no single home has to serve all requests of a
 // busy workspace, and so that each region has a part of its own if the bound allows it.
 const (
-	// partSize is the smallest bound of a part if there are more parts than regions.
+	// partSize is the smallest bound of a part if there are more parts than regions, and
+	// maxParts the largest number of parts.
 	partSize = 8
 	maxParts = 16
 )
@@ -119,7 +120,7 @@
 // candidatesInPartRegion counts the home and its backup in the part's region.
 const candidatesInPartRegion = 2
 
-// top returns the n homes with the highest scores for key, best first.
+// top returns the n homes with the highest rendezvous scores for key, best first.
 func top(homes []Home, n int, key uint64) []Home {
 	var best []Home
 	for _, home := range homes {
--- a/core/share/ledger.go
+++ b/core/share/ledger.go
@@ -7,7 +7,8 @@
 	// Grace is how long a permit outlives its request's deadline, to allow for responses
 	// in transit and clock drift.
 	Grace = time.Second
-	// tombstoneTTL is how long a delayed request for a released permit is recognised.
+	// tombstoneTTL is how long the ledger remembers a released permit, so that a delayed
+	// request for it is refused.
 	tombstoneTTL = 10 * time.Second
 	// minHold and maxHold bound the time for which a refused entry must not request
 	// permits of the workspace again; refusalRate is the number of refusals per second
@@ -28,7 +29,8 @@
 	// Part is the index of a part of the workspace's bound, and Bound that part's bound.
 	Part  int
 	Bound int
-	// Permit is the same in each retry, which makes the request idempotent.
+	// Permit identifies the permit. It is the same in each retry, which makes the request
+	// idempotent.
 	Permit PermitID
 	// TTL is the time after which the permit expires unless it is released.
 	TTL time.Duration
@@ -81,52 +83,52 @@
 	if _, released := l.tombstones[request.Permit]; released {
 		return AcquireResponse{}
 	}
-	b := l.part(partKey{request.Workspace, request.Part})
-	_, known := b.permits[request.Permit]
-	if !known && !request.Running && b.full(now, request.Bound) {
-		return AcquireResponse{Hold: b.refuse(now)}
+	p := l.part(partKey{request.Workspace, request.Part})
+	_, known := p.permits[request.Permit]
+	if !known && !request.Running && p.full(now, request.Bound) {
+		return AcquireResponse{Hold: p.refuse(now)}
 	}
-	b.permits[request.Permit] = now.Add(request.TTL)
+	p.permits[request.Permit] = now.Add(request.TTL)
 	return AcquireResponse{Granted: true}
 }
 
 // part returns the ledger of a part, which it creates if there is none.
 func (l *Ledger) part(key partKey) *partLedger {
-	b, ok := l.parts[key]
+	p, ok := l.parts[key]
 	if !ok {
-		b = &partLedger{permits: make(map[PermitID]time.Time)}
-		l.parts[key] = b
+		p = &partLedger{permits: make(map[PermitID]time.Time)}
+		l.parts[key] = p
 	}
-	return b
+	return p
 }
 
 // full reports whether the permits in use reach bound.
-func (b *partLedger) full(now time.Time, bound int) bool {
-	if len(b.permits) >= bound {
-		b.expire(now)
+func (p *partLedger) full(now time.Time, bound int) bool {
+	if len(p.permits) >= bound {
+		p.expire(now)
 	}
-	return len(b.permits) >= bound
+	return len(p.permits) >= bound
 }
 
-// refuse counts a refusal and returns its Hold.
-func (b *partLedger) refuse(now time.Time) time.Duration {
-	if age := now.Sub(b.windowStart); age >= time.Second {
-		b.lastRefusals = 0
+// refuse counts a refusal and returns the AcquireResponse.Hold for it.
+func (p *partLedger) refuse(now time.Time) time.Duration {
+	if age := now.Sub(p.windowStart); age >= time.Second {
+		p.lastRefusals = 0
 		if age < 2*time.Second {
-			b.lastRefusals = b.refusals
+			p.lastRefusals = p.refusals
 		}
-		b.windowStart, b.refusals = now, 0
+		p.windowStart, p.refusals = now, 0
 	}
-	b.refusals++
-	hold := time.Duration(max(b.lastRefusals, b.refusals)) * time.Second / refusalRate
+	p.refusals++
+	hold := time.Duration(max(p.lastRefusals, p.refusals)) * time.Second / refusalRate
 	return min(max(hold, minHold), maxHold)
 }
 
 // Release releases a permit. It is idempotent, and it may arrive before the request
 // for the permit, which then gets none.
 func (l *Ledger) Release(now time.Time, workspace string, part int, permit PermitID) {
-	if b, ok := l.parts[partKey{workspace, part}]; ok {
-		delete(b.permits, permit)
+	if p, ok := l.parts[partKey{workspace, part}]; ok {
+		delete(p.permits, permit)
 	}
 	l.tombstones[permit] = now.Add(tombstoneTTL)
 	l.sweep(now)
@@ -136,17 +138,17 @@
 // are not removed yet.
 func (l *Ledger) Permits() int {
 	count := 0
-	for _, b := range l.parts {
-		count += len(b.permits)
+	for _, p := range l.parts {
+		count += len(p.permits)
 	}
 	return count
 }
 
 // expire removes the expired permits.
-func (b *partLedger) expire(now time.Time) {
-	for permit, end := range b.permits {
+func (p *partLedger) expire(now time.Time) {
+	for permit, end := range p.permits {
 		if !now.Before(end) {
-			delete(b.permits, permit)
+			delete(p.permits, permit)
 		}
 	}
 }
@@ -157,9 +159,9 @@
 		return
 	}
 	l.lastSweep = now
-	for key, b := range l.parts {
-		b.expire(now)
-		if len(b.permits) == 0 {
+	for key, p := range l.parts {
+		p.expire(now)
+		if len(p.permits) == 0 {
 			delete(l.parts, key)
 		}
 	}
--- a/core/share/property_test.go
+++ b/core/share/property_test.go
@@ -24,7 +24,7 @@
 func (cl *cluster) runEvent(faults bool) {
 	switch n := cl.pick("turn", 20); {
 	case n < 4:
-		if !cl.withinBound || cl.open() < cl.bound {
+		if !cl.withinBound || cl.openRequests() < cl.bound {
 			cl.begin(cl.pick("entry", entries))
 		}
 	case n < 6:
@@ -32,7 +32,7 @@
 	case n == 6:
 		cl.advance(time.Duration(cl.pick("ms", 1500)) * time.Millisecond)
 	case n == 7:
-		cl.move()
+		cl.reassignPermits()
 	case n >= 14 && n < 18 && faults:
 		cl.faulty = true
 		cl.injectFault()
@@ -42,9 +42,9 @@
 	cl.checkBounds()
 }
 
-// open counts the requests that run, search for a permit, or whose release has not
+// openRequests counts the requests that run, search for a permit, or whose release has not
 // arrived at every home that received their permit request.
-func (cl *cluster) open() int {
+func (cl *cluster) openRequests() int {
 	count := 0
 	for _, c := range cl.requests {
 		open := c.searching || c.running
@@ -81,8 +81,8 @@
 	}
 }
 
-// move requests that the right homes count the running requests.
-func (cl *cluster) move() {
+// reassignPermits requests that the right homes count the running requests.
+func (cl *cluster) reassignPermits() {
 	for _, c := range cl.requests {
 		n := cl.nodes[c.entry]
 		if !c.running || c.crashed {
--- a/core/share/sim/exchange.go
+++ b/core/share/sim/exchange.go
@@ -18,6 +18,7 @@
 
 // bank holds the shares of one workspace's bound.
 type bank struct {
+	// balance is the part of the bound that no entry has.
 	balance float64
 	shares  [Entries]float64
 	inUse   [Entries]int
--- a/core/share/sim/homes.go
+++ b/core/share/sim/homes.go
@@ -9,7 +9,7 @@
 	"acaciawinch/core/share"
 )
 
-// homes is the strategy of core/share: permits from the homes of bounds.
+// homes is the strategy of core/share: entries acquire permits from the homes of parts.
 type homes struct {
 	s *simulation
 	// byRegion holds the homes from the view of each region.
--- a/core/share/sim/sim_test.go
+++ b/core/share/sim/sim_test.go
@@ -20,9 +20,9 @@
 		if c.Partition || c.Restart {
 			length = 22 * time.Second
 		}
-		f := sim.Run(c, length, seed)
-		t.Logf("%s: %+v", c.Name, f)
-		return f
+		figures := sim.Run(c, length, seed)
+		t.Logf("%s: %+v", c.Name, figures)
+		return figures
 	}
 	evenSplit := run(sim.EvenSplit())
 	exchange := run(sim.Exchange("exchange", time.Second, 0))
@@ -47,22 +47,22 @@
 func BenchmarkLimits(b *testing.B) {
 	for _, c := range sim.Cases() {
 		b.Run(c.Name, func(b *testing.B) {
-			var f sim.Figures
+			var figures sim.Figures
 			for b.Loop() {
-				f = sim.Run(c, time.Minute, seed)
+				figures = sim.Run(c, time.Minute, seed)
 			}
-			b.ReportMetric(100*f.WrongQuiet, "%wrong-quiet")
-			b.ReportMetric(100*f.WrongBusy, "%wrong-busy")
-			b.ReportMetric(f.Over, "over")
-			b.ReportMetric(f.OverFlood, "over-flood")
-			b.ReportMetric(100*f.OverTime, "%over-time")
-			b.ReportMetric(f.UsedFlood, "used-flood")
-			b.ReportMetric(f.Calls, "calls/s")
-			b.ReportMetric(f.Bytes, "B/s")
-			b.ReportMetric(f.BusiestHome, "B/s-busiest-home")
-			b.ReportMetric(f.OneHome, "calls/s-one-home")
-			b.ReportMetric(float64(f.WaitP50.Microseconds())/1000, "wait-p50-ms")
-			b.ReportMetric(float64(f.WaitP99.Microseconds())/1000, "wait-p99-ms")
+			b.ReportMetric(100*figures.WrongQuiet, "%wrong-quiet")
+			b.ReportMetric(100*figures.WrongBusy, "%wrong-busy")
+			b.ReportMetric(figures.Over, "over")
+			b.ReportMetric(figures.OverFlood, "over-flood")
+			b.ReportMetric(100*figures.OverTime, "%over-time")
+			b.ReportMetric(figures.UsedFlood, "used-flood")
+			b.ReportMetric(figures.Calls, "calls/s")
+			b.ReportMetric(figures.Bytes, "B/s")
+			b.ReportMetric(figures.BusiestHome, "B/s-busiest-home")
+			b.ReportMetric(figures.OneHome, "calls/s-one-home")
+			b.ReportMetric(float64(figures.WaitP50.Microseconds())/1000, "wait-p50-ms")
+			b.ReportMetric(float64(figures.WaitP99.Microseconds())/1000, "wait-p99-ms")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
--- a/core/share/sim/tally.go
+++ b/core/share/sim/tally.go
@@ -7,13 +7,19 @@
 
 // counters holds the statistics of a simulation. All but arrivals exclude the warm-up.
 type counters struct {
-	arrivals                      int
+	arrivals int
+	// quiet, busy and flood count the arrivals of workspaces with the smallest bound, of
+	// those with larger bounds, and of the flooding workspace. overBound counts the
+	// arrivals at which the workspace was beyond its bound.
 	quiet, busy, flood, overBound int
-	wrongQuiet, wrongBusy         int
-	over, overFlood, usedFlood    float64
-	callCount                     int
-	bytes, servedBytes            [Entries]int
-	waits                         []time.Duration
+	// wrongQuiet and wrongBusy count the refusals of workspaces within their bounds.
+	wrongQuiet, wrongBusy int
+	// over and overFlood are the highest ratios of requests in flight to the bound, and
+	// usedFlood the sum of these ratios at the arrivals of the flooding workspace.
+	over, overFlood, usedFlood float64
+	callCount                  int
+	bytes, servedBytes         [Entries]int
+	waits                      []time.Duration
 }
 
 // measuring reports whether the warm-up is over.
@@ -27,14 +33,14 @@
 	if s.load(r) > 1 {
 		s.counters.overBound++
 	}
-	switch t := &s.counters; {
+	switch counters := &s.counters; {
 	case r.workspace == floodingRank:
-		t.flood++
-		t.usedFlood += s.load(r)
+		counters.flood++
+		counters.usedFlood += s.load(r)
 	case s.bounds[r.workspace] == smallBound:
-		t.quiet++
+		counters.quiet++
 	default:
-		t.busy++
+		counters.busy++
 	}
 }
 
@@ -59,12 +65,12 @@
 	if !s.measuring() || s.load(r) >= 1 {
 		return
 	}
-	switch t := &s.counters; {
+	switch counters := &s.counters; {
 	case r.workspace == floodingRank:
 	case s.bounds[r.workspace] == smallBound:
-		t.wrongQuiet++
+		counters.wrongQuiet++
 	default:
-		t.wrongBusy++
+		counters.wrongBusy++
 	}
 }
 
@@ -94,37 +100,37 @@
 
 // figures returns the results of the simulation.
 func (s *simulation) figures() Figures {
-	t := &s.counters
+	counters := &s.counters
 	measured := (s.now.Sub(s.start) - warmUp).Seconds()
 	totalBytes, busiest := 0, 0
-	for _, bytes := range t.bytes {
+	for _, bytes := range counters.bytes {
 		totalBytes += bytes
 	}
-	for _, bytes := range t.servedBytes {
+	for _, bytes := range counters.servedBytes {
 		busiest = max(busiest, bytes)
 	}
 	mostCalls := 0
 	for _, calls := range s.calls {
 		mostCalls = max(mostCalls, calls)
 	}
-	f := Figures{
-		WrongQuiet:  ratio(t.wrongQuiet, t.quiet),
-		WrongBusy:   ratio(t.wrongBusy, t.busy),
-		Over:        t.over,
-		OverTime:    ratio(t.overBound, t.quiet+t.busy+t.flood),
-		OverFlood:   t.overFlood,
-		UsedFlood:   t.usedFlood / float64(max(t.flood, 1)),
-		Calls:       float64(t.callCount) / measured / Entries,
+	figures := Figures{
+		WrongQuiet:  ratio(counters.wrongQuiet, counters.quiet),
+		WrongBusy:   ratio(counters.wrongBusy, counters.busy),
+		Over:        counters.over,
+		OverTime:    ratio(counters.overBound, counters.quiet+counters.busy+counters.flood),
+		OverFlood:   counters.overFlood,
+		UsedFlood:   counters.usedFlood / float64(max(counters.flood, 1)),
+		Calls:       float64(counters.callCount) / measured / Entries,
 		Bytes:       float64(totalBytes) / measured / Entries,
 		BusiestHome: float64(busiest) / measured,
 		OneHome:     float64(mostCalls) / s.now.Sub(s.start).Seconds(),
 	}
-	if len(t.waits) > 0 {
-		slices.Sort(t.waits)
-		f.WaitP50 = t.waits[len(t.waits)/2]
-		f.WaitP99 = t.waits[len(t.waits)*99/100]
+	if len(counters.waits) > 0 {
+		slices.Sort(counters.waits)
+		figures.WaitP50 = counters.waits[len(counters.waits)/2]
+		figures.WaitP99 = counters.waits[len(counters.waits)*99/100]
 	}
-	return f
+	return figures
 }
 
 // ratio returns part divided by whole, or 0 if whole is 0.
