--- a/core/placement/input.go
+++ b/core/placement/input.go
@@ -7,7 +7,8 @@
 	"acaciawinch/core/config"
 )
 
-// Engine is a proposer's view of one model engine that takes part in placement.
+// Engine is a proposer's view of one model engine that takes part in placement, that is,
+// to which models may be assigned.
 type Engine struct {
 	Upstream core.UpstreamID
 	Service  string
--- a/core/placement/lease.go
+++ b/core/placement/lease.go
@@ -39,13 +39,18 @@
 	term    uint64
 	renewal uint64
 
+	// seenVersion is the last version of the lease object that the process has seen, and
+	// seenAt the time at which it first saw that version; seen is set after the first read.
 	seenVersion uint64
 	seenAt      time.Duration
 	seen        bool
-	// heldSince is the time before the latest write that acquired or renewed the lease.
+	// held is set from the acquisition of the lease until the process learns that it no
+	// longer holds it. heldSince is the time just before the latest write that acquired or
+	// renewed the lease; the lease is held for at most ttl after it.
 	held      bool
 	heldSince time.Duration
-	// unconfirmedAt is the time before the first write whose result is unknown.
+	// unconfirmed is set while the result of a write is unknown, and unconfirmedAt is the
+	// time just before the first such write.
 	unconfirmed   bool
 	unconfirmedAt time.Duration
 	// needsPlan is set from the acquisition of the lease until the first plan is written.
@@ -61,7 +66,7 @@
 // Absent records that a read at now found no lease object, and returns the write to make.
 func (l *Lease) Absent(now time.Duration) LeaseStep {
 	l.drop()
-	return LeaseStep{Write: true, Record: l.next()}
+	return LeaseStep{Write: true, Record: l.nextRecord()}
 }
 
 // Found records the lease object found by a read at now, and returns the write to make.
@@ -73,13 +78,13 @@
 	}
 	if record.Term == l.term {
 		l.readBack(record)
-		return LeaseStep{Write: true, Record: l.next(), Version: version}
+		return LeaseStep{Write: true, Record: l.nextRecord(), Version: version}
 	}
 	l.drop()
 	if record.Holder != "" && now-l.seenAt < l.ttl {
 		return LeaseStep{}
 	}
-	return LeaseStep{Write: true, Record: l.next(), Version: version}
+	return LeaseStep{Write: true, Record: l.nextRecord(), Version: version}
 }
 
 // readBack records that the lease object has the process's own term. If the response to
@@ -138,20 +143,20 @@
 	return LeaseStep{Write: true, Record: LeaseRecord{Term: l.term}, Version: l.seenVersion}
 }
 
-// next returns the record of the next renewal.
-func (l *Lease) next() LeaseRecord {
+// nextRecord returns the record to write next to acquire or renew the lease.
+func (l *Lease) nextRecord() LeaseRecord {
 	l.renewal++
 	return LeaseRecord{Holder: l.self, Term: l.term, Renewal: l.renewal}
 }
 
-// acquire records that the lease is held since now.
+// acquire records that the process holds the lease, from now on.
 func (l *Lease) acquire(now time.Duration) {
 	l.held = true
 	l.needsPlan = true
 	l.heldSince = now
 }
 
-// drop records that the lease is not held.
+// drop records that the process does not hold the lease.
 func (l *Lease) drop() {
 	l.held = false
 	l.needsPlan = false
--- a/core/placement/plan.go
+++ b/core/placement/plan.go
@@ -1,8 +1,9 @@
-// Package placement decides which engine holds which model version. A proposer derives
-// the next plan from the models loaded on the engines, the current plan and the
-// configured models. A lease selects the proposer, but only to avoid duplicate work. The
-// plan is one object that is written by conditional updates, and the version of that
-// object is the fencing token of the orders that follow from the plan.
+// Package placement decides which engine holds which model version. A proposer, which is
+// an entry that plans, derives the next plan from the models loaded on the engines, the
+// current plan and the configured models. A lease selects the proposer, but only to avoid
+// duplicate work. The plan is one object that is written by conditional updates, and the
+// version of that object is the fencing token of the orders to load and unload models
+// that follow from the plan.
 package placement
 
 import (
--- a/core/placement/target.go
+++ b/core/placement/target.go
@@ -21,14 +21,14 @@
 	var assignments []Assignment
 	models := f.models()
 	for _, model := range models {
-		assignments = append(assignments, f.kept(model)...)
+		assignments = append(assignments, f.keptAssignments(model)...)
 	}
 	for _, a := range assignments {
 		f.assigned[a.Upstream]++
 	}
 	var decisions []Decision
 	for _, model := range models {
-		added, reasons := f.added(model, assignments)
+		added, reasons := f.missingAssignments(model, assignments)
 		assignments = append(assignments, added...)
 		decisions = append(decisions, reasons...)
 	}
@@ -42,10 +42,10 @@
 	})
 }
 
-// kept returns the current assignments of a model that stay. If there are more than
-// wanted, those that are not loaded are removed first, then those in the zone with the
-// most replicas.
-func (f *fleet) kept(model config.Model) []Assignment {
+// keptAssignments returns the current assignments of a model that stay. If there are more
+// than wanted, those that are not loaded are removed first, then those in the zone with
+// the most replicas.
+func (f *fleet) keptAssignments(model config.Model) []Assignment {
 	var kept []Assignment
 	for _, a := range f.input.Current.Assignments {
 		if f.canKeep(model, a) && !slices.Contains(kept, a) {
@@ -67,7 +67,7 @@
 	return ok && wanted && !f.stuck(a)
 }
 
-// leastUseful returns the index of the assignment to remove first.
+// leastUseful returns the index of the assignment of kept that is to be removed first.
 func (f *fleet) leastUseful(kept []Assignment) int {
 	zones := f.countByZone(kept)
 	worst := 0
@@ -92,9 +92,10 @@
 	return zones
 }
 
-// added returns assignments for the replicas of a model that are missing in the given
-// assignments.
-func (f *fleet) added(model config.Model, assignments []Assignment) ([]Assignment, []Decision) {
+// missingAssignments returns assignments for the replicas of a model that the given
+// assignments lack, and a decision for each. If no engine has capacity for a replica, a
+// decision with ActionShort says so.
+func (f *fleet) missingAssignments(model config.Model, assignments []Assignment) ([]Assignment, []Decision) {
 	wanted := ModelVersion{Model: model.Name, Version: model.Version}
 	existing := slices.DeleteFunc(slices.Clone(assignments), func(a Assignment) bool {
 		return a.Assigned() != wanted || f.engines[a.Upstream].Service != model.Service
--- a/core/placement/wave.go
+++ b/core/placement/wave.go
@@ -19,9 +19,9 @@
 	}
 	target, decisions := newFleet(in).target()
 	w := newWave(in, target)
-	w.keep()
-	w.load()
-	w.retain()
+	w.keepTargeted()
+	w.addMissing()
+	w.keepUntilReplaced()
 	decisions = w.explain(decisions)
 	slices.SortFunc(w.next, compareAssignments)
 	changed := !sameAssignments(w.next, in.Current.Assignments)
@@ -34,13 +34,17 @@
 	return plan, decisions, changed
 }
 
-// wave is one step from the current plan towards the target.
+// wave is one step from the current plan towards the target. An assignment serves if its
+// engine has the model version loaded.
 type wave struct {
 	*fleet
+	// target holds the assignments to reach eventually, and next those of the next plan.
 	target []Assignment
 	next   []Assignment
-	// loads counts the assignments of next that are not loaded.
-	loads    int
+	// loads counts the unfinished loads: the assignments of next that are not loaded, and
+	// the abandoned loads.
+	loads int
+	// deferred holds the assignments of the target whose loads must wait for a later wave.
 	deferred []Assignment
 }
 
@@ -58,8 +62,8 @@
 	}
 }
 
-// keep adds the assignments that are in the current plan and in the target.
-func (w *wave) keep() {
+// keepTargeted adds the assignments that are in the current plan and in the target.
+func (w *wave) keepTargeted() {
 	for _, a := range w.target {
 		if slices.Contains(w.input.Current.Assignments, a) {
 			w.add(a)
@@ -81,10 +85,10 @@
 	return count
 }
 
-// load adds the assignments that are in the target but not in the current plan, as far as
+// addMissing adds the assignments that are in the target but not in the current plan, as far as
 // the limit on concurrent loads allows. Those that are loaded already don't count towards
 // the limit.
-func (w *wave) load() {
+func (w *wave) addMissing() {
 	w.loads += w.abandonedLoads()
 	for _, a := range w.target {
 		if slices.Contains(w.next, a) {
@@ -98,24 +102,24 @@
 	}
 }
 
-// retain adds the assignments that are in the current plan and serve but are not in the
-// target, as long as not all of the target's replicas of the model serve and the engine
-// has capacity left. They are loaded already and need no load.
-func (w *wave) retain() {
+// keepUntilReplaced adds the assignments that are in the current plan and serve but are
+// not in the target, as long as not all of the target's replicas of the model serve and
+// the engine has capacity left. They need no load.
+func (w *wave) keepUntilReplaced() {
 	for _, a := range w.input.Current.Assignments {
 		if slices.Contains(w.next, a) || !w.loaded(a) {
 			continue
 		}
-		if w.replaced(a) || w.full(a.Upstream) {
+		if w.targetServes(a) || w.full(a.Upstream) {
 			continue
 		}
 		w.add(a)
 	}
 }
 
-// replaced reports whether all of the target's replicas of a model serve, in any version.
-// It is true for a model without replicas in the target.
-func (w *wave) replaced(a Assignment) bool {
+// targetServes reports whether all of the target's replicas of the assignment's model
+// serve, in whichever version. It is true for a model without replicas in the target.
+func (w *wave) targetServes(a Assignment) bool {
 	for _, want := range w.target {
 		if want.Model == a.Model && !w.loaded(want) {
 			return false
@@ -124,8 +128,8 @@
 	return true
 }
 
-// explain returns the decisions of this wave: planned decisions, with the loads that are
-// deferred marked as such, and drops.
+// explain returns the decisions of this wave: the planned ones, in which deferred loads
+// are marked as such, and a drop for each assignment that the next plan lacks.
 func (w *wave) explain(planned []Decision) []Decision {
 	var decisions []Decision
 	for _, d := range planned {
@@ -151,7 +155,7 @@
 		return "the engine is leaving, drained or gone"
 	case w.stuck(a):
 		return "the load took too long"
-	case w.replaced(a):
+	case w.targetServes(a):
 		return "its replacements serve, or the model is not wanted"
 	case !w.loaded(a):
 		return "it is not loaded and not wanted here"
