--- a/core/config/accept/action.go
+++ b/core/config/accept/action.go
@@ -8,7 +8,7 @@
 	case stateReading:
 		return Action{Kind: ActionGet, Key: config.HeadKey}
 	case stateChecking:
-		return readPart(m.missing()[0])
+		return readPart(m.missingParts()[0])
 	case stateWriting:
 		return m.nextWrite()
 	case stateAccepting:
@@ -36,7 +36,7 @@
 	var actions []Action
 	switch m.state.State() {
 	case stateChecking:
-		for _, hash := range m.missing() {
+		for _, hash := range m.missingParts() {
 			actions = append(actions, readPart(hash))
 		}
 	case stateWriting:
--- a/core/config/accept/machine.go
+++ b/core/config/accept/machine.go
@@ -22,21 +22,21 @@
 
 // The chart's events.
 const (
-	eventHeadRead     chart.Event = "head_read"
-	eventValid        chart.Event = "valid"
-	eventNothingNew   chart.Event = "nothing_new"
-	eventInvalid      chart.Event = "invalid"
-	eventOverlap      chart.Event = "overlap"
-	eventPartsWritten chart.Event = "parts_written"
-	eventWritten      chart.Event = "written"
-	eventUnsettled    chart.Event = "unsettled"
-	eventOwnChange    chart.Event = "own_change"
-	eventUnmoved      chart.Event = "unmoved"
-	eventOtherChange  chart.Event = "other_change"
-	eventOvertaken    chart.Event = "overtaken"
-	eventStoreDown    chart.Event = "store_down"
-	eventAmbiguous    chart.Event = "ambiguous"
-	eventBroken       chart.Event = "broken"
+	eventHeadRead      chart.Event = "head_read"
+	eventValid         chart.Event = "valid"
+	eventNothingNew    chart.Event = "nothing_new"
+	eventInvalid       chart.Event = "invalid"
+	eventOverlap       chart.Event = "overlap"
+	eventPartsWritten  chart.Event = "parts_written"
+	eventWritten       chart.Event = "written"
+	eventUnsettled     chart.Event = "unsettled"
+	eventOwnChange     chart.Event = "own_change"
+	eventHeadUnchanged chart.Event = "unmoved"
+	eventOtherChange   chart.Event = "other_change"
+	eventOvertaken     chart.Event = "overtaken"
+	eventStoreDown     chart.Event = "store_down"
+	eventAmbiguous     chart.Event = "ambiguous"
+	eventBroken        chart.Event = "broken"
 )
 
 // outcomes maps the chart's final states to the outcomes reported to the operator.
@@ -70,10 +70,10 @@
 	currentHead config.Head
 	headVersion uint64
 
-	// nextHead is the head to be written, mine the operator's change relative to base,
-	// and pendingParts the parts that are still to be written.
+	// nextHead is the head to be written, ownChange the operator's change relative to
+	// base, and pendingParts the parts that are still to be written.
 	nextHead     config.Head
-	mine         config.Change
+	ownChange    config.Change
 	pendingParts []config.Part
 	// copyWritten is set once the copy of nextHead is written. touching is set while
 	// the first of pendingParts, which already exists, is being touched; foundVersion
@@ -111,7 +111,7 @@
 func (m *Machine) Handle(reply Reply) {
 	state := m.state.State()
 	if state == stateAccepting {
-		m.headUpdated(reply)
+		m.handleHeadUpdated(reply)
 		return
 	}
 	if retryable(reply.Code) {
@@ -121,13 +121,13 @@
 	m.failures = 0
 	switch state {
 	case stateReading:
-		m.headRead(reply)
+		m.handleHeadRead(reply)
 	case stateChecking:
-		m.partRead(reply)
+		m.handlePartRead(reply)
 	case stateWriting:
-		m.writeDone(reply)
+		m.handleWrite(reply)
 	case stateConfirming:
-		m.confirm(reply)
+		m.handleConfirmation(reply)
 	}
 }
 
@@ -193,8 +193,8 @@
 	}
 }
 
-// writeDone handles the reply to the write of the head's copy, or to a call on a part.
-func (m *Machine) writeDone(reply Reply) {
+// handleWrite handles the reply to the write of the head's copy, or to a call on a part.
+func (m *Machine) handleWrite(reply Reply) {
 	switch {
 	case reply.Code == fault.Invalid, reply.Code == fault.NotFound && !m.touching:
 		m.failProtocol("the store refused %s: %s", m.nextWrite().Key, reply.Detail)
@@ -204,21 +204,21 @@
 		// has its change id.
 		m.copyWritten = true
 	case !m.touching:
-		m.partCreated(reply)
+		m.handlePartCreated(reply)
 	case m.foundVersion == 0:
-		m.partVersionRead(reply)
+		m.handlePartVersion(reply)
 	default:
-		m.partTouched(reply)
+		m.handlePartTouched(reply)
 	}
 	if m.copyWritten && len(m.pendingParts) == 0 {
 		m.fire(eventPartsWritten, "")
 	}
 }
 
-// partCreated handles the reply to the creation of a part. Conflict means that the
+// handlePartCreated handles the reply to the creation of a part. Conflict means that the
 // part exists, with the same content because its key is the content's hash; it must
 // be touched.
-func (m *Machine) partCreated(reply Reply) {
+func (m *Machine) handlePartCreated(reply Reply) {
 	if reply.Code == fault.Conflict {
 		m.touching = true
 		return
@@ -226,9 +226,9 @@
 	m.nextPart()
 }
 
-// partVersionRead handles the reply to the read of an existing part's version.
+// handlePartVersion handles the reply to the read of an existing part's version.
 // NotFound means that the part was removed in the meantime: it is created again.
-func (m *Machine) partVersionRead(reply Reply) {
+func (m *Machine) handlePartVersion(reply Reply) {
 	if reply.Code == fault.NotFound {
 		m.touching = false
 		return
@@ -236,16 +236,17 @@
 	m.foundVersion = reply.Version
 }
 
-// partTouched handles the reply to the touch of a part. Unless it succeeded, the part
-// may have been removed, or touched by another run: it is created or touched again.
-func (m *Machine) partTouched(reply Reply) {
+// handlePartTouched handles the reply to the touch of a part. Unless the touch succeeded,
+// the part may have been removed, or touched by another run: it is created or touched
+// again.
+func (m *Machine) handlePartTouched(reply Reply) {
 	m.foundVersion, m.touching = 0, false
 	if reply.Code == "" {
 		m.nextPart()
 	}
 }
 
-// nextPart goes on to the next part.
+// nextPart removes the first of the pending parts, which is written now.
 func (m *Machine) nextPart() {
 	m.pendingParts = m.pendingParts[1:]
 }
@@ -254,6 +255,6 @@
 // the event.
 func (m *Machine) endAccepted(event chart.Event) {
 	m.result.Revision = m.nextHead.Revision
-	m.result.Items = m.mine.Items()
+	m.result.Items = m.ownChange.Items()
 	m.fire(event, "")
 }
--- a/core/config/accept/merge.go
+++ b/core/config/accept/merge.go
@@ -8,9 +8,9 @@
 	"acaciawinch/core/fault"
 )
 
-// headRead handles the reply to the read of the head in force and starts to load the
-// parts that the merge needs.
-func (m *Machine) headRead(reply Reply) {
+// handleHeadRead handles the reply to the read of the head in force, and starts to load
+// the parts that the merge needs.
+func (m *Machine) handleHeadRead(reply Reply) {
 	head, version, ok := m.parseHead(reply)
 	if !ok {
 		return
@@ -38,7 +38,7 @@
 	m.result.Base = head.Revision
 }
 
-// reusable returns the snapshot whose loaded parts can be reused.
+// reusable returns the snapshot whose loaded parts a new snapshot can share.
 func (m *Machine) reusable() *config.Snapshot {
 	if m.current != nil {
 		return m.current
@@ -48,15 +48,16 @@
 
 // mergeIfLoaded merges the change once no part is missing.
 func (m *Machine) mergeIfLoaded() {
-	if len(m.missing()) == 0 {
+	if len(m.missingParts()) == 0 {
 		m.merge()
 	}
 }
 
-// missing returns the hashes of the unloaded parts that the merge needs: the templates
-// and the touched shards of base and head. If templates or models change, it also
-// needs every workspace of the head, to validate them against the change.
-func (m *Machine) missing() []string {
+// missingParts returns the hashes of the parts that the merge needs and that are not
+// loaded. The merge needs the templates and the touched shards of base and head. If
+// templates or models change, it also needs every workspace of the head, to validate
+// them against the change.
+func (m *Machine) missingParts() []string {
 	var hashes []string
 	need := func(hash string) {
 		if hash != "" && !slices.Contains(hashes, hash) {
@@ -77,9 +78,9 @@
 	return hashes
 }
 
-// partRead handles the reply to the read of a part that the merge needs.
-func (m *Machine) partRead(reply Reply) {
-	hash := m.missing()[0]
+// handlePartRead handles the reply to the read of a part that the merge needs.
+func (m *Machine) handlePartRead(reply Reply) {
+	hash := m.missingParts()[0]
 	if reply.Code == fault.NotFound {
 		m.failProtocol("part %s does not exist: the revision that the change is based on is no longer kept; redo the change on a later revision", hash)
 		return
@@ -108,29 +109,30 @@
 	*snapshot = loaded
 }
 
-// merge applies the change to the head in force by a three-way merge of base, mine and
-// theirs. An item that only one side touched is taken from that side.
+// merge applies the change to the head in force by a three-way merge: of the base, this
+// operator's change, and the changes that others made since the base. An item that only
+// one side touched is taken from that side.
 func (m *Machine) merge() {
 	if problems := m.request.Change.ValidateUnique(); len(problems) > 0 {
 		m.result.Problems = problems
 		m.fire(eventInvalid, "the change puts an item more than once")
 		return
 	}
-	m.mine = config.Compare(m.base, m.base.Change(m.request.Change, m.base.Revision(), m.request.ChangeID))
-	theirs := config.Compare(m.base, m.current)
-	if overlap := config.Overlap(m.mine, theirs); len(overlap) > 0 {
+	m.ownChange = config.Compare(m.base, m.base.Change(m.request.Change, m.base.Revision(), m.request.ChangeID))
+	otherChanges := config.Compare(m.base, m.current)
+	if overlap := config.Overlap(m.ownChange, otherChanges); len(overlap) > 0 {
 		m.result.Items = overlap
 		m.endInConflict("these items were changed differently since revision %d", m.base.Revision())
 		return
 	}
-	next := m.current.Change(m.mine, m.current.Revision()+1, m.request.ChangeID)
+	next := m.current.Change(m.ownChange, m.current.Revision()+1, m.request.ChangeID)
 	if next.Digest() == m.current.Digest() {
 		m.result.Revision = m.current.Revision()
 		m.fire(eventNothingNew, "")
 		return
 	}
 	if problems := next.Validate(); len(problems) > 0 {
-		m.endInvalid(problems, theirs)
+		m.endInvalid(problems, otherChanges)
 		return
 	}
 	m.startWriting(next)
@@ -145,14 +147,14 @@
 
 // endInvalid ends the run because the merged configuration violates rules. It is a
 // conflict if the change is valid on its base and others changed something since.
-func (m *Machine) endInvalid(problems []config.Problem, theirs config.Change) {
+func (m *Machine) endInvalid(problems []config.Problem, otherChanges config.Change) {
 	m.result.Problems = problems
-	alone := m.base.Change(m.mine, m.base.Revision(), m.request.ChangeID)
+	alone := m.base.Change(m.ownChange, m.base.Revision(), m.request.ChangeID)
 	if m.current.Revision() == m.base.Revision() || len(alone.Validate()) > 0 {
 		m.fire(eventInvalid, "the configuration would violate rules")
 		return
 	}
-	m.result.Items = theirs.Items()
+	m.result.Items = otherChanges.Items()
 	m.endInConflict("together with the changes since revision %d the configuration would violate rules", m.base.Revision())
 }
 
--- a/core/config/accept/settle.go
+++ b/core/config/accept/settle.go
@@ -5,9 +5,9 @@
 	"acaciawinch/core/fault"
 )
 
-// headUpdated handles the reply to an update of the head. Unless the update succeeded,
-// the head is read next to find out whether it took effect.
-func (m *Machine) headUpdated(reply Reply) {
+// handleHeadUpdated handles the reply to an update of the head. Unless the update
+// succeeded, the head is read next to find out whether the update took effect.
+func (m *Machine) handleHeadUpdated(reply Reply) {
 	m.headUpdates++
 	m.failures = 0
 	switch reply.Code {
@@ -28,10 +28,11 @@
 	m.fire(eventUnsettled, "")
 }
 
-// confirm handles the reply to the read of the head, or of one of the older copies.
-func (m *Machine) confirm(reply Reply) {
+// handleConfirmation handles the reply to a read by which the run finds out whether its
+// update took effect: of the head, or of one of the older copies.
+func (m *Machine) handleConfirmation(reply Reply) {
 	if m.cursor != config.HeadKey {
-		m.copyRead(reply)
+		m.handleCopyRead(reply)
 		return
 	}
 	head, version, ok := m.parseHead(reply)
@@ -51,7 +52,7 @@
 		m.giveUp("the head could not be updated")
 		return
 	}
-	m.fire(eventUnmoved, "")
+	m.fire(eventHeadUnchanged, "")
 }
 
 // findOwnChange compares a head of the chain with this run's change, and goes on to
@@ -73,8 +74,8 @@
 	}
 }
 
-// copyRead handles the reply to the read of an older copy of a head.
-func (m *Machine) copyRead(reply Reply) {
+// handleCopyRead handles the reply to the read of an older copy of a head.
+func (m *Machine) handleCopyRead(reply Reply) {
 	m.copiesRead++
 	head, err := config.DecodeHead(reply.Value)
 	if reply.Code != "" || err != nil {
@@ -88,9 +89,9 @@
 	m.findOwnChange(head)
 }
 
-// rebase restarts the change on the new head. Another change has this run's revision,
-// or a removal of old objects updated the head, so the update on the old version can't
-// take effect any more.
+// rebase restarts the change on the new head. The update on the old version can't take
+// effect any more: another change has this run's revision, or a removal of old objects
+// updated the head.
 func (m *Machine) rebase() {
 	m.unsettled = false
 	m.headUpdates = 0
--- a/core/config/change.go
+++ b/core/config/change.go
@@ -63,7 +63,7 @@
 	return c.TouchesTemplates() || len(c.Drain)+len(c.Undrain) > 0
 }
 
-// templates returns the shared part with the change applied.
+// templates returns t, the part that all workspaces share, with the change applied.
 func (c Change) templates(t Templates) Templates {
 	return Templates{
 		Templates: merge(t.Templates, c.PutTemplates, c.RemoveTemplates, func(x Template) string { return x.Name }),
@@ -72,7 +72,8 @@
 	}
 }
 
-// merge returns values without the removed and replaced ones, followed by put.
+// merge returns values without those whose key is in removed or that put replaces,
+// followed by put.
 func merge[T any](values, put []T, removed []string, key func(T) string) []T {
 	gone := map[string]bool{}
 	for _, name := range removed {
@@ -90,6 +91,7 @@
 	return append(merged, put...)
 }
 
+// modelKeys returns the keys of models.
 func modelKeys(models []Model) []string {
 	keys := make([]string, len(models))
 	for i, m := range models {
@@ -133,20 +135,21 @@
 	return c
 }
 
-// compareTemplates adds the differences in the shared part.
+// compareTemplates adds the differences between two versions of the part that all
+// workspaces share.
 func (c *Change) compareTemplates(from, to Templates) {
 	templateName := func(t Template) string { return t.Name }
 	self := func(name string) string { return name }
-	c.PutTemplates = added(from.Templates, to.Templates, templateName)
-	c.RemoveTemplates = keys(absent(from.Templates, to.Templates, templateName), templateName)
-	c.PutModels = added(from.Models, to.Models, Model.Key)
-	c.RemoveModels = absent(from.Models, to.Models, Model.Key)
-	c.Drain = added(from.Drained, to.Drained, self)
-	c.Undrain = absent(from.Drained, to.Drained, self)
+	c.PutTemplates = addedOrChanged(from.Templates, to.Templates, templateName)
+	c.RemoveTemplates = keysOf(removedValues(from.Templates, to.Templates, templateName), templateName)
+	c.PutModels = addedOrChanged(from.Models, to.Models, Model.Key)
+	c.RemoveModels = removedValues(from.Models, to.Models, Model.Key)
+	c.Drain = addedOrChanged(from.Drained, to.Drained, self)
+	c.Undrain = removedValues(from.Drained, to.Drained, self)
 }
 
-// added returns the values of to that from doesn't have or has with other content.
-func added[T any](from, to []T, key func(T) string) []T {
+// addedOrChanged returns the values of to that from lacks or has with other content.
+func addedOrChanged[T any](from, to []T, key func(T) string) []T {
 	var found []T
 	for _, value := range to {
 		old, ok := find(from, key(value), key)
@@ -157,8 +160,8 @@
 	return found
 }
 
-// absent returns the values of from whose key is not in to.
-func absent[T any](from, to []T, key func(T) string) []T {
+// removedValues returns the values of from whose key is not in to.
+func removedValues[T any](from, to []T, key func(T) string) []T {
 	var found []T
 	for _, value := range from {
 		if _, ok := find(to, key(value), key); !ok {
@@ -168,7 +171,8 @@
 	return found
 }
 
-func keys[T any](values []T, key func(T) string) []string {
+// keysOf returns the keys of values.
+func keysOf[T any](values []T, key func(T) string) []string {
 	var names []string
 	for _, value := range values {
 		names = append(names, key(value))
@@ -176,8 +180,8 @@
 	return names
 }
 
-// Prune returns c extended by the removal of every template, model and workspace of
-// s that c doesn't put.
+// Prune returns the change c extended by the removal of every template, model and
+// workspace of s that c doesn't put, so that only those that c puts remain.
 func (s *Snapshot) Prune(c Change) Change {
 	wanted := NewSnapshot(s.revision, s.changeID,
 		Templates{Templates: c.PutTemplates, Models: c.PutModels, Drained: s.templates.Drained}, c.PutWorkspaces)
--- a/core/config/delta.go
+++ b/core/config/delta.go
@@ -23,8 +23,8 @@
 	Digest uint64
 }
 
-// Diff returns the delta from one snapshot to another, both of which must be
-// loaded. From is nil for a receiver that has no configuration yet.
+// Diff returns the delta from one snapshot to another, all parts of which must be
+// loaded. The argument from is nil for a receiver that has no configuration yet.
 func Diff(from, to *Snapshot) Delta {
 	d := Delta{Revision: to.revision, ChangeID: to.changeID, Digest: to.Digest()}
 	if from == nil {
@@ -92,8 +92,8 @@
 	return &next, nil
 }
 
-// editWorkspaces replaces and removes workspaces in a snapshot that is not shared yet.
-// Only the shards that are touched are copied.
+// editWorkspaces puts and removes workspaces in a snapshot to which no other goroutine
+// has a reference yet. Only the shards that are touched are copied.
 func (s *Snapshot) editWorkspaces(put []Workspace, removed []string) {
 	edits := map[int]*shardEdit{}
 	editOf := func(name string) *shardEdit {
--- a/core/config/load.go
+++ b/core/config/load.go
@@ -2,8 +2,9 @@
 
 import "acaciawinch/core/fault"
 
-// NewUnloaded returns the snapshot that head describes. Parts that known, which may
-// be nil, has loaded under the same hashes are shared; all others are not loaded yet.
+// NewUnloaded returns the snapshot that head describes. It shares the parts that the
+// snapshot known has loaded under the same hashes; all others are not loaded yet. The
+// argument known may be nil.
 func NewUnloaded(head Head, known *Snapshot) *Snapshot {
 	s := &Snapshot{revision: head.Revision, changeID: head.ChangeID, templatesHash: head.Templates}
 	if known != nil && known.templatesLoaded && known.templatesHash == head.Templates {
--- a/core/config/overlap.go
+++ b/core/config/overlap.go
@@ -51,11 +51,11 @@
 
 // Overlap returns the items that both changes touch with different results. Two
 // operators who make the same edit to an item don't conflict.
-func Overlap(mine, theirs Change) []Item {
-	theirEdits := theirs.edits()
+func Overlap(own, other Change) []Item {
+	otherEdits := other.edits()
 	var items []Item
-	for item, content := range mine.edits() {
-		if theirContent, touched := theirEdits[item]; touched && theirContent != content {
+	for item, content := range own.edits() {
+		if otherContent, touched := otherEdits[item]; touched && otherContent != content {
 			items = append(items, item)
 		}
 	}
@@ -63,6 +63,7 @@
 	return items
 }
 
+// sortItems sorts items by kind and name.
 func sortItems(items []Item) {
 	slices.SortFunc(items, func(a, b Item) int {
 		return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name))
--- a/core/config/retention/batch.go
+++ b/core/config/retention/batch.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// versionRead handles the reply to the read of a part's version.
-func (m *Machine) versionRead(reply Reply) {
+// handleVersionRead handles the reply to the read of a part's version.
+func (m *Machine) handleVersionRead(reply Reply) {
 	switch reply.Code {
 	case "":
 		m.parts = append(m.parts, part{m.unreadHashes[0], reply.Version})
@@ -46,10 +46,10 @@
 	m.proceedIfVersionsRead()
 }
 
-// headUpdated handles the reply to the update of the head. Only success proves that
-// the head read in step 3 was in force until the update, and that Oldest is raised.
+// handleHeadUpdated handles the reply to the update of the head. Only success proves
+// that the head read in step 3 was in force until the update, and that Oldest is raised.
 // After an ambiguous update or a conflict the head and the new copies are read again.
-func (m *Machine) headUpdated(reply Reply) {
+func (m *Machine) handleHeadUpdated(reply Reply) {
 	switch reply.Code {
 	case "":
 		m.head, m.headVersion = m.raisedHead(), reply.Version
@@ -89,9 +89,9 @@
 	}
 }
 
-// partDeleted handles the reply to the deletion of a part. Conflict means that a
+// handlePartDeleted handles the reply to the deletion of a part. Conflict means that a
 // change touched the part; the copy of that change references it.
-func (m *Machine) partDeleted(reply Reply) {
+func (m *Machine) handlePartDeleted(reply Reply) {
 	switch reply.Code {
 	case "":
 		m.result.Parts++
@@ -106,9 +106,9 @@
 	m.proceedIfPartsDeleted()
 }
 
-// copyDeleted handles the reply to the deletion of a copy. After the last one of the
+// handleCopyDeleted handles the reply to the deletion of a copy. After the last one of the
 // batch it starts the next batch.
-func (m *Machine) copyDeleted(reply Reply) {
+func (m *Machine) handleCopyDeleted(reply Reply) {
 	switch reply.Code {
 	case "":
 		m.result.Copies++
--- a/core/config/retention/machine.go
+++ b/core/config/retention/machine.go
@@ -10,6 +10,7 @@
 	"acaciawinch/core/fault"
 )
 
+// Limits of one pass.
 const (
 	// listPage is the number of copies per listing call; each has some 6 kB in base64.
 	listPage = 20
@@ -18,9 +19,11 @@
 	maxHeadConflicts = 32
 )
 
-// step is a step of the protocol. The steps are numbered in the package comment.
+// step is a step of the protocol. The package comment numbers the steps of a batch.
 type step int
 
+// The steps of a pass. Those before stepReadVersions are made once, the others in each
+// batch.
 const (
 	stepReadHead step = iota
 	stepListCopies
@@ -108,17 +111,17 @@
 func (m *Machine) Handle(reply Reply) {
 	switch m.step {
 	case stepReadHead, stepRereadHead:
-		m.headRead(reply)
+		m.handleHeadRead(reply)
 	case stepListCopies, stepListNewCopies:
-		m.copiesListed(reply)
+		m.handleCopiesListed(reply)
 	case stepReadVersions:
-		m.versionRead(reply)
+		m.handleVersionRead(reply)
 	case stepUpdateHead:
-		m.headUpdated(reply)
+		m.handleHeadUpdated(reply)
 	case stepDeleteParts:
-		m.partDeleted(reply)
+		m.handlePartDeleted(reply)
 	case stepDeleteCopies:
-		m.copyDeleted(reply)
+		m.handleCopyDeleted(reply)
 	}
 }
 
@@ -128,12 +131,13 @@
 	m.end(Interrupted, string(call.Kind)+" "+call.Key+": "+string(reply.Code)+" "+reply.Detail)
 }
 
+// end ends the pass.
 func (m *Machine) end(outcome Outcome, detail string) {
 	m.result.Outcome, m.result.Detail, m.result.Oldest = outcome, detail, max(m.head.Oldest, 1)
 }
 
-// headRead handles the reply to a read of the head, whose parts must be kept.
-func (m *Machine) headRead(reply Reply) {
+// handleHeadRead handles the reply to a read of the head, whose parts must be kept.
+func (m *Machine) handleHeadRead(reply Reply) {
 	if m.step == stepReadHead && reply.Code == fault.NotFound {
 		m.end(Done, "there is no configuration")
 		return
@@ -168,9 +172,9 @@
 	}
 }
 
-// copiesListed handles a page of listed copies. A copy that can't be decoded is kept
-// and ends the pass, because the parts that it references are unknown.
-func (m *Machine) copiesListed(reply Reply) {
+// handleCopiesListed handles a page of listed copies. A copy that can't be decoded is
+// kept and ends the pass, because the parts that it references are unknown.
+func (m *Machine) handleCopiesListed(reply Reply) {
 	if reply.Code != "" {
 		m.interrupt(reply)
 		return
--- a/core/config/retention/policy.go
+++ b/core/config/retention/policy.go
@@ -36,9 +36,9 @@
 
 // nextBatch returns the number of copies in the next batch, and the first revision
 // after it. The copies must be in order of revision. The copies of one revision are
-// never divided, and a kept revision ends the batch, so that the kept revisions are
-// always the contiguous end of the chain. Copies below head.Oldest are removed
-// whatever their age, as an earlier pass has already stopped keeping them.
+// removed together, and the first revision that must be kept ends the batch, so that the
+// kept revisions are always the contiguous end of the chain. Copies below head.Oldest
+// are removed whatever their age, as an earlier pass has already stopped keeping them.
 func (p Policy) nextBatch(head config.Head, copies []headCopy, now time.Time) (int, core.Revision) {
 	count := 0
 	var cutoff core.Revision
--- a/core/config/snapshot.go
+++ b/core/config/snapshot.go
@@ -49,12 +49,14 @@
 	return s
 }
 
+// newShard returns a loaded shard of workspaces.
 func newShard(workspaces []Workspace) *Shard {
 	sorted := sortedBy(workspaces, workspaceName)
 	return &Shard{hash: encodeShard(sorted).Hash, loaded: true, workspaces: sorted}
 }
 
-// setTemplates replaces the templates. The snapshot must not be shared yet.
+// setTemplates replaces the templates. No other goroutine may have a reference to the
+// snapshot yet.
 func (s *Snapshot) setTemplates(templates Templates) {
 	s.templates = templates.Canonical()
 	s.templatesHash = encodeTemplates(s.templates).Hash
--- a/core/config/validate.go
+++ b/core/config/validate.go
@@ -53,7 +53,7 @@
 func ValidateDeclared(templates Templates, workspaces []Workspace) []Problem {
 	v := newValidator(templates)
 	v.checkShared()
-	v.checkUnique(SectionWorkspaces, keys(workspaces, workspaceName))
+	v.checkUnique(SectionWorkspaces, keysOf(workspaces, workspaceName))
 	for _, w := range workspaces {
 		v.checkWorkspace(w)
 	}
@@ -65,7 +65,7 @@
 func (c Change) ValidateUnique() []Problem {
 	v := newValidator(Templates{Templates: c.PutTemplates, Models: c.PutModels, Drained: c.Drain})
 	v.checkNamesUnique()
-	v.checkUnique(SectionWorkspaces, keys(c.PutWorkspaces, workspaceName))
+	v.checkUnique(SectionWorkspaces, keysOf(c.PutWorkspaces, workspaceName))
 	return v.problems
 }
 
@@ -80,8 +80,8 @@
 	section, name string
 }
 
-// newValidator returns a validator of the shared part and of workspaces that refer
-// to it.
+// newValidator returns a validator of the part that all workspaces share, and of
+// workspaces that refer to it.
 func newValidator(shared Templates) *validator {
 	v := &validator{declared: shared, templates: map[string]Template{}, models: map[string]bool{}}
 	for _, t := range shared.Templates {
@@ -93,32 +93,32 @@
 	return v
 }
 
-// setDeclaration sets the declaration that problems are recorded for.
+// setDeclaration sets the declaration for which problems are recorded from now on.
 func (v *validator) setDeclaration(section, name string) { v.section, v.name = section, name }
 
-// reject records a problem.
-func (v *validator) reject(key, format string, args ...any) {
+// addProblem records a problem.
+func (v *validator) addProblem(key, format string, args ...any) {
 	v.problems = append(v.problems, Problem{v.section, v.name, key, fmt.Sprintf(format, args...)})
 }
 
 // checkRange rejects a value that is not in the range from low to high, inclusive.
 func (v *validator) checkRange(key string, value, low, high int) {
 	if value < low || value > high {
-		v.reject(key, "must be %d to %d, is %d", low, high, value)
+		v.addProblem(key, "must be %d to %d, is %d", low, high, value)
 	}
 }
 
 // checkName rejects a text that is not a valid name.
 func (v *validator) checkName(key, text string) {
 	if !namePattern.MatchString(text) {
-		v.reject(key, "must be 1 to 63 lower-case letters, digits and hyphens, is %q", text)
+		v.addProblem(key, "must be 1 to 63 lower-case letters, digits and hyphens, is %q", text)
 	}
 }
 
 // checkModelName rejects a text that is not a valid model name or version.
 func (v *validator) checkModelName(key, text string) {
 	if !modelPattern.MatchString(text) {
-		v.reject(key, "must be 1 to 63 letters, digits, dots, underscores and hyphens, is %q", text)
+		v.addProblem(key, "must be 1 to 63 letters, digits, dots, underscores and hyphens, is %q", text)
 	}
 }
 
@@ -128,7 +128,7 @@
 	for i := 1; i < len(sorted); i++ {
 		if sorted[i] == sorted[i-1] && (i == 1 || sorted[i] != sorted[i-2]) {
 			v.setDeclaration(section, sorted[i])
-			v.reject("name", "stands twice")
+			v.addProblem("name", "stands twice")
 		}
 	}
 }
@@ -152,7 +152,7 @@
 // checkNamesUnique rejects templates, models and drained upstreams that are declared
 // more than once.
 func (v *validator) checkNamesUnique() {
-	v.checkUnique(SectionTemplates, keys(v.declared.Templates, func(t Template) string { return t.Name }))
+	v.checkUnique(SectionTemplates, keysOf(v.declared.Templates, func(t Template) string { return t.Name }))
 	v.checkUnique(SectionModels, modelKeys(v.declared.Models))
 	v.checkUnique(SectionDrained, v.declared.Drained)
 }
@@ -169,11 +169,12 @@
 	} {
 		if section.count > section.limit {
 			v.setDeclaration(section.name, "")
-			v.reject("", "%d are declared, at most %d are allowed", section.count, section.limit)
+			v.addProblem("", "%d are declared, at most %d are allowed", section.count, section.limit)
 		}
 	}
 }
 
+// checkModel checks the declaration of one model version.
 func (v *validator) checkModel(m Model) {
 	v.setDeclaration(SectionModels, m.Key())
 	v.checkModelName("name", m.Name)
@@ -187,6 +188,6 @@
 	size := len(encodeShard(shard.workspaces).Data)
 	if size > MaxShardBytes {
 		v.setDeclaration(SectionWorkspaces, shard.workspaces[0].Name)
-		v.reject("", "the %d workspaces of shard %d take %d bytes, at most %d are allowed", len(shard.workspaces), i, size, MaxShardBytes)
+		v.addProblem("", "the %d workspaces of shard %d take %d bytes, at most %d are allowed", len(shard.workspaces), i, size, MaxShardBytes)
 	}
 }
--- a/core/config/validate_stage.go
+++ b/core/config/validate_stage.go
@@ -2,30 +2,33 @@
 
 import "fmt"
 
+// checkTemplate checks one template and its stages.
 func (v *validator) checkTemplate(t Template) {
 	v.setDeclaration(SectionTemplates, t.Name)
 	v.checkName("name", t.Name)
 	v.checkRange("max_deadline_ms", t.MaxDeadlineMS, 1, MaxDeadlineMS)
 	v.checkRange("deadline_ms", t.DeadlineMS, 1, max(t.MaxDeadlineMS, 1))
 	if len(t.Stages) < MinStages || len(t.Stages) > MaxStages {
-		v.reject("stages", "must be %d to %d, are %d", MinStages, MaxStages, len(t.Stages))
+		v.addProblem("stages", "must be %d to %d, are %d", MinStages, MaxStages, len(t.Stages))
 	}
 	seen := map[string]bool{}
 	expected := 0
 	for i, stage := range t.Stages {
 		key := fmt.Sprintf("stages[%d].", i)
 		if seen[stage.Name] {
-			v.reject(key+"name", "%q stands twice", stage.Name)
+			v.addProblem(key+"name", "%q stands twice", stage.Name)
 		}
 		seen[stage.Name] = true
 		expected += stage.ExpectedMS
 		v.checkStage(key, stage)
 	}
 	if expected > t.DeadlineMS {
-		v.reject("deadline_ms", "is %d, but the stages are expected to take %d", t.DeadlineMS, expected)
+		v.addProblem("deadline_ms", "is %d, but the stages are expected to take %d", t.DeadlineMS, expected)
 	}
 }
 
+// checkStage checks one stage of a template. The argument key is the stage's path below
+// the template.
 func (v *validator) checkStage(key string, s Stage) {
 	v.checkName(key+"name", s.Name)
 	v.checkName(key+"service", s.Service)
@@ -36,7 +39,7 @@
 	case KindPool, KindService:
 		v.checkOtherStage(key, s)
 	default:
-		v.reject(key+"kind", "must be %q, %q or %q, is %q", KindEngine, KindPool, KindService, s.Kind)
+		v.addProblem(key+"kind", "must be %q, %q or %q, is %q", KindEngine, KindPool, KindService, s.Kind)
 	}
 }
 
@@ -45,7 +48,7 @@
 	v.checkRange(key+"max_tokens", s.MaxTokens, 1, MaxTokens)
 	v.checkModelDeclared(key, s.Model, s.Version, s.Service)
 	if s.NonIdempotent {
-		v.reject(key+"non_idempotent", "a generation changes nothing and may be repeated; mark the stage of the service that acts")
+		v.addProblem(key+"non_idempotent", "a generation changes nothing and may be repeated; mark the stage of the service that acts")
 	}
 }
 
@@ -53,15 +56,15 @@
 // because no engine loads it.
 func (v *validator) checkModelDeclared(key, model, version, service string) {
 	if model == "" {
-		v.reject(key+"model", "missing: an engine stage names its model")
+		v.addProblem(key+"model", "missing: an engine stage names its model")
 		return
 	}
 	if version == "" {
-		v.reject(key+"version", "missing: an engine stage names its model's version")
+		v.addProblem(key+"version", "missing: an engine stage names its model's version")
 		return
 	}
 	if m := (Model{Name: model, Version: version, Service: service}); !v.models[m.Key()] {
-		v.reject(key+"model", "%s is not among the declared models", m.Key())
+		v.addProblem(key+"model", "%s is not among the declared models", m.Key())
 	}
 }
 
@@ -69,12 +72,12 @@
 // kinds of stages.
 func (v *validator) checkOtherStage(key string, s Stage) {
 	if s.Model != "" || s.Version != "" {
-		v.reject(key+"model", "only engine stages have a model")
+		v.addProblem(key+"model", "only engine stages have a model")
 	}
 	if s.MaxTokens != 0 {
-		v.reject(key+"max_tokens", "only engine stages have a token limit")
+		v.addProblem(key+"max_tokens", "only engine stages have a token limit")
 	}
 	if s.Kind == KindPool && s.NonIdempotent {
-		v.reject(key+"non_idempotent", "only service stages may be non-idempotent")
+		v.addProblem(key+"non_idempotent", "only service stages may be non-idempotent")
 	}
 }
--- a/core/config/validate_workspace.go
+++ b/core/config/validate_workspace.go
@@ -5,6 +5,7 @@
 	"slices"
 )
 
+// checkWorkspace checks the parameters of one workspace.
 func (v *validator) checkWorkspace(w Workspace) {
 	v.setDeclaration(SectionWorkspaces, w.Name)
 	v.checkName("name", w.Name)
@@ -14,7 +15,7 @@
 	v.checkRange("max_in_flight", w.MaxInFlight, 0, MaxInFlightLimit)
 	v.checkPipelines(w)
 	if len(w.Stages) > MaxStageParameters {
-		v.reject("stages", "%d are declared, at most %d are allowed", len(w.Stages), MaxStageParameters)
+		v.addProblem("stages", "%d are declared, at most %d are allowed", len(w.Stages), MaxStageParameters)
 	}
 	for i, p := range w.Stages {
 		v.checkParameters(fmt.Sprintf("stages[%d].", i), w, p)
@@ -25,20 +26,20 @@
 // checkPipelines checks the templates that a workspace may call.
 func (v *validator) checkPipelines(w Workspace) {
 	if len(w.Pipelines) < 1 || len(w.Pipelines) > MaxPipelines {
-		v.reject("pipelines", "must be 1 to %d, are %d", MaxPipelines, len(w.Pipelines))
+		v.addProblem("pipelines", "must be 1 to %d, are %d", MaxPipelines, len(w.Pipelines))
 	}
 	for i, name := range w.Pipelines {
 		key := fmt.Sprintf("pipelines[%d]", i)
 		if slices.Contains(w.Pipelines[:i], name) {
-			v.reject(key, "%q stands twice", name)
+			v.addProblem(key, "%q stands twice", name)
 		}
 		template, found := v.templates[name]
 		if !found {
-			v.reject(key, "no template is named %q", name)
+			v.addProblem(key, "no template is named %q", name)
 			continue
 		}
 		if w.DeadlineMS > template.MaxDeadlineMS {
-			v.reject("deadline_ms", "is %d, but %q allows at most %d", w.DeadlineMS, name, template.MaxDeadlineMS)
+			v.addProblem("deadline_ms", "is %d, but %q allows at most %d", w.DeadlineMS, name, template.MaxDeadlineMS)
 		}
 	}
 }
@@ -46,7 +47,7 @@
 // checkParameters checks the parameters that a workspace sets for one stage.
 func (v *validator) checkParameters(key string, w Workspace, p StageParameters) {
 	if !slices.Contains(w.Pipelines, p.Pipeline) {
-		v.reject(key+"pipeline", "%q is not among the workspace's pipelines", p.Pipeline)
+		v.addProblem(key+"pipeline", "%q is not among the workspace's pipelines", p.Pipeline)
 		return
 	}
 	template, found := v.templates[p.Pipeline]
@@ -55,7 +56,7 @@
 	}
 	i := slices.IndexFunc(template.Stages, func(s Stage) bool { return s.Name == p.Stage })
 	if i < 0 {
-		v.reject(key+"stage", "%q has no stage %q", p.Pipeline, p.Stage)
+		v.addProblem(key+"stage", "%q has no stage %q", p.Pipeline, p.Stage)
 		return
 	}
 	v.checkOverrides(key, template.Stages[i], p)
@@ -66,10 +67,10 @@
 	v.checkRange(key+"max_tokens", p.MaxTokens, 0, MaxTokens)
 	v.checkRange(key+"prefix", len(p.Prefix), 0, MaxPrefixBytes)
 	if p.Model == "" && p.Version == "" && p.MaxTokens == 0 && p.Prefix == "" {
-		v.reject(key+"stage", "nothing is set")
+		v.addProblem(key+"stage", "nothing is set")
 	}
 	if stage.Kind != KindEngine {
-		v.reject(key+"stage", "%q is no engine stage, so nothing can be set", stage.Name)
+		v.addProblem(key+"stage", "%q is no engine stage, so nothing can be set", stage.Name)
 		return
 	}
 	if p.Model != "" || p.Version != "" {
@@ -92,7 +93,7 @@
 	for i, p := range parameters {
 		key := stageKey{p.Pipeline, p.Stage}
 		if seen[key] {
-			v.reject(fmt.Sprintf("stages[%d].stage", i), "%q of %q stands twice", p.Stage, p.Pipeline)
+			v.addProblem(fmt.Sprintf("stages[%d].stage", i), "%q of %q stands twice", p.Stage, p.Pipeline)
 		}
 		seen[key] = true
 	}
