--- a/core/chart/chart.go
+++ b/core/chart/chart.go
@@ -1,7 +1,8 @@
 // Package chart interprets the state charts of acaciawinch. A chart is a TOML
 // file in charts/; it is embedded in the binary and loaded into a state-machine
 // library. An event that a chart does not allow in the current state is never
-// ignored: it causes an error with step and peer.
+// ignored: it causes an error whose step is the chart with the state, and whose peer is
+// the subject of the machine.
 package chart
 
 import (
@@ -42,9 +43,9 @@
 	States      []StateSpec  `toml:"state"`
 	Transitions []Transition `toml:"transition"`
 
-	// shared is configured once for all machines. It gets the state of a Machine
-	// through the context of a call, so that a Machine needs only two
-	// words for its state.
+	// shared is the library's machine, configured once for all Machines of the chart. It
+	// gets the state of a Machine through the context of a call, so that a Machine stores
+	// only the state's name, two machine words, and no library machine of its own.
 	shared *stateless.StateMachine
 	final  map[State]bool
 }
@@ -58,7 +59,7 @@
 }
 
 // Start returns a machine in the chart's initial state. The argument peer names the
-// machine's subject or its remote end, for errors.
+// machine's subject, such as a request or an upstream, for errors.
 func (c *Chart) Start(peer string) *Machine {
 	return &Machine{chart: c, peer: peer, state: c.Initial}
 }
@@ -93,7 +94,7 @@
 	return err == nil && allowed
 }
 
-// machineKey is the context key of the machine that gets an event.
+// machineKey is the context key of the Machine to which an event is applied.
 type machineKey struct{}
 
 // machineFrom returns the machine stored in ctx.
--- a/core/chart/chart_test.go
+++ b/core/chart/chart_test.go
@@ -14,7 +14,7 @@
 var allNames = []string{"claim", "config_change", "process", "request", "stage_call", "upstream"}
 
 func TestChartsAreComplete(t *testing.T) {
-	_, err := loaded()
+	_, err := loadedCharts()
 	assert.NilError(t, err)
 	assert.DeepEqual(t, Names(), allNames)
 }
--- a/core/chart/check.go
+++ b/core/chart/check.go
@@ -60,8 +60,8 @@
 	return ""
 }
 
-// checkDeadEnds returns a description of a state that has no outgoing transition
-// and is not marked final, or "".
+// checkDeadEnds returns a description of the first state that has no outgoing
+// transition and is not marked final, or "".
 func (c *Chart) checkDeadEnds() string {
 	hasExit := make(map[State]bool)
 	for _, t := range c.Transitions {
@@ -75,8 +75,8 @@
 	return ""
 }
 
-// checkReachable returns a description of a state that can't be reached from the
-// initial state, or "".
+// checkReachable returns a description of the first state that can't be reached from
+// the initial state, or "".
 func (c *Chart) checkReachable() string {
 	for _, state := range c.States {
 		if _, ok := c.Path(state.Name); !ok {
--- a/core/chart/load.go
+++ b/core/chart/load.go
@@ -18,14 +18,14 @@
 // chartDir is the directory of the embedded charts.
 const chartDir = "charts"
 
-// loaded returns all charts by name. They are parsed once, because they are part of
-// the binary and can't change.
-var loaded = sync.OnceValues(loadAll)
+// loadedCharts returns all charts by name. They are parsed once, because they are part
+// of the binary and can't change.
+var loadedCharts = sync.OnceValues(loadAll)
 
-// Load returns the chart with the given name. Errors have code NotFound, or Invalid
-// if any embedded chart is invalid.
+// Load returns the chart with the given name. The error has code NotFound if there is no
+// such chart, and Invalid if any embedded chart is invalid.
 func Load(name string) (*Chart, error) {
-	charts, err := loaded()
+	charts, err := loadedCharts()
 	if err != nil {
 		return nil, err
 	}
@@ -48,7 +48,7 @@
 
 // Names returns the sorted names of all charts, or nil if they can't be loaded.
 func Names() []string {
-	charts, err := loaded()
+	charts, err := loadedCharts()
 	if err != nil {
 		return nil
 	}
