--- a/core/relay/relay.go
+++ b/core/relay/relay.go
@@ -14,9 +14,9 @@
 	"acaciawinch/core/fleet"
 )
 
-// Relays returns the relays of every zone: the perZone entries that score highest for the
-// zone, leaving ones excluded. An entry that joins or leaves changes at most one relay of
-// its zone. The result is ordered by zone, then by score.
+// Relays returns the relays of every zone: those perZone entries that have the highest
+// rendezvous scores for the zone and are not leaving. An entry that joins or leaves changes
+// at most one relay of its zone. The result is ordered by zone, then by score.
 func Relays(hosts []fleet.Host, perZone int) []fleet.Host {
 	entries := activeEntries(hosts)
 	slices.SortFunc(entries, func(a, b fleet.Host) int {
@@ -49,8 +49,8 @@
 // Order returns the entries to which the subscriber may subscribe, best first. Relays come
 // before other entries; within these, entries of its zone come before those of its region
 // and all others. Ties are ordered by the rendezvous scores for the subscriber's name, so
-// that subscribers spread evenly and move evenly when a relay goes. The subscriber itself
-// is left out.
+// that subscribers spread evenly over the relays, and those of a relay that leaves spread
+// evenly over the remaining ones. The subscriber itself is left out.
 func (s Subscriber) Order(hosts []fleet.Host, perZone int) []fleet.Host {
 	relays := map[string]bool{}
 	for _, host := range Relays(hosts, perZone) {
