--- a/core/request/timers.go
+++ b/core/request/timers.go
@@ -88,8 +88,8 @@
 
 // Limits of the bound on silence.
 const (
-	// silenceDivisor divides the time between the start of a silence and the deadline: a
-	// silence may last that long before the attempt is replaced.
+	// silenceDivisor divides the time from the start of a silence to the deadline. The
+	// bound on the silence is shortened to that part of the time.
 	silenceDivisor = 3
 	// slowFactor is the multiple of the usual 95th percentile up to which a call counts as
 	// slow instead of silent.
