--- a/entry/route/inquiry.go
+++ b/entry/route/inquiry.go
@@ -31,8 +31,8 @@
 type probeSet struct {
 	router *Router
 	need   Need
-	// responses has one entry for each queried upstream, in the order of the
-	// queries. Until an upstream responds, its entry is marked as unanswered.
+	// responses has one element for each queried upstream, in the order of the
+	// queries. Until an upstream responds, Replied is unset in its element.
 	responses []routing.ProbeResult
 	// replies has capacity for all open probes, so that no sender blocks.
 	replies chan indexedResponse
@@ -40,6 +40,7 @@
 	open int
 }
 
+// newProbeSet returns a probeSet without responses.
 func newProbeSet(router *Router, need Need) *probeSet {
 	return &probeSet{router: router, need: need, replies: make(chan indexedResponse, maxOpenProbes)}
 }
@@ -118,7 +119,8 @@
 	return false
 }
 
-// lingerTime returns how long to wait for other responses after one of upstream.
+// lingerTime returns how long to wait for other responses after the first usable one, which
+// came from upstream.
 func (r *Router) lingerTime(upstream routing.Upstream) time.Duration {
 	return min(maxLinger, max(minLinger, r.slowResponseTime(upstream)))
 }
--- a/entry/route/metrics.go
+++ b/entry/route/metrics.go
@@ -8,7 +8,7 @@
 
 // metrics are the metrics of a Router.
 type metrics struct {
-	// late counts probes that exceeded their timeout. Some of them are answered later.
+	// late counts probes that exceeded their timeout. Some of them get a response later.
 	sent, answered, late, unanswered tally.Counter
 	// bytes counts the encoded probe messages in both directions, without framing.
 	bytes    tally.Counter
--- a/entry/route/probe.go
+++ b/entry/route/probe.go
@@ -34,8 +34,8 @@
 	return timeout
 }
 
-// cachedResponses returns one response for each upstream of plan: the last response
-// if plan permits its reuse, otherwise one that is marked as unanswered.
+// cachedResponses returns one element for each upstream of plan: the last response if
+// plan permits its reuse, otherwise a result in which Replied is unset.
 func (r *Router) cachedResponses(plan routing.ProbePlan) []routing.ProbeResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -116,7 +116,7 @@
 	return response
 }
 
-// recordTimeout records that a probe was not answered within its timeout.
+// recordTimeout records that a probe got no response within its timeout.
 func (r *Router) recordTimeout(upstream core.UpstreamID) {
 	r.metrics.late.Inc(1)
 	r.recordSilence(upstream, routing.SilentProbe)
@@ -137,7 +137,7 @@
 	}
 }
 
-// recordSilence records that an upstream did not respond.
+// recordSilence records that an upstream did not respond, to a probe or during an attempt.
 func (r *Router) recordSilence(upstream core.UpstreamID, cause routing.Cause) {
 	r.mu.Lock()
 	suspicion, added := r.table.RecordSilence(upstream, cause, r.opts.Now(), r.random)
--- a/entry/route/record.go
+++ b/entry/route/record.go
@@ -67,7 +67,8 @@
 	})
 }
 
-// logRecovered logs that a suspicion ended, and updates the same gauge.
+// logRecovered logs that the suspicion of an upstream ended, and updates the gauge of
+// suspected upstreams.
 func (r *Router) logRecovered(upstream core.UpstreamID, suspects int) {
 	r.metrics.suspects.Update(float64(suspects))
 	r.opts.Logger.Event(event.UpstreamRecovered, observe.Fields{"upstream": upstream})
--- a/entry/route/refuse.go
+++ b/entry/route/refuse.go
@@ -8,7 +8,8 @@
 	"acaciawinch/core/fault"
 )
 
-// refusal is the cause of an error that carries a retry delay.
+// refusal is the cause of an error of Choose with the code Refused. It carries the retry
+// delay.
 type refusal struct {
 	retryAfter time.Duration
 	// tooLate is set if an upstream is able to run the stage, but not in time.
--- a/entry/route/watch.go
+++ b/entry/route/watch.go
@@ -9,7 +9,7 @@
 
 // probeTimer watches over the timeout of one probe. It is safe for concurrent use.
 type probeTimer struct {
-	// onTimeout is called once if the probe is not answered in time, with mu held.
+	// onTimeout is called once if the probe gets no response in time, with mu held.
 	onTimeout func()
 	timer     *time.Timer
 
