--- a/entry/pipeline/act.go
+++ b/entry/pipeline/act.go
@@ -53,7 +53,8 @@
 	}
 }
 
-// choose asks the router for an upstream.
+// choose requests an upstream from the router, after a delay, and posts the router's
+// choice or refusal.
 func (f *flow) choose(a request.Choose) {
 	stage := f.stages[a.Stage]
 	need := route.Need{
@@ -165,7 +166,7 @@
 	f.record.emitted(e.Index)
 }
 
-// setResult stores the result that Run returns to the caller.
+// setResult stores the machine's answer as the result that Runner.Run returns.
 func (f *flow) setResult(a request.Answer) {
 	f.result = Result{
 		Outcome:    a.Outcome,
--- a/entry/pipeline/calls.go
+++ b/entry/pipeline/calls.go
@@ -200,7 +200,7 @@
 }
 
 // cancelAttempt tells the sidecar to end an attempt. The call outlives the flow, so
-// that the caller's response does not wait for it.
+// that the caller's answer does not wait for it.
 func (f *flow) cancelAttempt(r request.Cancel) {
 	a := f.attempts[r.Attempt]
 	addr, stop := a.target.addr, a.cancelStream
--- a/entry/pipeline/claiming.go
+++ b/entry/pipeline/claiming.go
@@ -12,7 +12,7 @@
 	"acaciawinch/entry/route"
 )
 
-// Timeouts of the claim calls that may continue after the caller has its response.
+// Timeouts of the claim calls that may continue after the caller has its answer.
 const (
 	finishTimeout  = 5 * time.Second
 	releaseTimeout = 2 * time.Second
@@ -122,7 +122,7 @@
 	return event
 }
 
-// release ends a claim under which nothing ran.
+// release gives up a claim under which nothing ran.
 func (f *flow) release(r request.Release) {
 	owned := f.claims[r.Stage]
 	go func() {
--- a/entry/pipeline/record.go
+++ b/entry/pipeline/record.go
@@ -132,7 +132,7 @@
 	})
 }
 
-// countWasted counts passes whose output did not contribute to a response.
+// countWasted counts passes whose output did not contribute to an answer.
 func (r *record) countWasted(service, cause string, passes int64) {
 	r.Scope.Tagged(map[string]string{"service": service, "cause": cause}).Counter("wasted_passes").Inc(passes)
 }
@@ -188,6 +188,7 @@
 	r.recordDecision(event.ClaimedPassResolved, a, resolutionNames[e.Resolution]+" "+e.Detail, nil)
 }
 
+// resolutionNames are the names of resolutions in the log and the trace.
 var resolutionNames = map[request.Resolution]string{
 	request.ResolvedNotRun:      "not run",
 	request.ResolvedDone:        "done",
@@ -201,6 +202,7 @@
 	r.recordDecision(event.StageClaimed, a, claimNames[e.Status]+": "+e.Detail, nil)
 }
 
+// claimNames are the names of claim statuses in the log and the trace.
 var claimNames = map[request.ClaimStatus]string{
 	request.ClaimOwned:       "mine",
 	request.ClaimDone:        "done",
--- a/entry/pipeline/runner.go
+++ b/entry/pipeline/runner.go
@@ -52,7 +52,7 @@
 // calls emit only from the calling goroutine. The context ends when the caller
 // disconnects.
 //
-// Work that remains after the response, such as recording the result of a claimed
+// Work that remains after the answer, such as recording the result of a claimed
 // stage, continues in the background; Wait waits for it.
 func (r *Runner) Run(ctx context.Context, req Request, emit Emit) Result {
 	f := newFlow(r, req, emit)
--- a/entry/pipeline/types.go
+++ b/entry/pipeline/types.go
@@ -68,7 +68,7 @@
 	RetryAfter time.Duration
 }
 
-// Emit delivers one chunk of the response to the caller. It is called in order,
+// Emit delivers one chunk of the answer to the caller. It is called in order,
 // starting at index zero. An error means that the caller has disconnected.
 type Emit func(index uint64, data []byte) error
 
