--- a/core/share/check_test.go
+++ b/core/share/check_test.go
@@ -23,18 +23,18 @@
 func (cl *cluster) checkBounds() {
 	running, localTotal := 0, 0
 	byHome, localByEntry := map[string]int{}, map[int]int{}
-	for _, c := range cl.requests {
-		if !c.running {
+	for _, r := range cl.requests {
+		if !r.running {
 			continue
 		}
 		running++
-		if c.local {
-			if !c.crashed {
-				localByEntry[c.entry]++
+		if r.local {
+			if !r.crashed {
+				localByEntry[r.entry]++
 			}
 			localTotal++
 		} else {
-			byHome[c.grantedBy]++
+			byHome[r.grantedBy]++
 		}
 	}
 	for key, count := range byHome {
--- a/core/share/property_test.go
+++ b/core/share/property_test.go
@@ -46,9 +46,9 @@
 // arrived at every home that received their permit request.
 func (cl *cluster) openRequests() int {
 	count := 0
-	for _, c := range cl.requests {
-		open := c.searching || c.running
-		for _, released := range c.released {
+	for _, r := range cl.requests {
+		open := r.searching || r.running
+		for _, released := range r.released {
 			open = open || !released
 		}
 		if open {
@@ -61,9 +61,9 @@
 // finish ends one of the running requests.
 func (cl *cluster) finish() {
 	var running []*request
-	for _, c := range cl.requests {
-		if c.running {
-			running = append(running, c)
+	for _, r := range cl.requests {
+		if r.running {
+			running = append(running, r)
 		}
 	}
 	if len(running) > 0 {
@@ -74,22 +74,22 @@
 // advance advances the clock and ends the requests whose deadlines have passed.
 func (cl *cluster) advance(d time.Duration) {
 	cl.now = cl.now.Add(d)
-	for _, c := range cl.requests {
-		if !c.ended && !cl.now.Before(c.deadline) {
-			cl.end(c)
+	for _, r := range cl.requests {
+		if !r.ended && !cl.now.Before(r.deadline) {
+			cl.end(r)
 		}
 	}
 }
 
 // reassignPermits requests that the right homes count the running requests.
 func (cl *cluster) reassignPermits() {
-	for _, c := range cl.requests {
-		n := cl.nodes[c.entry]
-		if !c.running || c.crashed {
+	for _, r := range cl.requests {
+		n := cl.nodes[r.entry]
+		if !r.running || r.crashed {
 			continue
 		}
-		if home, req, ok := n.client.Reassign(cl.now, n.homes, c.held); ok {
-			cl.send(c, home, req)
+		if home, req, ok := n.client.Reassign(cl.now, n.homes, r.held); ok {
+			cl.send(r, home, req)
 		}
 	}
 }
@@ -112,9 +112,9 @@
 		n := cl.nodes[entry]
 		n.ledger, n.client = share.NewLedger(), share.NewClient()
 		n.incarnation += core.Incarnation(entries)
-		for _, c := range cl.requests {
-			if c.entry == entry {
-				c.crashed, c.searching = true, false
+		for _, r := range cl.requests {
+			if r.entry == entry {
+				r.crashed, r.searching = true, false
 			}
 		}
 	case 1: // an entry's host list changes
@@ -125,9 +125,9 @@
 			cl.messages = append(cl.messages[:i:i], cl.messages[i+1:]...)
 		}
 	default: // all pending permit requests time out
-		for _, c := range cl.requests {
-			if c.searching {
-				cl.step(c, c.search.Failed(cl.now))
+		for _, r := range cl.requests {
+			if r.searching {
+				cl.step(r, r.search.Failed(cl.now))
 			}
 		}
 	}
@@ -182,8 +182,8 @@
 		}
 		runs++
 		refused += cl.refusals
-		for _, c := range cl.requests {
-			if c.local {
+		for _, r := range cl.requests {
+			if r.local {
 				local++
 			}
 		}
--- a/core/share/world_test.go
+++ b/core/share/world_test.go
@@ -116,51 +116,51 @@
 
 // begin starts a request at an entry.
 func (cl *cluster) begin(entry int) {
-	c := &request{permit: share.PermitID(len(cl.requests) + 1), entry: entry, deadline: cl.now.Add(requestTimeout), released: map[string]bool{}, searching: true, releasesAtBegin: cl.releases}
-	cl.requests = append(cl.requests, c)
+	r := &request{permit: share.PermitID(len(cl.requests) + 1), entry: entry, deadline: cl.now.Add(requestTimeout), released: map[string]bool{}, searching: true, releasesAtBegin: cl.releases}
+	cl.requests = append(cl.requests, r)
 	n := cl.nodes[entry]
-	search, step := n.client.Begin(cl.now, n.homes, workspaceName, cl.bound, uint64(c.permit))
-	c.search = search
-	cl.step(c, step)
+	search, step := n.client.Begin(cl.now, n.homes, workspaceName, cl.bound, uint64(r.permit))
+	r.search = search
+	cl.step(r, step)
 }
 
 // step executes a step of a search.
-func (cl *cluster) step(c *request, step share.Step) {
-	c.stepNumber++
-	c.held = share.Held{Workspace: workspaceName, Part: step.Part, Bound: step.Bound, Permit: c.permit, End: c.deadline.Add(share.Grace)}
+func (cl *cluster) step(r *request, step share.Step) {
+	r.stepNumber++
+	r.held = share.Held{Workspace: workspaceName, Part: step.Part, Bound: step.Bound, Permit: r.permit, End: r.deadline.Add(share.Grace)}
 	switch step.Kind {
 	case share.StepAcquire:
-		cl.send(c, step.Home, share.AcquireRequest{Workspace: workspaceName, Part: step.Part, Bound: step.Bound, Permit: c.permit, TTL: c.held.End.Sub(cl.now)})
+		cl.send(r, step.Home, share.AcquireRequest{Workspace: workspaceName, Part: step.Part, Bound: step.Bound, Permit: r.permit, TTL: r.held.End.Sub(cl.now)})
 		return
 	case share.StepGranted:
-		c.running = true
+		r.running = true
 	case share.StepGrantedLocally:
-		c.running, c.local = true, true
+		r.running, r.local = true, true
 		if !cl.faulty {
 			cl.fail("admitted locally without any fault")
 		}
 	default:
-		cl.refused(c)
+		cl.refused(r)
 	}
-	c.searching = false
+	r.searching = false
 }
 
 // refused ends a request that was refused. While no more requests than the bound are
 // open, a refusal is allowed only if there are several parts and capacity was released
 // in a part that the search had already tried, or if the hold after such a refusal is
 // still in effect.
-func (cl *cluster) refused(c *request) {
-	moved := cl.nodes[c.entry].homes.Parts(cl.bound) > 1 && cl.releases > c.releasesAtBegin
+func (cl *cluster) refused(r *request) {
+	moved := cl.nodes[r.entry].homes.Parts(cl.bound) > 1 && cl.releases > r.releasesAtBegin
 	if cl.withinBound && !moved && cl.refusals == 0 {
 		cl.fail("refused though no more than %d requests were open", cl.bound)
 	}
 	cl.refusals++
-	c.ended = true
+	r.ended = true
 }
 
 // send sends a permit request to a home.
-func (cl *cluster) send(c *request, home share.Home, req share.AcquireRequest) {
-	stepNumber, sentAt := c.stepNumber, cl.now
+func (cl *cluster) send(r *request, home share.Home, req share.AcquireRequest) {
+	stepNumber, sentAt := r.stepNumber, cl.now
 	cl.messages = append(cl.messages, func() {
 		if cl.now.Sub(sentAt) > maxAskDelay {
 			return
@@ -169,14 +169,14 @@
 		_, _ = fmt.Sscan(home.Name, &i)
 		n := cl.nodes[i]
 		key := fmt.Sprint(i, "/", n.incarnation, "/", req.Part)
-		response := cl.acquire(n, key, c, req)
+		response := cl.acquire(n, key, r, req)
 		incarnation := n.incarnation
-		cl.messages = append(cl.messages, func() { cl.receive(c, stepNumber, home.Name, key, incarnation, req.Running, response) })
+		cl.messages = append(cl.messages, func() { cl.receive(r, stepNumber, home.Name, key, incarnation, req.Running, response) })
 	})
 }
 
 // acquire handles a permit request at a home and checks refusals.
-func (cl *cluster) acquire(n *node, key string, c *request, req share.AcquireRequest) share.AcquireResponse {
+func (cl *cluster) acquire(n *node, key string, r *request, req share.AcquireRequest) share.AcquireResponse {
 	bound := req.Bound
 	switch cl.broken {
 	case boundPlusOne:
@@ -186,13 +186,13 @@
 	case changedPermitID:
 		req.Permit += share.PermitID(1000 * len(cl.messages))
 	}
-	released := c.released[key]
-	c.released[key] = released
+	released := r.released[key]
+	r.released[key] = released
 	response := n.ledger.Acquire(cl.now, req)
-	if end := cl.now.Add(req.TTL); response.Granted && end.After(c.latestExpiry) {
-		c.latestExpiry = end
+	if end := cl.now.Add(req.TTL); response.Granted && end.After(r.latestExpiry) {
+		r.latestExpiry = end
 	}
-	if response.Granted || released || c.ended {
+	if response.Granted || released || r.ended {
 		return response
 	}
 	// Each permit that uses the bound belongs to another request that sent a permit
@@ -200,7 +200,7 @@
 	// of a permit counts from the arrival of a permit request, also of a delayed one.
 	inUse := 0
 	for _, other := range cl.requests {
-		if returned, requested := other.released[key]; requested && !returned && other != c && cl.now.Before(other.latestExpiry) {
+		if returned, requested := other.released[key]; requested && !returned && other != r && cl.now.Before(other.latestExpiry) {
 			inUse++
 		}
 	}
@@ -212,52 +212,52 @@
 
 // receive passes a response to its request, unless the request waits for the response
 // to a later query.
-func (cl *cluster) receive(c *request, stepNumber int, home, key string, incarnation core.Incarnation, running bool, response share.AcquireResponse) {
-	n := cl.nodes[c.entry]
-	if c.crashed {
+func (cl *cluster) receive(r *request, stepNumber int, home, key string, incarnation core.Incarnation, running bool, response share.AcquireResponse) {
+	n := cl.nodes[r.entry]
+	if r.crashed {
 		return
 	}
 	n.client.ObserveIncarnation(home, incarnation)
 	switch {
-	case running && response.Granted && !c.ended:
-		c.held.Home, c.held.Incarnation = home, incarnation
-	case running || !c.searching || stepNumber != c.stepNumber:
+	case running && response.Granted && !r.ended:
+		r.held.Home, r.held.Incarnation = home, incarnation
+	case running || !r.searching || stepNumber != r.stepNumber:
 	default:
-		cl.step(c, c.search.Answered(cl.now, response))
-		if c.running {
-			c.held.Home, c.held.Incarnation = home, incarnation
-			c.grantedBy = key
+		cl.step(r, r.search.Answered(cl.now, response))
+		if r.running {
+			r.held.Home, r.held.Incarnation = home, incarnation
+			r.grantedBy = key
 		}
 	}
 }
 
 // end ends a request and sends releases of its permit for all parts to all entries.
-func (cl *cluster) end(c *request) {
-	c.ended = true
-	n := cl.nodes[c.entry]
-	if c.running && !c.crashed {
-		n.client.Ended(workspaceName, c.local)
+func (cl *cluster) end(r *request) {
+	r.ended = true
+	n := cl.nodes[r.entry]
+	if r.running && !r.crashed {
+		n.client.Ended(workspaceName, r.local)
 	}
-	c.searching, c.running = false, false
-	if c.crashed {
+	r.searching, r.running = false, false
+	if r.crashed {
 		return
 	}
 	for i := range cl.nodes {
-		for part := range cl.nodes[c.entry].homes.Parts(cl.bound) {
-			cl.messages = append(cl.messages, func() { cl.release(i, part, c) })
+		for part := range cl.nodes[r.entry].homes.Parts(cl.bound) {
+			cl.messages = append(cl.messages, func() { cl.release(i, part, r) })
 		}
 	}
 }
 
 // release handles a release at an entry.
-func (cl *cluster) release(i, part int, c *request) {
+func (cl *cluster) release(i, part int, r *request) {
 	cl.releases++
 	n := cl.nodes[i]
 	key := fmt.Sprint(i, "/", n.incarnation, "/", part)
-	_, requested := c.released[key]
-	c.released[key] = true
+	_, requested := r.released[key]
+	r.released[key] = true
 	if cl.broken == droppedRelease || cl.broken == noTombstone && !requested {
 		return
 	}
-	n.ledger.Release(cl.now, workspaceName, part, c.permit)
+	n.ledger.Release(cl.now, workspaceName, part, r.permit)
 }
