--- a/core/claim/actor_test.go
+++ b/core/claim/actor_test.go
@@ -43,14 +43,14 @@
 	w.started++
 	request := core.RequestID(fmt.Sprintf("r%d", w.started))
 	key := []string{"key-0", "longer-key-1"}[w.pick("key", 2)]
-	minted := w.pick("minted", 4) == 3
-	if minted {
+	keyGenerated := w.pick("minted", 4) == 3
+	if keyGenerated {
 		key = string(request)
 	}
 	id := claim.Identity{Workspace: "w", Pipeline: "p", Key: key, Stage: "s"}
 	a := &actor{w: w, rng: rand.New(rand.NewPCG(uint64(w.started), uint64(w.pick("rng", 1<<16))))}
-	a.spec = claim.AttemptSpec{Identity: id, Request: request, Attempt: 1, Target: w.probe(w.pick("target", 2)), KeyGenerated: minted}
-	if w.disabled == noMintedRule {
+	a.spec = claim.AttemptSpec{Identity: id, Request: request, Attempt: 1, Target: w.probe(w.pick("target", 2)), KeyGenerated: keyGenerated}
+	if w.disabled == noGeneratedKeyRule {
 		a.spec.KeyGenerated = true
 	}
 	lookupOdds := 6
@@ -59,7 +59,7 @@
 		// the search finds it sooner.
 		lookupOdds = 2
 	}
-	a.lookup = !minted && w.pick("look", lookupOdds) == lookupOdds-1
+	a.lookup = !keyGenerated && w.pick("look", lookupOdds) == lookupOdds-1
 	if a.lookup {
 		a.machine = claim.Lookup(id, rules, a.rng)
 		return a
--- a/core/claim/property_test.go
+++ b/core/claim/property_test.go
@@ -158,7 +158,7 @@
 		noTombstone: "no tombstone", noRunIncarnation: "no incarnation check at run",
 		noResolveIncarnation: "no incarnation check at resolve", noTicket: "no ticket check",
 		noHorizon: "no horizon", noReadBack: "no nonce read-back", noCondition: "no condition on updates",
-		noIdentity: "no identity check", noMintedRule: "not_run told of a caller's key", noAbandon: "look without abandoning",
+		noIdentity: "no identity check", noGeneratedKeyRule: "not_run told of a caller's key", noAbandon: "look without abandoning",
 		noEpoch: "no epoch",
 	}
 	for disabled := none + 1; disabled < mutations; disabled++ {
--- a/core/claim/world_test.go
+++ b/core/claim/world_test.go
@@ -21,7 +21,7 @@
 	noReadBack
 	noCondition
 	noIdentity
-	noMintedRule
+	noGeneratedKeyRule
 	noAbandon
 	noEpoch
 	mutations
