--- a/core/placement/lease_test.go
+++ b/core/placement/lease_test.go
@@ -82,7 +82,7 @@
 
 // put makes a conditional write with injected faults of the store: the write may be lost,
 // delayed, or take effect with its response lost.
-func (cl *leaseCluster) put(apply func() bool, answered func(ok bool), lost func()) func() {
+func (cl *leaseCluster) put(apply func() bool, responded func(ok bool), lost func()) func() {
 	fault := 0
 	if !cl.faultless {
 		fault = cl.pick("write fault", 10)
@@ -98,7 +98,7 @@
 		return lost
 	default:
 		ok := apply()
-		return func() { answered(ok) }
+		return func() { responded(ok) }
 	}
 }
 
@@ -161,7 +161,7 @@
 		cl.readLease(p, round)
 	case placement.RoundWriteLease:
 		written := uint64(0)
-		answered := func(ok bool) {
+		responded := func(ok bool) {
 			if cl.broken == heldFromResponse {
 				before = cl.now
 			}
@@ -179,7 +179,7 @@
 			written = cl.version
 			return ok
 		}
-		p.receive = cl.put(apply, answered, func() { round.LeaseUnconfirmed(before) })
+		p.receive = cl.put(apply, responded, func() { round.LeaseUnconfirmed(before) })
 	case placement.RoundReadPlan:
 		plan, version := placement.Plan{}, uint64(0)
 		if cl.plan != nil {
@@ -190,7 +190,7 @@
 		cl.gather(p, round)
 	case placement.RoundWritePlan:
 		term := p.term
-		answered := func(ok bool) {
+		responded := func(ok bool) {
 			if !ok {
 				round.NotWritten()
 				return
@@ -198,7 +198,7 @@
 			round.PlanWritten()
 			cl.completed = max(cl.completed, term)
 		}
-		p.receive = cl.put(func() bool { return cl.applyPlan(p, term, step) }, answered, round.NotWritten)
+		p.receive = cl.put(func() bool { return cl.applyPlan(p, term, step) }, responded, round.NotWritten)
 	}
 }
 
