--- a/core/claim/actor_test.go
+++ b/core/claim/actor_test.go
@@ -43,14 +43,14 @@
 	w.started++
 	request := core.RequestID(fmt.Sprintf("r%d", w.started))
 	key := []string{"key-0", "longer-key-1"}[w.pick("key", 2)]
-	minted := w.pick("minted", 4) == 3
-	if minted {
+	keyGenerated := w.pick("minted", 4) == 3
+	if keyGenerated {
 		key = string(request)
 	}
 	id := claim.Identity{Workspace: "w", Pipeline: "p", Key: key, Stage: "s"}
 	a := &actor{w: w, rng: rand.New(rand.NewPCG(uint64(w.started), uint64(w.pick("rng", 1<<16))))}
-	a.spec = claim.AttemptSpec{Identity: id, Request: request, Attempt: 1, Target: w.probe(w.pick("target", 2)), KeyGenerated: minted}
-	if w.disabled == noMintedRule {
+	a.spec = claim.AttemptSpec{Identity: id, Request: request, Attempt: 1, Target: w.probe(w.pick("target", 2)), KeyGenerated: keyGenerated}
+	if w.disabled == noGeneratedKeyRule {
 		a.spec.KeyGenerated = true
 	}
 	lookupOdds := 6
@@ -59,7 +59,7 @@
 		// the search finds it sooner.
 		lookupOdds = 2
 	}
-	a.lookup = !minted && w.pick("look", lookupOdds) == lookupOdds-1
+	a.lookup = !keyGenerated && w.pick("look", lookupOdds) == lookupOdds-1
 	if a.lookup {
 		a.machine = claim.Lookup(id, rules, a.rng)
 		return a
@@ -176,7 +176,7 @@
 		a.checkResult(verdict.Chunks)
 	case claim.Running:
 		// The real gate has a queue, and reports attempts in the queue as running.
-		_, queues := a.w.side(verdict.Record.Target).(*gateSide)
+		_, queues := a.w.sidecarAt(verdict.Record.Target).(*gateSidecar)
 		if len(ran) == 0 && !queues {
 			a.w.fail("%s got the verdict running, but nothing ran", a.spec.Request)
 		}
@@ -213,14 +213,14 @@
 		a.noResponse = true
 		switch a.w.pick("dispatch fate", 3) {
 		case 0:
-			a.w.side(a.owned.Target).run(a.w, a.owned)
+			a.w.sidecarAt(a.owned.Target).run(a.w, a.owned)
 		case 1:
 			sent := a.owned
 			a.w.delayed = append(a.w.delayed, message{run: &sent})
 		}
 		return
 	}
-	switch a.w.side(a.owned.Target).run(a.w, a.owned) {
+	switch a.w.sidecarAt(a.owned.Target).run(a.w, a.owned) {
 	case admitted:
 		a.running = true
 	case refused:
@@ -255,7 +255,7 @@
 
 // pollResult takes the result of the running attempt once the sidecar has it.
 func (a *actor) pollResult() {
-	switch a.w.side(a.owned.Target).follow(a.owned) {
+	switch a.w.sidecarAt(a.owned.Target).follow(a.owned) {
 	case claim.SideRunning:
 	case claim.SideNotRun:
 		a.reassign()
