--- a/entry/admit/admit.go
+++ b/entry/admit/admit.go
@@ -112,7 +112,8 @@
 	return &Ticket{gate: g, request: request, adaptive: limit, nearLimit: nearLimit}, Admitted, 0
 }
 
-// refusal checks the fixed limits, those of the whole entry first.
+// refusal returns why the fixed limits don't admit a request, or Admitted. The limits of
+// the whole entry come first.
 func (g *Gate) refusal(request Request) Refusal {
 	switch {
 	case g.draining:
--- a/entry/admit/pace.go
+++ b/entry/admit/pace.go
@@ -37,9 +37,9 @@
 // last stage.
 //
 // A request that is refused after its admission keeps its slot for the retry delay that
-// its client was given, up to maxHold. A refusal takes much less time than a response:
-// if it freed its slot at once, the fewer requests complete, the more would be admitted
-// only to be refused later.
+// its client was given, up to maxHold. A refusal takes much less time than a response. If it
+// freed its slot at once, an overload would grow: the fewer requests complete, the more
+// would be admitted, only to be refused later.
 type adaptiveLimit struct {
 	inFlight int
 	// heldUntil holds the times until which refused requests keep their slots.
@@ -50,7 +50,8 @@
 	limit        float64
 	lastCut      time.Time
 	lastOverload time.Time
-	retryAfter   time.Duration
+	// retryAfter is the retry delay that was given at the last overload.
+	retryAfter time.Duration
 }
 
 // allows reports whether one more request may be admitted.
@@ -71,9 +72,10 @@
 	return l.limit > 0 && float64(l.inFlight) >= nearLimitShare*l.limit
 }
 
-// completed counts a response. It raises the limit by one for as many responses as the
-// limit allows requests in flight, if the limit was nearly reached (nearLimit) when the
-// request was admitted.
+// completed raises the limit after a response, if the limit was nearly reached
+// (nearLimit) when the request was admitted. As many responses as the limit allows
+// requests in flight raise it by one; after fastGrowthAfter without overload, each
+// response does.
 func (l *adaptiveLimit) completed(now time.Time, nearLimit bool) {
 	switch {
 	case l.limit == 0 || !nearLimit:
@@ -84,7 +86,9 @@
 	}
 }
 
-// overloaded cuts the limit. If none is in force, it sets one from the peak first.
+// overloaded holds the slot of a request that was refused after its admission, and cuts
+// the limit unless the last cut was less than cutInterval ago. If no limit is in force,
+// the peak is cut and becomes the limit.
 func (l *adaptiveLimit) overloaded(now time.Time, retryAfter time.Duration) {
 	l.lastOverload = now
 	l.retryAfter = retryAfter
