--- a/entry/limit/home.go
+++ b/entry/limit/home.go
@@ -10,11 +10,12 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// maxLifetime bounds the lifetime of a permit that a home accepts from a caller: the longest
-// deadline that can be declared, plus its grace.
+// maxLifetime bounds the lifetime of a permit that an entry may request of a home: the
+// longest deadline that can be declared, plus its grace.
 const maxLifetime = time.Minute + share.Grace
 
-// AcquirePermit grants or refuses a permit as its home.
+// AcquirePermit handles another entry's request for a permit: as the home, this entry
+// grants or refuses it.
 func (l *Limiter) AcquirePermit(_ context.Context, request *wirepb.AcquirePermitRequest) (*wirepb.AcquirePermitReply, error) {
 	key := request.GetKey()
 	if key.GetWorkspace() == "" || request.GetBound() == 0 {
@@ -35,7 +36,8 @@
 	}, nil
 }
 
-// ReleasePermit releases a permit as its home.
+// ReleasePermit handles another entry's release of a permit that this entry, as the home,
+// counts.
 func (l *Limiter) ReleasePermit(_ context.Context, request *wirepb.ReleasePermitRequest) (*wirepb.ReleasePermitReply, error) {
 	key := request.GetKey()
 	l.releaseLocal(key.GetWorkspace(), int(key.GetPart()), share.PermitID(key.GetPermit()))
@@ -47,7 +49,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	response := l.ledger.Acquire(time.Now(), request)
-	l.metrics.answeredAsHome(response)
+	l.metrics.respondedAsHome(response)
 	l.metrics.homePermits.Update(float64(l.ledger.Permits()))
 	return response
 }
@@ -68,7 +70,7 @@
 	conn := l.opts.Dialer.Conn(ctx, home.Addr)
 	defer func() { _ = conn.Close() }() // the call is over, and the connection is not reused if closing it fails
 	reply, err := wirepb.NewDRPCEntryClient(conn).AcquirePermit(ctx, &wirepb.AcquirePermitRequest{
-		Key:     keyOf(request.Workspace, request.Part, request.Permit),
+		Key:     permitKey(request.Workspace, request.Part, request.Permit),
 		Bound:   uint32(request.Bound),
 		LifeMs:  uint32(request.TTL.Milliseconds()),
 		Running: request.Running,
@@ -90,13 +92,13 @@
 	defer cancel()
 	conn := l.opts.Dialer.Conn(ctx, home.Addr)
 	defer func() { _ = conn.Close() }() // the call is over, and the connection is not reused if closing it fails
-	request := &wirepb.ReleasePermitRequest{Key: keyOf(workspace, part, permit)}
+	request := &wirepb.ReleasePermitRequest{Key: permitKey(workspace, part, permit)}
 	if _, err := wirepb.NewDRPCEntryClient(conn).ReleasePermit(ctx, request); err != nil {
 		l.metrics.lostReleases.Inc(1)
 	}
 }
 
-// keyOf returns the key of a permit on the wire.
-func keyOf(workspace string, part int, permit share.PermitID) *wirepb.PermitKey {
+// permitKey returns the key of a permit on the wire.
+func permitKey(workspace string, part int, permit share.PermitID) *wirepb.PermitKey {
 	return &wirepb.PermitKey{Workspace: workspace, Part: uint32(part), Permit: uint64(permit)}
 }
--- a/entry/limit/limiter.go
+++ b/entry/limit/limiter.go
@@ -25,9 +25,9 @@
 
 // Intervals and timeouts of a Limiter.
 const (
-	// moveInterval is the time between two checks whether running requests are counted by
-	// the right homes.
-	moveInterval = time.Second
+	// homeCheckInterval is the time between two checks whether the running requests are counted
+	// by the homes that the current host list gives them.
+	homeCheckInterval = time.Second
 	// releaseTimeout bounds a call that releases a permit. A permit whose release is
 	// lost expires.
 	releaseTimeout = time.Second
@@ -38,8 +38,10 @@
 // Options configure a Limiter.
 type Options struct {
 	// Self is the entry's name in the host list, Region its region.
-	Self        string
-	Region      string
+	Self   string
+	Region string
+	// Incarnation identifies this start of the entry's process. Other entries recognize
+	// by it that the ledger of a home is new.
 	Incarnation core.Incarnation
 	// Hosts returns the host list and its version.
 	Hosts  func() ([]fleet.Host, uint64)
@@ -96,15 +98,15 @@
 	return p
 }
 
-// Run keeps the running requests counted by the right homes until ctx ends. It always
-// returns nil.
+// Run makes the homes that the current host list gives the running requests count them,
+// checking at intervals until ctx ends. It always returns nil.
 func (l *Limiter) Run(ctx context.Context) error {
-	ticker := time.NewTicker(moveInterval)
+	ticker := time.NewTicker(homeCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			l.moveAll(ctx)
+			l.changeHomes(ctx)
 		case <-ctx.Done():
 			return nil
 		}
--- a/entry/limit/limiter_test.go
+++ b/entry/limit/limiter_test.go
@@ -123,7 +123,7 @@
 		assert.Assert(t, p.Refusal() == nil)
 		permits = append(permits, p)
 	}
-	assert.Equal(t, caller.acquire("w", bound).Refusal().Detail, reasonFull)
+	assert.Equal(t, caller.acquire("w", bound).Refusal().Detail, reasonLimitReached)
 	assert.Assert(t, ns.list[home].acquire("w", bound).Refusal() != nil)
 	permits[0].Release()
 	ns.list[home].awaitPermits(t, bound-1)
@@ -142,10 +142,10 @@
 	for range bound {
 		assert.Assert(t, caller.acquire("w", bound).Refusal() == nil)
 	}
-	assert.Equal(t, caller.acquire("w", bound).Refusal().Detail, reasonFull)
+	assert.Equal(t, caller.acquire("w", bound).Refusal().Detail, reasonLimitReached)
 	ns.list[home] = ns.start(home)
 	caller.limiter.client = share.NewClient() // a new one does not suspect the home any longer
-	caller.limiter.moveAll(context.Background())
+	caller.limiter.changeHomes(context.Background())
 	ns.list[home].awaitPermits(t, bound)
 	before.Release()
 	assert.Assert(t, ns.list[home].acquire("w", bound).Refusal() != nil)
@@ -201,7 +201,7 @@
 	first := caller.acquire("w", bound)
 	assert.Assert(t, first.Refusal() == nil && first.unchecked)
 	assert.Assert(t, caller.acquire("w", bound).Refusal() == nil)
-	assert.Equal(t, caller.acquire("w", bound).Refusal().Detail, reasonUnchecked)
+	assert.Equal(t, caller.acquire("w", bound).Refusal().Detail, reasonShareInUse)
 	first.Release()
 	assert.Assert(t, caller.acquire("w", bound).Refusal() == nil)
 }
--- a/entry/limit/metrics.go
+++ b/entry/limit/metrics.go
@@ -17,9 +17,9 @@
 	granted, unchecked, refused, refusedUnchecked tally.Counter
 	// wait is the time until a request for a permit is decided.
 	wait tally.Timer
-	// silences counts the calls that homes did not respond to, moves the requests whose
-	// home changed, and lostReleases the releases that failed.
-	silences, moves, lostReleases tally.Counter
+	// silences counts the calls that homes did not respond to, homeChanges the running
+	// requests that another home counts since, and lostReleases the releases that failed.
+	silences, homeChanges, lostReleases tally.Counter
 	// homeGranted and homeRefused count the permits that this entry granted and refused as
 	// a home; homePermits is the number of permits in its ledger.
 	homeGranted, homeRefused tally.Counter
@@ -39,7 +39,7 @@
 		refusedUnchecked: scope.Counter("refused_unchecked"),
 		wait:             scope.Timer("wait"),
 		silences:         scope.Counter("home_silences"),
-		moves:            scope.Counter("home_changes"),
+		homeChanges:      scope.Counter("home_changes"),
 		lostReleases:     scope.Counter("releases_lost"),
 		homeGranted:      scope.Counter("home_granted"),
 		homeRefused:      scope.Counter("home_refused"),
@@ -62,8 +62,8 @@
 	}
 }
 
-// answeredAsHome counts a response that this entry gives as a home.
-func (m *metrics) answeredAsHome(response share.AcquireResponse) {
+// respondedAsHome counts a response that this entry gives as a home.
+func (m *metrics) respondedAsHome(response share.AcquireResponse) {
 	if response.Granted {
 		m.homeGranted.Inc(1)
 		return
--- a/entry/limit/move.go
+++ b/entry/limit/move.go
@@ -9,62 +9,63 @@
 	"acaciawinch/observe/event"
 )
 
-// move is a permit that another home should count, with the request to that home.
-type move struct {
+// homeChange is a permit that another home should count, that home and the request to it.
+type homeChange struct {
 	permit  *Permit
 	home    share.Home
 	request share.AcquireRequest
 }
 
-// moveAll makes the right homes count the running requests.
-func (l *Limiter) moveAll(ctx context.Context) {
-	for _, m := range l.moves() {
-		l.changeHome(ctx, m)
+// changeHomes makes the homes that the current host list gives the running requests count
+// them.
+func (l *Limiter) changeHomes(ctx context.Context) {
+	for _, change := range l.homeChanges() {
+		l.changeHome(ctx, change)
 	}
 }
 
-// moves returns the permits that another home than the current one should count.
-func (l *Limiter) moves() []move {
+// homeChanges returns the permits that another home than the current one should count.
+func (l *Limiter) homeChanges() []homeChange {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	homes := l.currentHomes()
-	var moves []move
+	var changes []homeChange
 	for _, p := range l.running {
 		if home, request, due := l.client.Reassign(time.Now(), homes, p.held); due {
-			moves = append(moves, move{permit: p, home: home, request: request})
+			changes = append(changes, homeChange{permit: p, home: home, request: request})
 		}
 	}
-	return moves
+	return changes
 }
 
-// changeHome makes a home count a running request. If the home does not respond, the
-// permit keeps its previous home.
-func (l *Limiter) changeHome(ctx context.Context, m move) {
+// changeHome makes the new home of a change count the running request. If that home does
+// not respond, the permit keeps its previous one.
+func (l *Limiter) changeHome(ctx context.Context, change homeChange) {
 	ctx, cancel := context.WithTimeout(ctx, share.AcquireTimeout)
 	defer cancel()
-	_, incarnation, err := l.acquireFrom(ctx, m.home, m.request)
+	_, incarnation, err := l.acquireFrom(ctx, change.home, change.request)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p := m.permit
-	p.noteCounted(share.Step{Home: m.home, Part: m.request.Part})
+	p := change.permit
+	p.addCountingHome(share.Step{Home: change.home, Part: change.request.Part})
 	if p.released {
 		p.releaseAtHomes()
 		return
 	}
 	if err != nil {
-		l.client.HomeFailed(time.Now(), l.currentHomes(), m.home)
+		l.client.HomeFailed(time.Now(), l.currentHomes(), change.home)
 		l.metrics.silences.Inc(1)
 		return
 	}
-	l.client.ObserveIncarnation(m.home.Name, incarnation)
+	l.client.ObserveIncarnation(change.home.Name, incarnation)
 	before := p.held.Home
-	p.held.Home, p.held.Incarnation = m.home.Name, incarnation
-	l.metrics.moves.Inc(1)
+	p.held.Home, p.held.Incarnation = change.home.Name, incarnation
+	l.metrics.homeChanges.Inc(1)
 	l.opts.Log.Event(event.LimitHomeChanged, observe.Fields{
 		"request":   p.request,
 		"workspace": p.held.Workspace,
 		"part":      p.held.Part,
-		"home":      m.home.Name,
+		"home":      change.home.Name,
 		"before":    before,
 	})
 }
--- a/entry/limit/permit.go
+++ b/entry/limit/permit.go
@@ -15,8 +15,8 @@
 
 // Reasons for refusing a request.
 const (
-	reasonFull      = "the workspace is at its limit of requests in flight"
-	reasonUnchecked = "the number of the workspace's requests in flight is unavailable, and this entry's share of the workspace's limit is in use"
+	reasonLimitReached = "the workspace is at its limit of requests in flight"
+	reasonShareInUse   = "the number of the workspace's requests in flight is unavailable, and this entry's share of the workspace's limit is in use"
 )
 
 // Permit is the permit of one request, requested or already decided.
@@ -86,17 +86,17 @@
 		l.mu.Lock()
 		switch {
 		case p.released:
-			p.noteCounted(step)
+			p.addCountingHome(step)
 			p.releaseAtHomes()
 			l.mu.Unlock()
 			return
 		case err != nil:
-			p.noteSilent(step, err)
+			p.recordSilentHome(step, err)
 			step = search.Failed(time.Now())
 		default:
 			l.client.ObserveIncarnation(step.Home.Name, incarnation)
 			if response.Granted {
-				p.noteCounted(step)
+				p.addCountingHome(step)
 				p.held.Home, p.held.Incarnation = step.Home.Name, incarnation
 			}
 			step = search.Answered(time.Now(), response)
@@ -119,18 +119,19 @@
 	})
 }
 
-// noteCounted notes that a home counts the permit, or may do so. The caller holds mu.
-func (p *Permit) noteCounted(step share.Step) {
+// addCountingHome adds the home of a step to those that count the permit or may do so. The
+// caller holds mu.
+func (p *Permit) addCountingHome(step share.Step) {
 	c := countingHome{home: step.Home, part: step.Part}
 	if !slices.Contains(p.countedBy, c) {
 		p.countedBy = append(p.countedBy, c)
 	}
 }
 
-// noteSilent notes that a home did not respond. The home may count the permit
-// nevertheless. The caller holds mu.
-func (p *Permit) noteSilent(step share.Step, err error) {
-	p.noteCounted(step)
+// recordSilentHome records that the home of a step did not respond. The home may count the
+// permit nevertheless. The caller holds mu.
+func (p *Permit) recordSilentHome(step share.Step, err error) {
+	p.addCountingHome(step)
 	p.limiter.metrics.silences.Inc(1)
 	p.limiter.opts.Log.Event(event.LimitHomeSilent, observe.Fields{
 		"request":   p.request,
@@ -142,7 +143,8 @@
 	})
 }
 
-// decide applies the final step of a search.
+// decide applies the final step of a search: the request runs, with the permit of a home
+// or unchecked, or is refused.
 func (p *Permit) decide(step share.Step) {
 	l := p.limiter
 	l.mu.Lock()
@@ -151,10 +153,10 @@
 	l.metrics.decided(step.Kind, time.Since(p.start))
 	switch step.Kind {
 	case share.StepRefused:
-		p.refuse(reasonFull)
+		p.refuse(reasonLimitReached)
 		return
 	case share.StepRefusedLocally:
-		p.refuse(reasonUnchecked)
+		p.refuse(reasonShareInUse)
 		return
 	case share.StepGrantedLocally:
 		p.unchecked = true
