--- a/entry/claims/drive.go
+++ b/entry/claims/drive.go
@@ -14,8 +14,8 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// drive makes the calls that the machine requests until it has a verdict, and logs the
-// verdict.
+// drive makes the calls that a state machine of the protocol requests until the machine
+// has a verdict on the claim, and logs the verdict.
 func (k *Keeper) drive(ctx context.Context, action string, machine *claim.Machine) (State, error) {
 	name := machine.Next().Name
 	for {
@@ -51,7 +51,7 @@
 	case claim.CallRead:
 		return k.read(ctx, machine, step)
 	case claim.CallWait:
-		wait(ctx, step.Wait)
+		sleep(ctx, step.Wait)
 		return machine.Waited()
 	case claim.CallResolve:
 		return machine.Resolved(k.resolve(ctx, step.Record))
@@ -91,7 +91,7 @@
 	}
 }
 
-// read reads the claim and passes the result to the machine.
+// read reads the claim object and passes it, or the failure, to the machine.
 func (k *Keeper) read(ctx context.Context, machine *claim.Machine, step claim.Step) error {
 	object, err := k.objects.Get(ctx, step.Name)
 	if fault.Is(err, fault.NotFound) {
@@ -107,7 +107,8 @@
 	return machine.Found(record, object.Version)
 }
 
-// resolve asks the sidecar that the record names for the state of the record's attempt.
+// resolve requests the state of the record's attempt from the sidecar that the record
+// names.
 func (k *Keeper) resolve(ctx context.Context, record claim.Record) claim.SidecarResponse {
 	attempt := Claim{Record: record}
 	req := &wirepb.ResolveRequest{Key: attempt.AttemptKey(), Claim: attempt.ClaimKey()}
@@ -156,7 +157,8 @@
 	return err
 }
 
-// finishCall makes one call that recording a result requires and passes on its result.
+// finishCall makes one call that recording a result requires, and passes its outcome to
+// the recorder.
 func (k *Keeper) finishCall(ctx context.Context, recorder *claim.ResultRecorder, step claim.Step) error {
 	k.metrics.called(step.Call)
 	if step.Call == claim.CallUpdate {
@@ -183,8 +185,8 @@
 	return nil
 }
 
-// wait waits for d, or until ctx ends.
-func wait(ctx context.Context, d time.Duration) {
+// sleep waits for d, or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -206,7 +208,8 @@
 	}
 }
 
-// reason joins the events of the claim's state chart that led to a verdict.
+// reason returns the events of the claim's state chart that led to a verdict, separated
+// by spaces.
 func reason(trail []chart.Event) string {
 	names := make([]string, len(trail))
 	for i, event := range trail {
--- a/entry/claims/keeper.go
+++ b/entry/claims/keeper.go
@@ -30,7 +30,7 @@
 	Invalid     = claim.Invalid
 )
 
-// Target is the sidecar that an attempt is to be dispatched to.
+// Target is the sidecar that an attempt is sent to.
 type Target = claim.Target
 
 // OpenRequest describes the attempt for which a claim is opened.
@@ -103,11 +103,11 @@
 }
 
 // Addr returns the IP:port of the sidecar to attach to with Running.
-func (h State) Addr() string { return h.Claim.Record.Target.Addr }
+func (s State) Addr() string { return s.Claim.Record.Target.Addr }
 
-// Resolver asks a sidecar for the state of an attempt.
+// Resolver requests the state of an attempt from its sidecar.
 type Resolver interface {
-	// Resolve asks the sidecar at addr. An error means that there was no response.
+	// Resolve calls the sidecar at addr. An error means that there was no response.
 	Resolve(ctx context.Context, addr string, req *wirepb.ResolveRequest) (*wirepb.ResolveReply, error)
 }
 
@@ -184,7 +184,7 @@
 
 // Release abandons an owned attempt. The caller must have sent no Run for it, or the
 // sidecar must have refused every Run, and the caller must send none later. The next
-// request with the key need not ask the sidecar.
+// request with the key need not call Resolve at the sidecar.
 func (k *Keeper) Release(ctx context.Context, owned Claim) (State, error) {
 	machine := claim.Release(owned.Record, owned.Version, k.rules, k.newRand())
 	return k.drive(ctx, "release", machine)
--- a/entry/claims/metrics.go
+++ b/entry/claims/metrics.go
@@ -6,7 +6,7 @@
 	"acaciawinch/core/claim"
 )
 
-// metrics counts the calls that claims require and their verdicts.
+// metrics counts the calls that claims require, and the verdicts on claims.
 type metrics struct {
 	scope tally.Scope
 	// writes, reads and resolves count the calls made.
@@ -39,7 +39,7 @@
 	}
 }
 
-// decided counts a verdict.
+// decided counts a verdict of an action on a claim, such as open or release.
 func (m *metrics) decided(action string, status Status) {
 	tags := map[string]string{"action": action, "status": status.String()}
 	m.scope.Tagged(tags).Counter("verdicts").Inc(1)
--- a/entry/claims/sweep.go
+++ b/entry/claims/sweep.go
@@ -44,7 +44,7 @@
 	Now func() time.Time
 }
 
-// Sweeper deletes claims that are older than the retention. Claims are divided by name
+// Sweeper deletes expired claims; see claim.Expiry. Claims are divided by name
 // into 256 shards, and each entry sweeps the shards that rendezvous hashing over the
 // host list assigns to it. Two entries whose host lists differ may sweep the same shard;
 // that is safe, because deletions are conditional on the version.
@@ -70,10 +70,10 @@
 
 // Run makes passes over this entry's shards until ctx ends. It always returns nil.
 func (s *Sweeper) Run(ctx context.Context) error {
-	wait(ctx, rand.N(maxFirstSweepDelay))
+	sleep(ctx, rand.N(maxFirstSweepDelay))
 	for ctx.Err() == nil {
 		s.pass(ctx)
-		wait(ctx, sweepInterval)
+		sleep(ctx, sweepInterval)
 	}
 	return nil
 }
@@ -81,8 +81,8 @@
 // pass sweeps this entry's shards once. It stops at the first List call that fails.
 func (s *Sweeper) pass(ctx context.Context) {
 	var counts passCounts
-	for _, shard := range shards() {
-		if s.owns(shard) && !s.shard(ctx, shard, &counts) {
+	for _, shard := range shardPrefixes() {
+		if s.owns(shard) && !s.sweepShard(ctx, shard, &counts) {
 			break
 		}
 	}
@@ -91,8 +91,8 @@
 	})
 }
 
-// shards returns the key prefix of each shard.
-func shards() []string {
+// shardPrefixes returns the key prefix of each shard.
+func shardPrefixes() []string {
 	all := make([]string, 0, len(shardDigits)*len(shardDigits))
 	for _, high := range shardDigits {
 		for _, low := range shardDigits {
@@ -102,8 +102,8 @@
 	return all
 }
 
-// owns reports whether this entry sweeps a shard. It also sets the entry's share of the
-// rate.
+// owns reports whether this entry sweeps a shard. It also sets the rate of this entry's
+// calls to its share of fleetSweepRate.
 func (s *Sweeper) owns(shard string) bool {
 	entries := 0
 	var owner string
@@ -123,8 +123,9 @@
 	return owner == s.options.Self
 }
 
-// shard sweeps the claims of one shard. It reports whether the pass can continue.
-func (s *Sweeper) shard(ctx context.Context, shard string, counts *passCounts) bool {
+// sweepShard deletes the expired claims of one shard. It reports whether the pass can
+// continue.
+func (s *Sweeper) sweepShard(ctx context.Context, shard string, counts *passCounts) bool {
 	after := ""
 	for s.limiter.Wait(ctx) == nil {
 		page, err := s.options.Objects.List(ctx, shard, after, sweepPageSize)
@@ -132,7 +133,7 @@
 			counts.failed++
 			return false
 		}
-		s.page(ctx, page, counts)
+		s.sweepPage(ctx, page, counts)
 		if len(page) < sweepPageSize {
 			return true
 		}
@@ -141,9 +142,9 @@
 	return false
 }
 
-// page deletes the expired claims of one page. Objects that can't be decoded as claims
+// sweepPage deletes the expired claims of one page. Objects that can't be decoded as claims
 // are kept.
-func (s *Sweeper) page(ctx context.Context, page []objects.Object, counts *passCounts) {
+func (s *Sweeper) sweepPage(ctx context.Context, page []objects.Object, counts *passCounts) {
 	records := make([]claim.Record, len(page))
 	for i, object := range page {
 		counts.listed++
