--- a/entry/place/engines.go
+++ b/entry/place/engines.go
@@ -12,7 +12,8 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// Facts is the state of the fleet at one moment, as received by the feed.
+// Facts is what a plan is made from: the state of the fleet at one moment, as received by
+// the feed.
 type Facts struct {
 	Revision core.Revision
 	Models   []config.Model
@@ -29,7 +30,8 @@
 	// responded to a probe.
 	probedAt  time.Duration
 	responded bool
-	// silentSince is the time of the first failed probe after the last response.
+	// silent is set while the engine's sidecar does not respond to probes; silentSince is
+	// the time of the first failed probe after the last response.
 	silent      bool
 	silentSince time.Duration
 	// silenceLogged is set once it was logged that the engine was silent for too long.
@@ -96,14 +98,14 @@
 func (e *engines) toProbe(plan placement.Plan) []fleet.Host {
 	urgent := make(map[core.UpstreamID]bool)
 	for _, a := range plan.Assignments {
-		if known := e.byID[a.Upstream]; known != nil && !known.holds(a) {
+		if state := e.byID[a.Upstream]; state != nil && !state.holds(a) {
 			urgent[a.Upstream] = true
 		}
 	}
 	ids := make([]core.UpstreamID, 0, len(e.byID))
-	for id, known := range e.byID {
+	for id, state := range e.byID {
 		ids = append(ids, id)
-		urgent[id] = urgent[id] || known.silent || !known.responded
+		urgent[id] = urgent[id] || state.silent || !state.responded
 	}
 	slices.SortFunc(ids, func(a, b core.UpstreamID) int {
 		if urgent[a] != urgent[b] {
@@ -121,40 +123,40 @@
 	return hosts
 }
 
-// noteReply records the response to a probe; nil means that there was none. The loaded
+// recordReply records the reply to a probe; nil means that there was none. The loaded
 // models are replaced as a whole, because a restarted sidecar may have none.
-func (e *engines) noteReply(now time.Duration, upstream core.UpstreamID, reply *wirepb.ProbeReply) {
-	known := e.byID[upstream]
-	known.probedAt = now
+func (e *engines) recordReply(now time.Duration, upstream core.UpstreamID, reply *wirepb.ProbeReply) {
+	state := e.byID[upstream]
+	state.probedAt = now
 	if reply == nil {
-		if !known.silent {
-			known.silent = true
-			known.silentSince = now
+		if !state.silent {
+			state.silent = true
+			state.silentSince = now
 		}
 		return
 	}
-	known.silent = false
-	known.silenceLogged = false
-	known.responded = true
-	known.loaded = nil
+	state.silent = false
+	state.silenceLogged = false
+	state.responded = true
+	state.loaded = nil
 	for _, model := range reply.GetLoad().GetModels() {
-		known.loaded = append(known.loaded, placement.ModelVersion{Model: model.GetModel(), Version: model.GetVersion()})
+		state.loaded = append(state.loaded, placement.ModelVersion{Model: model.GetModel(), Version: model.GetVersion()})
 	}
 }
 
-// stuckLoadTimes is for how long an assignment that got stuck is not tried again, in
-// multiples of LoadMS.
-const stuckLoadTimes = 2
+// stuckRetryFactor is for how long an assignment whose load got stuck is not tried again,
+// in multiples of LoadMS.
+const stuckRetryFactor = 2
 
-// noteLoads records since when loads have been unfinished, and returns those that got
-// stuck just now.
-func (e *engines) noteLoads(now time.Duration, plan placement.Plan) []placement.Assignment {
+// recordLoads records since when the plan's loads have been unfinished, and returns the
+// assignments whose loads have just exceeded LoadMS: they got stuck.
+func (e *engines) recordLoads(now time.Duration, plan placement.Plan) []placement.Assignment {
 	unfinishedSince := make(map[placement.Assignment]time.Duration)
 	loadTimeout := milliseconds(e.settings.LoadMS)
 	var stuck []placement.Assignment
 	for _, a := range plan.Assignments {
-		known := e.byID[a.Upstream]
-		if known == nil || known.holds(a) {
+		state := e.byID[a.Upstream]
+		if state == nil || state.holds(a) {
 			continue
 		}
 		since, ok := e.unfinishedSince[a]
@@ -163,7 +165,7 @@
 		}
 		unfinishedSince[a] = since
 		if now-since > loadTimeout {
-			e.stuckUntil[a] = now + stuckLoadTimes*loadTimeout
+			e.stuckUntil[a] = now + stuckRetryFactor*loadTimeout
 			stuck = append(stuck, a)
 		}
 	}
@@ -182,16 +184,16 @@
 			ModelsPerEngine: e.settings.ModelsPerEngine,
 		},
 	}
-	for id, known := range e.byID {
-		if e.silentTooLong(now, known) {
+	for id, state := range e.byID {
+		if e.silentTooLong(now, state) {
 			continue
 		}
 		in.Engines = append(in.Engines, placement.Engine{
 			Upstream: id,
-			Service:  known.host.Service,
-			Zone:     known.host.Zone,
-			Loaded:   known.loaded,
-			Known:    known.responded && !known.silent,
+			Service:  state.host.Service,
+			Zone:     state.host.Zone,
+			Loaded:   state.loaded,
+			Known:    state.responded && !state.silent,
 		})
 	}
 	slices.SortFunc(in.Engines, func(a, b placement.Engine) int { return cmp.Compare(a.Upstream, b.Upstream) })
@@ -206,6 +208,6 @@
 }
 
 // silentTooLong reports whether an engine has been silent for longer than the grace period.
-func (e *engines) silentTooLong(now time.Duration, known *engine) bool {
-	return known.silent && now-known.silentSince > milliseconds(e.settings.GraceMS)
+func (e *engines) silentTooLong(now time.Duration, state *engine) bool {
+	return state.silent && now-state.silentSince > milliseconds(e.settings.GraceMS)
 }
--- a/entry/place/log.go
+++ b/entry/place/log.go
@@ -11,7 +11,7 @@
 // maxAlternatives bounds the alternative engines that one log line lists.
 const maxAlternatives = 5
 
-// logWritten logs a plan that took effect and each of its decisions.
+// logWritten logs and counts a plan that took effect, and logs each of its decisions.
 func (p *Proposer) logWritten(plan placement.Plan, version uint64, decisions []placement.Decision) {
 	p.metrics.plans.Inc(1)
 	loads := 0
@@ -40,7 +40,7 @@
 // logDecision logs one decision.
 func (p *Proposer) logDecision(sequence uint64, d placement.Decision) {
 	if d.Action == placement.ActionShort {
-		p.logShort(d)
+		p.logShortage(d)
 		return
 	}
 	p.options.Log.Event(event.PlacementDecided, observe.Fields{
@@ -54,8 +54,9 @@
 	})
 }
 
-// logShort logs a shortage that is new or whose reason has changed.
-func (p *Proposer) logShort(d placement.Decision) {
+// logShortage logs a shortage, a wanted replica of a model that no engine has room for,
+// if it is new or its reason has changed.
+func (p *Proposer) logShortage(d placement.Decision) {
 	if p.loggedShortages[d.Assignment] == d.Reason {
 		return
 	}
@@ -65,28 +66,28 @@
 	})
 }
 
-// logNotWritten logs a plan that was not written.
+// logNotWritten logs and counts a plan that was not written.
 func (p *Proposer) logNotWritten(plan placement.Plan, err error) {
 	p.metrics.notWritten.Inc(1)
 	p.options.Log.Warn(event.PlacementNotWritten, observe.Fields{"sequence": plan.Sequence, "error": err.Error()})
 }
 
-// logSilent logs each engine that has now been silent for too long.
+// logSilent logs, once, each engine that has been silent for longer than the grace period.
 func (p *Proposer) logSilent(hosts []fleet.Host) {
 	now := p.now()
 	for _, host := range hosts {
-		known := p.engines.byID[core.UpstreamID(host.Name)]
-		if known.silenceLogged || !p.engines.silentTooLong(now, known) {
+		state := p.engines.byID[core.UpstreamID(host.Name)]
+		if state.silenceLogged || !p.engines.silentTooLong(now, state) {
 			continue
 		}
-		known.silenceLogged = true
+		state.silenceLogged = true
 		p.options.Log.Warn(event.PlacementEngineSilent, observe.Fields{
-			"upstream": host.Name, "addr": host.Addr, "silent_ms": (now - known.silentSince).Milliseconds(),
+			"upstream": host.Name, "addr": host.Addr, "silent_ms": (now - state.silentSince).Milliseconds(),
 		})
 	}
 }
 
-// logStuck logs each load that got stuck in this round.
+// logStuck logs the assignments whose loads got stuck in this round.
 func (p *Proposer) logStuck(stuck []placement.Assignment) {
 	for _, a := range stuck {
 		p.options.Log.Warn(event.PlacementLoadStuck, observe.Fields{
--- a/entry/place/metrics.go
+++ b/entry/place/metrics.go
@@ -8,7 +8,9 @@
 	holding tally.Gauge
 	// assignments and unfinished are the numbers of assignments and unfinished loads of the
 	// plan last read.
-	assignments, unfinished   tally.Gauge
+	assignments, unfinished tally.Gauge
+	// plans and notWritten count the plans that took effect and those that could not be
+	// written; probes counts the engines probed.
 	plans, notWritten, probes tally.Counter
 }
 
--- a/entry/place/place_test.go
+++ b/entry/place/place_test.go
@@ -315,7 +315,7 @@
 	for range 5 {
 		for _, host := range e.toProbe(placement.Plan{}) {
 			probed[host.Name]++
-			e.noteReply(time.Duration(len(probed)), core.UpstreamID(host.Name), &wirepb.ProbeReply{})
+			e.recordReply(time.Duration(len(probed)), core.UpstreamID(host.Name), &wirepb.ProbeReply{})
 		}
 	}
 	assert.Equal(t, len(probed), 5)
--- a/entry/place/proposer.go
+++ b/entry/place/proposer.go
@@ -26,8 +26,9 @@
 	maxConcurrentProbes = 16
 	storeTimeout        = 2 * time.Second
 	releaseTimeout      = 500 * time.Millisecond
-	maxRankedRounds     = 12
-	jitterPercent       = 20
+	// maxRankedRounds bounds how many rounds longer a process waits because of its rank.
+	maxRankedRounds = 12
+	jitterPercent   = 20
 	// settleDivisor divides the time between rounds to give the delay after a change in
 	// which further changes may arrive.
 	settleDivisor = 50
@@ -47,7 +48,7 @@
 	Log     *observe.Logger
 	// Scope is where metrics are registered; nil drops them.
 	Scope tally.Scope
-	// Facts returns the state of the feed, and false while it has none.
+	// Facts returns the current facts, and false while none are known.
 	Facts func() (Facts, bool)
 	// Changed returns a channel that is closed at the next change of the facts, so that
 	// the holder need not wait for its next round. It is optional.
@@ -72,7 +73,10 @@
 // All its state belongs to the goroutine of Run; only Holding may be called by others.
 type Proposer struct {
 	options Options
-	start   time.Time
+	// start is the zero of the process's monotonic clock.
+	start time.Time
+	// term is a random number by which the lease tells this process from an earlier one of
+	// the same name.
 	term    uint64
 	lease   *placement.Lease
 	engines *engines
@@ -98,8 +102,8 @@
 	}
 }
 
-// Run makes rounds until ctx ends, then releases the lease if it holds it. It always
-// returns nil.
+// Run makes rounds until ctx ends, then releases the lease if this process holds it. It
+// always returns nil.
 func (p *Proposer) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		changed := p.changed()
@@ -128,8 +132,8 @@
 // wait waits until the next round. For the holder, a change of the facts ends the wait,
 // after a short delay because changes often come together. Until the first facts are
 // known, their arrival ends the wait of every process.
-func (p *Proposer) wait(ctx context.Context, known bool, changed <-chan struct{}) {
-	if known && !p.Holding() {
+func (p *Proposer) wait(ctx context.Context, factsKnown bool, changed <-chan struct{}) {
+	if factsKnown && !p.Holding() {
 		changed = nil
 	}
 	timer := time.NewTimer(p.roundDelay())
@@ -152,8 +156,8 @@
 	}
 }
 
-// roundDelay returns the time until the next round if nothing changes. A process that
-// does not hold the lease reads it less often the lower it ranks, so that a fleet of
+// roundDelay returns the time until the next round if nothing changes. The lower a
+// process ranks, the less often it reads a lease that it does not hold, so that a fleet of
 // hundreds of entries takes only a few reads per second.
 func (p *Proposer) roundDelay() time.Duration {
 	delay := milliseconds(p.options.Settings.RoundMS)
@@ -220,10 +224,10 @@
 	hosts := p.engines.toProbe(round.CurrentPlan())
 	replies := p.probe(ctx, hosts, facts.Revision)
 	for i, host := range hosts {
-		p.engines.noteReply(p.now(), core.UpstreamID(host.Name), replies[i])
+		p.engines.recordReply(p.now(), core.UpstreamID(host.Name), replies[i])
 	}
 	p.logSilent(hosts)
-	p.logStuck(p.engines.noteLoads(p.now(), round.CurrentPlan()))
+	p.logStuck(p.engines.recordLoads(p.now(), round.CurrentPlan()))
 	p.metrics.assignments.Update(float64(len(round.CurrentPlan().Assignments)))
 	p.metrics.unfinished.Update(float64(len(p.engines.unfinishedSince)))
 	now := p.now()
--- a/entry/place/store.go
+++ b/entry/place/store.go
@@ -8,7 +8,7 @@
 	"acaciawinch/core/placement"
 )
 
-// call makes one call that a round requests and passes it the result.
+// call makes the call of one step of a round and passes the result to the round.
 func (p *Proposer) call(ctx context.Context, round *placement.Round, step placement.RoundStep, facts Facts) {
 	storeCtx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -26,7 +26,7 @@
 	}
 }
 
-// readLease reads the lease object.
+// readLease reads the lease object and passes it, or the failure, to the round.
 func (p *Proposer) readLease(ctx context.Context, round *placement.Round) {
 	object, err := p.options.Objects.Get(ctx, placement.LeaseKey)
 	if fault.Is(err, fault.NotFound) {
