--- a/entry/callers/answer.go
+++ b/entry/callers/answer.go
@@ -12,7 +12,7 @@
 	"acaciawinch/core"
 )
 
-// Response is a complete response in JSON. Exactly one of Output and OutputBase64
+// Response is the JSON document of a complete response. Exactly one of Output and OutputBase64
 // is set unless the output is empty.
 type Response struct {
 	RequestID core.RequestID `json:"request_id"`
@@ -60,7 +60,7 @@
 	digest *xxhash.Digest
 }
 
-// add adds one chunk to the totals.
+// add counts one chunk and adds it to the digest.
 func (t *deliveryTotals) add(data []byte) {
 	t.chunks++
 	_, _ = t.digest.Write(data) // never fails
--- a/entry/callers/lookup.go
+++ b/entry/callers/lookup.go
@@ -7,7 +7,7 @@
 	"acaciawinch/core"
 )
 
-// Status is the outcome of an earlier request.
+// Status is the JSON document that reports the outcome of an earlier request.
 type Status struct {
 	RequestID core.RequestID `json:"request_id"`
 	Outcome   core.Outcome   `json:"outcome"`
--- a/entry/callers/problem.go
+++ b/entry/callers/problem.go
@@ -47,8 +47,9 @@
 // typePrefix is the prefix of every problem type.
 const typePrefix = "urn:acaciawinch:problem:"
 
-// refuse returns the problem of a request that reached no upstream.
-func refuse(status int, kind, step, detail string) Problem {
+// newProblem returns a problem with the outcome not_run, that of a request that reached no
+// upstream.
+func newProblem(status int, kind, step, detail string) Problem {
 	return Problem{
 		Type:    typePrefix + kind,
 		Title:   http.StatusText(status),
@@ -59,21 +60,21 @@
 	}
 }
 
-// retryAfter returns p with a retry delay of at least 1 ms.
-func (p Problem) retryAfter(d time.Duration) Problem {
+// withRetryAfter returns p with the retry delay d, of at least 1 ms.
+func (p Problem) withRetryAfter(d time.Duration) Problem {
 	p.RetryAfterMS = max(d.Milliseconds(), 1)
 	return p
 }
 
 // write sends the problem as the complete response.
 func (p Problem) write(w http.ResponseWriter) {
-	p.headers(w.Header())
+	p.setHeaders(w.Header())
 	w.WriteHeader(p.Status)
 	_ = json.NewEncoder(w).Encode(p) // the caller may have disconnected
 }
 
-// headers sets the response headers for the problem.
-func (p Problem) headers(h http.Header) {
+// setHeaders sets the response headers for the problem.
+func (p Problem) setHeaders(h http.Header) {
 	h.Set("Content-Type", problemType)
 	if p.RequestID != "" {
 		h.Set(headerRequestID, string(p.RequestID))
--- a/entry/callers/server.go
+++ b/entry/callers/server.go
@@ -51,7 +51,8 @@
 // Finder looks up earlier requests.
 type Finder interface {
 	// Find returns the trace of a request, from this entry or from the entry that the
-	// request id names. Key is the caller's idempotency key, empty if unknown.
+	// request id names, or what the request's claims show of it. Key is the caller's
+	// idempotency key, empty if unknown.
 	Find(ctx context.Context, workspace, pipeline string, id core.RequestID, key string) (trace.Trace, bool)
 }
 
@@ -105,7 +106,7 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if headerSize(r.Header) > s.opts.HeaderBytes {
-		s.refuse(w, r, refuse(http.StatusRequestHeaderFieldsTooLarge, kindTooLarge, "admission.headers", "the headers are too large"))
+		s.refuse(w, r, newProblem(http.StatusRequestHeaderFieldsTooLarge, kindTooLarge, "admission.headers", "the headers are too large"))
 		return
 	}
 	s.mux.ServeHTTP(w, r)
@@ -126,13 +127,13 @@
 func (s *Server) wrongMethod(allowed string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Allow", allowed)
-		s.refuse(w, r, refuse(http.StatusMethodNotAllowed, kindMethod, "admission.method", "only "+allowed+" is allowed here"))
+		s.refuse(w, r, newProblem(http.StatusMethodNotAllowed, kindMethod, "admission.method", "only "+allowed+" is allowed here"))
 	}
 }
 
 // unknownPath refuses requests for an unknown path.
 func (s *Server) unknownPath(w http.ResponseWriter, r *http.Request) {
-	s.refuse(w, r, refuse(http.StatusNotFound, kindNotFound, "admission.path", "no such path"))
+	s.refuse(w, r, newProblem(http.StatusNotFound, kindNotFound, "admission.path", "no such path"))
 }
 
 // refuse records and sends the refusal of a request that was not admitted.
--- a/entry/callers/submit.go
+++ b/entry/callers/submit.go
@@ -15,10 +15,10 @@
 
 // Retry delays after a refusal at admission.
 const (
-	retryWhenFull     = time.Second
-	retryWhenDraining = time.Second
-	retryWhenPaced    = 100 * time.Millisecond
-	retryWhenStarting = 2 * time.Second
+	retryWhenFull       = time.Second
+	retryWhenDraining   = time.Second
+	retryWhenOverloaded = 100 * time.Millisecond
+	retryWhenStarting   = 2 * time.Second
 )
 
 // writeGrace is the time after a request's deadline within which its response may
@@ -50,8 +50,8 @@
 	result = s.run(w, r, admitted, stream, started)
 }
 
-// endOf returns how an admitted request ended, for the pacing of admission. Overload
-// counts only if the caller allowed at least the default deadline of the template: a
+// endOf returns how an admitted request ended, for the adaptive limit of admission.
+// Overload counts only if the caller allowed at least the default deadline of the template: a
 // shorter one is no sign of overloaded upstreams.
 func endOf(admitted pipeline.Request, result pipeline.Result) admit.End {
 	defaultDeadline := time.Duration(admitted.Template.DeadlineMS) * time.Millisecond
@@ -76,16 +76,16 @@
 	case admit.Admitted:
 		return ticket, nil
 	case admit.Overloaded:
-		p := refuse(http.StatusServiceUnavailable, kindOverload, "admission.pace", string(refusal)).retryAfter(max(retryAfter, retryWhenPaced))
+		p := newProblem(http.StatusServiceUnavailable, kindOverload, "admission.pace", string(refusal)).withRetryAfter(max(retryAfter, retryWhenOverloaded))
 		return nil, &p
 	case admit.WorkspaceFull:
-		p := refuse(http.StatusTooManyRequests, kindLimit, "admission.workspace", string(refusal)).retryAfter(retryWhenFull)
+		p := newProblem(http.StatusTooManyRequests, kindLimit, "admission.workspace", string(refusal)).withRetryAfter(retryWhenFull)
 		return nil, &p
 	case admit.Draining:
-		p := refuse(http.StatusServiceUnavailable, kindUnavailable, "admission.draining", string(refusal)).retryAfter(retryWhenDraining)
+		p := newProblem(http.StatusServiceUnavailable, kindUnavailable, "admission.draining", string(refusal)).withRetryAfter(retryWhenDraining)
 		return nil, &p
 	}
-	p := refuse(http.StatusServiceUnavailable, kindOverload, "admission.limit", string(refusal)).retryAfter(retryWhenFull)
+	p := newProblem(http.StatusServiceUnavailable, kindOverload, "admission.limit", string(refusal)).withRetryAfter(retryWhenFull)
 	return nil, &p
 }
 
@@ -153,11 +153,11 @@
 	if result.Outcome == core.OutcomeUnknown {
 		kind = kindUnknown
 	}
-	p := refuse(status, kind, result.Step, result.Detail)
+	p := newProblem(status, kind, result.Step, result.Detail)
 	p.Outcome = result.Outcome
 	p.RequestID = id
 	if result.RetryAfter > 0 {
-		p = p.retryAfter(result.RetryAfter)
+		p = p.withRetryAfter(result.RetryAfter)
 	}
 	return p
 }
--- a/entry/callers/validate.go
+++ b/entry/callers/validate.go
@@ -21,15 +21,15 @@
 // deadline.
 const fallbackDeadline = 3 * time.Second
 
-// validate reads a request and makes all checks that need no upstream. It returns a
-// problem with the outcome not_run if one of them fails.
+// validate reads a request and makes all checks that need no upstream. If a check fails,
+// it returns a problem with the outcome not_run.
 func (s *Server) validate(w http.ResponseWriter, r *http.Request) (pipeline.Request, *Problem) {
 	state, revision, ok := s.opts.State()
 	if !ok {
-		p := refuse(http.StatusServiceUnavailable, kindUnavailable, "admission.configuration", "no configuration has been loaded yet").retryAfter(retryWhenStarting)
+		p := newProblem(http.StatusServiceUnavailable, kindUnavailable, "admission.configuration", "no configuration has been loaded yet").withRetryAfter(retryWhenStarting)
 		return pipeline.Request{}, &p
 	}
-	workspace, template, problem := find(state, r.PathValue("workspace"), r.PathValue("pipeline"))
+	workspace, template, problem := findTemplate(state, r.PathValue("workspace"), r.PathValue("pipeline"))
 	if problem != nil {
 		return pipeline.Request{}, problem
 	}
@@ -65,8 +65,9 @@
 	}, nil
 }
 
-// find returns the workspace and the pipeline template that the request path names.
-func find(state State, workspaceName, pipelineName string) (config.Workspace, config.Template, *Problem) {
+// findTemplate returns the workspace and the pipeline template that the request path names,
+// if the workspace may use the pipeline.
+func findTemplate(state State, workspaceName, pipelineName string) (config.Workspace, config.Template, *Problem) {
 	workspace, ok := state.Workspace(workspaceName)
 	if !ok {
 		return config.Workspace{}, config.Template{}, notFound("admission.workspace", "no such workspace: "+workspaceName)
@@ -108,7 +109,7 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		p := refuse(http.StatusRequestEntityTooLarge, kindTooLarge, "admission.body", "the body is larger than "+strconv.Itoa(s.opts.BodyBytes)+" bytes")
+		p := newProblem(http.StatusRequestEntityTooLarge, kindTooLarge, "admission.body", "the body is larger than "+strconv.Itoa(s.opts.BodyBytes)+" bytes")
 		return nil, &p
 	case err != nil:
 		return nil, invalid("admission.body", "the body cannot be read")
@@ -120,12 +121,12 @@
 
 // invalid returns the problem of a malformed request.
 func invalid(step, detail string) *Problem {
-	p := refuse(http.StatusBadRequest, kindInvalid, step, detail)
+	p := newProblem(http.StatusBadRequest, kindInvalid, step, detail)
 	return &p
 }
 
 // notFound returns the problem of an unknown name.
 func notFound(step, detail string) *Problem {
-	p := refuse(http.StatusNotFound, kindNotFound, step, detail)
+	p := newProblem(http.StatusNotFound, kindNotFound, step, detail)
 	return &p
 }
--- a/entry/claims/keeper_test.go
+++ b/entry/claims/keeper_test.go
@@ -123,7 +123,7 @@
 	assert.Equal(t, f.side.dispatch(f.open(t, "k", Owned).Claim), gate.Admitted)
 }
 
-func TestLookPreventsALaterDispatch(t *testing.T) {
+func TestInspectPreventsALaterDispatch(t *testing.T) {
 	f := newFixture(t)
 	inspect := func() State {
 		state, err := f.keeper.Inspect(context.Background(), "w", "p", "k", "s")
