--- a/entry/clean/cleaner.go
+++ b/entry/clean/cleaner.go
@@ -62,34 +62,34 @@
 	return &Cleaner{options: opts, limiter: rate.NewLimiter(opts.Rate, 1), metrics: newMetrics(opts.Scope)}
 }
 
-// Run makes passes while this entry is the owner, until ctx ends. It always returns
-// nil.
+// Run makes passes while this entry is the owner, until ctx ends, or returns at once if
+// the settings keep all revisions. It always returns nil.
 func (c *Cleaner) Run(ctx context.Context) error {
 	if c.options.Settings.Revisions == 0 {
 		return nil
 	}
 	next := rand.N(c.options.Settings.firstPass())
-	for wait(ctx, next) {
+	for sleep(ctx, next) {
 		next = c.passIfOwner(ctx)
 	}
 	return nil
 }
 
 // passIfOwner makes a pass if this entry is the owner, and returns the time until the
-// next call. While the host list is not known, no entry knows whether it is the owner;
-// waiting for passInterval then would delay the pass by a day.
+// next call. While the host list is not known, no entry knows whether it is the owner,
+// and a wait of passInterval would delay the pass by a day.
 func (c *Cleaner) passIfOwner(ctx context.Context) time.Duration {
 	switch {
 	case len(c.options.Hosts()) == 0:
 		return c.options.Settings.firstPass()
-	case c.owns() && !c.pass(ctx):
+	case c.isOwner() && !c.pass(ctx):
 		return retryInterval
 	}
 	return passInterval
 }
 
-// wait waits for d and reports whether ctx is still active.
-func wait(ctx context.Context, d time.Duration) bool {
+// sleep waits for d, or until ctx ends, and reports whether ctx is still active.
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -100,9 +100,9 @@
 	}
 }
 
-// owns reports whether this entry is the owner: the entry with the highest rendezvous
+// isOwner reports whether this entry is the owner: the entry with the highest rendezvous
 // weight among those that are not leaving.
-func (c *Cleaner) owns() bool {
+func (c *Cleaner) isOwner() bool {
 	owner, maxWeight := "", uint64(0)
 	for _, host := range c.options.Hosts() {
 		if host.Role != fleet.RoleEntry || host.Leaving {
@@ -130,7 +130,7 @@
 		}
 		action := machine.Next()
 		c.metrics.called(action.Kind)
-		reply := c.carryOut(ctx, action)
+		reply := c.call(ctx, action)
 		if ctx.Err() != nil {
 			return false
 		}
@@ -138,8 +138,8 @@
 	}
 }
 
-// carryOut makes one call to the object API.
-func (c *Cleaner) carryOut(ctx context.Context, action retention.Action) retention.Reply {
+// call makes one call to the object API that the protocol requests.
+func (c *Cleaner) call(ctx context.Context, action retention.Action) retention.Reply {
 	var reply retention.Reply
 	var err error
 	switch action.Kind {
--- a/entry/clean/cleaner_test.go
+++ b/entry/clean/cleaner_test.go
@@ -119,7 +119,7 @@
 	owner := ""
 	for _, host := range hosts {
 		c, _ := cleaner(t, nil, host.Name, hosts)
-		if c.owns() {
+		if c.isOwner() {
 			assert.Equal(t, owner, "", "two entries are owners")
 			owner = host.Name
 		}
@@ -129,9 +129,9 @@
 		hosts[i].Leaving = hosts[i].Name == owner
 	}
 	c, _ := cleaner(t, nil, owner, hosts)
-	assert.Assert(t, !c.owns(), "an entry that is leaving is the owner")
+	assert.Assert(t, !c.isOwner(), "an entry that is leaving is the owner")
 	c, _ = cleaner(t, nil, "a", nil)
-	assert.Assert(t, !c.owns(), "an entry without a host list is the owner")
+	assert.Assert(t, !c.isOwner(), "an entry without a host list is the owner")
 }
 
 // TestUnknownHostListIsCheckedAgainSoon checks that an entry that has no host list yet
--- a/entry/clean/metrics.go
+++ b/entry/clean/metrics.go
@@ -11,7 +11,8 @@
 	scope tally.Scope
 	// reads and writes count the calls made.
 	reads, writes tally.Counter
-	// copies, parts and spared sum up the fields of retention.Result.
+	// copies and parts count the copies of heads and the parts deleted, spared the parts
+	// kept because a change came to need them; see retention.Result.
 	copies, parts, spared tally.Counter
 	// oldest is the oldest revision kept after the last pass.
 	oldest tally.Gauge
@@ -44,7 +45,7 @@
 	}
 }
 
-// ended counts a pass and what it deleted.
+// ended counts a pass by its outcome, and what it deleted.
 func (m *metrics) ended(r retention.Result) {
 	m.scope.Tagged(map[string]string{"outcome": string(r.Outcome)}).Counter("passes").Inc(1)
 	m.copies.Inc(int64(r.Copies))
--- a/entry/clean/settings.go
+++ b/entry/clean/settings.go
@@ -15,7 +15,8 @@
 	Revisions int `toml:"revisions"`
 	// Hours is the minimum time for which a change is kept.
 	Hours int `toml:"hours"`
-	// FirstPassSeconds bounds the random time before the first pass.
+	// FirstPassSeconds bounds the random time before the first pass; it is also the time
+	// until the next attempt while the host list is not known.
 	FirstPassSeconds int `toml:"first_pass_seconds"`
 	// CallsPerSecond bounds the rate of calls to the store.
 	CallsPerSecond int `toml:"calls_per_second"`
