--- a/entry/trace/trace.go
+++ b/entry/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace keeps the decisions made about recent requests in memory, so that the
-// outcome of a request can be explained.
+// Package trace keeps traces of recent requests in memory: the decisions made about each
+// request, so that its outcome can be explained.
 package trace
 
 import (
@@ -20,7 +20,7 @@
 type Decision struct {
 	// AtUS is the time since the request's admission in microseconds.
 	AtUS int64 `json:"at_us"`
-	// Event and Name are the number and name of the log event.
+	// Event and Name are the number and name of the log event of the decision.
 	Event        int             `json:"event"`
 	Name         string          `json:"name"`
 	Stage        string          `json:"stage,omitempty"`
@@ -37,7 +37,7 @@
 	Pipeline  string         `json:"pipeline"`
 	Revision  core.Revision  `json:"revision"`
 	Outcome   core.Outcome   `json:"outcome"`
-	// Step and Detail say where and why the request failed.
+	// Step and Detail say at which step and why the request was refused or abandoned.
 	Step   string `json:"step,omitempty"`
 	Detail string `json:"detail,omitempty"`
 	// Chunks and Digest describe a complete response: its number of chunks and the digest
@@ -56,8 +56,9 @@
 type Ring struct {
 	mu       sync.Mutex
 	capacity int
-	order    *list.List
-	byID     map[core.RequestID]*list.Element
+	// order holds the traces as *Trace, the oldest first; byID holds their elements in it.
+	order *list.List
+	byID  map[core.RequestID]*list.Element
 }
 
 // NewRing returns a Ring that keeps at most capacity traces.
@@ -65,7 +66,7 @@
 	return &Ring{capacity: capacity, order: list.New(), byID: make(map[core.RequestID]*list.Element)}
 }
 
-// Begin adds a trace and sets its outcome to running. If the ring is full, the oldest
+// Begin adds the trace of an admitted request and sets its outcome to running. If the ring is full, the oldest
 // trace is dropped.
 func (r *Ring) Begin(t Trace) {
 	r.mu.Lock()
@@ -99,7 +100,7 @@
 	})
 }
 
-// End is how a request ended.
+// End is how a request ended; the fields are those of Trace.
 type End struct {
 	Outcome  core.Outcome
 	Step     string
