--- a/entry/admin.go
+++ b/entry/admin.go
@@ -12,7 +12,7 @@
 	"acaciawinch/feed"
 )
 
-// Status is the response of /v1/status.
+// Status is the response body of GET /v1/status.
 type Status struct {
 	Name        string           `json:"name"`
 	Zone        string           `json:"zone"`
@@ -34,10 +34,11 @@
 	UptimeSeconds     float64 `json:"uptime_seconds"`
 }
 
-// Timeouts of the admin listener.
+// Timeouts of the admin listener and of the shutdown.
 const (
 	adminHeaderTimeout = 5 * time.Second
-	adminStopTimeout   = time.Second
+	// shutdownTimeout bounds the shutdown of both HTTP servers together.
+	shutdownTimeout = time.Second
 )
 
 // adminOptions are the functions and handlers behind the admin endpoints.
@@ -48,7 +49,7 @@
 	metrics http.Handler
 }
 
-// newAdmin returns the handler of the admin listener.
+// newAdmin returns the handler of the admin listener, which serves operators.
 func newAdmin(opts adminOptions) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", opts.metrics)
--- a/entry/find.go
+++ b/entry/find.go
@@ -15,7 +15,7 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// Timeouts of a lookup.
+// Timeouts of a lookup: of the call to another entry, and of the calls about claims.
 const (
 	traceTimeout = 500 * time.Millisecond
 	claimTimeout = 3 * time.Second
@@ -32,7 +32,8 @@
 	Template(name string) (config.Template, bool)
 }
 
-// finder finds traces in this entry or in the entry that a request id names.
+// finder looks up earlier requests: their traces in this entry or in the entry that the
+// request id names, or else their claims.
 type finder struct {
 	name   string
 	state  func() fleetView
@@ -98,7 +99,7 @@
 	if key == "" {
 		key = string(id)
 	}
-	claimed, known := f.findClaim(ctx, workspace, pipeline, key)
+	claimed, known := f.traceFromClaims(ctx, workspace, pipeline, key)
 	if !known {
 		return found, ok
 	}
@@ -106,9 +107,10 @@
 	return claimed, true
 }
 
-// findClaim derives the outcome of a key from the claims of the pipeline's
-// non-idempotent stages. It returns false if they do not determine one.
-func (f *finder) findClaim(ctx context.Context, workspace, pipeline, key string) (trace.Trace, bool) {
+// traceFromClaims returns a trace with the outcome that the claims of the pipeline's
+// non-idempotent stages imply for a request with the key. It returns false if they imply
+// none.
+func (f *finder) traceFromClaims(ctx context.Context, workspace, pipeline, key string) (trace.Trace, bool) {
 	state := f.state()
 	if state == nil {
 		return trace.Trace{}, false
--- a/entry/journal.go
+++ b/entry/journal.go
@@ -11,7 +11,8 @@
 	"acaciawinch/observe/event"
 )
 
-// journal writes the log lines and updates the metrics of requests.
+// journal writes the log lines of requests and counts their outcomes. It implements
+// callers.Journal.
 type journal struct {
 	logger *observe.Logger
 	scope  tally.Scope
--- a/entry/process.go
+++ b/entry/process.go
@@ -93,7 +93,7 @@
 	return p, nil
 }
 
-// addFeed adds the feed, which keeps a copy of the fleet's state.
+// addFeed adds the feed, which keeps this process's copy of the fleet's state.
 func (p *process) addFeed(store objects.API) {
 	p.feed = feed.New(feed.Options{
 		Name:          p.settings.Process.Name,
@@ -154,7 +154,8 @@
 	})
 }
 
-// addPlacement adds the proposer, which takes part in the placement of models.
+// addPlacement adds the proposer, which plans the placement of models while this entry
+// holds the lease.
 func (p *process) addPlacement(store objects.API) {
 	p.proposer = place.New(place.Options{
 		Self:     p.settings.Process.Name,
@@ -216,7 +217,7 @@
 }
 
 // budgetLimits returns limits with the ratio set to percent. Zero percent allows no
-// extra calls at all.
+// retries or hedges at all.
 func budgetLimits(limits budget.Limits, percent float64) budget.Limits {
 	if percent == 0 {
 		return budget.Limits{}
@@ -253,8 +254,8 @@
 	return state.Revision
 }
 
-// callersState returns the state and revision for the admission of requests, false
-// until a state is known.
+// callersState returns the state and revision for the HTTP API for callers, false until a
+// state is known.
 func (p *process) callersState() (callers.State, core.Revision, bool) {
 	state := p.feed.State()
 	if state == nil {
--- a/entry/run.go
+++ b/entry/run.go
@@ -11,9 +11,8 @@
 	"acaciawinch/observe/lifecycle"
 )
 
-// Run runs an entry process. It serves until ctx ends, then refuses new requests,
-// finishes those in flight and returns nil. An error means that the process failed to
-// start or to continue.
+// Run runs an entry process until ctx ends, then refuses new requests, finishes those in
+// flight and returns nil. An error means that the process could not start or had to end.
 func Run(ctx context.Context, settings Settings) error {
 	p, err := newProcess(settings)
 	if err != nil {
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -27,7 +27,8 @@
 	minDrainPeriod = 500 * time.Millisecond
 )
 
-// servers are the two HTTP servers.
+// servers are the HTTP servers of a process, for callers and for operators, with its open
+// listeners.
 type servers struct {
 	callers *http.Server
 	admin   *http.Server
@@ -83,10 +84,10 @@
 	}
 }
 
-// serveAdmin serves operators until shutdown.
+// serveAdmin serves operators until the server is shut down.
 func (s *servers) serveAdmin() error { return serveHTTP(s.admin, s.open.admin) }
 
-// serveCallers serves callers until shutdown.
+// serveCallers serves callers until the server is shut down.
 func (s *servers) serveCallers() error { return serveHTTP(s.callers, s.open.callers) }
 
 // serveHTTP serves until the server is shut down, and returns nil in that case.
@@ -99,16 +100,16 @@
 }
 
 // shutdown closes both servers. Responses that are being written have until
-// adminStopTimeout to finish.
+// shutdownTimeout to finish.
 func (s *servers) shutdown() {
-	ctx, cancel := context.WithTimeout(context.Background(), adminStopTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	_ = s.callers.Shutdown(ctx) // connections still open at the timeout are dropped
 	_ = s.admin.Shutdown(ctx)   // as above
 }
 
-// drain ends the admission of requests and waits until none is in flight and all
-// results are recorded, or until drain_seconds have passed. Meanwhile new requests are
+// drain ends the admission of requests and waits until no request is in flight and all
+// results are recorded in their claims, or until drain_seconds have passed. Meanwhile new requests are
 // refused with the outcome not_run.
 func (p *process) drain() error {
 	if err := p.lifecycle.Fire(lifecycle.Stop); err != nil {
