--- a/side/action.go
+++ b/side/action.go
@@ -39,7 +39,7 @@
 	go d.execute(a)
 }
 
-// refuse ends a waiting attempt.
+// refuse ends a waiting attempt that will not run.
 func (d *dispatcher) refuse(now time.Duration, a *attempt, action gate.Action) {
 	delete(d.attempts, action.Key)
 	a.finish(refusedEvent(a.key, &wirepb.Refused{
@@ -62,7 +62,8 @@
 	d.log(event.AttemptStopped, mergeFields(attemptFields(a.key), observe.Fields{"cause": string(action.Cause)}))
 }
 
-// milliseconds rounds d up, so that a retry delay never ends early.
+// milliseconds returns d in milliseconds, rounded up so that a retry delay never ends
+// early.
 func milliseconds(d time.Duration) uint64 {
 	return uint64((d + time.Millisecond - 1) / time.Millisecond)
 }
--- a/side/attempt.go
+++ b/side/attempt.go
@@ -131,7 +131,7 @@
 // doneEvent returns the closing event of a complete output.
 func (a *attempt) doneEvent(cost uint64, load *wirepb.Load) *wirepb.RunEvent {
 	chunks, digest := a.output()
-	return &wirepb.RunEvent{Key: keyMessage(a.key), Event: &wirepb.RunEvent_Done{Done: &wirepb.Done{
+	return &wirepb.RunEvent{Key: attemptKeyMessage(a.key), Event: &wirepb.RunEvent_Done{Done: &wirepb.Done{
 		Chunks: uint64(len(chunks)),
 		Digest: digest,
 		Cost:   cost,
--- a/side/doc.go
+++ b/side/doc.go
@@ -6,6 +6,7 @@
 // attempt belongs to a stage that is not idempotent; its caller wrote a claim
 // object first, and the attempt carries a ticket, the sidecar's clock at the probe
 // before that claim. A tombstone records that an attempt must never run. An order
-// tells an engine to load or unload a model. A planned stop drains the sidecar
-// before the process exits.
+// tells an engine, an upstream that loads models, to load or unload a model. A report is
+// the upstream's response to a poll of its status. A subscriber is a stream that follows
+// an attempt. A planned stop drains the sidecar before the process exits.
 package side
--- a/side/execute.go
+++ b/side/execute.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// progress reports a chunk to the gate. It doesn't advance the gate, since progress
-// makes nothing due and chunks are frequent.
+// progress reports a chunk to the gate. It doesn't advance the gate, since a chunk makes
+// no action due and chunks are frequent.
 func (d *dispatcher) progress(a *attempt) {
 	d.read(func(now time.Duration) { d.gate.Progress(now, a.key) })
 }
@@ -52,7 +52,8 @@
 	err    error
 	// stopped is set if the sidecar itself cancelled the call.
 	stopped bool
-	ran     time.Duration
+	// ran is the duration of the call.
+	ran time.Duration
 }
 
 // settle records the end of an attempt. The mutex must be held.
--- a/side/follow.go
+++ b/side/follow.go
@@ -14,7 +14,7 @@
 	changed <-chan struct{}
 }
 
-// snapshot returns the current state.
+// snapshot returns the current state of the attempt.
 func (a *attempt) snapshot() attemptSnapshot {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -52,7 +52,7 @@
 
 // sendNew sends the Started event and the chunks that were not sent yet.
 func (s *subscriber) sendNew(current attemptSnapshot) error {
-	key := keyMessage(s.attempt.key)
+	key := attemptKeyMessage(s.attempt.key)
 	if current.started != nil && !s.startedSent {
 		s.startedSent = true
 		if err := s.send(&wirepb.RunEvent{Key: key, Event: &wirepb.RunEvent_Started{Started: current.started}}); err != nil {
--- a/side/keeper.go
+++ b/side/keeper.go
@@ -22,8 +22,9 @@
 // dispatcherOptions configure a dispatcher.
 type dispatcherOptions struct {
 	upstream core.UpstreamID
-	engine   bool
-	gate     gate.Options
+	// engine is set if the upstream is an engine; the cost of its attempts is in tokens.
+	engine bool
+	gate   gate.Options
 	// maxOutputBytes bounds the output of one attempt.
 	maxOutputBytes int
 	client         upstream.Client
@@ -43,14 +44,16 @@
 	// executions counts the goroutines that wait for the upstream.
 	executions sync.WaitGroup
 
-	mu       sync.Mutex
-	gate     *gate.Gate
+	mu   sync.Mutex
+	gate *gate.Gate
+	// prefixes are the prompt prefixes that the engine has cached.
 	prefixes gate.Prefixes
 	attempts map[core.AttemptKey]*attempt
 	// subscribers counts the streams that follow attempts.
 	subscribers int
-	state       chart.State
-	logLines    []logLine
+	// state is the upstream's state that was logged last.
+	state    chart.State
+	logLines []logLine
 }
 
 // logLine is a log line that is written once the mutex is released.
@@ -111,7 +114,8 @@
 	d.logLines = append(d.logLines, logLine{event: e, fields: fields})
 }
 
-// warn is log at the warning level.
+// warn defers a log line of the warning level until the mutex is released. The mutex must
+// be held.
 func (d *dispatcher) warn(e event.Event, fields observe.Fields) {
 	d.logLines = append(d.logLines, logLine{event: e, fields: fields, warn: true})
 }
--- a/side/message.go
+++ b/side/message.go
@@ -45,8 +45,9 @@
 	gate.StateFailed:  wirepb.ResolveState_RESOLVE_FAILED,
 }
 
-// keyOf returns the key of the attempt in a message; a missing key yields the zero key.
-func keyOf(m *wirepb.AttemptKey) core.AttemptKey {
+// attemptKeyOf converts the message of an attempt key to the key; a missing message yields the
+// zero key.
+func attemptKeyOf(m *wirepb.AttemptKey) core.AttemptKey {
 	return core.AttemptKey{
 		Request: core.RequestID(m.GetRequestId()),
 		Stage:   m.GetStage(),
@@ -55,8 +56,8 @@
 	}
 }
 
-// keyMessage converts the key of an attempt to its message.
-func keyMessage(key core.AttemptKey) *wirepb.AttemptKey {
+// attemptKeyMessage converts the key of an attempt to its message.
+func attemptKeyMessage(key core.AttemptKey) *wirepb.AttemptKey {
 	return &wirepb.AttemptKey{
 		RequestId:       string(key.Request),
 		Stage:           key.Stage,
@@ -84,7 +85,7 @@
 		cost = max(1, int(request.GetMaxTokens())-len(request.GetResume()))
 	}
 	return gate.Attempt{
-		Key:       keyOf(request.GetKey()),
+		Key:       attemptKeyOf(request.GetKey()),
 		Workspace: request.GetWorkspace(),
 		Ticket:    ticketOf(request.GetClaim()),
 		Remaining: time.Duration(request.GetRemainingMs()) * time.Millisecond,
@@ -119,15 +120,15 @@
 
 // refusedEvent returns the event that refuses an attempt.
 func refusedEvent(key core.AttemptKey, refused *wirepb.Refused) *wirepb.RunEvent {
-	return &wirepb.RunEvent{Key: keyMessage(key), Event: &wirepb.RunEvent_Refused{Refused: refused}}
+	return &wirepb.RunEvent{Key: attemptKeyMessage(key), Event: &wirepb.RunEvent_Refused{Refused: refused}}
 }
 
 // failedEvent returns the event that ends an attempt without a result.
 func failedEvent(key core.AttemptKey, failed *wirepb.Failed) *wirepb.RunEvent {
-	return &wirepb.RunEvent{Key: keyMessage(key), Event: &wirepb.RunEvent_Failed{Failed: failed}}
+	return &wirepb.RunEvent{Key: attemptKeyMessage(key), Event: &wirepb.RunEvent_Failed{Failed: failed}}
 }
 
-// loadMessage converts a load to its message.
+// loadMessage converts the upstream's load to its message.
 func loadMessage(load gate.Load) *wirepb.Load {
 	models := make([]*wirepb.LoadedModel, 0, len(load.Models))
 	for _, name := range load.Models {
--- a/side/meter.go
+++ b/side/meter.go
@@ -13,7 +13,7 @@
 // metricsInterval is how often the gate's counts are copied to the metrics.
 const metricsInterval = time.Second
 
-// meter copies the gate's counts to the metrics.
+// meter copies the gate's counts and charges, and the traffic, to the metrics.
 type meter struct {
 	scope      tally.Scope
 	dispatcher *dispatcher
--- a/side/orders.go
+++ b/side/orders.go
@@ -69,7 +69,8 @@
 	//
 	// repeatAt is the time after which an accepted order may be sent again.
 	repeatAt map[upstream.Order]time.Duration
-	retry    time.Duration
+	// backoff is the longest wait before the next retry of a failed order.
+	backoff time.Duration
 	// staleVersion is the version of a plan whose orders were refused as stale.
 	staleVersion uint64
 }
@@ -80,7 +81,7 @@
 		dispatcher: d,
 		changed:    make(chan struct{}, 1),
 		repeatAt:   make(map[upstream.Order]time.Duration),
-		retry:      orderRetryMin,
+		backoff:    orderRetryMin,
 	}
 }
 
@@ -119,7 +120,8 @@
 	}
 }
 
-// step sends the orders that are due and returns the time until the next step.
+// step sends the orders that are due, until one fails, and returns the time until the next
+// step.
 func (r *modelReconciler) step(ctx context.Context) time.Duration {
 	plan := r.currentPlan()
 	if len(plan.models) == 0 || plan.version == r.staleVersion {
@@ -136,7 +138,7 @@
 			return r.nextBackoff()
 		}
 	}
-	r.retry = orderRetryMin
+	r.backoff = orderRetryMin
 	return reconcileInterval
 }
 
@@ -266,7 +268,7 @@
 // nextBackoff returns the time until a failed order is retried. It doubles up to
 // orderRetryMax, with jitter, so that sidecars don't retry in step.
 func (r *modelReconciler) nextBackoff() time.Duration {
-	wait := r.retry/2 + rand.N(r.retry/2)
-	r.retry = min(2*r.retry, orderRetryMax)
+	wait := r.backoff/2 + rand.N(r.backoff/2)
+	r.backoff = min(2*r.backoff, orderRetryMax)
 	return wait
 }
--- a/side/process.go
+++ b/side/process.go
@@ -26,15 +26,16 @@
 // metricsPrefix is the prefix of the sidecar's metric names.
 const metricsPrefix = "acaciawinch_side"
 
-// Times of the process.
+// Timeouts and intervals of the process.
 const (
 	adminHeaderTimeout = 5 * time.Second
 	// stopCheckInterval is how often a planned stop checks whether it can end.
 	stopCheckInterval = 20 * time.Millisecond
-	stopLinger        = 100 * time.Millisecond
+	// stopLinger is the default of process.linger.
+	stopLinger = 100 * time.Millisecond
 )
 
-// process holds the parts of one sidecar process.
+// process holds the components of one sidecar process.
 type process struct {
 	settings    Settings
 	incarnation core.Incarnation
@@ -55,7 +56,7 @@
 	objects *objects.Client
 }
 
-// newProcess creates the parts and connects them, without starting any.
+// newProcess creates the components and connects them. It starts none of them.
 func newProcess(settings Settings) (*process, error) {
 	logger, err := observe.NewLogger(os.Stderr, settings.Process.Name, settings.Process.LogLevel)
 	if err != nil {
@@ -153,8 +154,8 @@
 	}
 }
 
-// synced reports to the lifecycle that the upstream's health is known.
-func (p *process) synced() {
+// markSynced reports to the lifecycle that the upstream's health is known.
+func (p *process) markSynced() {
 	if err := p.lifecycle.FireIfAllowed(lifecycle.Synced); err != nil {
 		p.logger.Warn(event.ProcessFailed, observe.Fields{"error": err.Error()})
 	}
@@ -176,11 +177,11 @@
 }
 
 // awaitStop waits until ctx ends, then runs the planned stop. It returns early if the
-// parts end first.
-func (p *process) awaitStop(ctx, parts context.Context) error {
+// components end first; runCtx is their context.
+func (p *process) awaitStop(ctx, runCtx context.Context) error {
 	select {
 	case <-ctx.Done():
-	case <-parts.Done():
+	case <-runCtx.Done():
 		return nil
 	}
 	p.dispatcher.setDrain(gate.DrainStop, true)
@@ -189,7 +190,7 @@
 	}
 	p.logger.Event(event.ProcessDraining, observe.Fields{"in_flight": p.dispatcher.pending().unsettled})
 	end := lifecycle.Expired
-	if p.awaitIdle(parts) {
+	if p.awaitIdle(runCtx) {
 		end = lifecycle.Emptied
 	}
 	return p.lifecycle.Fire(end)
@@ -199,8 +200,8 @@
 // or until the time limit of the planned stop. It reports whether nothing remains. A
 // result is no longer needed once it is acknowledged or its claim object holds it, or
 // if it was sent completely and its attempt is idempotent.
-func (p *process) awaitIdle(parts context.Context) bool {
-	stopCtx, cancel := context.WithTimeout(parts, time.Duration(p.settings.Results.StopMS)*time.Millisecond)
+func (p *process) awaitIdle(runCtx context.Context) bool {
+	stopCtx, cancel := context.WithTimeout(runCtx, time.Duration(p.settings.Results.StopMS)*time.Millisecond)
 	defer cancel()
 	go p.awaitRecords(stopCtx)
 	ticker := time.NewTicker(stopCheckInterval)
@@ -208,7 +209,7 @@
 	for {
 		remaining := p.dispatcher.pending()
 		if remaining == (pending{}) {
-			linger(parts, p.linger)
+			sleep(runCtx, p.linger)
 			return true
 		}
 		select {
@@ -224,8 +225,8 @@
 	}
 }
 
-// linger waits for the given time, or until ctx ends.
-func linger(ctx context.Context, wait time.Duration) {
+// sleep waits for the given time, or until ctx ends.
+func sleep(ctx context.Context, wait time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	<-ctx.Done()
--- a/side/recorded.go
+++ b/side/recorded.go
@@ -18,8 +18,8 @@
 	maxRecordReads = 32
 )
 
-// awaitRecords acknowledges results by their claims until ctx ends: once a claim holds
-// the result, no caller requests it from this sidecar, even if the acknowledgement was
+// awaitRecords acknowledges each result that the claim of its attempt holds, until ctx
+// ends: once a claim holds the result, no caller requests it from this sidecar, even if the acknowledgement was
 // lost or its sender crashed before sending it.
 func (p *process) awaitRecords(ctx context.Context) {
 	if p.settings.Platform.Objects == "" {
--- a/side/recorded_test.go
+++ b/side/recorded_test.go
@@ -73,7 +73,7 @@
 func TestOnlyARecordedResultNeedsNoAcknowledgement(t *testing.T) {
 	h := newHarness(t, gate.Options{})
 	request := h.claimed()
-	result := unacknowledgedResult{key: keyOf(request.GetKey()), claim: request.GetClaim()}
+	result := unacknowledgedResult{key: attemptKeyOf(request.GetKey()), claim: request.GetClaim()}
 	store := &claimStore{}
 	server := httptest.NewServer(store)
 	t.Cleanup(server.Close)
--- a/side/run.go
+++ b/side/run.go
@@ -54,29 +54,29 @@
 	return listeners{fleet: fleetListener, admin: adminListener}, nil
 }
 
-// serve runs all parts until ctx ends and the planned stop is over. The parts have a
-// context of their own, because the process still serves calls while it drains.
+// serve runs all components until ctx ends and the planned stop is over. The components
+// have a context of their own, because the process still serves calls while it drains.
 func (p *process) serve(ctx context.Context, open listeners) error {
 	if err := p.lifecycle.Fire(lifecycle.Opened); err != nil {
 		return err
 	}
 	base, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
-	group, parts := errgroup.WithContext(base)
-	group.Go(func() error { return unlessDone(parts, p.rpc.Serve(parts, open.fleet)) })
-	group.Go(func() error { return serveAdmin(parts, p.admin(), open.admin) })
-	group.Go(func() error { return p.dispatcher.run(parts) })
-	group.Go(func() error { return p.dispatcher.pollReports(parts, p.synced) })
-	group.Go(func() error { return unlessDone(parts, p.feed.Run(parts)) })
-	group.Go(func() error { return watchFleet(parts, p.feed, p.dispatcher, p.reconciler) })
-	group.Go(func() error { return p.meter.run(parts) })
+	group, runCtx := errgroup.WithContext(base)
+	group.Go(func() error { return unlessDone(runCtx, p.rpc.Serve(runCtx, open.fleet)) })
+	group.Go(func() error { return serveAdmin(runCtx, p.admin(), open.admin) })
+	group.Go(func() error { return p.dispatcher.run(runCtx) })
+	group.Go(func() error { return p.dispatcher.pollReports(runCtx, p.markSynced) })
+	group.Go(func() error { return unlessDone(runCtx, p.feed.Run(runCtx)) })
+	group.Go(func() error { return watchFleet(runCtx, p.feed, p.dispatcher, p.reconciler) })
+	group.Go(func() error { return p.meter.run(runCtx) })
 	if p.reconciler != nil {
-		group.Go(func() error { return p.reconciler.run(parts) })
-		group.Go(func() error { return p.dispatcher.pollCacheEvents(parts) })
+		group.Go(func() error { return p.reconciler.run(runCtx) })
+		group.Go(func() error { return p.dispatcher.pollCacheEvents(runCtx) })
 	}
 	group.Go(func() error {
 		defer cancel()
-		return p.awaitStop(ctx, parts)
+		return p.awaitStop(ctx, runCtx)
 	})
 	return group.Wait()
 }
--- a/side/server.go
+++ b/side/server.go
@@ -42,7 +42,7 @@
 // Run implements wirepb.DRPCSideServer.
 func (s *server) Run(request *wirepb.RunRequest, stream wirepb.DRPCSide_RunStream) error {
 	s.noteRevision(core.Revision(request.GetRevision()))
-	key := keyOf(request.GetKey())
+	key := attemptKeyOf(request.GetKey())
 	if detail := s.validateRun(request); detail != "" {
 		return stream.Send(refusedEvent(key, &wirepb.Refused{
 			Reason: wirepb.RefusalReason_REFUSAL_INVALID,
@@ -121,7 +121,7 @@
 // Attach implements wirepb.DRPCSideServer.
 func (s *server) Attach(request *wirepb.AttachRequest, stream wirepb.DRPCSide_AttachStream) error {
 	d := s.dispatcher
-	key := keyOf(request.GetKey())
+	key := attemptKeyOf(request.GetKey())
 	var a *attempt
 	var closingEvent *wirepb.RunEvent
 	d.do(func(now time.Duration) {
@@ -140,21 +140,21 @@
 	d := s.dispatcher
 	reply := &wirepb.CancelReply{}
 	d.do(func(now time.Duration) {
-		reply.Started = d.gate.Cancel(now, keyOf(request.GetKey()), cancelCauses[request.GetReason()])
+		reply.Started = d.gate.Cancel(now, attemptKeyOf(request.GetKey()), cancelCauses[request.GetReason()])
 	})
 	return reply, nil
 }
 
 // Acknowledge implements wirepb.DRPCSideServer.
 func (s *server) Acknowledge(_ context.Context, request *wirepb.AcknowledgeRequest) (*wirepb.AcknowledgeReply, error) {
-	s.dispatcher.acknowledge(keyOf(request.GetKey()))
+	s.dispatcher.acknowledge(attemptKeyOf(request.GetKey()))
 	return &wirepb.AcknowledgeReply{}, nil
 }
 
 // Resolve implements wirepb.DRPCSideServer.
 func (s *server) Resolve(_ context.Context, request *wirepb.ResolveRequest) (*wirepb.ResolveReply, error) {
 	d := s.dispatcher
-	key := keyOf(request.GetKey())
+	key := attemptKeyOf(request.GetKey())
 	reply := &wirepb.ResolveReply{Incarnation: uint64(s.incarnation)}
 	ticket := ticketOf(request.GetClaim())
 	if ticket == nil {
--- a/side/settings.go
+++ b/side/settings.go
@@ -50,7 +50,7 @@
 	Key string `toml:"key" required:"true"`
 }
 
-// UpstreamSettings describe the upstream beside the process.
+// UpstreamSettings describe the upstream of the sidecar.
 type UpstreamSettings struct {
 	// Name is the upstream's name in the host list.
 	Name    string           `toml:"name" required:"true"`
@@ -134,13 +134,13 @@
 
 // Upper bounds of the settings.
 const (
-	maxCapacity    = 100_000
-	maxQueuedLimit = 100_000
-	maxBytesLimit  = 64 << 20
-	maxKeepMS      = 86_400_000
-	maxRemembered  = 10_000_000
-	maxGraceMS     = 600_000
-	maxStopMS      = 3_600_000
+	maxCapacity     = 100_000
+	maxQueuedLimit  = 100_000
+	maxBytesLimit   = 64 << 20
+	maxKeepMS       = 86_400_000
+	maxClaimedLimit = 10_000_000
+	maxGraceMS      = 600_000
+	maxStopMS       = 3_600_000
 )
 
 // Validate implements settings.Validator.
@@ -184,7 +184,7 @@
 	return errors.Join(
 		checkRange("keep_ms", s.KeepMS, 100, maxKeepMS),
 		checkRange("keep_claimed_ms", s.KeepClaimedMS, lifetime+1, maxKeepMS),
-		checkRange("max_claimed", s.MaxClaimed, 1, maxRemembered),
+		checkRange("max_claimed", s.MaxClaimed, 1, maxClaimedLimit),
 		checkRange("grace_ms", s.GraceMS, 1, maxGraceMS),
 		checkRange("stop_ms", s.StopMS, 1, maxStopMS),
 	)
