--- a/feed/alone.go
+++ b/feed/alone.go
@@ -9,8 +9,8 @@
 
 // Limits of direct reads, in multiples of Timing.MaxBackoff.
 const (
-	// maxDirectFactor bounds the wait of a side between direct reads. An entry does
-	// not wait that long, since sides that find no relay can then follow it.
+	// maxDirectFactor bounds the wait of a sidecar between direct reads. An entry does
+	// not wait that long, since sidecars that find no relay can then follow it.
 	maxDirectFactor = 4
 	// freshReadFactor bounds how long an entry that reads the platform itself counts
 	// as an origin after a successful read.
--- a/feed/bench_test.go
+++ b/feed/bench_test.go
@@ -11,7 +11,7 @@
 )
 
 // BenchmarkChange measures a change of one workspace among 18,000, from the store to
-// every subscriber. One subscriber in four is an entry, the others are sides. It also
+// every subscriber. One subscriber in four is an entry, the others are sidecars. It also
 // reports, for each subscriber, the bytes that the entries write and the processor time
 // of all processes together, which includes the polling of this test.
 func BenchmarkChange(b *testing.B) {
--- a/feed/catchup.go
+++ b/feed/catchup.go
@@ -10,9 +10,9 @@
 	"acaciawinch/observe/event"
 )
 
-// maxOtherPeers is how many entries other than the sender are asked for a newer
-// revision before the platform is read.
-const maxOtherPeers = 2
+// maxOtherEntries is from how many entries other than the sender a newer revision is
+// requested before the platform is read.
+const maxOtherEntries = 2
 
 // seenRevision is a revision that a message carried, and the address of its sender.
 type seenRevision struct {
@@ -29,7 +29,7 @@
 	}
 	select {
 	case f.wanted <- seenRevision{revision, addr}:
-	default: // A revision is pending already; pulling it may suffice, or the next message reports this one again.
+	default: // A revision is pending already; pulling that one may suffice, or the next message reports this one again.
 	}
 }
 
@@ -69,8 +69,8 @@
 }
 
 // pullRevision pulls a revision from its sender if that is an entry, then from other
-// entries, then from the platform. If none has it, it waits before the next attempt,
-// as the revision may be wrong.
+// entries, then from the platform. If none of them has the revision, the message may have
+// been wrong, and pullRevision waits before it returns.
 func (f *Feed) pullRevision(ctx context.Context, seen seenRevision) {
 	f.meters.catchUps.add()
 	f.warn(event.FeedCatchUp, observe.Fields{"wanted": seen.revision, "held": f.revision(), "peer": seen.addr})
@@ -85,7 +85,7 @@
 	sleep(ctx, f.timing.MaxBackoff)
 }
 
-// pullCandidates returns the entry at addr, if there is one, and up to maxOtherPeers
+// pullCandidates returns the entry at addr, if there is one, and up to maxOtherEntries
 // of the other entries, without the provider, whose feed is received anyway.
 func (f *Feed) pullCandidates(addr string) []fleet.Host {
 	f.mu.Lock()
@@ -96,7 +96,7 @@
 		switch {
 		case host.Addr == addr:
 			sender = append(sender, host)
-		case host.Name != provider && len(others) < maxOtherPeers:
+		case host.Name != provider && len(others) < maxOtherEntries:
 			others = append(others, host)
 		}
 	}
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -35,8 +35,7 @@
 	changed *signal
 	// heartbeat is sent when a heartbeat is due to this process's subscribers.
 	heartbeat *signal
-	// wanted holds a revision that was seen in a message and is not yet pulled, at
-	// most one.
+	// wanted holds at most one revision that was seen in a message and is not yet pulled.
 	wanted chan seenRevision
 	// direct is set while a process that is not a relay reads the platform itself.
 	direct atomic.Bool
@@ -139,11 +138,11 @@
 
 // isOrigin reports whether this process sends heartbeats of its own. Any other
 // entry only forwards those of the origin that it follows, so that entries that follow
-// each other in a circle fall silent and choose other providers.
+// each other in a circle send no heartbeats and then choose other providers.
 func (f *Feed) isOrigin() bool { return f.isRelay() || f.readsDirectly() }
 
-// isLive reports whether this process's feed is worth following: it is an origin,
-// or received an origin's heartbeat within Timing.SilenceTimeout.
+// isLive reports whether the state that this process sends is kept current: the process
+// is an origin, or received an origin's heartbeat within Timing.SilenceTimeout.
 func (f *Feed) isLive() bool {
 	return f.isOrigin() || time.Since(time.Unix(0, f.lastHeartbeat.Load())) < f.timing.SilenceTimeout
 }
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -164,8 +164,8 @@
 	f.awaitRevision(f.change(workspaces(1, 5)), nodes...)
 	f.store.setDown(true)
 	fresh := f.start("e9", "z0", fleet.RoleEntry)
-	side := f.start("s9", "z1", fleet.RoleUpstream)
-	f.awaitRevision(2, fresh, side)
+	sidecar := f.start("s9", "z1", fleet.RoleUpstream)
+	f.awaitRevision(2, fresh, sidecar)
 	w, _ := fresh.feed.State().Workspace("w0")
 	assert.Equal(t, w.Weight, 5)
 	assert.Equal(t, len(fresh.feed.State().config.Workspaces()), 50)
@@ -233,11 +233,11 @@
 		requested <- req.GetRevision()
 		return corrupting.feed.Subscribe(req, &corruptingStream{stream})
 	}
-	side := follower()
-	f.awaitRevision(1, side)
+	sidecar := follower()
+	f.awaitRevision(1, sidecar)
 	revision := f.change(config.Change{Drain: []string{"u"}})
-	f.awaitRevision(revision, side)
-	assert.Assert(t, side.feed.State().Drained("u"))
+	f.awaitRevision(revision, sidecar)
+	assert.Assert(t, sidecar.feed.State().Drained("u"))
 	last := uint64(1)
 	for range len(requested) {
 		last = <-requested
--- a/feed/fleet_test.go
+++ b/feed/fleet_test.go
@@ -281,7 +281,7 @@
 	})
 }
 
-// startFleet returns a fleet of six entries in two zones and four sides, all on
+// startFleet returns a fleet of six entries in two zones and four sidecars, all on
 // revision 1.
 func startFleet(t *testing.T, timing Timing) (*testFleet, []*node) {
 	f := newTestFleet(t, timing)
--- a/feed/follow.go
+++ b/feed/follow.go
@@ -16,7 +16,7 @@
 // directly: more than the relays of a zone, far fewer than all entries.
 const failuresBeforeDirect = 6
 
-// errBetterProvider ends a receive because a better provider can be followed.
+// errBetterProvider ends a subscription because a better provider can be followed.
 var errBetterProvider = errors.New("a better provider is available")
 
 // follower keeps this process subscribed to the feed of one entry after another. A
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// best returns the first entry of the order that is not avoided. Entries of suspect
+// best returns the first of orderedProviders that is not avoided. Entries of suspect
 // zones are chosen only if there is no other.
 func (w *follower) best() (fleet.Host, bool) {
 	now := time.Now()
@@ -107,7 +107,8 @@
 	w.avoid(host, err)
 }
 
-// alternatives names the other entries of the order and marks the avoided ones.
+// alternatives returns the names of other entries that could be followed, in order of
+// preference, and marks the avoided ones.
 func (w *follower) alternatives(host fleet.Host) []string {
 	const maxNames = 4
 	now := time.Now()
@@ -130,7 +131,7 @@
 // onHeartbeat handles a heartbeat of host. The first one only marks the end of host's
 // current state; all others come from an origin. They clear the failures of host and
 // its zone, and are forwarded if this process sends no heartbeats of its own. An error
-// ends the receive because an entry before host in the order can be followed.
+// ends the subscription because an entry before host in the order can be followed.
 func (w *follower) onHeartbeat(host fleet.Host, heartbeats int) error {
 	if heartbeats == 1 {
 		return nil
--- a/feed/meters.go
+++ b/feed/meters.go
@@ -39,6 +39,7 @@
 	counter tally.Counter
 }
 
+// add counts one occurrence.
 func (m *meter) add() {
 	m.count.Add(1)
 	m.counter.Inc(1)
@@ -68,11 +69,11 @@
 		revisionGauge:    scope.Gauge("revision"),
 		appliedGauge:     scope.Gauge("applied_unix_seconds"),
 	}
-	for name, each := range map[string]*meter{
+	for name, counted := range map[string]*meter{
 		"store_reads": &m.storeReads, "store_watches": &m.storeWatches, "host_list_reads": &m.hostReads,
 		"fulls": &m.fulls, "deltas": &m.deltas, "provider_switches": &m.switches, "catch_ups": &m.catchUps,
 	} {
-		each.counter = scope.Counter(name)
+		counted.counter = scope.Counter(name)
 	}
 	return m
 }
--- a/feed/options.go
+++ b/feed/options.go
@@ -23,7 +23,7 @@
 	Zone   string
 	Region string
 	// Role is fleet.RoleEntry for entries, which receive the whole configuration and may
-	// be relays, or fleet.RoleUpstream for sides, which receive no workspaces.
+	// be relays, or fleet.RoleUpstream for sidecars, which receive no workspaces.
 	Role fleet.Role
 	// RelaysPerZone must be the same in all processes of the fleet; zero means
 	// DefaultRelaysPerZone.
--- a/feed/pack.go
+++ b/feed/pack.go
@@ -57,7 +57,7 @@
 	if len(update.GetPacked()) == 0 {
 		return update, nil
 	}
-	data, err := expand(update.GetPacked())
+	data, err := decompress(update.GetPacked())
 	if err != nil {
 		return nil, fault.Wrap(fault.Invalid, "feed.unpack", peer, err)
 	}
@@ -74,9 +74,9 @@
 	return &inner, nil
 }
 
-// expand decompresses packed. It reads at most one byte more than maxUnpackedBytes, so
+// decompress returns the data that compress returned as packed. It reads at most one byte more than maxUnpackedBytes, so
 // that the caller can detect a larger update.
-func expand(packed []byte) ([]byte, error) {
+func decompress(packed []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		return nil, err
--- a/feed/pack_test.go
+++ b/feed/pack_test.go
@@ -111,11 +111,11 @@
 	}}
 	f.serve(invalid, f.prepareEntry("e0", "z0"))
 	f.awaitRevision(1, f.start("e1", "z1", fleet.RoleEntry))
-	side := f.start("s0", "z0", fleet.RoleUpstream)
+	sidecar := f.start("s0", "z0", fleet.RoleUpstream)
 	<-requested
-	f.awaitRevision(1, side)
+	f.awaitRevision(1, sidecar)
 	revision := f.change(config.Change{Drain: []string{"u"}})
-	f.awaitRevision(revision, side)
+	f.awaitRevision(revision, sidecar)
 }
 
 func TestAFullStateAndAWholeHostListAreSentCompressed(t *testing.T) {
--- a/feed/receive.go
+++ b/feed/receive.go
@@ -14,10 +14,10 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// errComplete ends a receive that was to read the current state of an entry once.
+// errComplete ends a subscription that was to read the current state of an entry once.
 var errComplete = errors.New("enough")
 
-// errStaleBase ends a receive whose delta does not apply to this process's host list.
+// errStaleBase ends a subscription whose delta does not apply to this process's host list.
 // The process subscribes again with the versions that it has now.
 var errStaleBase = errors.New("another source has updated the host list since the subscription")
 
@@ -31,7 +31,7 @@
 	// heartbeats counts the heartbeats received. The first one only says that the entry
 	// has sent its whole current state.
 	heartbeats int
-	// onHeartbeat is called at each heartbeat; an error ends the receive.
+	// onHeartbeat is called at each heartbeat; an error ends the subscription.
 	onHeartbeat func(heartbeats int) error
 }
 
@@ -94,8 +94,8 @@
 	if err != nil {
 		return err
 	}
-	if part := update.GetConfig(); part != nil {
-		if err := r.handleConfig(part); err != nil {
+	if config := update.GetConfig(); config != nil {
+		if err := r.handleConfig(config); err != nil {
 			return err
 		}
 	}
@@ -118,8 +118,8 @@
 
 // handleConfig adds one message of a delta, and applies the delta once it is complete.
 func (r *receiver) handleConfig(update *wirepb.ConfigUpdate) error {
-	delta, whole, err := r.assembler.add(update)
-	if err != nil || !whole {
+	delta, complete, err := r.assembler.add(update)
+	if err != nil || !complete {
 		return err
 	}
 	latest := r.feed.latestConfig()
--- a/feed/relay.go
+++ b/feed/relay.go
@@ -10,8 +10,8 @@
 	"acaciawinch/observe/event"
 )
 
-// relayWhenListed runs the relay's tasks whenever the host list makes this entry a
-// relay, until ctx ends.
+// relayWhenListed runs the tasks of a relay while this entry is one by the host list, until
+// ctx ends.
 func (f *Feed) relayWhenListed(ctx context.Context) error {
 	for ctx.Err() == nil {
 		changed := f.changed.wait()
--- a/feed/signal.go
+++ b/feed/signal.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// signal wakes all its waiters each time it is sent, and counts how often it was.
+// signal wakes all its waiters each time it is sent, and counts how often it was sent.
 type signal struct {
 	mu   sync.Mutex
 	next chan struct{}
--- a/feed/start.go
+++ b/feed/start.go
@@ -13,11 +13,11 @@
 
 // Limits of the start of a process.
 const (
-	// maxPeerResponses is from how many entries a new process collects the state while
+	// maxEntryResponses is from how many entries a new process collects the state while
 	// the store is down: a single one may have missed the last change.
-	maxPeerResponses = 3
-	// maxPeersTried is how many entries are tried in one round to get these responses.
-	maxPeersTried = 6
+	maxEntryResponses = 3
+	// maxEntriesTried is how many entries are tried in one round to get these responses.
+	maxEntriesTried = 6
 	// headTimeout bounds the read of the head from the store.
 	headTimeout = time.Second
 )
@@ -53,10 +53,11 @@
 	return head.Revision, err == nil
 }
 
-// gatherState makes one round of requests. It returns who confirmed the state, for the
-// log, and whether the state suffices to start.
+// gatherState requests the state once from several entries and, if need be, from the
+// store. It returns who confirmed the state, for the log, and whether the state suffices
+// to start.
 func (f *Feed) gatherState(ctx context.Context, minRevision core.Revision, headKnown bool, failures int) (string, bool) {
-	responses := f.pullFromPeers(ctx, minRevision, headKnown)
+	responses := f.pullFromEntries(ctx, minRevision, headKnown)
 	if headKnown && !f.hasState(minRevision) && (failures > 0 || responses == 0 && f.readsStoreFirst()) {
 		if err := f.readPlatform(ctx); err != nil && ctx.Err() == nil {
 			f.warn(event.FeedReadFailed, observe.Fields{"wanted": minRevision, "error": err.Error()})
@@ -77,7 +78,7 @@
 func (f *Feed) readsStoreFirst() bool { return f.isRelay() || len(f.orderedProviders()) == 0 }
 
 // hasState reports whether the process has a complete state of at least minRevision. A
-// side can serve without a host list, an entry can't.
+// sidecar can serve without a host list, an entry can't.
 func (f *Feed) hasState(minRevision core.Revision) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -85,12 +86,12 @@
 	return f.latest.config != nil && f.latest.Revision >= minRevision && hostsEnough
 }
 
-// pullFromPeers pulls the state from several entries and returns how many responded.
+// pullFromEntries pulls the state from several entries and returns how many responded.
 // If the revision in force is known, it stops as soon as the process has it.
-func (f *Feed) pullFromPeers(ctx context.Context, minRevision core.Revision, headKnown bool) int {
+func (f *Feed) pullFromEntries(ctx context.Context, minRevision core.Revision, headKnown bool) int {
 	responses := 0
 	for i, host := range f.orderedProviders() {
-		if i == maxPeersTried || responses == maxPeerResponses || headKnown && f.hasState(minRevision) {
+		if i == maxEntriesTried || responses == maxEntryResponses || headKnown && f.hasState(minRevision) {
 			break
 		}
 		if f.pull(ctx, host) == nil {
--- a/feed/state.go
+++ b/feed/state.go
@@ -27,7 +27,7 @@
 // Template returns a pipeline template by name.
 func (s *State) Template(name string) (config.Template, bool) { return s.config.Template(name) }
 
-// Workspace returns a workspace by name. Sides have none.
+// Workspace returns a workspace by name. Sidecars have none.
 func (s *State) Workspace(name string) (config.Workspace, bool) { return s.config.Workspace(name) }
 
 // Models returns the model versions that the fleet should keep loaded.
--- a/feed/store/store.go
+++ b/feed/store/store.go
@@ -1,4 +1,6 @@
-// Package store reads the configuration from the platform's object API.
+// Package store reads the configuration from the platform's object API, the store. The
+// head object names the revision in force and, by their hashes, the parts that hold its
+// content. Each earlier head is kept as an immutable copy; see core/config.
 package store
 
 import (
--- a/feed/watch.go
+++ b/feed/watch.go
@@ -8,7 +8,7 @@
 	"acaciawinch/platform/objects"
 )
 
-// configPrefix covers the head and all parts. A relay receives the parts of a change
+// configPrefix is the prefix of the keys of the head and of all parts. A relay receives the parts of a change
 // before the head that names them, so it has everything when the change is accepted,
 // even if the store fails right after.
 const configPrefix = "config/"
@@ -121,6 +121,7 @@
 	w.pendingBytes += len(data)
 }
 
+// dropParts drops all kept parts.
 func (w *configWatch) dropParts() {
 	w.pendingParts, w.pendingBytes = map[string][]byte{}, 0
 }
--- a/feed/wire.go
+++ b/feed/wire.go
@@ -12,9 +12,9 @@
 	"acaciawinch/wire/wirepb"
 )
 
-// maxChunkBytes bounds the workspaces in one message. A larger delta is sent as
+// maxMessageBytes bounds the size of the workspaces in one message. A larger delta is sent as
 // several ConfigUpdates; all but the last have digest 0.
-const maxChunkBytes = 256 << 10
+const maxMessageBytes = 256 << 10
 
 // encodeDelta encodes a delta as one or more messages.
 func encodeDelta(d config.Delta) ([]*wirepb.ConfigUpdate, error) {
@@ -32,7 +32,7 @@
 		if err != nil {
 			return nil, fault.Wrap(fault.Internal, "feed.encode", "", err)
 		}
-		if size+len(data) > maxChunkBytes {
+		if size+len(data) > maxMessageBytes {
 			updates = append(updates, &wirepb.ConfigUpdate{Revision: uint64(d.Revision), ChangeId: d.ChangeID})
 			size = 0
 		}
@@ -46,13 +46,13 @@
 
 // packDelta returns the messages of a delta as they are sent.
 func packDelta(d config.Delta) ([]*wirepb.FleetUpdate, error) {
-	parts, err := encodeDelta(d)
+	messages, err := encodeDelta(d)
 	if err != nil {
 		return nil, err
 	}
-	updates := make([]*wirepb.FleetUpdate, len(parts))
-	for i, part := range parts {
-		if updates[i], err = pack(&wirepb.FleetUpdate{Config: part}); err != nil {
+	updates := make([]*wirepb.FleetUpdate, len(messages))
+	for i, message := range messages {
+		if updates[i], err = pack(&wirepb.FleetUpdate{Config: message}); err != nil {
 			return nil, err
 		}
 	}
@@ -86,7 +86,7 @@
 	return a.delta, true, nil
 }
 
-// parse decodes the JSON parts of one message.
+// parse decodes the JSON values in one message.
 func (a *assembler) parse(update *wirepb.ConfigUpdate) error {
 	if data := update.GetTemplates(); data != nil {
 		a.delta.Templates = &config.Templates{}
@@ -138,7 +138,7 @@
 	return &wirepb.PlacementUpdate{Version: version, Plan: data}, nil
 }
 
-// encodings caches the messages that lead to the newest configuration, since most
+// encodings caches the messages that update subscribers to the newest configuration, since most
 // subscribers update from the same previous one.
 type encodings struct {
 	mu     sync.Mutex
@@ -153,8 +153,8 @@
 	scope wirepb.FeedScope
 }
 
-// between returns the messages that lead from one snapshot to another; from may be
-// nil.
+// between returns the messages that update a subscriber from one snapshot to another; from
+// is nil if the subscriber has none.
 func (e *encodings) between(from, to *config.Snapshot, scope wirepb.FeedScope) ([]*wirepb.FleetUpdate, error) {
 	key := encodingKey{scope: scope}
 	if from != nil && from.Revision() == 0 {
@@ -190,8 +190,8 @@
 	return e.cache[key]
 }
 
-// store caches messages. Those that lead to an older configuration than the cached ones
-// are not stored.
+// store caches messages, unless they are those of an older configuration than the cached
+// ones.
 func (e *encodings) store(key encodingKey, to core.Revision, updates []*wirepb.FleetUpdate) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/side/keeper.go
+++ b/side/keeper.go
@@ -46,7 +46,7 @@
 
 	mu   sync.Mutex
 	gate *gate.Gate
-	// prefixes are the prompt prefixes that the engine has cached.
+	// prefixes are the prompt prefixes that the engine probably has cached.
 	prefixes gate.Prefixes
 	attempts map[core.AttemptKey]*attempt
 	// subscribers counts the streams that follow attempts.
