--- a/wire/link/call.go
+++ b/wire/link/call.go
@@ -18,8 +18,8 @@
 }
 
 // Invoke implements drpc.Conn. Unlike drpc's own Invoke it waits for the end of the
-// stream, which follows the reply in the same write. Otherwise it would mostly send a
-// message to end the stream itself, which costs two segments.
+// stream, which follows the reply in the same write. Otherwise this end would mostly send
+// a message of its own to end the stream, which costs two segments.
 func (c callConn) Invoke(ctx context.Context, rpc string, enc drpc.Encoding, in, out drpc.Message) error {
 	stream, err := c.NewStream(ctx, rpc, enc)
 	if err != nil {
@@ -38,13 +38,13 @@
 	if err := stream.MsgRecv(out, enc); err != nil {
 		return noReplyError(err, rpc)
 	}
-	_, _ = stream.(receiver).RawRecv() // only the end of the stream can follow
+	_, _ = stream.(rawReceiver).RawRecv() // only the end of the stream can follow
 	return nil
 }
 
-// receiver is a stream that can receive messages without decoding them, as drpc's
+// rawReceiver is a stream that can receive messages without decoding them, as drpc's
 // stream can.
-type receiver interface {
+type rawReceiver interface {
 	RawRecv() ([]byte, error)
 }
 
--- a/wire/link/call_test.go
+++ b/wire/link/call_test.go
@@ -94,7 +94,7 @@
 	listener := startSide(t, &sideServer{})
 	bare, err := net.Dial("tcp", listener.Addr().String())
 	assert.NilError(t, err)
-	assert.NilError(t, respond(bare, fleetKey))
+	assert.NilError(t, clientHandshake(bare, fleetKey))
 	var own countingListener
 	var traffic Traffic
 	conn := callConn{drpcconn.New(countedConn{writeCountingConn{bare, &own}, &traffic})}
@@ -143,6 +143,6 @@
 		"/acaciawinch.wire.Entry/Subscribe": false, "/acaciawinch.wire.Entry/Lookup": true, "/p.S/M": false,
 	} {
 		assert.Equal(t, fullName(shortName(rpc)), rpc)
-		assert.Equal(t, unary(rpc), want, rpc)
+		assert.Equal(t, isUnary(rpc), want, rpc)
 	}
 }
--- a/wire/link/dialer.go
+++ b/wire/link/dialer.go
@@ -16,7 +16,7 @@
 // proves that no call was sent.
 const stepDial = "link.dial"
 
-// Limits of the pool of idle connections.
+// Timeout of opening a connection, and limits of the pool of idle ones.
 const (
 	dialTimeout    = 500 * time.Millisecond
 	idleExpiration = 60 * time.Second
@@ -75,7 +75,7 @@
 // connection and returns the same error as a call that could not be sent.
 func (d *Dialer) HandshakeOver(ctx context.Context, opened net.Conn, addr string) (drpcpool.Conn, error) {
 	conn := countedConn{Conn: opened, traffic: &d.traffic}
-	if err := withTimeout(ctx, conn, d.handshakeTimeout, func() error { return respond(conn, d.key) }); err != nil {
+	if err := withTimeout(ctx, conn, d.handshakeTimeout, func() error { return clientHandshake(conn, d.key) }); err != nil {
 		_ = conn.Close() // the returned error says more
 		return nil, &fault.Error{Code: fault.Unavailable, Step: stepDial, Peer: addr, Err: err}
 	}
--- a/wire/link/handler.go
+++ b/wire/link/handler.go
@@ -23,8 +23,8 @@
 	return servicePrefix + name
 }
 
-// unary reports whether a call has exactly one request and one reply.
-func unary(rpc string) bool {
+// isUnary reports whether a call has exactly one request and one reply.
+func isUnary(rpc string) bool {
 	name := strings.ReplaceAll(strings.TrimPrefix(rpc, "/"), "/", ".")
 	found, err := protoregistry.GlobalFiles.FindDescriptorByName(protoreflect.FullName(name))
 	if err != nil {
@@ -50,7 +50,7 @@
 // HandleRPC implements drpc.Handler.
 func (h handler) HandleRPC(stream drpc.Stream, name string) error {
 	rpc := fullName(name)
-	if buffered, ok := stream.(flusher); ok && unary(rpc) {
+	if buffered, ok := stream.(flusher); ok && isUnary(rpc) {
 		buffered.SetManualFlush(true)
 	}
 	return h.next.HandleRPC(stream, rpc)
--- a/wire/link/handshake.go
+++ b/wire/link/handshake.go
@@ -15,9 +15,9 @@
 // The handshake consists of three messages of fixed length at the beginning of each
 // connection. docs/design/wire.md compares the alternatives.
 //
-//	server  status, server nonce
-//	client  client nonce, proof of the client
-//	server  status, proof of the server
+//	server  challenge: status, server nonce
+//	client  response:  client nonce, proof of the client
+//	server  verdict:   status, proof of the server
 //
 // A proof is an HMAC with SHA-256 under the fleet's key over the prover's role and
 // both nonces. The key itself is never sent, and a proof is not valid on another
@@ -75,10 +75,10 @@
 	return mac.Sum(nil)
 }
 
-// challenge performs the server's part of the handshake. An error is Refused if the
-// client's proof fails, after the client has been told, or Unavailable if the connection
-// broke.
-func challenge(conn net.Conn, key string) error {
+// serverHandshake performs the server's part of the handshake. An error is Refused if the
+// client's proof fails, after the client has received the refusal, or Unavailable if the
+// connection broke.
+func serverHandshake(conn net.Conn, key string) error {
 	peer := conn.RemoteAddr().String()
 	own := newNonce()
 	if _, err := conn.Write(append([]byte{byte(statusOK)}, own[:]...)); err != nil {
@@ -106,15 +106,15 @@
 	return message
 }
 
-// respond performs the client's part of the handshake. An error is Refused if either end
+// clientHandshake performs the client's part of the handshake. An error is Refused if either end
 // refuses, or Unavailable if the connection broke.
-func respond(conn net.Conn, key string) error {
+func clientHandshake(conn net.Conn, key string) error {
 	addr := conn.RemoteAddr().String()
-	var hello [challengeBytes]byte
-	if err := readMessage(conn, hello[:], addr); err != nil {
+	var challenge [challengeBytes]byte
+	if err := readMessage(conn, challenge[:], addr); err != nil {
 		return err
 	}
-	other, own := nonce(hello[1:]), newNonce()
+	other, own := nonce(challenge[1:]), newNonce()
 	if _, err := conn.Write(append(own[:], proof(key, roleClient, other, own)...)); err != nil {
 		return fault.Wrap(fault.Unavailable, stepHandshake, addr, err)
 	}
--- a/wire/link/server.go
+++ b/wire/link/server.go
@@ -44,11 +44,13 @@
 	traffic Traffic
 
 	handshakeTimeout time.Duration
-	handshakes       chan struct{}
+	// handshakes holds one element for each connection in the handshake.
+	handshakes chan struct{}
 
 	onRefused    func(Refusal)
 	refusedTotal atomic.Uint64
-	lastReport   atomic.Int64
+	// lastReport is the time of the last call of onRefused, in Unix nanoseconds.
+	lastReport atomic.Int64
 }
 
 // NewServer returns a Server without services. With an empty key it refuses every connection.
@@ -127,15 +129,16 @@
 func (s *Server) serveConn(ctx context.Context, calls *drpcserver.Server, conn net.Conn) {
 	conn = countedConn{Conn: conn, traffic: &s.traffic}
 	defer func() { _ = conn.Close() }() // its calls have ended
-	if err := s.admit(ctx, conn); err != nil {
+	if err := s.handshake(ctx, conn); err != nil {
 		s.report(ctx, conn.RemoteAddr().String(), err)
 		return
 	}
 	_ = calls.ServeOne(ctx, conn) // how the connection ends is no error of the server
 }
 
-// admit makes the handshake, unless maxHandshakes others are in progress.
-func (s *Server) admit(ctx context.Context, conn net.Conn) error {
+// handshake makes the handshake with a client, unless maxHandshakes others are in
+// progress.
+func (s *Server) handshake(ctx context.Context, conn net.Conn) error {
 	select {
 	case s.handshakes <- struct{}{}:
 		defer func() { <-s.handshakes }()
@@ -144,7 +147,7 @@
 		return fault.New(fault.Refused, stepHandshake, conn.RemoteAddr().String(),
 			"%d connections are in the handshake already", cap(s.handshakes))
 	}
-	return withTimeout(ctx, conn, s.handshakeTimeout, func() error { return challenge(conn, s.key) })
+	return withTimeout(ctx, conn, s.handshakeTimeout, func() error { return serverHandshake(conn, s.key) })
 }
 
 // report counts a refused connection and passes it to onRefused, unless another one was
