--- a/observe/account/account.go
+++ b/observe/account/account.go
@@ -12,8 +12,9 @@
 	"acaciawinch/observe/event"
 )
 
-// responseCause is the cause of a response that was late because of the time outside its
-// stages, such as the time from the last stage to its first event.
+// responseCause is the cause of a response that was late because of the time outside the
+// request's stages, such as the time from the last stage to the first event of the
+// response.
 const responseCause = "answer"
 
 // Row holds the outcomes of the requests of one route. Each retry by a client counts as
@@ -43,6 +44,8 @@
 
 // Account collects log lines. It is not safe for concurrent use.
 type Account struct {
+	// rows holds the rows by route, stages the stages so far of each request that has not
+	// ended.
 	rows   map[string]*rowBuilder
 	stages map[string][]stage
 	// Unread is the number of lines that could not be decoded.
@@ -96,9 +99,9 @@
 	case event.StageDone.Number, event.StageFailed.Number:
 		a.stages[f.Request] = append(a.stages[f.Request], stage{service: f.Service, duration: time.Duration(f.DurationUS) * time.Microsecond})
 	case event.GatewayAnswered.Number:
-		a.answered(l)
+		a.countResponse(l)
 	case event.GatewayRefused.Number:
-		a.refused(l)
+		a.countRefusal(l)
 	case event.GatewayBroken.Number:
 		a.end(l, func(r *rowBuilder) { r.Failed++; r.causes["broken off"]++ })
 	case event.GatewayLeft.Number:
@@ -106,18 +109,20 @@
 	}
 }
 
-// answered counts a response that was sent in full.
-func (a *Account) answered(l logLine) {
+// countResponse counts a response that was sent in full. It is in time if its first event
+// came within the objective, counted from the client's first try: used_ms is the time that
+// earlier tries took.
+func (a *Account) countResponse(l logLine) {
 	f := l.Fields
 	first := time.Duration(f.FirstUS) * time.Microsecond
-	since := first + time.Duration(f.UsedMS)*time.Millisecond
-	cause := a.longestPart(f.Request, first)
+	sinceFirstTry := first + time.Duration(f.UsedMS)*time.Millisecond
+	cause := a.longestCause(f.Request, first)
 	a.end(l, func(r *rowBuilder) {
 		switch {
 		case f.Status/100 != 2:
 			r.Failed++
 			r.causes["the upstream's own failure"]++
-		case since <= time.Duration(f.ObjectiveMS)*time.Millisecond:
+		case sinceFirstTry <= time.Duration(f.ObjectiveMS)*time.Millisecond:
 			r.InTime++
 		case f.UsedMS > 0:
 			r.Late++
@@ -129,9 +134,9 @@
 	})
 }
 
-// refused counts a response of the gateway itself: a refusal, or a failure of the
+// countRefusal counts a response of the gateway itself: a refusal, or a failure of the
 // request.
-func (a *Account) refused(l logLine) {
+func (a *Account) countRefusal(l logLine) {
 	const notRun, tooMany = 503, 429
 	f := l.Fields
 	a.end(l, func(r *rowBuilder) {
@@ -144,9 +149,9 @@
 	})
 }
 
-// longestPart returns what took most of the time to the first event of the response: a
-// stage, or the remaining time.
-func (a *Account) longestPart(request string, first time.Duration) string {
+// longestCause returns what took most of the time to the first event of the response: the
+// service of a stage, or responseCause for the time outside the stages.
+func (a *Account) longestCause(request string, first time.Duration) string {
 	remaining, longest, cause := first, time.Duration(0), responseCause
 	for _, s := range a.stages[request] {
 		remaining -= s.duration
@@ -160,7 +165,7 @@
 	return cause
 }
 
-// end removes the stages of an ended request and counts it in the row of its route.
+// end removes the stages of an ended request and calls count with the row of its route.
 func (a *Account) end(l logLine, count func(*rowBuilder)) {
 	delete(a.stages, l.Fields.Request)
 	r := a.rows[l.Fields.Route]
@@ -175,9 +180,9 @@
 func (a *Account) Rows() []Row {
 	rows := make([]Row, 0, len(a.rows))
 	for _, r := range a.rows {
-		whole := r.Row
-		whole.Causes = sortedCauses(r.causes)
-		rows = append(rows, whole)
+		row := r.Row
+		row.Causes = sortedCauses(r.causes)
+		rows = append(rows, row)
 	}
 	sort.Slice(rows, func(i, j int) bool { return rows[i].Route < rows[j].Route })
 	return rows
--- a/observe/event/event.go
+++ b/observe/event/event.go
@@ -14,6 +14,7 @@
 	Fields []string
 }
 
+// catalogue holds all events in order of definition.
 var catalogue []Event
 
 // define adds an event to the catalogue. It is called only to initialize package
--- a/observe/lifecycle/lifecycle.go
+++ b/observe/lifecycle/lifecycle.go
@@ -1,4 +1,4 @@
-// Package lifecycle tracks the state of an entry or side process, from start to
+// Package lifecycle tracks the state of an entry or sidecar process, from start to
 // end, with the "process" state chart.
 package lifecycle
 
@@ -12,7 +12,7 @@
 	"acaciawinch/observe/event"
 )
 
-// processChart is the name of the state chart.
+// processChart is the name of the state chart of processes.
 const processChart = "process"
 
 // The events of the chart.
@@ -75,7 +75,7 @@
 	return l.machine.State()
 }
 
-// Identity identifies a process of the fleet.
+// Identity identifies a process of the fleet in its log lines.
 type Identity struct {
 	Role        fleet.Role
 	Name        string
@@ -85,12 +85,12 @@
 
 // Log logs the start of the process, runs serve, logs the end and returns the error
 // of serve. An error fires Fail, if the chart allows it.
-func (l *Lifecycle) Log(logger *observe.Logger, who Identity, serve func() error) error {
+func (l *Lifecycle) Log(logger *observe.Logger, identity Identity, serve func() error) error {
 	logger.Event(event.ProcessStarted, observe.Fields{
-		"role":        string(who.Role),
-		"name":        who.Name,
-		"zone":        who.Zone,
-		"incarnation": uint64(who.Incarnation),
+		"role":        string(identity.Role),
+		"name":        identity.Name,
+		"zone":        identity.Zone,
+		"incarnation": uint64(identity.Incarnation),
 	})
 	if err := serve(); err != nil {
 		_ = l.FireIfAllowed(Fail) // err is the error to report
--- a/observe/metrics.go
+++ b/observe/metrics.go
@@ -44,5 +44,5 @@
 // Handler returns a handler that serves the metrics in the Prometheus text format.
 func (m *Metrics) Handler() http.Handler { return m.reporter.HTTPHandler() }
 
-// Close reports the buffered metrics and stops reporting.
+// Close passes the buffered metrics to the Prometheus reporter and stops reporting.
 func (m *Metrics) Close() error { return m.closer.Close() }
