--- a/settings/decode.go
+++ b/settings/decode.go
@@ -23,21 +23,21 @@
 	d.problems = append(d.problems, d.lines.Problem(key, fmt.Sprintf(format, args...)))
 }
 
-// table decodes a table into the struct dst.
-func (d *decoder) table(path string, values map[string]toml.Primitive, dst reflect.Value) {
+// decodeTable decodes a table into the struct dst.
+func (d *decoder) decodeTable(path string, values map[string]toml.Primitive, dst reflect.Value) {
 	before := len(d.problems)
 	known := map[string]bool{}
 	for i := range dst.NumField() {
 		field := dst.Type().Field(i)
-		name := keyOf(field)
+		name := fieldKey(field)
 		known[name] = true
-		key := join(path, name)
+		key := joinPath(path, name)
 		value, present := values[name]
 		if present {
-			d.value(key, value, dst.Field(i))
+			d.decodeField(key, value, dst.Field(i))
 			continue
 		}
-		d.absent(key, field, dst.Field(i))
+		d.handleAbsent(key, field, dst.Field(i))
 	}
 	d.rejectUnknown(path, values, known)
 	if len(d.problems) == before {
@@ -45,8 +45,8 @@
 	}
 }
 
-// keyOf returns the TOML key of a field: its tag, or else its name.
-func keyOf(field reflect.StructField) string {
+// fieldKey returns the TOML key of a field: its tag, or else its name.
+func fieldKey(field reflect.StructField) string {
 	name, _, _ := strings.Cut(field.Tag.Get("toml"), ",")
 	if name == "" {
 		return field.Name
@@ -54,15 +54,16 @@
 	return name
 }
 
-// absent handles a field whose key is not in the file. A missing table is treated
-// as an empty one, so that its required keys are reported.
-func (d *decoder) absent(key string, field reflect.StructField, dst reflect.Value) {
+// handleAbsent handles a field whose key is not in the file: it records a problem if the
+// key is required. A missing table is decoded as an empty one, so that its required keys
+// are reported.
+func (d *decoder) handleAbsent(key string, field reflect.StructField, dst reflect.Value) {
 	if field.Tag.Get("required") == "true" {
 		d.addProblem(key, "missing")
 		return
 	}
 	if isTable(field.Type) {
-		d.table(key, nil, dst)
+		d.decodeTable(key, nil, dst)
 	}
 }
 
@@ -75,36 +76,36 @@
 	sort.Strings(names)
 	for name := range values {
 		if !known[name] {
-			d.addProblem(join(path, name), "unknown key; known here are %s", strings.Join(names, ", "))
+			d.addProblem(joinPath(path, name), "unknown key; known here are %s", strings.Join(names, ", "))
 		}
 	}
 }
 
-// value decodes a value into the field dst.
-func (d *decoder) value(key string, value toml.Primitive, dst reflect.Value) {
+// decodeField decodes the value of a key into the field dst.
+func (d *decoder) decodeField(key string, value toml.Primitive, dst reflect.Value) {
 	switch {
 	case isTable(dst.Type()):
 		var inner map[string]toml.Primitive
-		if d.decode(key, value, &inner) && d.isTableValue(key, inner) {
-			d.table(key, inner, dst)
+		if d.decodePrimitive(key, value, &inner) && d.isTableValue(key, inner) {
+			d.decodeTable(key, inner, dst)
 		}
 	case dst.Kind() == reflect.Slice && isTable(dst.Type().Elem()):
 		var elements []map[string]toml.Primitive
-		if d.decode(key, value, &elements) {
-			d.elements(key, elements, dst)
+		if d.decodePrimitive(key, value, &elements) {
+			d.decodeElements(key, elements, dst)
 		}
 	default:
-		d.decode(key, value, dst.Addr().Interface())
+		d.decodePrimitive(key, value, dst.Addr().Interface())
 	}
 }
 
-// elements decodes an array of tables into the slice of structs dst.
-func (d *decoder) elements(key string, elements []map[string]toml.Primitive, dst reflect.Value) {
+// decodeElements decodes an array of tables into the slice of structs dst.
+func (d *decoder) decodeElements(key string, elements []map[string]toml.Primitive, dst reflect.Value) {
 	dst.Set(reflect.MakeSlice(dst.Type(), len(elements), len(elements)))
 	for i, element := range elements {
 		path := Element(key, i)
 		if d.isTableValue(path, element) {
-			d.table(path, element, dst.Index(i))
+			d.decodeTable(path, element, dst.Index(i))
 		}
 	}
 }
@@ -126,12 +127,13 @@
 // error messages.
 var messagePrefix = regexp.MustCompile(`^toml: (line \d+ )?(\(last key "[^"]*"\): )?`)
 
-// typeNames replaces the library's type names by those of TOML.
+// typeNames replaces the type names in the library's messages by those of TOML.
 var typeNames = strings.NewReplacer("int64", "integer", "float64", "float", "slice", "array", "bool", "boolean",
 	"map[string]interface", "table", "[]interface {}", "array", "[]map[string]interface", "array of tables")
 
-// decode decodes a value into dst and reports whether it succeeded.
-func (d *decoder) decode(key string, value toml.Primitive, dst any) bool {
+// decodePrimitive decodes a value with the TOML library into dst and reports whether it
+// succeeded. If not, it records a problem.
+func (d *decoder) decodePrimitive(key string, value toml.Primitive, dst any) bool {
 	err := d.metadata.PrimitiveDecode(value, dst)
 	if err == nil {
 		return true
@@ -153,14 +155,14 @@
 	for _, e := range keyErrors(validator.Validate()) {
 		key := path
 		if e.Key != "" {
-			key = join(path, e.Key)
+			key = joinPath(path, e.Key)
 		}
 		d.addProblem(key, "%s", e.Text)
 	}
 }
 
-// textUnmarshaler is the type of the interface of values that are written as
-// strings.
+// textUnmarshaler is the interface type that structs implement whose values are written as
+// strings and not as tables.
 var textUnmarshaler = reflect.TypeFor[encoding.TextUnmarshaler]()
 
 // isTable reports whether values of type t are written as tables.
--- a/settings/lines.go
+++ b/settings/lines.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Lines holds the line of each key of a TOML file. The TOML library checks the
+// Lines holds the line number of each key of a TOML file. The TOML library checks the
 // syntax; Lines only locates keys in text that the library accepted.
 type Lines struct {
 	file  string
@@ -25,13 +25,13 @@
 		if line, ok := l.byKey[key]; ok {
 			return line
 		}
-		key = parent(key)
+		key = parentKey(key)
 	}
 	return 1
 }
 
-// parent returns the key without its last index or name.
-func parent(key string) string {
+// parentKey returns the key without its last index or name.
+func parentKey(key string) string {
 	return key[:max(strings.LastIndexAny(key, ".["), 0)]
 }
 
@@ -42,7 +42,7 @@
 	keyLine     = regexp.MustCompile(`^\s*([A-Za-z0-9_."'-]+)\s*=`)
 )
 
-// scanKeys records the line of each key of a TOML text.
+// scanKeys returns the Lines of a TOML text.
 func scanKeys(file string, data []byte) *Lines {
 	l := &Lines{file: file, byKey: map[string]int{}}
 	counts := map[string]int{}
@@ -58,7 +58,7 @@
 			continue
 		}
 		if m := keyLine.FindStringSubmatch(text); m != nil {
-			l.record(join(prefix, unquote(m[1])), i+1)
+			l.record(joinPath(prefix, unquote(m[1])), i+1)
 			quote = openQuote(text)
 		}
 	}
@@ -67,7 +67,7 @@
 
 // record sets the line of a key, and of its parents, unless they already have one.
 func (l *Lines) record(key string, line int) {
-	for ; key != ""; key = parent(key) {
+	for ; key != ""; key = parentKey(key) {
 		if _, ok := l.byKey[key]; !ok {
 			l.byKey[key] = line
 		}
@@ -78,11 +78,11 @@
 // it. element is true for a [[name]] header, which starts a new element. counts
 // holds the number of elements of each array so far.
 func tablePath(name string, element bool, counts map[string]int) string {
-	parts := strings.Split(name, ".")
+	segments := strings.Split(name, ".")
 	path := ""
-	for i, part := range parts {
-		path = join(path, strings.TrimSpace(part))
-		if element && i == len(parts)-1 {
+	for i, segment := range segments {
+		path = joinPath(path, strings.TrimSpace(segment))
+		if element && i == len(segments)-1 {
 			counts[path]++
 		}
 		if n := counts[path]; n > 0 {
@@ -92,8 +92,8 @@
 	return path
 }
 
-// join appends a name to a path.
-func join(path, name string) string {
+// joinPath appends a name to a path.
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
@@ -106,7 +106,7 @@
 }
 
 // openQuote returns the delimiter of a multi-line string that begins but does not
-// end in text, or "".
+// end in the line text, or "" if there is none.
 func openQuote(text string) string {
 	for _, quote := range []string{`"""`, "'''"} {
 		if strings.Count(text, quote)%2 == 1 {
@@ -116,8 +116,8 @@
 	return ""
 }
 
-// closeQuote returns "" if text ends the multi-line string that quote delimits,
-// else quote.
+// closeQuote returns the delimiter of the multi-line string that continues after the line
+// text: "" if text ends the string that quote delimits, else quote.
 func closeQuote(text, quote string) string {
 	if strings.Count(text, quote)%2 == 1 {
 		return ""
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -50,7 +50,7 @@
 		return lines, Problems{syntaxProblem(name, data, err)}
 	}
 	d := decoder{metadata: metadata, lines: lines}
-	d.table("", root, reflect.ValueOf(dst).Elem())
+	d.decodeTable("", root, reflect.ValueOf(dst).Elem())
 	if len(d.problems) == 0 {
 		return lines, nil
 	}
@@ -62,14 +62,14 @@
 func syntaxProblem(name string, data []byte, err error) Problem {
 	var parse toml.ParseError
 	if errors.As(err, &parse) {
-		return Problem{File: name, Line: lineOf(parse.Position, data), Key: parse.LastKey, Text: parse.Message}
+		return Problem{File: name, Line: lineOfPosition(parse.Position, data), Key: parse.LastKey, Text: parse.Message}
 	}
 	return Problem{File: name, Line: 1, Text: err.Error()}
 }
 
-// lineOf returns the line of a parser position. At the end of the data the parser
-// reports the previous line or no line, but its byte offset is correct.
-func lineOf(position toml.Position, data []byte) int {
+// lineOfPosition returns the line of a parser position. At the end of the data the line
+// of the position is the previous one or missing, but its byte offset is correct.
+func lineOfPosition(position toml.Position, data []byte) int {
 	before := data[:min(max(position.Start, 0), len(data))]
 	return max(position.Line, 1+bytes.Count(before, []byte("\n")))
 }
