--- a/acaciawinch/accept.go
+++ b/acaciawinch/accept.go
@@ -26,7 +26,9 @@
 	maxBackoff     = 2 * time.Second
 )
 
-// acceptChange runs the accept protocol and prints its result.
+// acceptChange completes the request, runs the accept protocol of package
+// core/config/accept with it and prints the result. problemText returns the text of a
+// problem of the change.
 func (e *env) acceptChange(api objects.API, request accept.Request, problemText func(config.Problem) string) error {
 	request.ChangeID = uuid.NewString()
 	request.Author = author()
@@ -34,13 +36,14 @@
 	machine := accept.New(request)
 	runMachine(e.ctx, api, machine)
 	result, _ := machine.Result()
-	return e.report(result, problemText)
+	return e.reportResult(result, problemText)
 }
 
 // maxConcurrentCalls is the maximum number of concurrent calls of the object API.
 const maxConcurrentCalls = 16
 
-// runMachine executes the calls of the machine until it ends or ctx is done.
+// runMachine makes the calls that the state machine of the protocol requests until the
+// machine has a result or ctx is done.
 func runMachine(ctx context.Context, api objects.API, machine *accept.Machine) {
 	replies := map[string]accept.Reply{}
 	for {
@@ -130,9 +133,9 @@
 	return account.Username
 }
 
-// report prints a result and returns the error that sets the exit code.
-func (e *env) report(result accept.Result, problemText func(config.Problem) string) error {
-	text := describe(result, problemText)
+// reportResult prints a result of the accept protocol and returns the error that sets the exit code.
+func (e *env) reportResult(result accept.Result, problemText func(config.Problem) string) error {
+	text := resultText(result, problemText)
 	if err := e.print(result, text); err != nil {
 		return err
 	}
@@ -161,8 +164,8 @@
 // maxItemsShown is the maximum number of items in text output; JSON has all of them.
 const maxItemsShown = 40
 
-// describe returns the text of a result.
-func describe(result accept.Result, problemText func(config.Problem) string) string {
+// resultText returns the text of a result.
+func resultText(result accept.Result, problemText func(config.Problem) string) string {
 	var lines []string
 	switch result.Outcome {
 	case accept.Accepted:
--- a/acaciawinch/apply.go
+++ b/acaciawinch/apply.go
@@ -16,7 +16,7 @@
 	Files []string `positional-arg-name:"FILE" required:"1"`
 }
 
-// validateCommand checks files without a store.
+// validateCommand checks declaration files without reading the store.
 type validateCommand struct {
 	env  *env
 	Args fileArguments `positional-args:"yes" required:"yes"`
@@ -35,7 +35,7 @@
 	if err != nil {
 		return err
 	}
-	if err := declared.check(config.ValidateDeclared(declared.shared(), declared.Workspaces)); err != nil {
+	if err := declared.problemsError(config.ValidateDeclared(declared.shared(), declared.Workspaces)); err != nil {
 		return err
 	}
 	return c.env.print(validateOutput{len(declared.Templates), len(declared.Models), len(declared.Workspaces)}, "valid")
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	if err := declared.check(declared.change().ValidateUnique()); err != nil {
+	if err := declared.problemsError(declared.change().ValidateUnique()); err != nil {
 		return err
 	}
 	api, err := c.env.objects()
--- a/acaciawinch/client.go
+++ b/acaciawinch/client.go
@@ -17,7 +17,8 @@
 	maxResponseBytes = 8 << 20
 )
 
-// getJSON reads JSON from an admin listener. The error is Invalid for a malformed URL,
+// getJSON requests a path below the base URL of an admin listener and returns the JSON of
+// the response. The error is Invalid for a malformed URL,
 // else NotFound or Unavailable.
 func getJSON(ctx context.Context, step, base, path string) (json.RawMessage, error) {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
@@ -44,8 +45,8 @@
 	return nil, fault.New(fault.Unavailable, step, base, "status %d", resp.StatusCode)
 }
 
-// admins returns the URLs of the admin listeners in the settings.
-func (e *env) admins(step string) ([]string, error) {
+// adminURLs returns the URLs of the entries' admin listeners in the settings.
+func (e *env) adminURLs(step string) ([]string, error) {
 	s, err := e.settings()
 	if err != nil {
 		return nil, err
--- a/acaciawinch/command.go
+++ b/acaciawinch/command.go
@@ -61,7 +61,7 @@
 // run runs one command line and returns the exit code.
 func run(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	e := &env{ctx: ctx, out: stdout, errOut: stderr, opts: options{Timeout: defaultTimeout}}
-	err := e.parse(args)
+	err := e.parseAndRun(args)
 	var help *flags.Error
 	if errors.As(err, &help) && help.Type == flags.ErrHelp {
 		fmt.Fprintln(stdout, help.Message)
@@ -74,14 +74,14 @@
 	return exitCode(err)
 }
 
-// parse reads the flags and runs the named command.
-func (e *env) parse(args []string) error {
+// parseAndRun parses a command line and runs the command that it names.
+func (e *env) parseAndRun(args []string) error {
 	parser := flags.NewNamedParser("acaciawinch", flags.HelpFlag|flags.PassDoubleDash)
 	parser.ShortDescription = "operate an acaciawinch fleet"
 	if _, err := parser.AddGroup("Options", "", &e.opts); err != nil {
 		return err
 	}
-	for _, c := range commands(e) {
+	for _, c := range commandSpecs(e) {
 		if _, err := parser.AddCommand(c.name, c.short, c.long, c.data); err != nil {
 			return err
 		}
@@ -135,8 +135,8 @@
 	data              flags.Commander
 }
 
-// commands returns all commands.
-func commands(e *env) []commandSpec {
+// commandSpecs returns the descriptions of all commands.
+func commandSpecs(e *env) []commandSpec {
 	return []commandSpec{
 		{"validate", "check declarations without applying them", "Checks the files together, without regard to the configuration in force.", &validateCommand{env: e}},
 		{"apply", "apply declarations to the configuration in force", "Adds or replaces what the files declare; other declarations stay unless --prune is given.", &applyCommand{env: e}},
--- a/acaciawinch/declaration.go
+++ b/acaciawinch/declaration.go
@@ -83,12 +83,12 @@
 	d.locations[declarationKey{section, name}] = location{lines: lines, key: settings.Element(section, i)}
 }
 
-// shared returns the declared templates and models.
+// shared returns the declared templates and models, which all workspaces share.
 func (d *declaration) shared() config.Templates {
 	return config.Templates{Templates: d.Templates, Models: d.Models}
 }
 
-// change returns the change that puts all declarations.
+// change returns the configuration change that puts all declarations.
 func (d *declaration) change() config.Change {
 	return config.Change{PutTemplates: d.Templates, PutModels: d.Models, PutWorkspaces: d.Workspaces}
 }
@@ -107,8 +107,8 @@
 	return at.lines.Problem(key, p.Text).String()
 }
 
-// check returns an error that lists the problems, or nil if there are none.
-func (d *declaration) check(problems []config.Problem) error {
+// problemsError returns an error that lists the problems, or nil if there are none.
+func (d *declaration) problemsError(problems []config.Problem) error {
 	if len(problems) == 0 {
 		return nil
 	}
--- a/acaciawinch/drain.go
+++ b/acaciawinch/drain.go
@@ -111,7 +111,7 @@
 	return fleet.Host{}, fault.New(fault.NotFound, "drain", "", "the host list has no upstream %q", c.Args.Upstream)
 }
 
-// callSide drains or resumes the upstream at its sidecar.
+// callSide calls the sidecar of the upstream to drain it, or to end the drain.
 func (c *drainCommand) callSide(s Settings, host fleet.Host) error {
 	if host.Addr == "" || s.Fleet.Key == "" {
 		return fault.New(fault.Unavailable, "drain", c.Args.Upstream, "the address of the upstream or the fleet key is unknown")
--- a/acaciawinch/explain.go
+++ b/acaciawinch/explain.go
@@ -21,13 +21,13 @@
 // Execute implements flags.Commander. Each entry can look up the requests of all
 // others, so the first successful response is enough.
 func (c *explainCommand) Execute([]string) error {
-	admins, err := c.env.admins("explain")
+	adminURLs, err := c.env.adminURLs("explain")
 	if err != nil {
 		return err
 	}
 	var lastError error
-	for _, admin := range admins {
-		response, err := getJSON(c.env.ctx, "explain", admin, "/v1/explain/"+url.PathEscape(c.Args.Request))
+	for _, adminURL := range adminURLs {
+		response, err := getJSON(c.env.ctx, "explain", adminURL, "/v1/explain/"+url.PathEscape(c.Args.Request))
 		if err != nil {
 			lastError = moreRelevantError(lastError, err)
 			continue
@@ -37,8 +37,9 @@
 	return lastError
 }
 
-// moreRelevantError returns a, the earlier error, unless it is nil or NotFound; then it
-// returns b. An entry that failed might know a request that another did not find.
+// moreRelevantError returns the error to report of two: a, the earlier one, unless it is
+// nil or NotFound, else b. An entry that failed might know a request that another did not
+// find.
 func moreRelevantError(a, b error) error {
 	if a == nil || fault.Is(a, fault.NotFound) {
 		return b
@@ -55,7 +56,7 @@
 	return c.env.print(response, traceText(found))
 }
 
-// traceText returns a trace as text.
+// traceText returns the text of a trace, with one line or more for each decision.
 func traceText(t trace.Trace) string {
 	lines := []string{
 		fmt.Sprintf("request %s: %s", t.RequestID, t.Outcome),
--- a/acaciawinch/history.go
+++ b/acaciawinch/history.go
@@ -91,11 +91,11 @@
 }
 
 // partsText returns the number of parts, or a hyphen if it is unknown.
-func (p historyEntry) partsText() string {
-	if p.Parts == 0 {
+func (e historyEntry) partsText() string {
+	if e.Parts == 0 {
 		return "-"
 	}
-	return strconv.Itoa(p.Parts)
+	return strconv.Itoa(e.Parts)
 }
 
 // historyText returns one line for each entry.
--- a/acaciawinch/settings.go
+++ b/acaciawinch/settings.go
@@ -34,7 +34,7 @@
 	Key string `toml:"key"`
 }
 
-// EntriesSettings holds the URLs at which entries report their status.
+// EntriesSettings holds the URLs at which entries serve operators.
 type EntriesSettings struct {
 	// Admin holds the URLs of admin listeners; only status and explain need them.
 	Admin []string `toml:"admin"`
--- a/acaciawinch/status.go
+++ b/acaciawinch/status.go
@@ -32,8 +32,8 @@
 	Error    string        `json:"error,omitempty"`
 }
 
-// entryStatus is the status of one entry: the full response, and the part shown as
-// text.
+// entryStatus is the status of one entry: the full response, and the summary of it that is
+// shown as text.
 type entryStatus struct {
 	Admin   string          `json:"admin"`
 	Status  json.RawMessage `json:"status,omitempty"`
@@ -72,28 +72,28 @@
 
 // Execute implements flags.Commander.
 func (c *statusCommand) Execute([]string) error {
-	admins, err := c.env.admins("status")
+	adminURLs, err := c.env.adminURLs("status")
 	if err != nil {
 		return err
 	}
-	status := fleetStatus{Store: c.store(), Entries: make([]entryStatus, len(admins))}
+	status := fleetStatus{Store: c.readStore(), Entries: make([]entryStatus, len(adminURLs))}
 	var group sync.WaitGroup
-	for i, admin := range admins {
-		group.Go(func() { status.Entries[i] = c.entry(admin) })
+	for i, adminURL := range adminURLs {
+		group.Go(func() { status.Entries[i] = c.requestStatus(adminURL) })
 	}
 	group.Wait()
 	if err := c.env.print(status, status.text()); err != nil {
 		return err
 	}
-	if failed := status.unavailable(); failed > 0 {
+	if failed := status.countErrors(); failed > 0 {
 		return &exitError{code: exitUnavailable, printed: true,
 			err: fault.New(fault.Unavailable, "status", "", "%d did not respond", failed)}
 	}
 	return nil
 }
 
-// store reads the head of the configuration from the store.
-func (c *statusCommand) store() storeStatus {
+// readStore reads the head of the configuration from the store.
+func (c *statusCommand) readStore() storeStatus {
 	api, err := c.env.objects()
 	if err != nil {
 		return storeStatus{Error: err.Error()}
@@ -105,10 +105,10 @@
 	return storeStatus{Revision: head.Revision, ChangeID: head.ChangeID}
 }
 
-// entry requests the status of one entry.
-func (c *statusCommand) entry(admin string) entryStatus {
-	response, err := getJSON(c.env.ctx, "status", admin, "/v1/status")
-	status := entryStatus{Admin: admin, Status: response}
+// requestStatus requests the status of one entry.
+func (c *statusCommand) requestStatus(adminURL string) entryStatus {
+	response, err := getJSON(c.env.ctx, "status", adminURL, "/v1/status")
+	status := entryStatus{Admin: adminURL, Status: response}
 	if err == nil {
 		err = json.Unmarshal(response, &status.summary)
 	}
@@ -118,8 +118,8 @@
 	return status
 }
 
-// unavailable returns how many of the store and the entries reported an error.
-func (s fleetStatus) unavailable() int {
+// countErrors returns how many of the store and the entries could not be read.
+func (s fleetStatus) countErrors() int {
 	count := 0
 	if s.Store.Error != "" {
 		count++
