--- a/acaciawinchd/command.go
+++ b/acaciawinchd/command.go
@@ -23,7 +23,7 @@
 // Unwrap returns the wrapped error.
 func (e settingsError) Unwrap() error { return e.err }
 
-// sideCommand is `acaciawinchd side`.
+// sideCommand is `acaciawinchd side`, which runs the sidecar of one upstream.
 type sideCommand struct {
 	Config string `long:"config" required:"true" value-name:"FILE" description:"TOML settings of the side process"`
 }
@@ -34,12 +34,12 @@
 	if err := settings.Load(c.Config, &loaded); err != nil {
 		return settingsError{err}
 	}
-	ctx, stop := stopSignal()
+	ctx, stop := stopContext()
 	defer stop()
 	return side.Run(ctx, loaded)
 }
 
-// entryCommand is `acaciawinchd entry`.
+// entryCommand is `acaciawinchd entry`, which runs an entry.
 type entryCommand struct {
 	Config string `long:"config" required:"true" value-name:"FILE" description:"TOML settings of the entry process"`
 }
@@ -50,12 +50,12 @@
 	if err := settings.Load(c.Config, &loaded); err != nil {
 		return settingsError{err}
 	}
-	ctx, stop := stopSignal()
+	ctx, stop := stopContext()
 	defer stop()
 	return entry.Run(ctx, loaded)
 }
 
-// gatewayCommand is `acaciawinchd gateway`.
+// gatewayCommand is `acaciawinchd gateway`, which runs a gateway.
 type gatewayCommand struct {
 	Config string `long:"config" env:"ACACIAWINCH_NODE_FILE" required:"true" value-name:"FILE" description:"TOML settings of the gateway process"`
 }
@@ -66,7 +66,7 @@
 	if err != nil {
 		return settingsError{err}
 	}
-	ctx, stop := stopSignal()
+	ctx, stop := stopContext()
 	defer stop()
 	return gateway.Run(ctx, loaded, c.load, os.Stdout)
 }
@@ -78,9 +78,9 @@
 	return loaded, err
 }
 
-// stopSignal returns a context that is cancelled by SIGTERM or SIGINT. A second
+// stopContext returns a context that is cancelled by SIGTERM or SIGINT. A second
 // signal has its default effect and kills the process at once.
-func stopSignal() (context.Context, context.CancelFunc) {
+func stopContext() (context.Context, context.CancelFunc) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	context.AfterFunc(ctx, stop)
 	return ctx, stop
@@ -93,8 +93,8 @@
 	mustAdd(parser, "side", "Run the side process of one upstream", &sideCommand{})
 }
 
-// mustAdd adds one command. It panics only on an invalid struct tag, which would
-// fail at every start of the program.
+// mustAdd adds one command. It panics only if a struct tag of the command is invalid, and
+// then at every start of the program.
 func mustAdd(parser *flags.Parser, name, description string, data any) {
 	if _, err := parser.AddCommand(name, description, "", data); err != nil {
 		panic(err)
--- a/acaciawinchd/main.go
+++ b/acaciawinchd/main.go
@@ -12,8 +12,9 @@
 
 // Exit codes.
 const (
-	exitOK       = 0
-	exitFailed   = 1
+	exitOK     = 0
+	exitFailed = 1
+	// exitSettings: the command line or the settings are invalid.
 	exitSettings = 2
 )
 
