--- a/entry/limit/limiter_test.go
+++ b/entry/limit/limiter_test.go
@@ -131,7 +131,7 @@
 }
 
 // TestRestartedHomeCountsRunningRequests stops the home, so that the deputy enforces the
-// bound. Then it restarts the home, which must be told of the running requests.
+// bound. Then it restarts the home, which must count the running requests again.
 func TestRestartedHomeCountsRunningRequests(t *testing.T) {
 	const bound = 2
 	ns := newNodes(t, 3)
--- a/entry/limit/permit.go
+++ b/entry/limit/permit.go
@@ -31,6 +31,8 @@
 	refusal *pipeline.PermitRefusal
 
 	// The following fields are guarded by the limiter's mu.
+	//
+	// held is the permit as package core/share knows it, with the home that counts it.
 	held share.Held
 	// unchecked is set if the request runs without the permit of a home.
 	unchecked bool
