--- a/entry/place/proposer.go
+++ b/entry/place/proposer.go
@@ -75,8 +75,8 @@
 	options Options
 	// start is the zero of the process's monotonic clock.
 	start time.Time
-	// term is a random number by which the lease tells this process from an earlier one of
-	// the same name.
+	// term is a random number in the lease that distinguishes this process from earlier ones
+	// of the same name.
 	term    uint64
 	lease   *placement.Lease
 	engines *engines
@@ -208,12 +208,12 @@
 // for the given reason.
 func (p *Proposer) updateHolding(reason string) {
 	holds := p.lease.Holds(p.now())
-	held := p.holding.Swap(holds)
+	heldBefore := p.holding.Swap(holds)
 	p.metrics.setHolding(holds)
 	switch {
-	case holds && !held:
+	case holds && !heldBefore:
 		p.options.Log.Event(event.PlacementLeaseTaken, observe.Fields{"term": p.term})
-	case !holds && held:
+	case !holds && heldBefore:
 		p.options.Log.Event(event.PlacementLeaseLost, observe.Fields{"term": p.term, "reason": reason})
 	}
 }
