--- a/entry/callers/answer.go
+++ b/entry/callers/answer.go
@@ -79,6 +79,7 @@
 	output []byte
 }
 
+// newJSONWriter returns a jsonWriter that sends to w.
 func newJSONWriter(w http.ResponseWriter) *jsonWriter {
 	return &jsonWriter{deliveryTotals: deliveryTotals{digest: xxhash.New()}, w: w}
 }
@@ -115,6 +116,7 @@
 	headersSent bool
 }
 
+// newStreamWriter returns a streamWriter that sends the response of request id to w.
 func newStreamWriter(w http.ResponseWriter, id core.RequestID) *streamWriter {
 	return &streamWriter{
 		deliveryTotals: deliveryTotals{digest: xxhash.New()},
