--- a/side/keeper.go
+++ b/side/keeper.go
@@ -39,7 +39,7 @@
 	options dispatcherOptions
 	// pollNow triggers an immediate poll of the upstream's report.
 	pollNow chan struct{}
-	// busy tells run that attempts are waiting or running.
+	// busy makes run advance the gate's clock sooner, because attempts wait or run.
 	busy chan struct{}
 	// executions counts the goroutines that wait for the upstream.
 	executions sync.WaitGroup
--- a/side/process.go
+++ b/side/process.go
@@ -146,8 +146,8 @@
 	return 0
 }
 
-// noteRevision tells the feed of a newer revision. The sender's address isn't known
-// here, so the feed chooses the entry to fetch it from.
+// noteRevision reports a newer revision, seen in a message, to the feed. The sender's
+// address isn't known here, so the feed chooses the entry to pull the revision from.
 func (p *process) noteRevision(revision core.Revision) {
 	if revision > p.revision() {
 		p.feed.NoteRevision(revision, "")
