--- a/feed/timing.go
+++ b/feed/timing.go
@@ -83,6 +83,7 @@
 	return longest/2 + time.Duration(f.random.Int64N(int64(longest/2)+1))
 }
 
+// newRandom returns a random source whose sequence seed determines.
 func newRandom(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 0)) }
 
 // sleep waits for the duration and reports whether ctx is still active.
