--- a/wire/link/handshake.go
+++ b/wire/link/handshake.go
@@ -60,6 +60,7 @@
 // nonce is a random value that is used for one handshake.
 type nonce [nonceBytes]byte
 
+// newNonce returns a nonce from the system's secure random source.
 func newNonce() nonce {
 	var n nonce
 	_, _ = rand.Read(n[:]) // rand.Read never returns an error; it ends the program instead
