--- a/feed/feed.go
+++ b/feed/feed.go
@@ -141,8 +141,8 @@
 // each other in a circle send no heartbeats and then choose other providers.
 func (f *Feed) isOrigin() bool { return f.isRelay() || f.readsDirectly() }
 
-// isLive reports whether the state that this process sends is kept current: the process
-// is an origin, or received an origin's heartbeat within Timing.SilenceTimeout.
+// isLive reports whether other processes may follow this process's feed: it is an origin,
+// or received an origin's heartbeat within Timing.SilenceTimeout.
 func (f *Feed) isLive() bool {
 	return f.isOrigin() || time.Since(time.Unix(0, f.lastHeartbeat.Load())) < f.timing.SilenceTimeout
 }
