--- a/entry/callers/answer.go
+++ b/entry/callers/answer.go
@@ -12,7 +12,7 @@
 	"acaciawinch/core"
 )
 
-// Response is a complete response in JSON. Exactly one of Output and OutputBase64
+// Response is the JSON document of a complete response. Exactly one of Output and OutputBase64
 // is set unless the output is empty.
 type Response struct {
 	RequestID core.RequestID `json:"request_id"`
@@ -60,7 +60,7 @@
 	digest *xxhash.Digest
 }
 
-// add adds one chunk to the totals.
+// add counts one chunk and adds it to the digest.
 func (t *deliveryTotals) add(data []byte) {
 	t.chunks++
 	_, _ = t.digest.Write(data) // never fails
@@ -79,6 +79,7 @@
 	output []byte
 }
 
+// newJSONWriter returns a jsonWriter that sends to w.
 func newJSONWriter(w http.ResponseWriter) *jsonWriter {
 	return &jsonWriter{deliveryTotals: deliveryTotals{digest: xxhash.New()}, w: w}
 }
@@ -115,6 +116,7 @@
 	headersSent bool
 }
 
+// newStreamWriter returns a streamWriter that sends the response of request id to w.
 func newStreamWriter(w http.ResponseWriter, id core.RequestID) *streamWriter {
 	return &streamWriter{
 		deliveryTotals: deliveryTotals{digest: xxhash.New()},
