--- a/standin/gatewaytest/crash_test.go
+++ b/standin/gatewaytest/crash_test.go
@@ -40,7 +40,7 @@
 	return found
 }
 
-// maxCrashes is how many upstreams may crash under one request whose attempts are sent one after the
+// maxCrashes is how many upstreams one request may crash if its attempts are sent one after the
 // other.
 const maxCrashes = 3
 
--- a/standin/gatewaytest/fleet_test.go
+++ b/standin/gatewaytest/fleet_test.go
@@ -45,7 +45,7 @@
 	ended    chan error
 }
 
-// logBuffer collects log lines and wakes those that wait for one.
+// logBuffer collects log lines and wakes the goroutines that wait for more of them.
 type logBuffer struct {
 	mu       sync.Mutex
 	text     bytes.Buffer
--- a/standin/gatewaytest/relay_test.go
+++ b/standin/gatewaytest/relay_test.go
@@ -25,28 +25,28 @@
 
 // newStoreProxy starts a proxy in front of a store.
 func newStoreProxy(t *testing.T, store *metastore.Store) *storeProxy {
-	d := &storeProxy{}
-	d.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		d.calls.Add(1)
-		if d.closed.Load() {
+	p := &storeProxy{}
+	p.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		p.calls.Add(1)
+		if p.closed.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
 		store.ServeHTTP(w, r)
 	}))
-	d.address = strings.TrimPrefix(d.server.URL, "http://")
+	p.address = strings.TrimPrefix(p.server.URL, "http://")
 	t.Cleanup(func() {
-		d.server.CloseClientConnections()
-		d.server.Close()
+		p.server.CloseClientConnections()
+		p.server.Close()
 	})
-	return d
+	return p
 }
 
 // close refuses all callers from now on and closes their connections, those of waiting watches
 // included.
-func (d *storeProxy) close() {
-	d.closed.Store(true)
-	d.server.CloseClientConnections()
+func (p *storeProxy) close() {
+	p.closed.Store(true)
+	p.server.CloseClientConnections()
 }
 
 // TestOneGatewayOfAZoneReadsTheStoreAndTheOthersFollow: one reader a zone is enough: its followers
