--- a/standin/soak/calm.go
+++ b/standin/soak/calm.go
@@ -57,7 +57,7 @@
 	for _, route := range append([]string{newest}, routes...) {
 		for try := 0; !s.probe(number, route, try); try++ {
 			if ctx.Err() != nil {
-				s.violate("gateway %d does not serve %s %v after the last fault", number+1, route, recoverWithin)
+				s.addViolation("gateway %d does not serve %s %v after the last fault", number+1, route, recoverWithin)
 				return
 			}
 			sleep(ctx, probeInterval)
@@ -89,7 +89,7 @@
 	before := len(drained.Runs())
 	sleep(ctx, drainedFor)
 	if after := len(drained.Runs()); after > before {
-		s.violate("%s got %d requests later than %v after it was drained", drained.ID, after-before, drainWithin)
+		s.addViolation("%s got %d requests later than %v after it was drained", drained.ID, after-before, drainWithin)
 	}
 	s.register(drained, "ready")
 }
@@ -139,7 +139,7 @@
 	s.evidence.stops = append(s.evidence.stops, stop{gateway: number, at: time.Now()})
 	s.mu.Unlock()
 	if err := process.Terminate(ctx); err != nil {
-		s.violate("gateway %d did not stop as planned: %v", number+1, err)
+		s.addViolation("gateway %d did not stop as planned: %v", number+1, err)
 		process.Kill()
 	}
 	if err := process.Start(); err != nil {
--- a/standin/soak/client.go
+++ b/standin/soak/client.go
@@ -157,7 +157,7 @@
 		"Authorization: Bearer " + o.Key,
 	}
 	if o.Route == streamingRoute {
-		head = append(head, fmt.Sprintf("X-Pieces: %d,%d", encodePieces, rankPieces), "X-Piece-Key: k",
+		head = append(head, fmt.Sprintf("X-Pieces: %d,%d", encodeItems, rankItems), "X-Piece-Key: k",
 			"X-Prompt-Prefix: aa:100,bb:20", "X-Token-Counts: 120,15")
 	}
 	if o.RequestBody != "" {
@@ -168,6 +168,6 @@
 
 // Number of items in each stage of a streaming request.
 const (
-	encodePieces = 2
-	rankPieces   = 3
+	encodeItems = 2
+	rankItems   = 3
 )
--- a/standin/soak/faults.go
+++ b/standin/soak/faults.go
@@ -44,7 +44,7 @@
 		s.onWorker(ctx, step)
 	case LeaveWorker:
 		s.leaveWorker(ctx, step)
-	case PauseWorker:
+	case BackOffWorker:
 		s.backOffWorker(ctx, step)
 	case ChangeConfiguration, RevokeKey:
 		s.configure(step.Kind == RevokeKey)
@@ -115,7 +115,7 @@
 // checkAlive records a violation if a gateway has ended and no step ended it.
 func (s *soak) checkAlive(number int) {
 	if !s.fleet.Gateways[number].Running() && !s.endedBySteps[number].Load() {
-		s.violate("gateway %d ended by itself", number+1)
+		s.addViolation("gateway %d ended by itself", number+1)
 	}
 }
 
@@ -160,20 +160,20 @@
 
 // onWorker runs a step on a worker or its entry in the store.
 func (s *soak) onWorker(ctx context.Context, step Step) {
-	at := s.worker(step.Target)
+	w := s.worker(step.Target)
 	switch step.Kind {
 	case FaultyWorker:
-		at.SetFaults(workerFaults[step.Choice%len(workerFaults)])
+		w.SetFaults(workerFaults[step.Choice%len(workerFaults)])
 		sleep(ctx, step.For)
-		at.SetFaults(worker.Faults{})
+		w.SetFaults(worker.Faults{})
 	case ForgetWorker:
-		s.fleet.Store.Remove("servers", at.ID)
+		s.fleet.Store.Remove("servers", w.ID)
 		sleep(ctx, step.For)
-		s.register(at, "ready")
+		s.register(w, "ready")
 	case DrainWorker:
-		s.register(at, "draining")
+		s.register(w, "draining")
 		sleep(ctx, step.For)
-		s.register(at, "ready")
+		s.register(w, "ready")
 	}
 }
 
--- a/standin/soak/judge.go
+++ b/standin/soak/judge.go
@@ -17,19 +17,20 @@
 	drainWithin  = 2 * time.Second
 )
 
-// evidence is what a run is judged by: what clients saw and what workers did.
+// evidence is what a run is judged by: the outcomes that clients saw and the work that workers did.
 type evidence struct {
 	outcomes []Outcome
 	// runs counts the runs of each request, by its id.
 	runs map[string]int
-	// made holds the item that each result was made for, by its handle; calls holds all items.
-	made  map[string]worker.Item
-	calls []worker.Item
+	// itemByHandle holds the item that each result was made for, by the handle of the result; items
+	// holds all items that stage workers got.
+	itemByHandle map[string]worker.Item
+	items        []worker.Item
 	// revoked is when the store acknowledged a configuration without the spare key; zero if never.
 	revoked time.Time
 	// stops are the planned stops of gateways during which no fault was active.
 	stops []stop
-	// workers is what each incarnation of a worker did.
+	// workers holds what each incarnation of a worker did.
 	workers []workerEvidence
 	// disruptions are the time spans in which gateways were not in contact with the other parts.
 	disruptions []disruption
@@ -43,12 +44,12 @@
 
 // gather reads from the workers what they did.
 func (e *evidence) gather(fleet *platformfleet.Fleet) {
-	e.runs, e.made, e.calls = fleet.Runs(), make(map[string]worker.Item), nil
+	e.runs, e.itemByHandle, e.items = fleet.Runs(), make(map[string]worker.Item), nil
 	e.workers = nil
 	fleet.Each(func(_ string, w *worker.Worker) {
-		maps.Copy(e.made, w.Made())
+		maps.Copy(e.itemByHandle, w.Made())
 		for _, batch := range w.Batches() {
-			e.calls = append(e.calls, batch...)
+			e.items = append(e.items, batch...)
 		}
 		e.workers = append(e.workers, workerEvidenceOf(w))
 	})
@@ -65,7 +66,7 @@
 			found = append(found, fmt.Sprintf("%s (%s, gateway %d, status %d, %s): %s", o.ID, o.Route, o.Gateway+1, o.Status, o.Err, fault))
 		}
 	}
-	for _, item := range e.calls {
+	for _, item := range e.items {
 		fault := e.judgeItem(item)
 		if _, known := outcomes[item.ID]; fault == "" && all && !known && !strings.HasPrefix(item.ID, probePrefix) {
 			fault = "no client had the outcome of its request"
@@ -86,11 +87,11 @@
 // judge returns what is wrong with one outcome, or "".
 func (e *evidence) judge(o Outcome) string {
 	runs := e.runs[o.ID]
-	promised := o.Status == http.StatusServiceUnavailable || o.Status == http.StatusTooManyRequests
+	refused := o.Status == http.StatusServiceUnavailable || o.Status == http.StatusTooManyRequests
 	switch {
 	case o.Route == unsafeRoute && runs > 1:
 		return fmt.Sprintf("ran %d times", runs)
-	case o.Route == unsafeRoute && promised && !o.Signed && runs > 0:
+	case o.Route == unsafeRoute && refused && !o.Signed && runs > 0:
 		return "was refused and ran"
 	case o.Status == http.StatusUnauthorized && o.Key == platformfleet.Key, o.Status == http.StatusNotFound:
 		return "is allowed by every configuration"
@@ -157,13 +158,13 @@
 	}
 	seen := make(map[int]bool)
 	for _, handle := range item.Inputs {
-		input, known := e.made[handle]
+		input, known := e.itemByHandle[handle]
 		if !known || input.ID != item.ID || input.Stage != item.Stage-1 {
 			return "got the input " + handle + " of another request or stage"
 		}
 		seen[input.Piece] = true
 	}
-	if len(seen) != encodePieces || len(item.Inputs) != encodePieces {
+	if len(seen) != encodeItems || len(item.Inputs) != encodeItems {
 		return fmt.Sprintf("got %d inputs of %d pieces", len(item.Inputs), len(seen))
 	}
 	return ""
--- a/standin/soak/judge_test.go
+++ b/standin/soak/judge_test.go
@@ -65,13 +65,13 @@
 	unknown := evidence{runs: map[string]int{"x": 1}}
 	assert.Equal(t, len(unknown.violations(true)), 1)
 	assert.Equal(t, len(unknown.violations(false)), 0, "the outcome may still be pending at its client")
-	item := evidence{calls: []worker.Item{{ID: "x", Key: "k"}}}
+	item := evidence{items: []worker.Item{{ID: "x", Key: "k"}}}
 	assert.Equal(t, len(item.violations(true)), 1)
 	assert.Equal(t, len(item.violations(false)), 0, "the outcome of its request may still be pending")
 }
 
 func TestWrongInputsOfStagesAreFound(t *testing.T) {
-	e := evidence{made: map[string]worker.Item{
+	e := evidence{itemByHandle: map[string]worker.Item{
 		"a/1": {ID: "r", Stage: 0, Piece: 0}, "a/2": {ID: "r", Stage: 0, Piece: 1}, "a/3": {ID: "q", Stage: 0, Piece: 1},
 	}}
 	assert.Equal(t, e.judgeItem(worker.Item{ID: "r", Stage: 1, Inputs: []string{"a/1", "a/2"}}), "")
--- a/standin/soak/judge_workers.go
+++ b/standin/soak/judge_workers.go
@@ -18,9 +18,9 @@
 	maxLaterAttempts = 3
 	propagationTime  = 3 * time.Second
 	// backoffSlack is how long requests may still reach a worker after it asked for a backoff;
-	// maxInBackoff is how many may reach it later.
-	backoffSlack = 500 * time.Millisecond
-	maxInBackoff = 2
+	// maxDuringBackoff is how many may reach it later.
+	backoffSlack     = 500 * time.Millisecond
+	maxDuringBackoff = 2
 )
 
 // disruption is a time span in which a gateway was not in contact with the other parts.
@@ -51,7 +51,7 @@
 	return workerEvidence{id: w.ID, runs: w.Runs(), rejections: w.Rejections(), crash: crash, crashed: crashed}
 }
 
-// undisturbed reports whether a gateway had no disruption during propagationTime before a time.
+// undisturbed reports whether a gateway had no disruption in the propagationTime before a given time.
 func (e *evidence) undisturbed(gateway int, at time.Time) bool {
 	for _, t := range e.disruptions {
 		if (t.gateway == gateway || t.gateway == allGateways) && !t.from.After(at) && t.to.After(at.Add(-propagationTime)) {
@@ -90,7 +90,8 @@
 	return false
 }
 
-// judgeWorkers returns the broken promises that show at workers. The outcomes are by id.
+// judgeWorkers returns the broken promises that the evidence of the workers shows. The keys of
+// outcomes are the ids of the requests.
 func (e *evidence) judgeWorkers(outcomes map[string]Outcome) []string {
 	found := e.judgeCrashes(outcomes)
 	for _, w := range e.workers {
@@ -113,12 +114,12 @@
 		return nil
 	}
 	sort.Slice(crashes, func(i, j int) bool { return crashes[i].Before(crashes[j]) })
-	known := crashes[maxCrashes-1].Add(propagationTime)
+	propagated := crashes[maxCrashes-1].Add(propagationTime)
 	later := 0
 	for _, w := range e.workers {
 		for _, run := range w.runs {
 			o, has := outcomes[run.ID]
-			if has && strings.HasPrefix(run.ID, crashPrefix) && o.Sent.After(known) && e.undisturbed(o.Gateway, o.Sent) {
+			if has && strings.HasPrefix(run.ID, crashPrefix) && o.Sent.After(propagated) && e.undisturbed(o.Gateway, o.Sent) {
 				later++
 			}
 		}
@@ -154,19 +155,19 @@
 	return found
 }
 
-// judgeBackoffs finds, for each gateway, the first backoff in which a worker got more than maxInBackoff
+// judgeBackoffs finds, for each gateway, the first backoff in which a worker got more than maxDuringBackoff
 // requests from it.
 func (e *evidence) judgeBackoffs(w workerEvidence, outcomes map[string]Outcome) []string {
 	var found []string
-	told := make(map[int]bool)
+	reported := make(map[int]bool)
 	for _, rejection := range w.rejections {
 		o, has := outcomes[rejection.ID]
 		from, to := rejection.At.Add(backoffSlack), rejection.At.Add(rejection.RetryAfter)
-		if !has || told[o.Gateway] || !from.Before(to) || e.disrupted(o.Gateway, rejection.At, to, false) {
+		if !has || reported[o.Gateway] || !from.Before(to) || e.disrupted(o.Gateway, rejection.At, to, false) {
 			continue
 		}
-		if count := w.arrivedFrom(o.Gateway, from, to, outcomes); count > maxInBackoff {
-			told[o.Gateway] = true
+		if count := w.arrivedFrom(o.Gateway, from, to, outcomes); count > maxDuringBackoff {
+			reported[o.Gateway] = true
 			found = append(found, fmt.Sprintf("%s got %d requests through gateway %d in the pause of %v that it had asked for with %s",
 				w.id, count, o.Gateway+1, rejection.RetryAfter, rejection.ID))
 		}
--- a/standin/soak/judge_workers_test.go
+++ b/standin/soak/judge_workers_test.go
@@ -128,5 +128,5 @@
 			seen[step.Kind] = true
 		}
 	}
-	assert.Assert(t, seen[LeaveWorker] && seen[PauseWorker])
+	assert.Assert(t, seen[LeaveWorker] && seen[BackOffWorker])
 }
--- a/standin/soak/plan.go
+++ b/standin/soak/plan.go
@@ -38,7 +38,7 @@
 	RevokeKey           Kind = "revoke key"
 )
 
-// kinds are the kinds that Plan draws from, with their relative frequencies.
+// kinds are the kinds of steps that Plan draws from, each with its weight in the draw.
 var kinds = []struct {
 	kind   Kind
 	weight int
@@ -76,7 +76,8 @@
 	// longestStep is above the 1.2 s after which a silent process is declared dead, and above
 	// the 2.2 s of a store call.
 	longestStep = 3 * time.Second
-	// maxSeries is how many steps of one series follow one another closely at most.
+	// maxSeries is the maximum number of steps of one series; seriesGap is the shortest time between
+	// the starts of two of them.
 	maxSeries = 3
 	seriesGap = 150 * time.Millisecond
 )
--- a/standin/soak/run.go
+++ b/standin/soak/run.go
@@ -44,7 +44,7 @@
 type soak struct {
 	options Options
 	fleet   *platformfleet.Fleet
-	// links holds the relays by the name of what they lead to; names holds its keys, sorted.
+	// links holds the relays by the names under which addRelay started them; names holds these, sorted.
 	links map[string]*harness.Relay
 	names []string
 	ports *harness.Ports
@@ -213,7 +213,8 @@
 	}
 }
 
-// judge adds the violations that the evidence shows.
+// judge adds the violations that the evidence shows. If all is set, the outcomes of all requests are
+// known.
 func (s *soak) judge(all bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -223,8 +224,8 @@
 	}
 }
 
-// violate adds a violation that no outcome shows.
-func (s *soak) violate(format string, args ...any) {
+// addViolation adds a violation that the evidence does not show.
+func (s *soak) addViolation(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.violations[fmt.Sprintf(format, args...)] = true
--- a/standin/soak/workers.go
+++ b/standin/soak/workers.go
@@ -15,8 +15,8 @@
 	// LeaveWorker makes the responses of a worker announce that it leaves. Its entry in the store announces
 	// that later, or never.
 	LeaveWorker Kind = "leave worker"
-	// PauseWorker makes a worker reject requests with a Retry-After.
-	PauseWorker Kind = "pause worker"
+	// BackOffWorker makes a worker reject requests with a Retry-After.
+	BackOffWorker Kind = "pause worker"
 )
 
 // workerSteps is how many of these steps a run has.
@@ -27,7 +27,7 @@
 	random := rand.New(rand.NewPCG(seed, seed^0x2545f491))
 	var plan []Step
 	for range workerSteps {
-		step := Step{At: between(random, 0, faultsFor), For: between(random, shortestStep, longestStep), Kind: PauseWorker,
+		step := Step{At: between(random, 0, faultsFor), For: between(random, shortestStep, longestStep), Kind: BackOffWorker,
 			Target: random.IntN(1 << 16), Choice: random.IntN(1 << 16)}
 		if random.IntN(2) == 0 {
 			step.Kind = LeaveWorker
@@ -54,64 +54,64 @@
 
 // backOffWorker makes a worker reject requests with a Retry-After for the time of the step.
 func (s *soak) backOffWorker(ctx context.Context, step Step) {
-	at := s.worker(step.Target)
+	w := s.worker(step.Target)
 	retryAfter := longestBackoff / time.Duration(1+step.Choice%4)
-	at.SetFaults(worker.Faults{Reject: 1 << 20, RetryAfter: retryAfter})
+	w.SetFaults(worker.Faults{Reject: 1 << 20, RetryAfter: retryAfter})
 	sleep(ctx, step.For)
-	at.SetFaults(worker.Faults{})
+	w.SetFaults(worker.Faults{})
 }
 
 // leaveWorker makes a worker leave and starts its next incarnation.
 func (s *soak) leaveWorker(ctx context.Context, step Step) {
-	at := s.worker(step.Target)
-	at.Leave()
+	w := s.worker(step.Target)
+	w.Leave()
 	if step.Choice%2 == 0 {
 		sleep(ctx, step.For)
-		s.register(at, "draining")
+		s.register(w, "draining")
 	}
 	sleep(ctx, serveAfterLeaving)
-	if !s.markEnded(at.ID) {
+	if !s.markEnded(w.ID) {
 		return // it has crashed meanwhile, or another step made it leave
 	}
-	s.fleet.Store.Remove("servers", at.ID)
-	at.Close()
-	s.restartWorker(ctx, at, step.Choice)
+	s.fleet.Store.Remove("servers", w.ID)
+	w.Close()
+	s.restartWorker(ctx, w, step.Choice)
 }
 
 // watchCrashes starts a worker again when it has crashed, unless ctx ends before.
-func (s *soak) watchCrashes(ctx context.Context, at registeredWorker) {
+func (s *soak) watchCrashes(ctx context.Context, w registeredWorker) {
 	select {
 	case <-ctx.Done():
 		return
-	case <-at.Crashed():
+	case <-w.Crashed():
 	}
-	if !s.markEnded(at.ID) {
+	if !s.markEnded(w.ID) {
 		return
 	}
-	s.note(at.ID + " has crashed")
+	s.note(w.ID + " has crashed")
 	sleep(ctx, entryExpiry)
-	s.fleet.Store.Remove("servers", at.ID)
-	s.restartWorker(ctx, at, len(at.Runs()))
+	s.fleet.Store.Remove("servers", w.ID)
+	s.restartWorker(ctx, w, len(w.Runs()))
 }
 
 // restartWorker starts the next incarnation of a worker that has ended, under another id at the same
 // address. Choice determines the time until then.
-func (s *soak) restartWorker(ctx context.Context, at registeredWorker, choice int) {
+func (s *soak) restartWorker(ctx context.Context, ended registeredWorker, choice int) {
 	sleep(ctx, shortestDown+time.Duration(choice%8)*(longestDown-shortestDown)/8)
 	if ctx.Err() != nil {
 		return
 	}
-	restarted, err := worker.StartAt(at.ListenAddress(), s.nextID(at.ID), at.Kind)
+	restarted, err := worker.StartAt(ended.ListenAddress(), s.nextID(ended.ID), ended.Kind)
 	if err != nil {
-		s.violate("the stand-in %s could not start again: %v", at.ID, err)
+		s.addViolation("the stand-in %s could not start again: %v", ended.ID, err)
 		return
 	}
-	restarted.Advertised, restarted.CallTime, restarted.WorkTime, restarted.CrashBody = at.Advertised, at.CallTime, at.WorkTime, at.CrashBody
-	next := registeredWorker{Worker: restarted, service: at.service}
-	s.fleet.Add(at.service, restarted)
+	restarted.Advertised, restarted.CallTime, restarted.WorkTime, restarted.CrashBody = ended.Advertised, ended.CallTime, ended.WorkTime, ended.CrashBody
+	next := registeredWorker{Worker: restarted, service: ended.service}
+	s.fleet.Add(ended.service, restarted)
 	s.mu.Lock()
 	for i := range s.workers {
-		if s.workers[i].ID == at.ID {
+		if s.workers[i].ID == ended.ID {
 			s.workers[i] = next
 		}
 	}
@@ -145,13 +145,13 @@
 }
 
 // register writes the entry of a worker, unless that incarnation has ended.
-func (s *soak) register(at registeredWorker, state string) {
+func (s *soak) register(incarnation registeredWorker, state string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, w := range s.workers {
-		if w.ID == at.ID {
-			if _, crashed := at.CrashedBy(); !crashed {
-				s.fleet.Register(at.service, at.Worker, state)
+		if w.ID == incarnation.ID {
+			if _, crashed := incarnation.CrashedBy(); !crashed {
+				s.fleet.Register(incarnation.service, incarnation.Worker, state)
 			}
 		}
 	}
