--- a/standin/gatewaytest/asked_test.go
+++ b/standin/gatewaytest/asked_test.go
@@ -37,12 +37,12 @@
 	}
 	sendRound("before")
 	for _, w := range first {
-		assert.Assert(t, workOf([]*worker.Worker{w}) <= 2, "%s got %d requests or calls", w.ID, workOf([]*worker.Worker{w}))
+		assert.Assert(t, countWork([]*worker.Worker{w}) <= 2, "%s got %d requests or calls", w.ID, countWork([]*worker.Worker{w}))
 	}
-	workBefore := workOf(first)
+	workBefore := countWork(first)
 	assert.Assert(t, workBefore > 0)
 	sendRound("after")
-	assert.Equal(t, workOf(first), workBefore)
+	assert.Equal(t, countWork(first), workBefore)
 
 	// Its entry in the store is removed and written again, as ready. The upstream still leaves.
 	f.store.SetFaults(noFaults)
@@ -56,8 +56,8 @@
 	}
 	f.waitLines(9, "upstream_changed")
 	sendRound("back")
-	assert.Equal(t, workOf(first), workBefore)
-	assert.Assert(t, workOf(second) > 0)
+	assert.Equal(t, countWork(first), workBefore)
+	assert.Assert(t, countWork(second) > 0)
 }
 
 // longBackoff is the Retry-After of the upstreams in these tests: longer than any of the tests, and
--- a/standin/gatewaytest/cold_test.go
+++ b/standin/gatewaytest/cold_test.go
@@ -43,7 +43,7 @@
 }
 
 // burst sends many requests with one prefix at once, through all gateways, and returns how many were
-// served and how many refused. The prefix belongs to engine llm-1.
+// served and how many refused. All gateways prefer engine llm-1 for the prefix.
 func (f *fleet) burst(name string, count int, gateways ...*runningGateway) (served, refused int) {
 	f.t.Helper()
 	prefix := prefixPreferring("llm-1", "llm-2")
--- a/standin/gatewaytest/crash_test.go
+++ b/standin/gatewaytest/crash_test.go
@@ -59,7 +59,7 @@
 				id := fmt.Sprintf("crash-%d", i)
 				got := f.send(gateways[i%3], id, "POST", "/"+route+"/x", crashBody, headers...)
 				assert.Assert(t, got.truncated || got.status != http.StatusOK, "%s was served", id)
-				ran := runsOf(id, engines...) > 0
+				ran := countRuns(id, engines...) > 0
 				assert.Assert(t, !ran || got.status != http.StatusServiceUnavailable, "%s ran and was refused with a status that says that it did not", id)
 				good := fmt.Sprintf("good-%d", i)
 				assert.Equal(t, f.send(gateways[(i+1)%3], good, "POST", "/"+route+"/x", good, headers...).body, streamBody(good))
@@ -178,7 +178,7 @@
 		f.send(g, id, "POST", "/once/x", crashBody)
 		f.waitUntil(func() bool {
 			found, _ := f.log.lines("crash_found", id)
-			return len(found) > 0 || runsOf(id, desks...) == 0
+			return len(found) > 0 || countRuns(id, desks...) == 0
 		}, "the gateway has found whether the desk crashed")
 	}
 	assert.Equal(t, len(crashed(desks)), 2)
@@ -204,7 +204,7 @@
 	for i := range 12 {
 		clients.Go(func() { f.send(gateways[i%2], fmt.Sprint("held-", i), "GET", "/safe/x", "") })
 	}
-	f.waitUntil(func() bool { return workOf(desks[:1]) > 1 && workOf(desks[1:2]) > 0 && workOf(desks[2:]) > 0 }, "every desk runs a request")
+	f.waitUntil(func() bool { return countWork(desks[:1]) > 1 && countWork(desks[1:2]) > 0 && countWork(desks[2:]) > 0 }, "every desk runs a request")
 	for _, w := range desks {
 		w.Close()
 	}
--- a/standin/gatewaytest/evacuation_test.go
+++ b/standin/gatewaytest/evacuation_test.go
@@ -36,8 +36,8 @@
 	return first, second
 }
 
-// workOf counts the requests and stage calls that workers ran.
-func workOf(list []*worker.Worker) int {
+// countWork counts the requests and stage calls that workers ran.
+func countWork(list []*worker.Worker) int {
 	count := 0
 	for _, w := range list {
 		count += len(w.Runs()) + len(w.Batches())
@@ -61,19 +61,19 @@
 		}
 	}
 	sendRound("before")
-	assert.Assert(t, workOf(first) > 0 && workOf(second) > 0)
+	assert.Assert(t, countWork(first) > 0 && countWork(second) > 0)
 
 	f.evacuate("z1")
 	f.waitLines(2, "zone_evacuated", `"zone":"z1"`)
-	before := workOf(first)
+	before := countWork(first)
 	sendRound("during")
-	assert.Equal(t, workOf(first), before)
+	assert.Equal(t, countWork(first), before)
 	f.waitLines(2, "zone_emptied", `"zone":"z1"`)
 
 	f.endEvacuation("z1")
 	f.waitLines(2, "zone_taken_back", `"zone":"z1"`)
 	sendRound("after")
-	assert.Assert(t, workOf(first) > before)
+	assert.Assert(t, countWork(first) > before)
 }
 
 // TestAGatewayThatStartsInAnEvacuationSendsNothingThere: a gateway must know of a running
@@ -89,8 +89,8 @@
 			assert.Equal(t, f.sendStream(g, id).body, streamBody(id))
 		}
 	}
-	assert.Equal(t, workOf(first), 0)
-	assert.Assert(t, workOf(second) > 0)
+	assert.Equal(t, countWork(first), 0)
+	assert.Assert(t, countWork(second) > 0)
 }
 
 // TestWithAllZonesEvacuatedRequestsAreRefusedAtOnce: with every zone evacuated, requests are
@@ -135,7 +135,7 @@
 			assert.Check(t, f.sendStream(g, id).body == streamBody(id), id)
 		})
 	}
-	f.waitUntil(func() bool { return workOf(first) > 0 }, "the first zone runs items")
+	f.waitUntil(func() bool { return countWork(first) > 0 }, "the first zone runs items")
 	f.evacuate("z1")
 	clients.Wait()
 }
--- a/standin/gatewaytest/fleet_test.go
+++ b/standin/gatewaytest/fleet_test.go
@@ -288,8 +288,8 @@
 	return text
 }
 
-// runsOf counts how often workers ran a request.
-func runsOf(id string, workers ...*worker.Worker) int {
+// countRuns counts how often workers ran a request.
+func countRuns(id string, workers ...*worker.Worker) int {
 	count := 0
 	for _, w := range workers {
 		for _, run := range w.Runs() {
--- a/standin/gatewaytest/requests_test.go
+++ b/standin/gatewaytest/requests_test.go
@@ -67,7 +67,7 @@
 		two.SetFaults(faults)
 		id := "u" + strconv.Itoa(i)
 		got := f.send(g, id, "POST", "/once/x", "b")
-		assert.Equal(t, runsOf(id, one, two), 1, "%+v", faults)
+		assert.Equal(t, countRuns(id, one, two), 1, "%+v", faults)
 		assert.Assert(t, got.status == 502 || got.status == 500, "%+v: %d", faults, got.status)
 		assert.Equal(t, got.status == 500, got.header.Get("X-Response-Stamp") != "", "only the worker's own failure has a signature")
 		one.SetFaults(worker.Faults{})
@@ -86,7 +86,7 @@
 	assert.Equal(t, got.status, 503)
 	assert.Assert(t, got.header.Get("Retry-After") != "")
 	assert.Equal(t, got.header.Get("X-Attempt-Id"), "r1")
-	assert.Equal(t, runsOf("r1", one, two), 0)
+	assert.Equal(t, countRuns("r1", one, two), 0)
 
 	one.SetFaults(worker.Faults{Reject: 1})
 	two.SetFaults(worker.Faults{})
@@ -112,7 +112,7 @@
 		prefix := prefixPreferring("llm-2", "llm-1")
 		got := f.send(g, id, "POST", "/strict/x", "p", "X-Pieces", "1,1", "X-Piece-Key", "k", "X-Prompt-Prefix", prefix+":9,"+id+":1")
 		assert.Equal(t, got.body, streamBody(id))
-		assert.Equal(t, runsOf(id, current), 1)
+		assert.Equal(t, countRuns(id, current), 1)
 	}
 	f.waitLines(1, "gateway_failed", "status 421")
 	items := 0
@@ -167,7 +167,7 @@
 	two.SetFaults(worker.Faults{Cut: 1})
 	got := f.send(g, "r1", "POST", "/strict/x", "p")
 	assert.Assert(t, got.truncated)
-	assert.Equal(t, runsOf("r1", one, two), 1)
+	assert.Equal(t, countRuns("r1", one, two), 1)
 	assert.Equal(t, got.body, "id: 1\ndata: r1 1\n\n", "an incomplete event must not be forwarded")
 }
 
@@ -287,7 +287,7 @@
 	two.ID = "desk-3" // another incarnation listens on the address now
 	got := f.send(g, "q", "POST", "/once/x", "b")
 	assert.Equal(t, got.status, 503)
-	assert.Equal(t, runsOf("q", one, two), 0)
+	assert.Equal(t, countRuns("q", one, two), 0)
 }
 
 func TestNoConfigurationMeans503AndNotReady(t *testing.T) {
