--- a/standin/soak/calm.go
+++ b/standin/soak/calm.go
@@ -52,12 +52,12 @@
 
 // awaitService waits until a gateway serves every route, also the one that only the newest
 // configuration has.
-func (s *soak) awaitService(ctx context.Context, number int) {
+func (s *soak) awaitService(ctx context.Context, index int) {
 	newest := fmt.Sprintf("extra-%d", s.version)
 	for _, route := range append([]string{newest}, routes...) {
-		for try := 0; !s.probe(number, route, try); try++ {
+		for try := 0; !s.probe(index, route, try); try++ {
 			if ctx.Err() != nil {
-				s.addViolation("gateway %d does not serve %s %v after the last fault", number+1, route, recoverWithin)
+				s.addViolation("gateway %d does not serve %s %v after the last fault", index+1, route, recoverWithin)
 				return
 			}
 			sleep(ctx, probeInterval)
@@ -67,18 +67,18 @@
 
 // probe sends one request directly to a gateway, not through its relay, and reports whether it was
 // served.
-func (s *soak) probe(number int, route string, try int) bool {
+func (s *soak) probe(index int, route string, try int) bool {
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	conn, err := dialer.Dial("tcp", s.fleet.Gateways[number].Clients)
+	conn, err := dialer.Dial("tcp", s.fleet.Gateways[index].Clients)
 	if err != nil {
 		return false
 	}
 	c := &client{conn: conn}
 	defer c.close()
 	c.resetReader()
-	o := Outcome{ID: fmt.Sprintf("%s%d-%s-%d", probePrefix, number, route, try), Route: route, Key: platformfleet.Key}
+	o := Outcome{ID: fmt.Sprintf("%s%d-%s-%d", probePrefix, index, route, try), Route: route, Key: platformfleet.Key}
 	c.exchange(&o)
-	return o.Status == http.StatusOK && o.Whole
+	return o.Status == http.StatusOK && o.Complete
 }
 
 // drainOne drains a plain worker and checks that it gets nothing new once drainWithin is over.
@@ -121,9 +121,9 @@
 
 // rollingStop stops and starts the gateways one after the other while clients send requests.
 func (s *soak) rollingStop(ctx context.Context) error {
-	for number, g := range s.fleet.Gateways {
+	for index, g := range s.fleet.Gateways {
 		limit, cancel := context.WithTimeout(ctx, stopWithin)
-		err := s.stopOne(limit, number, g.Process)
+		err := s.stopOne(limit, index, g.Process)
 		cancel()
 		if err != nil {
 			return err
@@ -133,13 +133,13 @@
 }
 
 // stopOne stops a gateway and starts it again.
-func (s *soak) stopOne(ctx context.Context, number int, process *harness.Process) error {
-	defer s.beginDisruption(number, true)()
+func (s *soak) stopOne(ctx context.Context, index int, process *harness.Process) error {
+	defer s.beginDisruption(index, true)()
 	s.mu.Lock()
-	s.evidence.stops = append(s.evidence.stops, stop{gateway: number, at: time.Now()})
+	s.evidence.stops = append(s.evidence.stops, stop{gateway: index, at: time.Now()})
 	s.mu.Unlock()
 	if err := process.Terminate(ctx); err != nil {
-		s.addViolation("gateway %d did not stop as planned: %v", number+1, err)
+		s.addViolation("gateway %d did not stop as planned: %v", index+1, err)
 		process.Kill()
 	}
 	if err := process.Start(); err != nil {
--- a/standin/soak/client.go
+++ b/standin/soak/client.go
@@ -24,7 +24,8 @@
 	maxThinkTime = 40 * time.Millisecond
 )
 
-// Routes that clients use, by the first part of their path.
+// Routes that clients use, by the first segment of their path. A request of unsafeRoute must not run
+// twice; one of safeRoute may.
 const (
 	unsafeRoute    = "saldo"
 	safeRoute      = "cupon"
@@ -42,14 +43,14 @@
 	ID, Route, Key string
 	// RequestBody is the body of the request.
 	RequestBody string
-	// Gateway is the number of the gateway that the client's connection leads to.
+	// Gateway is the index of the gateway that the client's connection leads to.
 	Gateway     int
 	Sent, Ended time.Time
 	// Status is 0 if no response arrived.
 	Status int
 	Body   string
-	// Whole is set if the response is complete, Signed if it has the signature of an upstream.
-	Whole, Signed bool
+	// Complete is set if the whole response arrived, Signed if it has the signature of an upstream.
+	Complete, Signed bool
 	// Err says why the response is missing or incomplete.
 	Err string
 }
@@ -128,7 +129,7 @@
 	}
 	o.Status, o.Signed = response.StatusCode, response.Header.Get("X-Response-Stamp") != ""
 	body, err := io.ReadAll(response.Body)
-	o.Body, o.Whole = string(body), err == nil
+	o.Body, o.Complete = string(body), err == nil
 	if err != nil {
 		o.Err = err.Error()
 	}
--- a/standin/soak/faults.go
+++ b/standin/soak/faults.go
@@ -54,9 +54,9 @@
 	return nil
 }
 
-// beginDisruption records a disruption of a gateway that lasts until the returned function is called;
+// beginDisruption records a disruption of a gateway that lasts until end is called;
 // process is set if the process of the gateway itself is affected.
-func (s *soak) beginDisruption(gateway int, process bool) (over func()) {
+func (s *soak) beginDisruption(gateway int, process bool) (end func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	index := len(s.evidence.disruptions)
@@ -81,15 +81,15 @@
 // onGateway runs a step on the process of a gateway. The steps on one gateway run one after
 // another; only a kill may strike while the gateway is frozen or stopping.
 func (s *soak) onGateway(ctx context.Context, step Step) error {
-	number := step.Target % len(s.fleet.Gateways)
-	process := s.fleet.Gateways[number].Process
+	index := step.Target % len(s.fleet.Gateways)
+	process := s.fleet.Gateways[index].Process
 	if step.Kind == KillGateway && process.Running() {
-		s.endedBySteps[number].Store(true)
+		s.endedBySteps[index].Store(true)
 		process.Kill()
 	}
-	s.processes[number].Lock()
-	defer s.processes[number].Unlock()
-	s.checkAlive(number)
+	s.processes[index].Lock()
+	defer s.processes[index].Unlock()
+	s.checkAlive(index)
 	switch step.Kind {
 	case FreezeGateway:
 		if err := process.Freeze(); err != nil {
@@ -99,7 +99,7 @@
 		_ = process.Resume() // fails if the process was killed meanwhile
 		return nil
 	case StopGateway:
-		s.endedBySteps[number].Store(true)
+		s.endedBySteps[index].Store(true)
 		if process.SignalTerminate() == nil {
 			s.awaitEnd(ctx, process)
 		}
@@ -108,14 +108,14 @@
 	if process.Running() {
 		return nil
 	}
-	s.endedBySteps[number].Store(false)
+	s.endedBySteps[index].Store(false)
 	return process.Start()
 }
 
 // checkAlive records a violation if a gateway has ended and no step ended it.
-func (s *soak) checkAlive(number int) {
-	if !s.fleet.Gateways[number].Running() && !s.endedBySteps[number].Load() {
-		s.addViolation("gateway %d ended by itself", number+1)
+func (s *soak) checkAlive(index int) {
+	if !s.fleet.Gateways[index].Running() && !s.endedBySteps[index].Load() {
+		s.addViolation("gateway %d ended by itself", index+1)
 	}
 }
 
--- a/standin/soak/judge.go
+++ b/standin/soak/judge.go
@@ -99,7 +99,7 @@
 		return "ran with a key that had been taken away"
 	case e.lostAtStop(o) && !e.endedByCrash(o):
 		return "was read before a planned stop and got no answer"
-	case o.Status == http.StatusOK && o.Whole:
+	case o.Status == http.StatusOK && o.Complete:
 		return judgeSuccess(o, runs)
 	}
 	return ""
@@ -114,14 +114,14 @@
 		return "was answered without a signature"
 	case o.Route != streamingRoute && o.Body != "answer of "+o.ID:
 		return fmt.Sprintf("got another answer: %q", o.Body)
-	case o.Route == streamingRoute && o.Body != wholeStream(o.ID):
+	case o.Route == streamingRoute && o.Body != completeStream(o.ID):
 		return fmt.Sprintf("got a stream with a gap, a repetition or a foreign event: %q", o.Body)
 	}
 	return ""
 }
 
-// wholeStream returns the events of the complete stream of a request.
-func wholeStream(id string) string {
+// completeStream returns the events of the complete stream of a request.
+func completeStream(id string) string {
 	var text strings.Builder
 	for number := 1; number <= streamEvents; number++ {
 		fmt.Fprintf(&text, "id: %d\ndata: %s %d\n\n", number, id, number)
@@ -138,7 +138,7 @@
 func (e *evidence) lostAtStop(o Outcome) bool {
 	for _, s := range e.stops {
 		inFlight := o.Sent.Before(s.at.Add(-stopSlack)) && o.Ended.After(s.at)
-		if s.gateway == o.Gateway && inFlight && !o.Whole {
+		if s.gateway == o.Gateway && inFlight && !o.Complete {
 			return true
 		}
 	}
--- a/standin/soak/judge_test.go
+++ b/standin/soak/judge_test.go
@@ -17,9 +17,9 @@
 // served returns the outcome of a request that was served correctly.
 func served(route string) Outcome {
 	o := Outcome{ID: "r", Route: route, Key: platformfleet.Key, Sent: began, Ended: began.Add(time.Second),
-		Status: 200, Body: "answer of r", Whole: true, Signed: true}
+		Status: 200, Body: "answer of r", Complete: true, Signed: true}
 	if route == streamingRoute {
-		o.Body = wholeStream("r")
+		o.Body = completeStream("r")
 	}
 	return o
 }
@@ -55,7 +55,7 @@
 		{"allowed", 0, func(o *Outcome) { o.Status = 401 }, evidence{}, safeRoute},
 		{"allowed", 0, func(o *Outcome) { o.Status = 404 }, evidence{}, safeRoute},
 		{"key that had been taken away", 1, func(o *Outcome) { o.Key = spareKey }, revoked, safeRoute},
-		{"planned stop", 1, func(o *Outcome) { o.Whole, o.Status = false, 0 }, stopped, safeRoute},
+		{"planned stop", 1, func(o *Outcome) { o.Complete, o.Status = false, 0 }, stopped, safeRoute},
 	} {
 		o := served(test.route)
 		assert.Equal(t, violationsOf(o, 1, evidence{}), "", test.route)
--- a/standin/soak/judge_workers.go
+++ b/standin/soak/judge_workers.go
@@ -25,7 +25,7 @@
 
 // disruption is a time span in which a gateway was not in contact with the other parts.
 type disruption struct {
-	// gateway is the number of the gateway, or allGateways.
+	// gateway is the index of the gateway, or allGateways.
 	gateway  int
 	from, to time.Time
 	// process is set if the process of the gateway was stopped, killed or frozen.
@@ -136,7 +136,7 @@
 	told := make(map[int]time.Time)
 	for _, run := range w.runs {
 		o, has := outcomes[run.ID]
-		if !has || !run.Leaving || !o.Whole || !o.Signed {
+		if !has || !run.Leaving || !o.Complete || !o.Signed {
 			continue
 		}
 		if at, known := told[o.Gateway]; !known || o.Ended.Before(at) {
--- a/standin/soak/judge_workers_test.go
+++ b/standin/soak/judge_workers_test.go
@@ -110,7 +110,7 @@
 
 func TestARequestEndedByACrashIsNotLostAtAStop(t *testing.T) {
 	o := served(safeRoute)
-	o.Whole, o.Status = false, 0
+	o.Complete, o.Status = false, 0
 	e := &evidence{outcomes: []Outcome{o}, runs: map[string]int{"r": 1}, stops: []stop{{gateway: 0, at: began.Add(500 * time.Millisecond)}}}
 	assert.Equal(t, len(e.violations(true)), 1)
 	e.workers = []workerEvidence{{crashed: true, crash: worker.Run{ID: "x", At: second(0.7)}, runs: []worker.Run{{ID: "r", At: began}}}}
--- a/standin/soak/run.go
+++ b/standin/soak/run.go
@@ -237,7 +237,7 @@
 	defer s.mu.Unlock()
 	report := Report{Sent: len(s.evidence.outcomes)}
 	for _, o := range s.evidence.outcomes {
-		if o.Status == http.StatusOK && o.Whole {
+		if o.Status == http.StatusOK && o.Complete {
 			report.Served++
 		}
 	}
