--- a/standin/worker/asks.go
+++ b/standin/worker/asks.go
@@ -22,7 +22,7 @@
 	w.leaving = true
 }
 
-// StopLeaving ends Leave.
+// StopLeaving ends the announcements that Leave started.
 func (w *Worker) StopLeaving() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/standin/worker/crash.go
+++ b/standin/worker/crash.go
@@ -18,7 +18,8 @@
 	}
 }
 
-// crash stops the worker at once, with all requests in flight.
+// crash stops the worker at once, with all requests in flight. It panics to abort the request that
+// it serves, so it does not return.
 func (w *Worker) crash(cause Run) {
 	w.mu.Lock()
 	first := w.crashedBy.ID == ""
@@ -45,7 +46,8 @@
 	_ = buffer.Flush()                                                                                                      // a caller that has disconnected needs no response
 }
 
-// sendForeign writes the complete response of another request and closes the connection.
+// sendForeign writes the complete response of another request and closes the connection. It panics to
+// abort the request that it serves, so it does not return.
 func sendForeign(out http.ResponseWriter) {
 	conn, buffer, err := out.(http.Hijacker).Hijack()
 	if err != nil {
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -80,18 +80,21 @@
 	runs       []Run
 	rejections []Rejection
 	batches    [][]Item
-	kept       map[string]bool
+	// kept holds the handles of the stored results.
+	kept map[string]bool
 	// madeFor holds the item that each result was made for, by its handle.
 	madeFor   map[string]Item
 	madeCount int
-	hold      chan struct{}
+	// hold, if set, delays responses until it is closed.
+	hold chan struct{}
+	// abandoned counts the callers that disconnected before their response.
 	abandoned int
 	// crashed is closed when the worker has crashed; crashedBy is the request that crashed it.
 	crashed   chan struct{}
 	crashedBy Run
 }
 
-// Item is one item of a stage call.
+// Item is one item of a stage call. Piece is its number among the items of its stage.
 type Item struct {
 	ID     string   `json:"id"`
 	Stage  int      `json:"stage"`
