--- a/standin/metastore/serve.go
+++ b/standin/metastore/serve.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// hang leaves a call without a response until its caller disconnects. The server notices that
-// only after it has read the whole body.
+// hang leaves a call without a response until its caller disconnects. The server notices the
+// disconnection only after it has read the whole body.
 func hang(r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body) // an incomplete body ends the call too
 	<-r.Context().Done()
@@ -91,7 +91,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(wait)*time.Millisecond)
 	defer cancel()
-	found, at, gone := s.watch(ctx, kind, revision)
+	found, current, gone := s.watch(ctx, kind, revision)
 	switch {
 	case s.silent():
 		<-r.Context().Done()
@@ -100,7 +100,7 @@
 	case gone:
 		w.WriteHeader(http.StatusGone)
 	default:
-		writeJSON(w, http.StatusOK, watchResponse{Events: found, Revision: at})
+		writeJSON(w, http.StatusOK, watchResponse{Events: found, Revision: current})
 	}
 }
 
--- a/standin/metastore/store.go
+++ b/standin/metastore/store.go
@@ -10,7 +10,7 @@
 	"sync"
 )
 
-// Object is an object in the format of the wire.
+// Object is a stored object, in the form in which it is sent to clients.
 type Object struct {
 	Metadata Metadata        `json:"metadata"`
 	Spec     json.RawMessage `json:"spec"`
@@ -102,7 +102,7 @@
 	return s.calls
 }
 
-// notifyWatches wakes the waiting watches. The caller holds the lock.
+// notifyWatches wakes the watches that wait for a change. The caller holds the lock.
 func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -159,7 +159,8 @@
 // pageSize is the maximum number of objects of a page; small, so that tests see several pages.
 const pageSize = 3
 
-// list returns one page of the objects of a kind: those with names after the given one.
+// list returns one page of the objects of a kind, those with names after the given one, and the current
+// revision of the store; more is set if further objects follow.
 func (s *Store) list(kind, after string) (items []Object, more bool, revision int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,9 +178,9 @@
 	return items, more, s.revision
 }
 
-// eventsSince returns the events of a kind after a revision; gone is set if the history does
-// not reach back that far. The channel is closed at the next change.
-func (s *Store) eventsSince(kind string, revision int64) (found []Event, at int64, gone bool, changed <-chan struct{}) {
+// eventsSince returns the events of a kind after a revision, and the current revision of the store;
+// gone is set if the history does not reach back that far. The channel is closed at the next change.
+func (s *Store) eventsSince(kind string, revision int64) (found []Event, current int64, gone bool, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, event := range s.events {
@@ -190,16 +191,17 @@
 	return found, s.revision, revision < s.forgotten, s.changed
 }
 
-// watch waits for events of a kind until ctx ends. It returns early if the history is gone or calls fail.
+// watch waits for events of a kind until ctx ends, and returns them as eventsSince does. It returns
+// early if the history is gone or calls fail.
 func (s *Store) watch(ctx context.Context, kind string, revision int64) ([]Event, int64, bool) {
 	for {
-		found, at, gone, changed := s.eventsSince(kind, revision)
+		found, current, gone, changed := s.eventsSince(kind, revision)
 		if gone || len(found) > 0 || s.faulty() {
-			return found, at, gone
+			return found, current, gone
 		}
 		select {
 		case <-ctx.Done():
-			return nil, at, false
+			return nil, current, false
 		case <-changed:
 		}
 	}
