--- a/standin/faults/request.go
+++ b/standin/faults/request.go
@@ -167,12 +167,12 @@
 	defer cancel()
 	return harness.Await(ctx, "executions are still in flight", func(ctx context.Context) error {
 		for _, entry := range s.Fleet.Entries {
-			if err := entry.Idle(ctx); err != nil {
+			if err := entry.CheckIdle(ctx); err != nil {
 				return err
 			}
 		}
 		for _, u := range s.Fleet.Upstreams {
-			if err := u.Idle(ctx); err != nil {
+			if err := u.CheckIdle(ctx); err != nil {
 				return err
 			}
 		}
--- a/standin/harness/fleet.go
+++ b/standin/harness/fleet.go
@@ -120,13 +120,15 @@
 	Entries   []*Entry
 	Upstreams []*Upstream
 
-	ports      *Ports
-	relays     []*Relay
-	zoneLinks  []zoneLink
+	ports     *Ports
+	relays    []*Relay
+	zoneLinks []zoneLink
+	// replaced holds the sidecars that ReplaceSide replaced, which Kill ends too.
 	replaced   []*Process
 	objectsURL string
 	hostsURL   string
-	temporary  bool
+	// temporary is set if Start created Dir as a temporary folder.
+	temporary bool
 }
 
 // startTimeout limits the time from the start of the processes until all are ready.
@@ -260,7 +262,7 @@
 	return errors.Join(failures...)
 }
 
-// terminateAll stops the running ones of the processes concurrently.
+// terminateAll stops those of the processes that are running, concurrently.
 func terminateAll(ctx context.Context, processes []*Process) error {
 	failures := make([]error, len(processes))
 	var group errgroup.Group
--- a/standin/harness/idle.go
+++ b/standin/harness/idle.go
@@ -24,8 +24,8 @@
 	InFlight int `json:"in_flight"`
 }
 
-// Idle returns an error if the entry is running and has requests in flight.
-func (e *Entry) Idle(ctx context.Context) error {
+// CheckIdle returns an error if the entry is running and has requests in flight.
+func (e *Entry) CheckIdle(ctx context.Context) error {
 	if !e.Running() {
 		return nil
 	}
@@ -39,9 +39,9 @@
 	return nil
 }
 
-// Idle returns an error if the sidecar or the worker is running and has work queued or
+// CheckIdle returns an error if the sidecar or the worker is running and has work queued or
 // in flight.
-func (u *Upstream) Idle(ctx context.Context) error {
+func (u *Upstream) CheckIdle(ctx context.Context) error {
 	if u.Side.Running() {
 		var load sideLoad
 		if err := send(ctx, http.MethodGet, u.SideURL+"/v1/status", nil, &load); err != nil {
--- a/standin/harness/intercept.go
+++ b/standin/harness/intercept.go
@@ -21,7 +21,7 @@
 // address. Intercept returns the address to dial, which is target if there is no proxy.
 type Intercept func(link Link, name, address, target string) (string, error)
 
-// intercept returns the address to dial for target.
+// intercept calls Options.Intercept, if set, and returns the address to dial for target.
 func (f *Fleet) intercept(link Link, name, target string) (string, error) {
 	if f.Options.Intercept == nil {
 		return target, nil
--- a/standin/harness/prepare.go
+++ b/standin/harness/prepare.go
@@ -64,8 +64,8 @@
 	return filepath.Join(dir, name)
 }
 
-// process returns a process that has not been started.
-func (f *Fleet) process(name, binary, readyURL string, args ...string) *Process {
+// newProcess returns a process that has not been started.
+func (f *Fleet) newProcess(name, binary, readyURL string, args ...string) *Process {
 	return &Process{
 		Name:     name,
 		Log:      filepath.Join(f.Dir, "logs", name+".log"),
@@ -80,8 +80,8 @@
 	return filepath.Join(f.Dir, "settings", name)
 }
 
-// addresses reserves the addresses of a process's listeners.
-func (f *Fleet) addresses() (addresses, error) {
+// reserveAddresses reserves the addresses of a process's listeners.
+func (f *Fleet) reserveAddresses() (addresses, error) {
 	var a addresses
 	for _, address := range []*string{&a.callers, &a.fleet, &a.admin} {
 		var err error
@@ -92,9 +92,9 @@
 	return a, nil
 }
 
-// relay starts a relay to target if wanted is set. It returns the relay or nil, and
+// startRelay starts a relay to target if wanted is set. It returns the relay or nil, and
 // the address to dial.
-func (f *Fleet) relay(wanted bool, target string) (*Relay, string, error) {
+func (f *Fleet) startRelay(wanted bool, target string) (*Relay, string, error) {
 	if !wanted {
 		return nil, target, nil
 	}
@@ -122,14 +122,14 @@
 	}
 	f.objectsURL = "http://" + objects
 	f.hostsURL = "http://" + hosts
-	f.Objects = f.process("objects", "standin", f.objectsURL+"/control/stats",
+	f.Objects = f.newProcess("objects", "standin", f.objectsURL+"/control/stats",
 		"objects", "--listen", objects,
 		"--reads-per-second", strconv.Itoa(f.Options.Objects.ReadsPerSecond),
 		"--writes-per-second", strconv.Itoa(f.Options.Objects.WritesPerSecond))
-	f.Hosts = f.process("hosts", "standin", f.hostsURL+"/v1/hosts",
+	f.Hosts = f.newProcess("hosts", "standin", f.hostsURL+"/v1/hosts",
 		"hosts", "--listen", hosts, "--file", f.settingsPath("hosts.json"),
 		"--lag", f.Options.HostLag.String())
-	return f.prepareZones(hosts)
+	return f.prepareViews(hosts)
 }
 
 // prepareEntries prepares the processes of the entries.
@@ -146,41 +146,42 @@
 
 // prepareEntry prepares the process of one entry and writes its settings.
 func (f *Fleet) prepareEntry(e deployment.Entry) (*Entry, error) {
-	listen, err := f.addresses()
+	listen, err := f.reserveAddresses()
 	if err != nil {
 		return nil, err
 	}
 	entry := &Entry{AdminURL: "http://" + listen.admin}
 	var callers string
-	if entry.Callers, callers, err = f.relay(f.Options.Relays.Callers, listen.callers); err != nil {
+	if entry.Callers, callers, err = f.startRelay(f.Options.Relays.Callers, listen.callers); err != nil {
 		return nil, err
 	}
 	entry.URL = "http://" + callers
-	if entry.Fleet, entry.listen.fleet, err = f.relay(f.Options.Relays.Fleet, listen.fleet); err != nil {
+	if entry.Fleet, entry.listen.fleet, err = f.startRelay(f.Options.Relays.Fleet, listen.fleet); err != nil {
 		return nil, err
 	}
-	objects, err := f.objectsFor(e.Name, &entry.Objects)
+	objects, err := f.relayObjectAPI(e.Name, &entry.Objects)
 	if err != nil {
 		return nil, err
 	}
 	path := f.settingsPath(e.Name + ".toml")
-	entry.Process = f.process(e.Name, "acaciawinchd", entry.AdminURL+"/readyz", "entry", "--config", path)
+	entry.Process = f.newProcess(e.Name, "acaciawinchd", entry.AdminURL+"/readyz", "entry", "--config", path)
 	return entry, writeSettings(path, entrySettings{
 		Process:  f.processTable(e.Name, e.Zone),
 		Listen:   listenTable{Callers: listen.callers, Fleet: listen.fleet, Admin: listen.admin},
-		Platform: platformTable{Objects: objects, Hosts: f.hostsFor(e.Zone)},
+		Platform: platformTable{Objects: objects, Hosts: f.hostListURL(e.Zone)},
 		Fleet:    fleetTable{Key: FleetKey},
 	}, f.Options.EntrySettings)
 }
 
-// objectsFor returns the object API's URL for the named process. It stores the relay
-// on the way there, or nil, in *relay.
-func (f *Fleet) objectsFor(name string, relay **Relay) (string, error) {
+// relayObjectAPI starts the relay from the named process to the object API if
+// Relays.Objects is set, and returns the URL at which the process reaches the object API.
+// It stores the relay, or nil, in *relay.
+func (f *Fleet) relayObjectAPI(name string, relay **Relay) (string, error) {
 	target, err := f.intercept(LinkObjects, name, strings.TrimPrefix(f.objectsURL, "http://"))
 	if err != nil {
 		return "", err
 	}
-	started, address, err := f.relay(f.Options.Relays.Objects, target)
+	started, address, err := f.startRelay(f.Options.Relays.Objects, target)
 	*relay = started
 	return "http://" + address, err
 }
@@ -208,7 +209,7 @@
 
 // prepareUpstream prepares the processes of one upstream: its worker and its sidecar.
 func (f *Fleet) prepareUpstream(u deployment.Upstream) (*Upstream, error) {
-	listen, err := f.addresses()
+	listen, err := f.reserveAddresses()
 	if err != nil {
 		return nil, err
 	}
@@ -220,7 +221,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if upstream.Fleet, upstream.listen.fleet, err = f.relay(f.Options.Relays.Fleet, side); err != nil {
+	if upstream.Fleet, upstream.listen.fleet, err = f.startRelay(f.Options.Relays.Fleet, side); err != nil {
 		return nil, err
 	}
 	worker := strings.TrimPrefix(upstream.WorkerURL, "http://")
@@ -240,7 +241,7 @@
 	}
 	u.WorkerURL = "http://" + address
 	u.Ledger = filepath.Join(f.Dir, "ledgers", u.Name+".ledger")
-	u.Worker = f.process(u.Name, "standin", u.WorkerURL+"/v1/status",
+	u.Worker = f.newProcess(u.Name, "standin", u.WorkerURL+"/v1/status",
 		f.workerArgs(u.Upstream, address, u.Ledger)...)
 	return nil
 }
@@ -249,20 +250,20 @@
 // IP:port of the upstream's worker.
 func (f *Fleet) prepareSide(u *Upstream, worker string, listen addresses) error {
 	var err error
-	if u.Link, worker, err = f.relay(f.Options.Relays.Upstreams, worker); err != nil {
+	if u.Link, worker, err = f.startRelay(f.Options.Relays.Upstreams, worker); err != nil {
 		return err
 	}
 	name := "side-" + u.Name
-	objects, err := f.objectsFor(name, &u.Objects)
+	objects, err := f.relayObjectAPI(name, &u.Objects)
 	if err != nil {
 		return err
 	}
 	path := f.settingsPath(name + ".toml")
-	u.Side = f.process(name, "acaciawinchd", u.SideURL+"/readyz", "side", "--config", path)
+	u.Side = f.newProcess(name, "acaciawinchd", u.SideURL+"/readyz", "side", "--config", path)
 	return writeSettings(path, sideSettings{
 		Process:  f.processTable(name, u.Zone),
 		Listen:   listenTable{Fleet: listen.fleet, Admin: listen.admin},
-		Platform: platformTable{Objects: objects, Hosts: f.hostsFor(u.Zone)},
+		Platform: platformTable{Objects: objects, Hosts: f.hostListURL(u.Zone)},
 		Fleet:    fleetTable{Key: FleetKey},
 		Upstream: upstreamTable{
 			Name:    u.Name,
--- a/standin/harness/process.go
+++ b/standin/harness/process.go
@@ -24,11 +24,11 @@
 	args []string
 
 	mu  sync.Mutex
-	run *execution
+	run *processRun
 }
 
-// execution is one run of a process from start to exit.
-type execution struct {
+// processRun is one run of a process from start to exit.
+type processRun struct {
 	command *exec.Cmd
 	// exited is closed when the process has exited. err is set before that.
 	exited chan struct{}
@@ -50,7 +50,7 @@
 	if err := command.Start(); err != nil {
 		return fmt.Errorf("start %s: %w", p.Name, err)
 	}
-	run := &execution{command: command, exited: make(chan struct{})}
+	run := &processRun{command: command, exited: make(chan struct{})}
 	go func() {
 		run.err = command.Wait()
 		close(run.exited)
@@ -62,7 +62,7 @@
 }
 
 // lastRun returns the last run, or nil if the process was never started.
-func (p *Process) lastRun() *execution {
+func (p *Process) lastRun() *processRun {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.run
--- a/standin/harness/replace.go
+++ b/standin/harness/replace.go
@@ -9,7 +9,7 @@
 // it is ready, makes it the upstream's Side and puts it into the host list. It
 // returns the previous sidecar, which is left as it is and ends with the trial.
 func (f *Fleet) ReplaceSide(ctx context.Context, u *Upstream) (*Process, error) {
-	listen, err := f.addresses()
+	listen, err := f.reserveAddresses()
 	if err != nil {
 		return nil, err
 	}
--- a/standin/harness/zones.go
+++ b/standin/harness/zones.go
@@ -24,7 +24,7 @@
 // Everything is the set of all scopes.
 const Everything = OtherZones | HostList | ObjectAPI
 
-// Partition is the kind of fault at the connections of a partitioned zone.
+// Partition is the kind of a partition: what happens to the connections of the zone.
 type Partition int
 
 // The partitions.
@@ -55,18 +55,19 @@
 	host, targetAddr, relayAddr string
 }
 
-// matches reports whether the link belongs to the scope and starts or ends in the zone.
+// matches reports whether the scope contains the link's target and the link starts or ends in the
+// zone.
 func (l zoneLink) matches(zone string, scope Scope) bool {
 	return l.scope&scope != 0 && (l.from == zone || l.to == zone)
 }
 
-// partition injects the fault into this link of the zone.
-func (l zoneLink) partition(zone string, how Partition) {
+// partition applies a partition of the zone to this link.
+func (l zoneLink) partition(zone string, kind Partition) {
 	inbound, outbound := FromTarget, ToTarget
 	if l.to == zone {
 		inbound, outbound = outbound, inbound
 	}
-	switch how {
+	switch kind {
 	case Refused:
 		l.Cut()
 	case Slowed:
@@ -83,9 +84,9 @@
 
 // PartitionZone partitions a zone from the targets of the scope. It requires
 // Relays.Zones.
-func (f *Fleet) PartitionZone(zone string, scope Scope, how Partition) {
+func (f *Fleet) PartitionZone(zone string, scope Scope, kind Partition) {
 	for _, link := range f.linksOf(zone, scope) {
-		link.partition(zone, how)
+		link.partition(zone, kind)
 	}
 }
 
@@ -123,8 +124,9 @@
 	return views
 }
 
-// prepareZones starts a relay from each zone to the host list, whose address is hosts.
-func (f *Fleet) prepareZones(hosts string) error {
+// prepareViews makes the host list serve views and starts a relay to it, at the address hosts,
+// from each zone. It does nothing unless Relays.Zones is set.
+func (f *Fleet) prepareViews(hosts string) error {
 	if !f.Options.Relays.Zones {
 		return nil
 	}
@@ -137,9 +139,9 @@
 	return nil
 }
 
-// hostsFor returns the host list's URL for the processes of a zone: that of the zone's
-// view if zones have relays.
-func (f *Fleet) hostsFor(zone string) string {
+// hostListURL returns the host list's URL for the processes of a zone: that of the zone's
+// view if Relays.Zones is set.
+func (f *Fleet) hostListURL(zone string) string {
 	for _, link := range f.zoneLinks {
 		if link.from == zone && link.scope == HostList {
 			return "http://" + link.relayAddr + hostlist.ViewPath(zone)
@@ -151,7 +153,7 @@
 // addZoneLink starts the relay of a link and records the link.
 func (f *Fleet) addZoneLink(link zoneLink) error {
 	var err error
-	if link.Relay, link.relayAddr, err = f.relay(true, link.targetAddr); err != nil {
+	if link.Relay, link.relayAddr, err = f.startRelay(true, link.targetAddr); err != nil {
 		return err
 	}
 	f.zoneLinks = append(f.zoneLinks, link)
@@ -189,7 +191,7 @@
 	return zoneLink{Relay: relay, scope: ObjectAPI, from: zone}
 }
 
-// writeViews writes the host list's views if zones have relays.
+// writeViews writes the host list's views if Relays.Zones is set.
 func (f *Fleet) writeViews() error {
 	if !f.Options.Relays.Zones {
 		return nil
