--- a/standin/faults/change.go
+++ b/standin/faults/change.go
@@ -120,8 +120,8 @@
 		want = f.WinningChange
 	}
 	accepted := time.Now()
-	if s.operation.outcome == outcomeAccepted && f.Affects&partEntry != 0 && f.Affects&partStore == 0 {
-		// While an entry is gone the others still get the change, unless the store went
+	if s.operation.outcome == outcomeAccepted && f.Affects&componentEntry != 0 && f.Affects&componentStore == 0 {
+		// While an entry is down the others still get the change, unless the store went
 		// down before any of them could read it.
 		if err := t.awaitRevision(ctx, s.unaffectedEntries(f), want, accepted); err != nil {
 			return err
--- a/standin/faults/concurrent.go
+++ b/standin/faults/concurrent.go
@@ -150,12 +150,12 @@
 	var waiting sync.WaitGroup
 	for i, request := range group.requests {
 		switch {
-		case s.entryOf(i) == 0 && f.EntryGone:
-			waiting.Go(func() { s.Site.retryWhileGone(ctx, f, request) })
+		case s.entryOf(i) == 0 && f.EntryDown:
+			waiting.Go(func() { s.Site.retryWhileEntryDown(ctx, f, request) })
 		case s.entryOf(i) == 0 && f.Partition.present():
 			waiting.Go(func() { s.retryAcrossPartition(ctx, f, request) })
 		}
-		if !f.HoldMessage && (s.entryOf(i) != 0 || !f.EntryGone) {
+		if !f.HoldMessage && (s.entryOf(i) != 0 || !f.EntryDown) {
 			waiting.Go(func() { <-group.pending[i].done })
 		}
 	}
@@ -168,7 +168,7 @@
 	for i, p := range group.pending {
 		<-p.done
 		e := Exchange{Request: group.requests[i], Result: p.result}
-		if f.EntryGone && s.entryOf(i) == 0 {
+		if f.EntryDown && s.entryOf(i) == 0 {
 			e.Excused = f.Name
 		}
 		s.Site.record(e)
--- a/standin/faults/course.go
+++ b/standin/faults/course.go
@@ -26,16 +26,16 @@
 	return []Step{stepAccept, stepPropagate, stepPlan, stepOrder, stepDrain, stepFence, stepDelete}
 }
 
-// involvedParts holds the parts of the deployment that are involved in a step, so that a
-// fault of one of them matters.
-var involvedParts = map[Kind]Part{
-	kindAccept:    partEntry | partStore | partZone,
-	kindPropagate: partEntry | partSide | partStore | partZone,
-	kindPlan:      partEntry | partStore | partZone,
-	kindOrder:     partEntry | partSide | partUpstream | partStore | partZone,
-	kindDrain:     partEntry | partSide | partUpstream | partLink | partStore | partZone,
-	kindFence:     partEntry | partStore,
-	kindDelete:    partEntry | partStore,
+// involvedComponents holds the components that are involved in a step, so that a fault of
+// one of them matters.
+var involvedComponents = map[Kind]Components{
+	kindAccept:    componentEntry | componentStore | componentZone,
+	kindPropagate: componentEntry | componentSide | componentStore | componentZone,
+	kindPlan:      componentEntry | componentStore | componentZone,
+	kindOrder:     componentEntry | componentSide | componentUpstream | componentStore | componentZone,
+	kindDrain:     componentEntry | componentSide | componentUpstream | componentLink | componentStore | componentZone,
+	kindFence:     componentEntry | componentStore,
+	kindDelete:    componentEntry | componentStore,
 }
 
 // scenarioExclusion returns why a fault can't happen at the step of a scenario, or "".
@@ -47,7 +47,7 @@
 		return "no other upstream is there to go on"
 	case f.Partition.scope&harness.ObjectAPI != 0:
 		return ""
-	case f.Affects&^involvedParts[step.Kind] != 0:
+	case f.Affects&^involvedComponents[step.Kind] != 0:
 		return "what the fault takes has no part in this step"
 	}
 	return ""
@@ -83,8 +83,8 @@
 
 // inject makes the fault happen and records whether it takes down the cell's entry.
 func (s *CellRun) inject(ctx context.Context, f Fault) error {
-	if f.Affects&partEntry != 0 {
-		s.Site.markEntryGone(s.entryIndex(), f.Name)
+	if f.Affects&componentEntry != 0 {
+		s.Site.markEntryDown(s.entryIndex(), f.Name)
 	}
 	if f.inject == nil {
 		return nil
@@ -101,7 +101,7 @@
 	if f.heal != nil {
 		err = f.heal(ctx, s)
 	}
-	s.Site.markEntryBack(s.entryIndex())
+	s.Site.markEntryUp(s.entryIndex())
 	return err
 }
 
@@ -118,7 +118,7 @@
 // unaffectedEntries returns the indexes of the entries that the fault leaves able to
 // respond.
 func (s *CellRun) unaffectedEntries(f Fault) []int {
-	blocked := f.Affects&partEntry != 0 || f.SideGone || f.Partition.blocksZone(s.Step)
+	blocked := f.Affects&componentEntry != 0 || f.SideDown || f.Partition.blocksZone(s.Step)
 	var entries []int
 	for i := range s.Site.Fleet.Entries {
 		if !blocked || i != s.entryIndex() {
@@ -164,8 +164,8 @@
 }
 
 // judgeScenario ends the traffic and makes the checks that all scenarios have in common,
-// then those of more.
-func judgeScenario(ctx context.Context, s *CellRun, f Fault, t *traffic, problem error, more func(*judge)) ([]Finding, Counts, error) {
+// then extraChecks, if set.
+func judgeScenario(ctx context.Context, s *CellRun, f Fault, t *traffic, problem error, extraChecks func(*judge)) ([]Finding, Counts, error) {
 	t.end()
 	settled := s.Site.settle(ctx)
 	records, err := s.Site.Fleet.Records()
@@ -176,7 +176,7 @@
 	j.checkExchanges(s.Site.exchanges)
 	j.checkOrders()
 	// The traffic may meet the fault at any step of its requests.
-	j.checkUnknowns(s.Site.exchanges, f.Affects&(partSide|partUpstream|partLink|partZone) != 0)
+	j.checkUnknowns(s.Site.exchanges, f.Affects&(componentSide|componentUpstream|componentLink|componentZone) != 0)
 	if f.Planned {
 		j.checkNotCut(t)
 	}
@@ -188,8 +188,8 @@
 	case problem != nil || settled != nil:
 		j.addFinding(Recovers, "%v", errors.Join(problem, settled))
 	}
-	if more != nil {
-		more(j)
+	if extraChecks != nil {
+		extraChecks(j)
 	}
 	return j.findings, j.counts, nil
 }
@@ -200,7 +200,7 @@
 	for _, sent := range t.sent {
 		for _, e := range sent {
 			if e.Result.Verdict != caller.Complete && e.Excused == "" {
-				j.addFinding(NotCut, "%s", describe(e))
+				j.addFinding(NotCut, "%s", describeExchange(e))
 			}
 		}
 	}
--- a/standin/faults/drain.go
+++ b/standin/faults/drain.go
@@ -57,7 +57,7 @@
 // since the claimed stage must be refused.
 func (s *CellRun) awaitResultsDuringFault(ctx context.Context, t *traffic, f Fault, after time.Time) error {
 	results := t.answered
-	if f.Affects&partStore != 0 && !f.Partition.present() {
+	if f.Affects&componentStore != 0 && !f.Partition.present() {
 		results = t.results
 	}
 	return t.awaitResults(ctx, trafficLimit, "no responses during the fault", s.unaffectedEntries(f), results, startedAfter(after, enoughResults))
--- a/standin/faults/fault.go
+++ b/standin/faults/fault.go
@@ -11,18 +11,18 @@
 	"acaciawinch/standin/upstream"
 )
 
-// Part is a set of parts of a deployment that a fault may affect.
-type Part int
+// Components is a set of components of a deployment that a fault may affect.
+type Components int
 
-// The parts of a deployment.
+// The components of a deployment.
 const (
-	partEntry Part = 1 << iota
-	partSide
-	partUpstream
-	partLink
-	partStore
-	// partZone is the entry's availability zone, affected by a partition or as a whole.
-	partZone
+	componentEntry Components = 1 << iota
+	componentSide
+	componentUpstream
+	componentLink
+	componentStore
+	// componentZone is the entry's availability zone, affected by a partition or as a whole.
+	componentZone
 )
 
 // CellRun is the state of one run of a cell, whose request or scenario is stopped at a
@@ -40,25 +40,25 @@
 	// replaced is the sidecar that has been replaced.
 	replaced *harness.Process
 	// harmed lists requests that were not answered although the fault does not affect
-	// the part of the deployment that they were sent to.
+	// the components that they need.
 	harmed []Exchange
 }
 
 // Fault is a failure, a planned stop or a change that happens at a step.
 type Fault struct {
 	Name    string
-	Affects Part
+	Affects Components
 	// Planned marks stops and changes that must not harm a request in flight.
 	Planned bool
-	// EntryGone marks faults that take down the request's entry, so that its caller
+	// EntryDown marks faults that take down the request's entry, so that its caller
 	// retries with its key through another entry meanwhile.
-	EntryGone bool
+	EntryDown bool
 	// HoldMessage keeps holding the step's message until the caller has its final
 	// response, or has retried through another entry.
 	HoldMessage bool
-	// SideGone marks partitions that also take down the sidecar that the request is at:
+	// SideDown marks partitions that also take down the sidecar that the request is at:
 	// its zone may then lack an upstream.
-	SideGone bool
+	SideDown bool
 	// HidesDispatch marks faults that take down both the entry that wrote a claim and
 	// the sidecar that the claim names, so that no process knows whether the claimed
 	// stage was dispatched.
@@ -96,8 +96,8 @@
 // tap returns the proxy to the sidecar that the request is at.
 func (s *CellRun) tap() *tap.Tap { return s.Site.taps[s.Upstream.Name] }
 
-// noStep is the Excludes function of a fault that can happen at every step.
-func noStep(Step) string { return "" }
+// excludeNone is the Excludes function of a fault that can happen at every step.
+func excludeNone(Step) string { return "" }
 
 // noop is an injection or heal that does nothing.
 func noop(context.Context, *CellRun) error { return nil }
--- a/standin/faults/faultlist.go
+++ b/standin/faults/faultlist.go
@@ -18,40 +18,40 @@
 	noSide            = "no side holds or gets anything of the request at this step"
 )
 
-// allButResponse excludes the steps at which no response of a stage is in transit.
-func allButResponse(s Step) string {
+// excludeAllButResponse excludes the steps at which no response of a stage is in transit.
+func excludeAllButResponse(s Step) string {
 	if s.Kind == kindResponse {
 		return ""
 	}
 	return noResponse
 }
 
-// allButDispatch excludes the steps at which no dispatch is in transit.
-func allButDispatch(s Step) string {
+// excludeAllButDispatch excludes the steps at which no dispatch is in transit.
+func excludeAllButDispatch(s Step) string {
 	if s.Kind == kindDispatch {
 		return ""
 	}
 	return noDispatch
 }
 
-// acknowledgeStep excludes the step at which the claimed stage's work has ended.
-func acknowledgeStep(s Step) string {
+// excludeAcknowledge excludes the step at which the claimed stage's work has ended.
+func excludeAcknowledge(s Step) string {
 	if s.Kind == kindAcknowledge {
 		return noWork
 	}
 	return ""
 }
 
-// allButAcknowledge excludes the steps at which no acknowledgement is in transit.
-func allButAcknowledge(s Step) string {
+// excludeAllButAcknowledge excludes the steps at which no acknowledgement is in transit.
+func excludeAllButAcknowledge(s Step) string {
 	if s.Kind == kindAcknowledge {
 		return ""
 	}
 	return noAcknowledgement
 }
 
-// admissionStep excludes the step at which no sidecar has been chosen yet.
-func admissionStep(s Step) string {
+// excludeAdmission excludes the step at which no sidecar has been chosen yet.
+func excludeAdmission(s Step) string {
 	if s.Kind == kindAdmission {
 		return noSide
 	}
@@ -81,21 +81,21 @@
 // processFaults returns kills, freezes and planned stops.
 func processFaults() []Fault {
 	return []Fault{
-		{Name: "entry killed", Affects: partEntry, EntryGone: true, Excludes: noStep, inject: killEntry, heal: startEntry},
-		{Name: "entry killed, its messages late", Affects: partEntry, EntryGone: true, HoldMessage: true, InRequest: true, Excludes: noStep,
+		{Name: "entry killed", Affects: componentEntry, EntryDown: true, Excludes: excludeNone, inject: killEntry, heal: startEntry},
+		{Name: "entry killed, its messages late", Affects: componentEntry, EntryDown: true, HoldMessage: true, InRequest: true, Excludes: excludeNone,
 			inject: killEntry, heal: startEntry},
-		{Name: "entry frozen and woken", Affects: partEntry, EntryGone: true, HoldMessage: true, Excludes: noStep,
+		{Name: "entry frozen and woken", Affects: componentEntry, EntryDown: true, HoldMessage: true, Excludes: excludeNone,
 			inject: freeze(entryProcess), heal: resume(entryProcess)},
-		{Name: "side killed", Affects: partSide, Excludes: noStep, inject: killSide, heal: startSide},
-		{Name: "side frozen and woken", Affects: partSide, Excludes: noStep, inject: freeze(sideProcess), heal: resume(sideProcess)},
-		{Name: "upstream killed", Affects: partUpstream, Excludes: acknowledgeStep, inject: killWorker, heal: startWorker},
-		{Name: "upstream frozen and woken", Affects: partUpstream, Excludes: acknowledgeStep,
+		{Name: "side killed", Affects: componentSide, Excludes: excludeNone, inject: killSide, heal: startSide},
+		{Name: "side frozen and woken", Affects: componentSide, Excludes: excludeNone, inject: freeze(sideProcess), heal: resume(sideProcess)},
+		{Name: "upstream killed", Affects: componentUpstream, Excludes: excludeAcknowledge, inject: killWorker, heal: startWorker},
+		{Name: "upstream frozen and woken", Affects: componentUpstream, Excludes: excludeAcknowledge,
 			inject: freeze(workerProcess), heal: resume(workerProcess)},
-		{Name: "entry stopped as planned", Affects: partEntry, Planned: true, Excludes: noStep, Stopping: entryProcess,
+		{Name: "entry stopped as planned", Affects: componentEntry, Planned: true, Excludes: excludeNone, Stopping: entryProcess,
 			inject: stop(entryProcess), heal: awaitEntryStop},
-		{Name: "side stopped as planned", Affects: partSide, Planned: true, Excludes: noStep, Stopping: sideProcess,
+		{Name: "side stopped as planned", Affects: componentSide, Planned: true, Excludes: excludeNone, Stopping: sideProcess,
 			inject: stop(sideProcess), heal: awaitSideStop},
-		{Name: "upstream leaves as planned", Affects: partUpstream, Planned: true, Excludes: noStep, inject: leave, heal: stopAndReturn},
+		{Name: "upstream leaves as planned", Affects: componentUpstream, Planned: true, Excludes: excludeNone, inject: leave, heal: stopAndReturn},
 	}
 }
 
@@ -103,17 +103,17 @@
 func linkFaults() []Fault {
 	relays := siteOptions{UpstreamRelays: true}
 	return []Fault{
-		{Name: "connection to side broken once", Harmless: true, Affects: partLink, Excludes: admissionStep,
+		{Name: "connection to side broken once", Harmless: true, Affects: componentLink, Excludes: excludeAdmission,
 			inject: onTap((*tap.Tap).Break), heal: noop},
-		{Name: "connection to side cut", Affects: partLink, Excludes: admissionStep,
+		{Name: "connection to side cut", Affects: componentLink, Excludes: excludeAdmission,
 			inject: onTap((*tap.Tap).Cut), heal: onTap((*tap.Tap).Heal)},
-		{Name: "one-way cut from side", Affects: partLink, Excludes: admissionStep,
+		{Name: "one-way cut from side", Affects: componentLink, Excludes: excludeAdmission,
 			inject: onTap(func(t *tap.Tap) { t.Silence(tap.FromSide) }), heal: onTap((*tap.Tap).Heal)},
-		{Name: "one-way cut to side", Affects: partLink, Excludes: admissionStep,
+		{Name: "one-way cut to side", Affects: componentLink, Excludes: excludeAdmission,
 			inject: onTap(func(t *tap.Tap) { t.Silence(tap.ToSide) }), heal: onTap((*tap.Tap).Heal)},
-		{Name: "connection to upstream broken once", Affects: partUpstream, Needs: relays, Excludes: acknowledgeStep,
+		{Name: "connection to upstream broken once", Affects: componentUpstream, Needs: relays, Excludes: excludeAcknowledge,
 			inject: onRelay((*harness.Relay).Break), heal: noop},
-		{Name: "one-way cut from upstream", Affects: partUpstream, Needs: relays, Excludes: acknowledgeStep,
+		{Name: "one-way cut from upstream", Affects: componentUpstream, Needs: relays, Excludes: excludeAcknowledge,
 			inject: onRelay(func(r *harness.Relay) { r.Silence(harness.FromTarget) }), heal: onRelay((*harness.Relay).Heal)},
 	}
 }
@@ -138,13 +138,13 @@
 // entry and a sidecar, which the proxy produces.
 func messageFaults() []Fault {
 	return []Fault{
-		{Name: "answer late", Affects: partLink, InRequest: true, HoldMessage: true, Excludes: allButResponse, inject: noop, heal: noop},
-		{Name: "answers out of order", Harmless: true, Affects: partLink, Excludes: allButResponse,
+		{Name: "answer late", Affects: componentLink, InRequest: true, HoldMessage: true, Excludes: excludeAllButResponse, inject: noop, heal: noop},
+		{Name: "answers out of order", Harmless: true, Affects: componentLink, Excludes: excludeAllButResponse,
 			prepare: tamper(tap.Swapped), inject: noop, heal: untamper},
-		{Name: "answers twice", Harmless: true, Excludes: allButResponse, prepare: tamper(tap.Duplicated), inject: noop, heal: untamper},
-		{Name: "another request's answers", Harmless: true, Excludes: allButResponse, prepare: tamper(tap.Foreign), inject: noop, heal: untamper},
-		{Name: "dispatch late", Affects: partLink, InRequest: true, HoldMessage: true, Excludes: allButDispatch, inject: noop, heal: noop},
-		{Name: "dispatch three times", Harmless: true, Excludes: allButDispatch, prepare: replay, inject: noop, heal: untamper},
+		{Name: "answers twice", Harmless: true, Excludes: excludeAllButResponse, prepare: tamper(tap.Duplicated), inject: noop, heal: untamper},
+		{Name: "another request's answers", Harmless: true, Excludes: excludeAllButResponse, prepare: tamper(tap.Foreign), inject: noop, heal: untamper},
+		{Name: "dispatch late", Affects: componentLink, InRequest: true, HoldMessage: true, Excludes: excludeAllButDispatch, inject: noop, heal: noop},
+		{Name: "dispatch three times", Harmless: true, Excludes: excludeAllButDispatch, prepare: replay, inject: noop, heal: untamper},
 	}
 }
 
@@ -153,15 +153,15 @@
 func platformFaults() []Fault {
 	up := setObjects(objectstore.Control{})
 	return []Fault{
-		{Name: "store down", Affects: partStore, Excludes: noStep, inject: setObjects(objectstore.Control{Down: true}), heal: up},
-		{Name: "store slow", Harmless: true, Affects: partStore, Excludes: noStep, inject: setObjects(objectstore.Control{DelayMS: slowStoreMS}), heal: up},
-		{Name: "store answer lost after effect", Harmless: true, Affects: partStore, Excludes: noStep,
+		{Name: "store down", Affects: componentStore, Excludes: excludeNone, inject: setObjects(objectstore.Control{Down: true}), heal: up},
+		{Name: "store slow", Harmless: true, Affects: componentStore, Excludes: excludeNone, inject: setObjects(objectstore.Control{DelayMS: slowStoreMS}), heal: up},
+		{Name: "store answer lost after effect", Harmless: true, Affects: componentStore, Excludes: excludeNone,
 			inject: setObjects(objectstore.Control{LoseAnswers: 1}), heal: up},
-		{Name: "store loses the answer of every write", Harmless: true, Affects: partStore, Excludes: noStep,
+		{Name: "store loses the answer of every write", Harmless: true, Affects: componentStore, Excludes: excludeNone,
 			inject: setObjects(objectstore.Control{LoseAnswers: everyWrite}), heal: up},
-		{Name: "host list stale, host gone", Affects: partSide | partUpstream, Excludes: noStep,
+		{Name: "host list stale, host gone", Affects: componentSide | componentUpstream, Excludes: excludeNone,
 			Needs: siteOptions{HostLag: staleLag}, inject: killHost, heal: restoreHost},
-		{Name: "configuration changed midway", Planned: true, Excludes: noStep, inject: changeConfiguration, heal: noop},
+		{Name: "configuration changed midway", Planned: true, Excludes: excludeNone, inject: changeConfiguration, heal: noop},
 	}
 }
 
@@ -193,25 +193,25 @@
 	up := setObjects(objectstore.Control{})
 	lost := setObjects(objectstore.Control{LoseAnswers: 2})
 	pairs := []Fault{
-		{Name: "entry killed + side killed", Affects: partEntry | partSide, EntryGone: true, Excludes: noStep,
+		{Name: "entry killed + side killed", Affects: componentEntry | componentSide, EntryDown: true, Excludes: excludeNone,
 			inject: both(killEntry, killSide), heal: both(startEntry, startSide)},
-		{Name: "entry frozen + side killed", Affects: partEntry | partSide, EntryGone: true, HoldMessage: true, Excludes: noStep,
+		{Name: "entry frozen + side killed", Affects: componentEntry | componentSide, EntryDown: true, HoldMessage: true, Excludes: excludeNone,
 			inject: both(freeze(entryProcess), killSide), heal: both(startSide, resume(entryProcess))},
-		{Name: "entry killed + store answers lost twice", Affects: partEntry | partStore, EntryGone: true, Excludes: noStep,
+		{Name: "entry killed + store answers lost twice", Affects: componentEntry | componentStore, EntryDown: true, Excludes: excludeNone,
 			inject: both(lost, killEntry), heal: both(up, startEntry)},
-		{Name: "entry killed + store down", Affects: partEntry | partStore, EntryGone: true, Excludes: noStep,
+		{Name: "entry killed + store down", Affects: componentEntry | componentStore, EntryDown: true, Excludes: excludeNone,
 			inject: both(down, killEntry), heal: both(up, startEntry)},
-		{Name: "side killed + store down", Affects: partSide | partStore, Excludes: noStep,
+		{Name: "side killed + store down", Affects: componentSide | componentStore, Excludes: excludeNone,
 			inject: both(down, killSide), heal: both(up, startSide)},
-		{Name: "connection to side cut + store down", Affects: partLink | partStore, Excludes: admissionStep,
+		{Name: "connection to side cut + store down", Affects: componentLink | componentStore, Excludes: excludeAdmission,
 			inject: both(down, onTap((*tap.Tap).Cut)), heal: both(up, onTap((*tap.Tap).Heal))},
-		{Name: "acknowledgement lost + side stopped as planned", Affects: partSide, InRequest: true, Excludes: allButAcknowledge,
+		{Name: "acknowledgement lost + side stopped as planned", Affects: componentSide, InRequest: true, Excludes: excludeAllButAcknowledge,
 			inject: both(onTap((*tap.Tap).Cut), stop(sideProcess)), heal: both(awaitSideStop, onTap((*tap.Tap).Heal))},
-		{Name: "upstream killed + store answer lost", Affects: partUpstream | partStore, Excludes: acknowledgeStep,
+		{Name: "upstream killed + store answer lost", Affects: componentUpstream | componentStore, Excludes: excludeAcknowledge,
 			inject: both(lost, killWorker), heal: both(up, startWorker)},
-		{Name: "side killed and started, three times", Affects: partSide, EndsItself: true, Excludes: noStep,
+		{Name: "side killed and started, three times", Affects: componentSide, EndsItself: true, Excludes: excludeNone,
 			inject: repeat(3, both(killSide, startSide)), heal: noop},
-		{Name: "entry killed and started, three times", Affects: partEntry, EndsItself: true, EntryGone: true, Excludes: noStep,
+		{Name: "entry killed and started, three times", Affects: componentEntry, EndsItself: true, EntryDown: true, Excludes: excludeNone,
 			inject: repeat(3, both(killEntry, startEntry)), heal: noop},
 	}
 	return append(pairs, partitionPairs()...)
--- a/standin/faults/history.go
+++ b/standin/faults/history.go
@@ -18,11 +18,12 @@
 // history returns the history of the site's configuration.
 func (s *Site) history() *history { return &history{objects.NewClient(s.Fleet.ObjectsURL())} }
 
-// newParts is the number of changes at the beginning that write a part that no later
-// change uses again. The later changes alternate between two parts.
-const newParts = oldRevisions - 10
+// uniqueDrains is the number of changes at the beginning that each drain another absent
+// upstream, and so write a part of the configuration that no later change uses. The later
+// changes alternate between two parts.
+const uniqueDrains = oldRevisions - 10
 
-// grow accepts changes that affect no request until the head reaches a revision.
+// grow makes changes that affect no request until the head reaches a revision.
 func (h *history) grow(ctx context.Context, revision core.Revision) error {
 	for number := 0; ; number++ {
 		head, err := h.head(ctx)
@@ -36,11 +37,11 @@
 	}
 }
 
-// growth returns a change of the list of drained upstreams.
+// growth returns the change with the given number: one of the list of drained upstreams.
 func growth(number int) config.Change {
 	alternating := []string{"absent"}
 	switch {
-	case number < newParts:
+	case number < uniqueDrains:
 		return config.Change{Drain: []string{fmt.Sprint("absent-", number)}}
 	case number%2 == 0:
 		return config.Change{Drain: alternating}
@@ -133,8 +134,8 @@
 	return nil
 }
 
-// check returns what is missing of the revisions that are kept.
-func (h *history) check(ctx context.Context) (lost []string, err error) {
+// findLost returns what is missing of the revisions that are kept.
+func (h *history) findLost(ctx context.Context) (lost []string, err error) {
 	head, err := h.head(ctx)
 	if err != nil {
 		return nil, err
--- a/standin/faults/judge.go
+++ b/standin/faults/judge.go
@@ -83,14 +83,13 @@
 	// configuration.
 	clients []*caller.Client
 	records []ledger.Record
-	// paid holds the executions of the claimed stage that began, by the digest of their
-	// input.
-	paid map[string][]ledger.Record
+	// claimedRuns holds the starts of the claimed stage, by the digest of its input.
+	claimedRuns map[string][]ledger.Record
 }
 
 // newJudge returns a judge of the records of all upstreams.
 func newJudge(catalogs []catalog.Catalog, records []ledger.Record) *judge {
-	j := &judge{records: records, paid: map[string][]ledger.Record{}}
+	j := &judge{records: records, claimedRuns: map[string][]ledger.Record{}}
 	for _, c := range catalogs {
 		j.clients = append(j.clients, caller.New(c))
 	}
@@ -101,7 +100,7 @@
 		j.counts.Starts++
 		if r.Service == services[stagePay] {
 			j.counts.Paid++
-			j.paid[r.InputDigest] = append(j.paid[r.InputDigest], r)
+			j.claimedRuns[r.InputDigest] = append(j.claimedRuns[r.InputDigest], r)
 		}
 	}
 	return j
@@ -124,7 +123,7 @@
 		j.count(e)
 		j.checkResponse(e)
 		j.checkNotRun(e)
-		j.checkPaid(e)
+		j.checkClaimedStageRan(e)
 	}
 	j.checkDoubled()
 	j.checkStray(all)
@@ -148,8 +147,8 @@
 	}
 }
 
-// describe returns the text for an exchange in a finding.
-func describe(e Exchange) string {
+// describeExchange returns the text for an exchange in a finding.
+func describeExchange(e Exchange) string {
 	r := e.Result
 	return fmt.Sprintf("%s %s: %s %s after %d ms: %s",
 		e.Request.Key, r.RequestID, r.Verdict, r.Outcome, r.Latency.Milliseconds(), r.Detail)
@@ -159,23 +158,23 @@
 func (j *judge) checkResponse(e Exchange) {
 	switch e.Result.Verdict {
 	case caller.Mismatch:
-		j.addFinding(NotCrossed, "%s", describe(e))
+		j.addFinding(NotCrossed, "%s", describeExchange(e))
 	case caller.Truncated, caller.Unreadable:
 		if e.Excused == "" {
-			j.addFinding(NotLost, "%s", describe(e))
+			j.addFinding(NotLost, "%s", describeExchange(e))
 		}
 	case caller.Problem:
-		if !final(e.Result.Outcome) {
-			j.addFinding(NotLost, "no final outcome: %s", describe(e))
+		if !isFinal(e.Result.Outcome) {
+			j.addFinding(NotLost, "no final outcome: %s", describeExchange(e))
 		}
 	}
 	if e.Excused == "" && e.Result.Latency > deadline+grace {
-		j.addFinding(NotLost, "late: %s", describe(e))
+		j.addFinding(NotLost, "late: %s", describeExchange(e))
 	}
 }
 
-// final reports whether an outcome in a problem document is final.
-func final(o core.Outcome) bool {
+// isFinal reports whether an outcome in a problem document is final.
+func isFinal(o core.Outcome) bool {
 	return o == core.OutcomeNotRun || o == core.OutcomeFailed || o == core.OutcomeUnknown
 }
 
@@ -188,23 +187,23 @@
 	if e.Result.RequestID == "" {
 		return
 	}
-	for _, records := range j.paid {
+	for _, records := range j.claimedRuns {
 		for _, r := range records {
 			if strings.HasPrefix(r.ID, e.Result.RequestID+"/") {
-				j.addFinding(TrueNotRun, "%s ran on %s: %s", r.ID, r.Upstream, describe(e))
+				j.addFinding(TrueNotRun, "%s ran on %s: %s", r.ID, r.Upstream, describeExchange(e))
 			}
 		}
 	}
 }
 
-// checkPaid checks that the claimed stage of an answered request was executed.
-func (j *judge) checkPaid(e Exchange) {
+// checkClaimedStageRan checks that the claimed stage of an answered request was executed.
+func (j *judge) checkClaimedStageRan(e Exchange) {
 	if e.Result.Verdict != caller.Complete {
 		return
 	}
 	for _, step := range j.expected(e) {
-		if step.Stage.NonIdempotent && len(j.paid[output.Digest(step.Input)]) == 0 {
-			j.addFinding(NotLost, "answered, but %s never ran: %s", step.Stage.Name, describe(e))
+		if step.Stage.NonIdempotent && len(j.claimedRuns[output.Digest(step.Input)]) == 0 {
+			j.addFinding(NotLost, "answered, but %s never ran: %s", step.Stage.Name, describeExchange(e))
 		}
 	}
 }
@@ -212,7 +211,7 @@
 // checkDoubled checks that no claimed stage began twice for one input. Inputs of
 // different keys differ.
 func (j *judge) checkDoubled() {
-	for digest, records := range j.paid {
+	for digest, records := range j.claimedRuns {
 		if len(records) < 2 {
 			continue
 		}
@@ -247,21 +246,21 @@
 }
 
 // checkUnknowns checks that an outcome is unknown only if the claimed stage began for
-// the key, or if excused is set: the fault affects a part that could determine the
+// the key, or if excused is set: the fault affects a component that could determine the
 // outcome.
 func (j *judge) checkUnknowns(all []Exchange, excused bool) {
 	for _, e := range all {
 		if e.Result.Outcome != core.OutcomeUnknown || excused || j.claimedStageBegan(e) {
 			continue
 		}
-		j.addFinding(TrueUnknown, "%s", describe(e))
+		j.addFinding(TrueUnknown, "%s", describeExchange(e))
 	}
 }
 
 // claimedStageBegan reports whether the claimed stage of an exchange began.
 func (j *judge) claimedStageBegan(e Exchange) bool {
 	for _, step := range j.expected(e) {
-		if step.Stage.NonIdempotent && len(j.paid[output.Digest(step.Input)]) > 0 {
+		if step.Stage.NonIdempotent && len(j.claimedRuns[output.Digest(step.Input)]) > 0 {
 			return true
 		}
 	}
--- a/standin/faults/matrix.go
+++ b/standin/faults/matrix.go
@@ -3,8 +3,10 @@
 // its own. The steps belong either to one request or to a scenario (a "course" on the
 // page): a configuration change, a placement change, a drain or the removal of old
 // configuration under traffic. An entry is a gateway process, a side the sidecar of an
-// upstream. Verdicts are based on the records of the callers and of the stand-in
-// upstreams, never on the logs of the system under test.
+// upstream. The claimed stage of a request is its non-idempotent one: the entry writes a
+// claim to the object API before it dispatches that stage. Verdicts are based on the
+// records of the callers and of the stand-in upstreams, never on the logs of the system
+// under test.
 package faults
 
 import (
--- a/standin/faults/partition.go
+++ b/standin/faults/partition.go
@@ -85,10 +85,10 @@
 // partitionFault returns the fault of a partition, which lasts until the callers on both
 // sides of it have their final responses.
 func partitionFault(name string, needs siteOptions, p partition) Fault {
-	f := Fault{Name: name, Affects: partZone, HoldMessage: p.holdMessage, Needs: needs, Partition: p, Excludes: noStep,
+	f := Fault{Name: name, Affects: componentZone, HoldMessage: p.holdMessage, Needs: needs, Partition: p, Excludes: excludeNone,
 		inject: p.begin, heal: healZone}
 	if p.scope&harness.ObjectAPI != 0 {
-		f.Affects |= partStore
+		f.Affects |= componentStore
 	}
 	f.Harmless = p.mode == harness.Slowed
 	return f
@@ -112,12 +112,12 @@
 	cut := partition{scope: harness.OtherZones, mode: harness.Refused}
 	zones := siteOptions{Zones: true}
 	return []Fault{
-		{Name: "zones lose all packets + entry killed", Affects: partEntry | partZone, EntryGone: true, Needs: zones,
-			Partition: lost, Excludes: noStep, inject: both(lost.begin, killEntry), heal: both(healZone, startEntry)},
-		{Name: "zones lose all packets + side killed", Affects: partSide | partZone, SideGone: true, Needs: zones,
-			Partition: lost, Excludes: noStep, inject: both(lost.begin, killSide), heal: both(healZone, startSide)},
-		{Name: "zones cut and joined, three times", Affects: partZone, EndsItself: true, Needs: zones,
-			Partition: cut, Excludes: noStep, inject: repeat(3, both(cut.begin, healZone)), heal: noop},
+		{Name: "zones lose all packets + entry killed", Affects: componentEntry | componentZone, EntryDown: true, Needs: zones,
+			Partition: lost, Excludes: excludeNone, inject: both(lost.begin, killEntry), heal: both(healZone, startEntry)},
+		{Name: "zones lose all packets + side killed", Affects: componentSide | componentZone, SideDown: true, Needs: zones,
+			Partition: lost, Excludes: excludeNone, inject: both(lost.begin, killSide), heal: both(healZone, startSide)},
+		{Name: "zones cut and joined, three times", Affects: componentZone, EndsItself: true, Needs: zones,
+			Partition: cut, Excludes: excludeNone, inject: repeat(3, both(cut.begin, healZone)), heal: noop},
 	}
 }
 
@@ -151,14 +151,14 @@
 type harmedError struct{ exchange Exchange }
 
 // Error implements error.
-func (e *harmedError) Error() string { return describe(e.exchange) }
+func (e *harmedError) Error() string { return describeExchange(e.exchange) }
 
 // servingEntries returns the indexes of the entries that can reach upstreams of every
 // service and the object API.
 func (s *CellRun) servingEntries(f Fault) []int {
 	var entries []int
 	for i := range s.Site.Fleet.Entries {
-		if i != f.entry() || !f.SideGone && !f.Partition.blocksZone(s.Step) {
+		if i != f.entry() || !f.SideDown && !f.Partition.blocksZone(s.Step) {
 			entries = append(entries, i)
 		}
 	}
--- a/standin/faults/placement.go
+++ b/standin/faults/placement.go
@@ -117,7 +117,7 @@
 // awaitOtherPlan waits, if the fault took down the holder of the lease, until another
 // entry has written a plan.
 func (s *CellRun) awaitOtherPlan(ctx context.Context, f Fault) error {
-	if s.Step.Kind != kindPlan || f.Affects&partEntry == 0 || f.Affects&partStore != 0 || f.EndsItself {
+	if s.Step.Kind != kindPlan || f.Affects&componentEntry == 0 || f.Affects&componentStore != 0 || f.EndsItself {
 		return nil
 	}
 	written := s.Site.Store.Hold(func(m storetap.Message) bool { return planWritten(m) && m.Process != s.Entry.Name })
@@ -167,7 +167,7 @@
 // placementFaults returns the faults of the lease.
 func placementFaults() []Fault {
 	return []Fault{
-		{Name: "lease lapsed while its holder is paused", ScenarioSteps: []Kind{kindPlan}, Affects: partEntry, HoldMessage: true,
+		{Name: "lease lapsed while its holder is paused", ScenarioSteps: []Kind{kindPlan}, Affects: componentEntry, HoldMessage: true,
 			inject: freeze(entryProcess), heal: resume(entryProcess)},
 	}
 }
--- a/standin/faults/removal.go
+++ b/standin/faults/removal.go
@@ -34,11 +34,13 @@
 const removalLimit = 15 * time.Second
 
 // headUpdate matches an entry's update of the head, which records the oldest kept
-// revision, and partDeletion its deletion of a part, both before they take effect.
+// revision, before it takes effect.
 func headUpdate(m storetap.Message) bool {
 	return m.Point == storetap.Before && m.Method == http.MethodPut && m.Path == headPath && m.Process != harness.OperatorsCommand
 }
 
+// partDeletion matches an entry's deletion of a part of the configuration, before it takes
+// effect.
 func partDeletion(m storetap.Message) bool {
 	return m.Point == storetap.Before && m.Method == http.MethodDelete && strings.HasPrefix(m.Path, "/v1/objects/"+config.PartPrefix)
 }
@@ -65,7 +67,7 @@
 	if problem == nil {
 		problem = s.checkAfterRemoval(ctx, t, store)
 	}
-	lost, err := store.check(ctx)
+	lost, err := store.findLost(ctx)
 	if problem == nil {
 		problem = err
 	}
@@ -100,7 +102,7 @@
 		s.finishCall(ctx, call, held)
 	}
 	var problem error
-	if f.Affects&partStore == 0 || f.Partition.present() {
+	if f.Affects&componentStore == 0 || f.Partition.present() {
 		problem = t.awaitAnswered(ctx, trafficLimit, "no responses during the fault", s.unaffectedEntries(f), startedAfter(time.Now(), 2))
 	}
 	held.Release()
@@ -144,11 +146,11 @@
 // restartEntries kills each entry and starts it again, one after the other.
 func (s *CellRun) restartEntries(ctx context.Context) error {
 	for i, entry := range s.Site.Fleet.Entries {
-		s.Site.markEntryGone(i, "restarted")
+		s.Site.markEntryDown(i, "restarted")
 		if err := entry.Restart(ctx); err != nil {
 			return err
 		}
-		s.Site.markEntryBack(i)
+		s.Site.markEntryUp(i)
 	}
 	return nil
 }
--- a/standin/faults/replacement.go
+++ b/standin/faults/replacement.go
@@ -13,9 +13,9 @@
 // same time.
 func replacementFaults() []Fault {
 	return []Fault{
-		{Name: "side frozen, replaced, woken", Affects: partSide, Excludes: noStep,
+		{Name: "side frozen, replaced, woken", Affects: componentSide, Excludes: excludeNone,
 			inject: both(freeze(sideProcess), replaceSide), heal: both(resume(replacedProcess), awaitReplacementWork)},
-		{Name: "side replaced before it stops", Affects: partSide, Planned: true, Excludes: noStep, Stopping: replacedProcess,
+		{Name: "side replaced before it stops", Affects: componentSide, Planned: true, Excludes: excludeNone, Stopping: replacedProcess,
 			inject: both(replaceSide, stop(replacedProcess)), heal: both(awaitReplacementWork, awaitReplacedStop)},
 	}
 }
@@ -24,7 +24,7 @@
 // replacement, in a region that is cut off, so that it can't receive the newer plan.
 func stalePlanFaults() []Fault {
 	return []Fault{{
-		Name: "side frozen, replaced, woken in a region cut off", ScenarioSteps: []Kind{kindPlan}, Affects: partSide,
+		Name: "side frozen, replaced, woken in a region cut off", ScenarioSteps: []Kind{kindPlan}, Affects: componentSide,
 		Needs:  siteOptions{Zones: true, Regions: true},
 		inject: both(chooseEngine, both(freeze(sideProcess), both(replaceSide, restartZoneEntry))), heal: resumeWithStalePlan,
 	}}
--- a/standin/faults/request.go
+++ b/standin/faults/request.go
@@ -53,9 +53,9 @@
 	}
 	exchange := Exchange{Request: request}
 	switch {
-	case f.EntryGone:
+	case f.EntryDown:
 		exchange.Excused = f.Name
-		site.retryWhileGone(ctx, f, request)
+		site.retryWhileEntryDown(ctx, f, request)
 	case f.Partition.present():
 		s.retryAcrossPartition(ctx, f, request)
 		if !f.HoldMessage {
@@ -124,13 +124,13 @@
 	return last, site.settle(ctx)
 }
 
-// triesWhileStoreDown is how often a key is retried while its entry is gone and the
+// triesWhileStoreDown is how often a key is retried while its entry is down and the
 // store is down: each response must be a refusal.
 const triesWhileStoreDown = 3
 
-// retryWhileGone retries with the request's key through the other entry.
-func (s *Site) retryWhileGone(ctx context.Context, f Fault, request caller.Request) {
-	if f.Affects&partStore == 0 {
+// retryWhileEntryDown retries with the request's key through the other entry.
+func (s *Site) retryWhileEntryDown(ctx context.Context, f Fault, request caller.Request) {
+	if f.Affects&componentStore == 0 {
 		s.requestUntilSettled(ctx, 1, request, configFirst)
 		return
 	}
@@ -212,10 +212,10 @@
 func (j *judge) checkFirst(f Fault, step Step, first Exchange) {
 	refusedAtAdmission := step.Kind == kindAdmission && first.Result.Outcome == core.OutcomeNotRun
 	if f.Planned && first.Result.Verdict != caller.Complete && !refusedAtAdmission {
-		j.addFinding(NotCut, "%s", describe(first))
+		j.addFinding(NotCut, "%s", describeExchange(first))
 	}
 	if f.Harmless && first.Result.Verdict != caller.Complete {
-		j.addFinding(Harmless, "%s", describe(first))
+		j.addFinding(Harmless, "%s", describeExchange(first))
 	}
 }
 
@@ -223,7 +223,7 @@
 // affect them.
 func (j *judge) addHarmed(harmed []Exchange) {
 	for _, e := range harmed {
-		j.addFinding(Harmless, "in a part that the fault leaves alone: %s", describe(e))
+		j.addFinding(Harmless, "in a part that the fault leaves alone: %s", describeExchange(e))
 	}
 }
 
@@ -254,11 +254,11 @@
 	if f.HidesDispatch && step.Stage == stageEncode {
 		return true
 	}
-	return f.Affects&(partSide|partUpstream|partLink|partZone) != 0 && step.Stage == stagePay && step.Kind != kindAcknowledge
+	return f.Affects&(componentSide|componentUpstream|componentLink|componentZone) != 0 && step.Stage == stagePay && step.Kind != kindAcknowledge
 }
 
 // mayStayUnknown reports whether the outcome may still be unknown after the fault. A
 // partition destroys no state, so that every outcome can be determined after it.
 func mayStayUnknown(f Fault, step Step) bool {
-	return mayBeUnknown(f, step) && (!f.Partition.present() || f.SideGone)
+	return mayBeUnknown(f, step) && (!f.Partition.present() || f.SideDown)
 }
--- a/standin/faults/sabotage_parts_test.go
+++ b/standin/faults/sabotage_parts_test.go
@@ -59,7 +59,7 @@
 		defer cancel()
 		return awaitReplacementWork(ctx, s)
 	}
-	f := Fault{Name: "sabotage", Affects: partSide, Excludes: noStep, inject: both(replaceSide, refuse), heal: soon}
+	f := Fault{Name: "sabotage", Affects: componentSide, Excludes: excludeNone, inject: both(replaceSide, refuse), heal: soon}
 	expectViolation(t, requestCell(f, stepOf("encode flight")), Recovers)
 }
 
@@ -84,14 +84,14 @@
 		}
 		return errors.New("no part to delete")
 	}
-	f := Fault{Name: "sabotage", Affects: partStore, inject: remove, heal: noop}
+	f := Fault{Name: "sabotage", Affects: componentStore, inject: remove, heal: noop}
 	expectViolation(t, scenarioCell(f, stepDelete), HistoryKept)
 }
 
 // TestEachCutRequestIsFound kills an entry instead of stopping it as planned while
 // several requests are stopped at a step: each request of that entry must be found.
 func TestEachCutRequestIsFound(t *testing.T) {
-	f := Fault{Name: "sabotage", Planned: true, Excludes: noStep, inject: killEntry, heal: startEntry}
+	f := Fault{Name: "sabotage", Planned: true, Excludes: excludeNone, inject: killEntry, heal: startEntry}
 	c := concurrentCell(f, stepOf("pay flight"))
 	c.Needs.Tries = 1
 	cut := 0
--- a/standin/faults/sabotage_test.go
+++ b/standin/faults/sabotage_test.go
@@ -51,7 +51,7 @@
 // preparedCell returns a cell at the first step whose fault consists of its preparation
 // only.
 func preparedCell(prepare func(context.Context, *CellRun) error) Cell {
-	f := Fault{Name: "sabotage", Excludes: noStep, prepare: prepare, inject: noop, heal: noop}
+	f := Fault{Name: "sabotage", Excludes: excludeNone, prepare: prepare, inject: noop, heal: noop}
 	return requestCell(f, stepOf("admission"))
 }
 
@@ -105,15 +105,15 @@
 }
 
 // TestKilledEntryWithoutExcuseIsFoundLost kills an entry with a fault that is not marked
-// EntryGone.
+// EntryDown.
 func TestKilledEntryWithoutExcuseIsFoundLost(t *testing.T) {
-	f := Fault{Name: "sabotage", Excludes: noStep, inject: killEntry, heal: startEntry}
+	f := Fault{Name: "sabotage", Excludes: excludeNone, inject: killEntry, heal: startEntry}
 	expectViolation(t, requestCell(f, stepOf("encode flight")), NotLost)
 }
 
 // TestKillInPlaceOfAStopIsFoundCut kills an entry instead of stopping it as planned.
 func TestKillInPlaceOfAStopIsFoundCut(t *testing.T) {
-	f := Fault{Name: "sabotage", Planned: true, Excludes: noStep, inject: killEntry, heal: startEntry}
+	f := Fault{Name: "sabotage", Planned: true, Excludes: excludeNone, inject: killEntry, heal: startEntry}
 	expectViolation(t, requestCell(f, stepOf("mid-stream")), NotCut)
 }
 
@@ -127,7 +127,7 @@
 		}
 		return nil
 	}
-	f := Fault{Name: "sabotage", Harmless: true, Excludes: noStep, prepare: drop, inject: noop, heal: untamper}
+	f := Fault{Name: "sabotage", Harmless: true, Excludes: excludeNone, prepare: drop, inject: noop, heal: untamper}
 	expectViolation(t, requestCell(f, stepOf("admission")), Harmless)
 }
 
@@ -168,7 +168,7 @@
 		}
 		return nil
 	}
-	f := Fault{Name: "sabotage", Affects: partSide, Excludes: noStep, inject: kill, heal: noop}
+	f := Fault{Name: "sabotage", Affects: componentSide, Excludes: excludeNone, inject: kill, heal: noop}
 	expectViolation(t, requestCell(f, stepOf("encode before")), Recovers)
 }
 
@@ -184,7 +184,7 @@
 			return err
 		}
 		for i, entry := range fleet.Entries {
-			s.Site.markEntryGone(i, "killed")
+			s.Site.markEntryDown(i, "killed")
 			entry.Kill()
 		}
 		fleet.Objects.Kill()
@@ -198,11 +198,11 @@
 			if err := restart(ctx, entry.Process); err != nil {
 				return err
 			}
-			s.Site.markEntryBack(i)
+			s.Site.markEntryUp(i)
 		}
 		return nil
 	}
-	f := Fault{Name: "sabotage", ScenarioSteps: []Kind{kindPropagate}, Affects: partStore, inject: noop, heal: lose}
+	f := Fault{Name: "sabotage", ScenarioSteps: []Kind{kindPropagate}, Affects: componentStore, inject: noop, heal: lose}
 	c := scenarioCell(f, stepPropagate)
 	c.Excluded = ""
 	expectViolation(t, c, NotReverted)
--- a/standin/faults/site.go
+++ b/standin/faults/site.go
@@ -54,7 +54,7 @@
 	stageConfirm: "asistente-llm",
 }
 
-// siteOptions select what runs between the processes of a site.
+// siteOptions are the settings of a site.
 type siteOptions struct {
 	// Bin is the directory of the binaries.
 	Bin string
@@ -107,9 +107,10 @@
 	controls     map[string]upstream.Control
 	exchanges    []Exchange
 	requestCount int
-	// gone holds why an entry can't respond; absence counts how often it was gone.
-	gone    map[int]string
-	absence map[int]int
+	// outageReason holds why an entry is down now; outageCount counts how often the test has
+	// taken it down.
+	outageReason map[int]string
+	outageCount  map[int]int
 }
 
 // nameSet is a set of names.
@@ -135,8 +136,8 @@
 		taps:         map[string]*tap.Tap{},
 		storeTaps:    map[string]*storetap.Tap{},
 		controls:     map[string]upstream.Control{},
-		gone:         map[int]string{},
-		absence:      map[int]int{},
+		outageReason: map[int]string{},
+		outageCount:  map[int]int{},
 		heldRequests: nameSet{},
 		heldClaims:   nameSet{},
 		tries:        o.Tries,
--- a/standin/faults/tap/forward.go
+++ b/standin/faults/tap/forward.go
@@ -43,14 +43,14 @@
 func forwardUnary[Q, A any](t *Tap, ctx context.Context, request Q,
 	call func(wirepb.DRPCSideClient, context.Context, Q) (A, error)) (A, error) {
 	var none A
-	f, err := t.dial(ctx)
+	side, err := t.dial(ctx)
 	if err != nil {
 		breakEntryConn(ctx)
 		return none, err
 	}
-	defer f.conn.Close()
-	reply, err := call(f.client, ctx, request)
-	if err != nil && f.broken.Load() {
+	defer side.conn.Close()
+	reply, err := call(side.client, ctx, request)
+	if err != nil && side.broken.Load() {
 		breakEntryConn(ctx)
 	}
 	return reply, err
@@ -109,15 +109,15 @@
 	if instead := t.rewriteRun(context.WithoutCancel(ctx), r); instead != nil {
 		return stream.Send(instead)
 	}
-	err := t.forwardStream(ctx, stream, func(f *sideClient, ctx context.Context) (receiver, error) { return f.client.Run(ctx, r) })
+	err := t.forwardStream(ctx, stream, func(side *sideClient, ctx context.Context) (receiver, error) { return side.client.Run(ctx, r) })
 	t.replay(context.WithoutCancel(ctx), r)
 	return err
 }
 
 // Attach implements wirepb.DRPCSideServer.
 func (t *Tap) Attach(r *wirepb.AttachRequest, stream wirepb.DRPCSide_AttachStream) error {
-	return t.forwardStream(stream.Context(), stream, func(f *sideClient, ctx context.Context) (receiver, error) {
-		return f.client.Attach(ctx, r)
+	return t.forwardStream(stream.Context(), stream, func(side *sideClient, ctx context.Context) (receiver, error) {
+		return side.client.Attach(ctx, r)
 	})
 }
 
@@ -149,12 +149,12 @@
 
 // deliver sends a Run and discards its events.
 func (t *Tap) deliver(ctx context.Context, r *wirepb.RunRequest) {
-	f, err := t.dial(ctx)
+	side, err := t.dial(ctx)
 	if err != nil {
 		return
 	}
-	defer f.conn.Close()
-	events, err := f.client.Run(ctx, r)
+	defer side.conn.Close()
+	events, err := side.client.Run(ctx, r)
 	for err == nil {
 		_, err = events.Recv()
 	}
@@ -163,17 +163,17 @@
 // forwardStream opens a stream at the sidecar and forwards its events, changed by the
 // test's Tamper if one is set.
 func (t *Tap) forwardStream(ctx context.Context, to sender, call func(*sideClient, context.Context) (receiver, error)) error {
-	f, err := t.dial(ctx)
+	side, err := t.dial(ctx)
 	if err != nil {
 		breakEntryConn(ctx)
 		return err
 	}
-	defer f.conn.Close()
-	from, err := call(f, ctx)
+	defer side.conn.Close()
+	from, err := call(side, ctx)
 	if err == nil {
 		err = t.forwardEvents(to, from)
 	}
-	if err != nil && f.broken.Load() {
+	if err != nil && side.broken.Load() {
 		breakEntryConn(ctx)
 	}
 	return err
--- a/standin/faults/traffic.go
+++ b/standin/faults/traffic.go
@@ -88,22 +88,23 @@
 }
 
 // exchange sends one new request and determines which configuration its response
-// follows. The exchange is excused if the entry was gone meanwhile.
+// follows. The exchange is excused if the entry was down meanwhile.
 func (s *Site) exchange(ctx context.Context, entry int) Exchange {
 	r := s.newRequest()
-	before := s.absenceOf(entry)
+	before := s.outagesOf(entry)
 	p := s.send(ctx, entry, r, configFirst)
 	<-p.done
 	e := Exchange{Request: r, Result: p.result}
-	s.attribute(&e)
-	if after := s.absenceOf(entry); after != before || after.reason != "" {
+	s.attributeRevision(&e)
+	if after := s.outagesOf(entry); after != before || after.reason != "" {
 		e.Excused = fmt.Sprint(before.reason, after.reason, " the entry was gone")
 	}
 	return e
 }
 
-// attribute determines the configuration that a response follows.
-func (s *Site) attribute(e *Exchange) {
+// attributeRevision finds the configuration that a response follows. It sets the revision of the
+// exchange to it, and its verdict to Complete.
+func (s *Site) attributeRevision(e *Exchange) {
 	if e.Result.Verdict != caller.Mismatch {
 		return
 	}
@@ -118,30 +119,31 @@
 	}
 }
 
-// absence is how often an entry was gone, and why it is gone now, or "".
-type absence struct {
+// entryOutages is how often the test has taken down an entry, and why the entry is down
+// now, or "".
+type entryOutages struct {
 	count  int
 	reason string
 }
 
-// absenceOf returns the absence of an entry.
-func (s *Site) absenceOf(entry int) absence {
+// outagesOf returns the outages of an entry.
+func (s *Site) outagesOf(entry int) entryOutages {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return absence{count: s.absence[entry], reason: s.gone[entry]}
+	return entryOutages{count: s.outageCount[entry], reason: s.outageReason[entry]}
 }
 
-// markEntryGone records that the test takes down an entry.
-func (s *Site) markEntryGone(entry int, reason string) {
+// markEntryDown records that the test takes down an entry.
+func (s *Site) markEntryDown(entry int, reason string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.gone[entry] = reason
-	s.absence[entry]++
+	s.outageReason[entry] = reason
+	s.outageCount[entry]++
 }
 
-// markEntryBack records that an entry is running again.
-func (s *Site) markEntryBack(entry int) {
+// markEntryUp records that an entry is running again.
+func (s *Site) markEntryUp(entry int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.gone, entry)
+	delete(s.outageReason, entry)
 }
--- a/standin/faults/zoneloss.go
+++ b/standin/faults/zoneloss.go
@@ -12,9 +12,9 @@
 // entry at once.
 func zoneLossFaults() []Fault {
 	return []Fault{
-		{Name: "zone killed", Affects: partEntry | partZone, EntryGone: true, HidesDispatch: true, Excludes: noStep,
+		{Name: "zone killed", Affects: componentEntry | componentZone, EntryDown: true, HidesDispatch: true, Excludes: excludeNone,
 			inject: killZone, heal: startZone},
-		{Name: "zone frozen and woken", Affects: partEntry | partZone, EntryGone: true, HoldMessage: true, Excludes: noStep,
+		{Name: "zone frozen and woken", Affects: componentEntry | componentZone, EntryDown: true, HoldMessage: true, Excludes: excludeNone,
 			inject: onZone((*harness.Process).Freeze), heal: resumeZone},
 	}
 }
