--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -8,7 +8,8 @@
 	"acaciawinch/standin/upstream"
 )
 
-// lossInterval is how often a cache event is lost: one of this many is not reported.
+// lossInterval determines which cache events are lost: every lossInterval-th event is not
+// reported.
 const lossInterval = 7
 
 // maxHistory is the maximum number of cache events kept for readers.
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -59,8 +59,8 @@
 // sequence is one call on the engine.
 type sequence struct {
 	call upstream.Call
-	// prefilled is when the prefill ends and the first token can be emitted.
-	prefilled time.Time
+	// prefilledAt is when the prefill ends and the first token can be emitted.
+	prefilledAt time.Time
 	// next is the index of the next token.
 	next int
 	// admitted is closed when the sequence joins the batch.
@@ -194,15 +194,16 @@
 	for len(e.batch) < e.options.Capacity && len(e.waiting) > 0 {
 		s := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		s.prefilled = time.Now().Add(e.prefill(s.call.Prefix))
+		s.prefilledAt = time.Now().Add(e.prefill(s.call.Prefix))
 		e.batch = append(e.batch, s)
 		close(s.admitted)
 	}
 	return len(e.batch)
 }
 
-// cachedPrefill is the fraction of the prefill time that a cached prefix leaves.
-const cachedPrefill = 0.25
+// cachedPrefillFraction is the fraction of the prefill time that a prompt with a cached prefix
+// takes.
+const cachedPrefillFraction = 0.25
 
 // prefill returns the prefill time of a prompt with the given prefix, and caches
 // the prefix.
@@ -212,18 +213,18 @@
 		duration = time.Duration(float64(duration) * control.SlowFactor)
 	}
 	if e.cache.touch(prefix, time.Now()) {
-		duration = time.Duration(float64(duration) * cachedPrefill)
+		duration = time.Duration(float64(duration) * cachedPrefillFraction)
 	}
 	return duration
 }
 
-// emit sends the next token of each prefilled sequence of the batch, and removes
-// the sequences that are complete.
+// emit emits the next token of each sequence of the batch whose prefill has ended, and
+// removes the sequences that are complete from the batch.
 func (e *Engine) emit(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.batch = slices.DeleteFunc(e.batch, func(s *sequence) bool {
-		if now.Before(s.prefilled) {
+		if now.Before(s.prefilledAt) {
 			return false
 		}
 		if s.next < s.call.MaxTokens {
--- a/standin/engine/models.go
+++ b/standin/engine/models.go
@@ -20,7 +20,8 @@
 	lastFencing uint64
 }
 
-// newModels returns a table in which the models with the given names are loaded.
+// newModels returns models of which those with the given names, as "model@version", are
+// loaded.
 func newModels(names []string, loadTime time.Duration, enforceFencing bool) *models {
 	m := &models{loadTime: loadTime, enforceFencing: enforceFencing, readyAt: map[string]time.Time{}}
 	for _, name := range names {
@@ -37,8 +38,8 @@
 	return ok && !time.Now().Before(ready)
 }
 
-// order carries out an order. It rejects a stale fencing token if the engine
-// enforces fencing.
+// order carries out an order to load or unload a model version. It rejects a stale
+// fencing token if the engine enforces fencing.
 func (m *models) order(order upstream.Order) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
