--- a/standin/upstream/run.go
+++ b/standin/upstream/run.go
@@ -98,7 +98,7 @@
 	started bool
 }
 
-// emit writes one chunk. The first chunk is delayed as Control.LateMS demands.
+// emit writes one chunk. It delays the first one by Control.LateMS.
 func (s *stream) emit(ctx context.Context, chunk []byte) error {
 	if !s.started {
 		if err := sleep(ctx, s.delay()); err != nil {
--- a/standin/upstream/server.go
+++ b/standin/upstream/server.go
@@ -30,7 +30,8 @@
 	report     *lag.Value[Status]
 	mux        *http.ServeMux
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// running holds the cancel functions of the calls in progress, by the id of the call.
 	running map[string]context.CancelFunc
 	// stopping is set once a planned stop has begun: new calls are rejected.
 	stopping bool
--- a/standin/upstream/server_test.go
+++ b/standin/upstream/server_test.go
@@ -20,11 +20,12 @@
 	"acaciawinch/standin/upstream"
 )
 
-// testServer is a plain service that listens on loopback and keeps a ledger.
+// testServer is a plain service that listens on loopback and writes to the ledger at
+// ledgerPath.
 type testServer struct {
 	t          *testing.T
 	url        string
-	ledger     string
+	ledgerPath string
 	server     *upstream.Server
 	conditions *upstream.Conditions
 }
@@ -45,7 +46,7 @@
 		httpServer.Close()
 		_ = ledgerFile.Close()
 	})
-	return &testServer{t: t, url: httpServer.URL, ledger: path, server: server, conditions: conditions}
+	return &testServer{t: t, url: httpServer.URL, ledgerPath: path, server: server, conditions: conditions}
 }
 
 // post sends a call and returns the status and the body of the response.
@@ -69,7 +70,7 @@
 	var records []ledger.Record
 	poll.WaitOn(ts.t, func(poll.LogT) poll.Result {
 		var err error
-		if records, err = ledger.Read(ts.ledger); err != nil {
+		if records, err = ledger.Read(ts.ledgerPath); err != nil {
 			return poll.Error(err)
 		}
 		if len(records) >= len(want) {
--- a/standin/upstream/spread.go
+++ b/standin/upstream/spread.go
@@ -8,9 +8,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Spread varies work times as real upstreams do: a fixed fraction of each time
-// stays and the remainder is drawn from an exponential distribution that keeps the
-// mean. A nil Spread leaves times unchanged. It is safe for concurrent use.
+// Spread varies work times as those of real upstreams vary: it draws a fixed fraction
+// of each time from an exponential distribution that keeps the mean, and leaves the
+// remainder as it is. A nil Spread leaves times unchanged. It is safe for concurrent use.
 type Spread struct {
 	// fraction is the part of each time that is drawn, from 0 to 1.
 	fraction float64
