--- a/standin/faults/faultlist.go
+++ b/standin/faults/faultlist.go
@@ -156,9 +156,9 @@
 		{Name: "store down", Affects: componentStore, Excludes: excludeNone, inject: setObjects(objectstore.Control{Down: true}), heal: up},
 		{Name: "store slow", Harmless: true, Affects: componentStore, Excludes: excludeNone, inject: setObjects(objectstore.Control{DelayMS: slowStoreMS}), heal: up},
 		{Name: "store answer lost after effect", Harmless: true, Affects: componentStore, Excludes: excludeNone,
-			inject: setObjects(objectstore.Control{LoseAnswers: 1}), heal: up},
+			inject: setObjects(objectstore.Control{LoseResponses: 1}), heal: up},
 		{Name: "store loses the answer of every write", Harmless: true, Affects: componentStore, Excludes: excludeNone,
-			inject: setObjects(objectstore.Control{LoseAnswers: everyWrite}), heal: up},
+			inject: setObjects(objectstore.Control{LoseResponses: everyWrite}), heal: up},
 		{Name: "host list stale, host gone", Affects: componentSide | componentUpstream, Excludes: excludeNone,
 			Needs: siteOptions{HostLag: staleLag}, inject: killHost, heal: restoreHost},
 		{Name: "configuration changed midway", Planned: true, Excludes: excludeNone, inject: changeConfiguration, heal: noop},
@@ -191,7 +191,7 @@
 func combinedFaults() []Fault {
 	down := setObjects(objectstore.Control{Down: true})
 	up := setObjects(objectstore.Control{})
-	lost := setObjects(objectstore.Control{LoseAnswers: 2})
+	lost := setObjects(objectstore.Control{LoseResponses: 2})
 	pairs := []Fault{
 		{Name: "entry killed + side killed", Affects: componentEntry | componentSide, EntryDown: true, Excludes: excludeNone,
 			inject: both(killEntry, killSide), heal: both(startEntry, startSide)},
--- a/standin/objectstore/faults.go
+++ b/standin/objectstore/faults.go
@@ -29,9 +29,9 @@
 	Down bool `json:"down"`
 	// DelayMS is the delay added to every call, in milliseconds.
 	DelayMS int `json:"delay_ms"`
-	// LoseAnswers is the number of next writes that take effect but whose
+	// LoseResponses is the number of next writes that take effect but whose
 	// connection is closed without a response.
-	LoseAnswers int `json:"lose_answers"`
+	LoseResponses int `json:"lose_answers"`
 }
 
 // Stats counts the calls since the server was started.
@@ -45,7 +45,7 @@
 	Limited uint64 `json:"limited"`
 }
 
-// faults holds the fault switches and the counters. It is safe for concurrent use.
+// faults holds the fault switches and the call counters. It is safe for concurrent use.
 type faults struct {
 	mu      sync.Mutex
 	control Control
@@ -94,14 +94,14 @@
 }
 
 // consumeLostResponse reports whether the write that was just done gets no
-// response, and counts it against LoseAnswers.
+// response, and counts it against LoseResponses.
 func (f *faults) consumeLostResponse() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.control.LoseAnswers == 0 {
+	if f.control.LoseResponses == 0 {
 		return false
 	}
-	f.control.LoseAnswers--
+	f.control.LoseResponses--
 	return true
 }
 
--- a/standin/objectstore/objectstore_test.go
+++ b/standin/objectstore/objectstore_test.go
@@ -96,7 +96,7 @@
 
 func TestWriteWithLostResponseTakesEffect(t *testing.T) {
 	c := newClient(t)
-	c.control(Control{LoseAnswers: 1})
+	c.control(Control{LoseResponses: 1})
 	request, err := http.NewRequest(http.MethodPut, c.url+"/v1/objects/a", bytes.NewBufferString("1"))
 	assert.NilError(t, err)
 	request.Header.Set("If-None-Match", "*")
--- a/standin/objectstore/server.go
+++ b/standin/objectstore/server.go
@@ -113,8 +113,8 @@
 		http.Error(w, "value over 1 MB", http.StatusRequestEntityTooLarge)
 		return
 	}
-	version, done := s.store.Put(r.PathValue("key"), value, expected)
-	if !done {
+	version, written := s.store.Put(r.PathValue("key"), value, expected)
+	if !written {
 		http.Error(w, "condition failed", http.StatusPreconditionFailed)
 		return
 	}
@@ -137,7 +137,7 @@
 }
 
 // respondToWrite sends the response to a write that took effect, or closes the
-// connection if LoseAnswers demands it.
+// connection instead if LoseResponses is above 0. A version of 0 is left out.
 func (s *Server) respondToWrite(w http.ResponseWriter, version uint64) {
 	if s.faults.consumeLostResponse() {
 		panic(http.ErrAbortHandler)
