--- a/standin/verdict/verdict.go
+++ b/standin/verdict/verdict.go
@@ -53,9 +53,9 @@
 	Expected(caller.Request) ([]output.Step, bool)
 }
 
-// execution identifies the execution of a stage by its service and the digest of its
+// executionKey identifies the execution of a stage by its service and the digest of its
 // input.
-type execution struct {
+type executionKey struct {
 	service string
 	digest  string
 }
@@ -65,12 +65,12 @@
 	summary  Summary
 	expecter Expecter
 	// starts counts the starts of each execution.
-	starts map[execution]int
+	starts map[executionKey]int
 	// expected holds the executions that belong to valid requests.
-	expected map[execution]bool
+	expected map[executionKey]bool
 	// possiblyRun holds the non-idempotent executions that may have run: some attempt
 	// at their request succeeded, had an unknown outcome or got no response.
-	possiblyRun map[execution]bool
+	possiblyRun map[executionKey]bool
 }
 
 // Judge returns the summary of a test run. Requests with equal bodies count as
@@ -78,9 +78,9 @@
 func Judge(expecter Expecter, exchanges []Exchange, records []ledger.Record) Summary {
 	j := &judge{
 		expecter:    expecter,
-		starts:      map[execution]int{},
-		expected:    map[execution]bool{},
-		possiblyRun: map[execution]bool{},
+		starts:      map[executionKey]int{},
+		expected:    map[executionKey]bool{},
+		possiblyRun: map[executionKey]bool{},
 	}
 	j.countStarts(records)
 	for _, e := range exchanges {
@@ -104,7 +104,7 @@
 func (j *judge) countStarts(records []ledger.Record) {
 	for _, r := range records {
 		if r.Event == ledger.Start {
-			j.starts[execution{r.Service, r.InputDigest}]++
+			j.starts[executionKey{r.Service, r.InputDigest}]++
 		}
 	}
 }
@@ -118,10 +118,10 @@
 	}
 	steps, _ := j.expecter.Expected(e.Request)
 	for _, step := range steps {
-		x := executionOf(step)
-		j.expected[x] = true
+		key := executionKeyOf(step)
+		j.expected[key] = true
 		if step.Stage.NonIdempotent && mayHaveRun(e.Result.Outcome) {
-			j.possiblyRun[x] = true
+			j.possiblyRun[key] = true
 		}
 	}
 }
@@ -132,9 +132,9 @@
 	return outcome != core.OutcomeNotRun && outcome != core.OutcomeFailed
 }
 
-// executionOf returns the execution that a step must have.
-func executionOf(step output.Step) execution {
-	return execution{step.Stage.Service, output.Digest(step.Input)}
+// executionKeyOf returns the key of the execution that a step must have.
+func executionKeyOf(step output.Step) executionKey {
+	return executionKey{step.Stage.Service, output.Digest(step.Input)}
 }
 
 // countOutcome counts the result that the caller got.
@@ -179,30 +179,30 @@
 		if !step.Stage.NonIdempotent {
 			continue
 		}
-		x := executionOf(step)
-		ran := j.starts[x] > 0
+		key := executionKeyOf(step)
+		ran := j.starts[key] > 0
 		if e.Result.Verdict == caller.Complete && !ran {
-			j.addFinding(&j.summary.Lost, "lost: %s was answered but %s never ran", e.Result.RequestID, x.service)
+			j.addFinding(&j.summary.Lost, "lost: %s was answered but %s never ran", e.Result.RequestID, key.service)
 		}
-		if !mayHaveRun(e.Result.Outcome) && ran && !j.possiblyRun[x] {
-			j.addFinding(&j.summary.FalseNotRun, "false %s: %s: %s ran", e.Result.Outcome, e.Result.RequestID, x.service)
+		if !mayHaveRun(e.Result.Outcome) && ran && !j.possiblyRun[key] {
+			j.addFinding(&j.summary.FalseNotRun, "false %s: %s: %s ran", e.Result.Outcome, e.Result.RequestID, key.service)
 		}
 	}
 }
 
 // checkDoubled counts the non-idempotent executions that were started more than once.
 func (j *judge) checkDoubled(exchanges []Exchange) {
-	seen := map[execution]bool{}
+	seen := map[executionKey]bool{}
 	for _, e := range exchanges {
 		steps, _ := j.expecter.Expected(e.Request)
 		for _, step := range steps {
-			x := executionOf(step)
-			if !step.Stage.NonIdempotent || seen[x] {
+			key := executionKeyOf(step)
+			if !step.Stage.NonIdempotent || seen[key] {
 				continue
 			}
-			seen[x] = true
-			if j.starts[x] > 1 {
-				j.addFinding(&j.summary.Doubled, "doubled: %s ran %d times on %s", x.service, j.starts[x], x.digest)
+			seen[key] = true
+			if j.starts[key] > 1 {
+				j.addFinding(&j.summary.Doubled, "doubled: %s ran %d times on %s", key.service, j.starts[key], key.digest)
 			}
 		}
 	}
@@ -210,9 +210,9 @@
 
 // checkStray counts the executions that belong to no valid request.
 func (j *judge) checkStray() {
-	for x, count := range j.starts {
-		if !j.expected[x] {
-			j.addFinding(&j.summary.Stray, "stray: %s ran %d times on %s", x.service, count, x.digest)
+	for key, count := range j.starts {
+		if !j.expected[key] {
+			j.addFinding(&j.summary.Stray, "stray: %s ran %d times on %s", key.service, count, key.digest)
 		}
 	}
 }
