--- a/standin/caller/caller.go
+++ b/standin/caller/caller.go
@@ -113,14 +113,14 @@
 		result.Verdict = Unreadable
 		result.Detail = err.Error()
 	} else {
-		c.read(response, r, &result)
+		c.readResponse(response, r, &result)
 		response.Body.Close()
 	}
 	result.Latency = time.Since(result.Began)
 	return result
 }
 
-// post sends the request and returns the response with its body still unread.
+// post sends the request and returns the response, whose body is still unread.
 func (c *Client) post(ctx context.Context, url string, r Request) (*http.Response, error) {
 	method := r.Method
 	if method == "" {
@@ -132,7 +132,7 @@
 		return nil, err
 	}
 	if r.BeforeBody != nil {
-		request.Body = &delayedBody{Reader: bytes.NewReader(r.Body), before: r.BeforeBody}
+		request.Body = &delayedBody{Reader: bytes.NewReader(r.Body), beforeFirstRead: r.BeforeBody}
 		request.Header.Set("Expect", "100-continue")
 	}
 	request.Header.Set("Content-Type", "application/json")
@@ -148,8 +148,8 @@
 	return c.http.Do(request)
 }
 
-// read reads the response into result and checks it.
-func (c *Client) read(response *http.Response, r Request, result *Result) {
+// readResponse reads the response into result and checks it.
+func (c *Client) readResponse(response *http.Response, r Request, result *Result) {
 	result.Status = response.StatusCode
 	contentType := response.Header.Get("Content-Type")
 	switch {
@@ -162,8 +162,8 @@
 	}
 }
 
-// check compares the received chunks with the expected output of the request.
-func (c *Client) check(r Request, result *Result) {
+// checkOutput compares the received chunks with the expected output of the request.
+func (c *Client) checkOutput(r Request, result *Result) {
 	want, ok := c.Expected(r)
 	if !ok {
 		result.Verdict = Mismatch
@@ -195,16 +195,16 @@
 	return output.Expected(template, workspace, r.Body), true
 }
 
-// delayedBody is a request body that calls before ahead of its first read.
+// delayedBody is a request body that calls beforeFirstRead before it is first read.
 type delayedBody struct {
 	*bytes.Reader
-	before func()
-	once   sync.Once
+	beforeFirstRead func()
+	once            sync.Once
 }
 
 // Read implements io.Reader.
 func (b *delayedBody) Read(buffer []byte) (int, error) {
-	b.once.Do(b.before)
+	b.once.Do(b.beforeFirstRead)
 	return b.Reader.Read(buffer)
 }
 
--- a/standin/caller/read.go
+++ b/standin/caller/read.go
@@ -71,7 +71,7 @@
 		result.Detail = "the digest does not match the output"
 		return
 	}
-	c.check(r, result)
+	c.checkOutput(r, result)
 }
 
 // readProblem reads a problem document.
@@ -197,5 +197,5 @@
 		result.Detail = "the closing event does not match the chunks"
 		return
 	}
-	c.check(r, result)
+	c.checkOutput(r, result)
 }
