--- a/standin/bench/scenario/scenario_test.go
+++ b/standin/bench/scenario/scenario_test.go
@@ -53,7 +53,7 @@
 	total := 0.0
 	for _, flow := range size.Flows(c, 100) {
 		total += flow.Rate
-		assert.Equal(t, len(flow.Surges) == 1, flow.Workspace == size.Large)
+		assert.Equal(t, len(flow.Bursts) == 1, flow.Workspace == size.Large)
 	}
 	assert.Assert(t, math.Abs(total-50) < 1e-9)
 }
--- a/standin/bench/scenario/size.go
+++ b/standin/bench/scenario/size.go
@@ -178,7 +178,7 @@
 			Deadline:  requestDeadline,
 		}
 		if c.Burst > 0 && share.Workspace == s.Large {
-			flow.Surges = []load.Surge{{From: c.At, To: c.Duration, Factor: c.Burst}}
+			flow.Bursts = []load.Burst{{From: c.At, To: c.Duration, Factor: c.Burst}}
 		}
 		flows = append(flows, flow)
 	}
--- a/standin/load/load_test.go
+++ b/standin/load/load_test.go
@@ -11,21 +11,21 @@
 	"acaciawinch/standin/caller"
 )
 
-// surgingFlow is a flow with a rate of 100 per second, and ten times that between the first
+// burstFlow is a flow with a rate of 100 per second, and ten times that between the first
 // and the second second.
-var surgingFlow = Flow{
+var burstFlow = Flow{
 	Workspace: "w",
 	Pipeline:  "p",
 	Rate:      100,
-	Surges:    []Surge{{From: time.Second, To: 2 * time.Second, Factor: 10}},
+	Bursts:    []Burst{{From: time.Second, To: 2 * time.Second, Factor: 10}},
 	Keyed:     true,
 	Deadline:  time.Second,
 }
 
 func TestScheduleIsFixedBySeed(t *testing.T) {
-	first := Schedule(1, 4*time.Second, []Flow{surgingFlow, surgingFlow})
-	assert.DeepEqual(t, first, Schedule(1, 4*time.Second, []Flow{surgingFlow, surgingFlow}))
-	other := Schedule(2, 4*time.Second, []Flow{surgingFlow, surgingFlow})
+	first := Schedule(1, 4*time.Second, []Flow{burstFlow, burstFlow})
+	assert.DeepEqual(t, first, Schedule(1, 4*time.Second, []Flow{burstFlow, burstFlow}))
+	other := Schedule(2, 4*time.Second, []Flow{burstFlow, burstFlow})
 	assert.Assert(t, first[0].At != other[0].At)
 }
 
@@ -33,7 +33,7 @@
 	counts := make([]float64, 4)
 	keys := map[string]bool{}
 	last := time.Duration(0)
-	for _, a := range Schedule(1, 4*time.Second, []Flow{surgingFlow}) {
+	for _, a := range Schedule(1, 4*time.Second, []Flow{burstFlow}) {
 		assert.Assert(t, a.At >= last)
 		last = a.At
 		counts[a.At/time.Second]++
--- a/standin/load/run.go
+++ b/standin/load/run.go
@@ -14,7 +14,7 @@
 	Arrival Arrival
 	Result  caller.Result
 	// Late is the delay between the time at which the request was due and its sending.
-	// It is the generator's own fault and must be checked before figures are trusted.
+	// The generator causes it, not the system, so check it before trusting the figures.
 	Late time.Duration
 	// Latency and First count from the time at which the request was due. First is zero
 	// for responses that are not streams.
--- a/standin/load/schedule.go
+++ b/standin/load/schedule.go
@@ -18,8 +18,8 @@
 	Pipeline  string
 	// Rate is the mean number of arrivals per second.
 	Rate float64
-	// Surges change the rate for a time. They must be sorted and must not overlap.
-	Surges []Surge
+	// Bursts multiply the rate for a time. They must be sorted and must not overlap.
+	Bursts []Burst
 	// Keyed gives each request an idempotency key.
 	Keyed bool
 	// Stream requests server-sent events.
@@ -28,9 +28,9 @@
 	Deadline time.Duration
 }
 
-// Surge multiplies a flow's rate from From up to To, both counted from the start of
+// Burst multiplies a flow's rate from From up to To, both counted from the start of
 // the run.
-type Surge struct {
+type Burst struct {
 	From   time.Duration
 	To     time.Duration
 	Factor float64
@@ -102,12 +102,12 @@
 
 // rateAt returns the rate at the time now and the end of the period in which it holds.
 func (f Flow) rateAt(now, end time.Duration) (float64, time.Duration) {
-	for _, surge := range f.Surges {
-		if now < surge.From {
-			return f.Rate, min(surge.From, end)
+	for _, burst := range f.Bursts {
+		if now < burst.From {
+			return f.Rate, min(burst.From, end)
 		}
-		if now < surge.To {
-			return f.Rate * surge.Factor, min(surge.To, end)
+		if now < burst.To {
+			return f.Rate * burst.Factor, min(burst.To, end)
 		}
 	}
 	return f.Rate, end
