--- a/standin/bench/account/account.go
+++ b/standin/bench/account/account.go
@@ -1,6 +1,7 @@
 // Package account computes what a trial cost per service: it compares the passes
 // that the stand-in upstreams recorded in their ledgers with the results of the
-// callers. It never reads the system's own logs.
+// callers. It never reads the system's own logs. A call is one stage of one request,
+// and a pass is one attempt at a call by an upstream.
 package account
 
 import (
--- a/standin/bench/report/report_test.go
+++ b/standin/bench/report/report_test.go
@@ -71,9 +71,9 @@
 }
 
 func TestRerunCasesReplaceAllEarlierTrials(t *testing.T) {
-	run := Run{Trials: []Trial{trialOf(scenario.Rack, scenario.Ours, 1)}}
+	run := Run{Trials: []Trial{trialOf(scenario.KilledZone, scenario.Ours, 1)}}
 	run.Merge(Run{Trials: []Trial{
-		trialOf(scenario.Rack, scenario.Ours, 0.5), trialOf(scenario.Rack, "random", 0.5),
+		trialOf(scenario.KilledZone, scenario.Ours, 0.5), trialOf(scenario.KilledZone, "random", 0.5),
 		trialOf(scenario.Steady, scenario.Ours, 0.5), trialOf(scenario.Steady, "random", 0.5),
 	}})
 	assert.Equal(t, len(run.Trials), 3)
@@ -83,7 +83,7 @@
 }
 
 func TestTablesHaveARowForEachPolicy(t *testing.T) {
-	run := Run{Trials: []Trial{trialOf(scenario.Rack, scenario.Ours, 1), trialOf(scenario.Rack, "random", 0.5)}}
+	run := Run{Trials: []Trial{trialOf(scenario.KilledZone, scenario.Ours, 1), trialOf(scenario.KilledZone, "random", 0.5)}}
 	tables := run.Tables()
 	assert.Equal(t, len(tables), 6)
 	var text, page strings.Builder
--- a/standin/bench/scenario/case.go
+++ b/standin/bench/scenario/case.go
@@ -18,8 +18,8 @@
 	FreezeUpstream Fault = "freeze_upstream"
 	// FreezeSide stops the sidecar of one engine with SIGSTOP.
 	FreezeSide Fault = "freeze_side"
-	// KillRack kills all upstreams of one zone and their sidecars at the same time.
-	KillRack Fault = "kill_rack"
+	// KillZone kills all upstreams of one zone and their sidecars at the same time.
+	KillZone Fault = "kill_rack"
 )
 
 // SlowFactor is the factor by which Slow lengthens the times of an engine.
@@ -38,9 +38,8 @@
 	Fault Fault
 	// At is when the burst or the fault begins.
 	At time.Duration
-	// From is the time from which on requests are judged: earlier ones are not
-	// counted.
-	From time.Duration
+	// JudgedFrom is the time from which requests are judged: earlier ones are not counted.
+	JudgedFrom time.Duration
 }
 
 // Loads, as fractions of the engines' capacity, and times of the cases.
@@ -64,7 +63,7 @@
 	Straggler      = "straggler"
 	FrozenUpstream = "frozen-upstream"
 	FrozenSide     = "frozen-side"
-	Rack           = "rack"
+	KilledZone     = "rack"
 	Capacity       = "capacity"
 	Overload       = "overload"
 )
@@ -72,15 +71,15 @@
 // Cases returns all cases in the order in which they are run and reported.
 func Cases() []Case {
 	return []Case{
-		{Name: Steady, Title: "steady load", Duration: steadyDuration, Load: steadyLoad, From: warmup},
+		{Name: Steady, Title: "steady load", Duration: steadyDuration, Load: steadyLoad, JudgedFrom: warmup},
 		{Name: Burst, Title: "one large workspace at 10 times its share", Duration: loadDuration, Load: steadyLoad,
-			Burst: burstFactor, At: faultAt, From: faultAt},
+			Burst: burstFactor, At: faultAt, JudgedFrom: faultAt},
 		faultCase(Straggler, "one engine 10 times slow", Slow),
 		faultCase(FrozenUpstream, "one engine frozen", FreezeUpstream),
 		faultCase(FrozenSide, "the side of one engine frozen", FreezeSide),
-		faultCase(Rack, "all upstreams of one zone killed", KillRack),
-		{Name: Capacity, Title: "load at capacity", Duration: loadDuration, Load: fullLoad, From: warmup},
-		{Name: Overload, Title: "overload of 1.5 times capacity", Duration: loadDuration, Load: overLoad, From: warmup},
+		faultCase(KilledZone, "all upstreams of one zone killed", KillZone),
+		{Name: Capacity, Title: "load at capacity", Duration: loadDuration, Load: fullLoad, JudgedFrom: warmup},
+		{Name: Overload, Title: "overload of 1.5 times capacity", Duration: loadDuration, Load: overLoad, JudgedFrom: warmup},
 	}
 }
 
@@ -88,13 +87,13 @@
 // fault.
 func faultCase(name, title string, fault Fault) Case {
 	return Case{
-		Name:     name,
-		Title:    title,
-		Duration: faultDuration,
-		Load:     steadyLoad,
-		Fault:    fault,
-		At:       faultAt,
-		From:     faultAt + recoveryTime,
+		Name:       name,
+		Title:      title,
+		Duration:   faultDuration,
+		Load:       steadyLoad,
+		Fault:      fault,
+		At:         faultAt,
+		JudgedFrom: faultAt + recoveryTime,
 	}
 }
 
@@ -161,10 +160,10 @@
 }
 
 // Scaled returns the case with another duration; zero keeps the duration. The time
-// before From never shrinks, so that a short run still includes the fault.
+// before JudgedFrom never shrinks, so that a short run still includes the fault.
 func (c Case) Scaled(duration time.Duration) Case {
 	if duration > 0 {
-		c.Duration = max(duration, c.From+time.Second)
+		c.Duration = max(duration, c.JudgedFrom+time.Second)
 	}
 	return c
 }
--- a/standin/bench/scenario/scenario_test.go
+++ b/standin/bench/scenario/scenario_test.go
@@ -82,7 +82,7 @@
 func TestScaledCaseKeepsItsFault(t *testing.T) {
 	for _, c := range Cases() {
 		short := c.Scaled(time.Second)
-		assert.Assert(t, short.Duration > short.From && short.From >= short.At, c.Name)
+		assert.Assert(t, short.Duration > short.JudgedFrom && short.JudgedFrom >= short.At, c.Name)
 		assert.Equal(t, c.Scaled(0).Duration, c.Duration)
 	}
 }
--- a/standin/bench/scenario/size.go
+++ b/standin/bench/scenario/size.go
@@ -28,7 +28,7 @@
 // requestDeadline is the deadline of every request of the bench.
 const requestDeadline = 3 * time.Second
 
-// Share is the part of the load that one workspace sends to one pipeline.
+// Share is the share of the load that one workspace sends to one pipeline.
 type Share struct {
 	Workspace string
 	Pipeline  string
--- a/standin/bench/spread/condition.go
+++ b/standin/bench/spread/condition.go
@@ -10,7 +10,8 @@
 	"acaciawinch/standin/objectstore"
 )
 
-// condition is a set of faults that are injected around an accept.
+// condition is a set of faults that are injected before a change is accepted, or as soon
+// as its head is written.
 type condition struct {
 	name   string
 	target time.Duration
--- a/standin/bench/spread/spread.go
+++ b/standin/bench/spread/spread.go
@@ -1,7 +1,8 @@
 // Package spread measures how long an accepted change of the configuration takes
 // until it is in force in every process of a large fleet, and how many calls to
 // the object API that takes. The fleet carries no load. A change is in force in a
-// process as soon as the status of that process shows its revision.
+// process as soon as the status of that process shows its revision. A relay is an
+// entry that passes the platform's state on to other processes.
 package spread
 
 import (
@@ -111,25 +112,25 @@
 		Sides:      m.options.Sides,
 		Workspaces: m.options.Workspaces,
 	}
-	if err := m.load(ctx); err != nil {
+	if err := m.applyInitial(ctx); err != nil {
 		return result, err
 	}
 	if err := m.measureIdle(ctx, &result); err != nil {
 		return result, err
 	}
 	for _, c := range conditions() {
-		one, err := m.measureCondition(ctx, c)
+		measured, err := m.measureCondition(ctx, c)
 		if err != nil {
 			return result, fmt.Errorf("%s: %w", c.name, err)
 		}
-		m.options.Note("%-44s in force everywhere after %s", c.name, one.Times())
-		result.Conditions = append(result.Conditions, one)
+		m.options.Note("%-44s in force everywhere after %s", c.name, measured.Times())
+		result.Conditions = append(result.Conditions, measured)
 	}
 	return result, nil
 }
 
-// load applies the initial configuration and waits until all processes have it.
-func (m *measurement) load(ctx context.Context) error {
+// applyInitial applies the initial configuration and waits until all processes have it.
+func (m *measurement) applyInitial(ctx context.Context) error {
 	path, err := writeFile(m.dir, "all.toml", configuration(m.options.Workspaces))
 	if err != nil {
 		return err
--- a/standin/bench/trial/fault.go
+++ b/standin/bench/trial/fault.go
@@ -23,16 +23,16 @@
 	case <-ctx.Done():
 		return nil
 	}
-	victim := r.fleet.Service(r.options.Size.Engine)[0]
+	target := r.fleet.Service(r.options.Size.Engine)[0]
 	switch r.options.Case.Fault {
 	case scenario.Slow:
-		return victim.SetControl(ctx, upstream.Control{SlowFactor: scenario.SlowFactor})
+		return target.SetControl(ctx, upstream.Control{SlowFactor: scenario.SlowFactor})
 	case scenario.FreezeUpstream:
-		return victim.Worker.Freeze()
+		return target.Worker.Freeze()
 	case scenario.FreezeSide:
-		return victim.Side.Freeze()
-	case scenario.KillRack:
-		killZone(r.fleet, victim.Zone)
+		return target.Side.Freeze()
+	case scenario.KillZone:
+		killZone(r.fleet, target.Zone)
 	}
 	return nil
 }
@@ -88,6 +88,6 @@
 
 // frozen reports whether the fault of the case froze this upstream.
 func (r *run) frozen(u *harness.Upstream) bool {
-	victim := r.fleet.Service(r.options.Size.Engine)[0]
-	return u == victim && r.options.Case.Fault == scenario.FreezeUpstream
+	target := r.fleet.Service(r.options.Size.Engine)[0]
+	return u == target && r.options.Case.Fault == scenario.FreezeUpstream
 }
--- a/standin/bench/trial/gather.go
+++ b/standin/bench/trial/gather.go
@@ -19,7 +19,7 @@
 // results computes the results of the trial.
 func (r *run) results() report.Trial {
 	c := r.options.Case
-	judged := dueFrom(r.records, c.From)
+	judged := dueFrom(r.records, c.JudgedFrom)
 	summary := verdict.Judge(r.client, load.Exchanges(r.records), r.ledger)
 	return report.Trial{
 		Size:       r.options.Size.Name,
@@ -27,12 +27,12 @@
 		Title:      c.Title,
 		Policy:     r.options.Policy.Name,
 		Capacity:   r.capacity,
-		Offered:    float64(len(judged)) / (c.Duration - c.From).Seconds(),
-		JudgedFrom: c.From.Seconds(),
+		Offered:    float64(len(judged)) / (c.Duration - c.JudgedFrom).Seconds(),
+		JudgedFrom: c.JudgedFrom.Seconds(),
 		Judged:     load.Summarize(judged),
 		Others:     load.Summarize(withoutWorkspace(judged, r.options.Size.Large)),
 		Workspaces: load.SummarizeByWorkspace(judged),
-		Goodput:    goodput(r.records, c.From, c.Duration),
+		Goodput:    goodput(r.records, c.JudgedFrom, c.Duration),
 		Stages:     account.ByStage(r.ledger, outcomes(r.records)),
 		Engine:     r.options.Size.Engine,
 		Nodes:      nodes(r.before, r.after),
--- a/standin/bench/trial/snapshot.go
+++ b/standin/bench/trial/snapshot.go
@@ -25,10 +25,10 @@
 	otherCPU []float64
 }
 
-// nodeUsage is the usage of one process in a snapshot. Its ok is unset if the
+// nodeUsage is the usage of one process in a snapshot. readable is unset if the
 // process no longer runs or does not respond.
 type nodeUsage struct {
-	ok       bool
+	readable bool
 	reading  usage.Reading
 	counters map[string]float64
 	// fleetBytes is the traffic with other processes of the fleet since the start
@@ -91,7 +91,7 @@
 	}
 	earlier := slices.Concat(before.entries, before.sides)
 	for i, n := range slices.Concat(after.entries, after.sides) {
-		if n.ok {
+		if n.readable {
 			total += n.reading.CPUSeconds - earlier[i].reading.CPUSeconds
 		}
 	}
@@ -115,7 +115,7 @@
 	if err != nil {
 		return nodeUsage{}
 	}
-	return nodeUsage{ok: true, reading: reading, counters: counters, fleetBytes: bytes}
+	return nodeUsage{readable: true, reading: reading, counters: counters, fleetBytes: bytes}
 }
 
 // nodes computes the usage of the processes between two snapshots.
@@ -134,7 +134,7 @@
 	sum := report.Role{Counters: map[string]float64{}}
 	count := 0.0
 	for i := range after {
-		if !before[i].ok || !after[i].ok {
+		if !before[i].readable || !after[i].readable {
 			continue
 		}
 		count++
--- a/standin/bench/trial/trial.go
+++ b/standin/bench/trial/trial.go
@@ -48,10 +48,11 @@
 	client   *caller.Client
 	capacity float64
 	duration time.Duration
-	before   snapshot
-	after    snapshot
-	records  []load.Record
-	ledger   []ledger.Record
+	// before and after are taken around the load.
+	before  snapshot
+	after   snapshot
+	records []load.Record
+	ledger  []ledger.Record
 }
 
 // Run runs a trial: it starts the processes, offers the load, injects the fault and
--- a/standin/bench/trial/trial_test.go
+++ b/standin/bench/trial/trial_test.go
@@ -56,7 +56,7 @@
 func TestMeansSkipProcessesThatNoLongerRun(t *testing.T) {
 	usageOf := func(cpu, bytes, probes float64) nodeUsage {
 		return nodeUsage{
-			ok:         true,
+			readable:   true,
 			reading:    usage.Reading{CPUSeconds: cpu, ResidentBytes: 10},
 			counters:   map[string]float64{"acaciawinch_entry_routing_probe_bytes": probes, "go_threads": 9},
 			fleetBytes: bytes,
