--- a/standin/cmd/bench/calm.go
+++ b/standin/cmd/bench/calm.go
@@ -14,8 +14,8 @@
 const (
 	idleTimeout      = 20 * time.Second
 	idlePollInterval = time.Second
-	// A trial starts when a share of MinIdle plus extraIdleShare is idle: the trial's own
-	// load reduces the idle share that is compared with MinIdle afterwards.
+	// extraIdleShare is how much more than MinIdle must be idle for a trial to start: the
+	// trial's own load reduces the idle share that is compared with MinIdle afterwards.
 	extraIdleShare = 0.2
 )
 
--- a/standin/cmd/demo/demo.go
+++ b/standin/cmd/demo/demo.go
@@ -75,16 +75,16 @@
 
 // runThin sends one streamed request.
 func (d *demo) runThin(ctx context.Context) {
-	d.stream(ctx)
+	d.sendStream(ctx)
 }
 
 // runFull sends requests of every kind.
 func (d *demo) runFull(ctx context.Context) {
-	d.idempotent(ctx)
-	d.nonIdempotent(ctx)
-	d.repeatedKeys(ctx)
-	id := d.stream(ctx)
-	d.refused(ctx)
+	d.sendIdempotent(ctx)
+	d.sendNonIdempotent(ctx)
+	d.sendRepeatedKeys(ctx)
+	id := d.sendStream(ctx)
+	d.sendBadRequests(ctx)
 	d.explain(ctx, id)
 }
 
@@ -102,9 +102,9 @@
 	return r.Verdict == caller.Complete && r.Outcome == core.OutcomeAnswered
 }
 
-// stream sends one streamed request, prints its chunks as they arrive and returns the
+// sendStream sends one streamed request, prints its chunks as they arrive and returns the
 // request's ID.
-func (d *demo) stream(ctx context.Context) string {
+func (d *demo) sendStream(ctx context.Context) string {
 	fmt.Print("a streamed answer: ")
 	r := d.request(d.pairs.idempotent[0])
 	r.Stream = true
--- a/standin/cmd/demo/requests.go
+++ b/standin/cmd/demo/requests.go
@@ -58,23 +58,23 @@
 	return requests
 }
 
-// idempotent sends idempotent requests through all entries.
-func (d *demo) idempotent(ctx context.Context) {
+// sendIdempotent sends idempotent requests through all entries.
+func (d *demo) sendIdempotent(ctx context.Context) {
 	requests := d.requestsOf(d.pairs.idempotent, "")
 	count, other := d.sendConcurrently(ctx, requests)
 	d.report(count == len(requests), "idempotent: %d of %d answered%s", count, len(requests), other)
 }
 
-// nonIdempotent sends requests whose pipelines have a non-idempotent stage.
-func (d *demo) nonIdempotent(ctx context.Context) {
+// sendNonIdempotent sends requests whose pipelines have a non-idempotent stage.
+func (d *demo) sendNonIdempotent(ctx context.Context) {
 	requests := d.requestsOf(d.pairs.nonIdempotent, "demo")
 	count, other := d.sendConcurrently(ctx, requests)
 	d.report(count == len(requests), "non-idempotent with a key: %d of %d answered%s", count, len(requests), other)
 }
 
-// repeatedKeys sends requests with the same idempotency key through different entries,
+// sendRepeatedKeys sends requests with the same idempotency key through different entries,
 // first one after the other, then concurrently.
-func (d *demo) repeatedKeys(ctx context.Context) {
+func (d *demo) sendRepeatedKeys(ctx context.Context) {
 	first := d.request(d.pairs.nonIdempotent[0])
 	first.Key = "repeated-after"
 	d.send(ctx, 0, first, false)
@@ -94,8 +94,8 @@
 	status  int
 }
 
-// refused sends one invalid request of every kind.
-func (d *demo) refused(ctx context.Context) {
+// sendBadRequests sends one invalid request of every kind and checks that it is refused.
+func (d *demo) sendBadRequests(ctx context.Context) {
 	for _, b := range d.badRequests() {
 		result := d.send(ctx, 0, b.request, true)
 		ok := result.Verdict == caller.Problem &&
--- a/standin/cmd/faults/main.go
+++ b/standin/cmd/faults/main.go
@@ -1,5 +1,6 @@
 // Command faults runs the fault matrix and prints the results as a table. A cell is one
-// fault injected at one step of a request. It exits 1 if any cell found a violation.
+// fault injected at one step of a request or a scenario. It exits 1 if any cell found a
+// violation.
 package main
 
 import (
--- a/standin/cmd/platformdemo/demo.go
+++ b/standin/cmd/platformdemo/demo.go
@@ -45,10 +45,10 @@
 // kinds are the kinds of requests, which are sent in rotation.
 var kinds = []string{"saldo", "cupon", "consulta"}
 
-// send sends requests from concurrent clients. After a third of the requests it removes
+// sendAll sends requests from concurrent clients. After a third of the requests it removes
 // a worker, after two thirds it kills a gateway, after five sixths it restarts that
 // gateway.
-func (d *demo) send(ctx context.Context, requests int) {
+func (d *demo) sendAll(ctx context.Context, requests int) {
 	numbers := make(chan int)
 	var senders sync.WaitGroup
 	for range clients {
--- a/standin/cmd/platformdemo/main.go
+++ b/standin/cmd/platformdemo/main.go
@@ -45,7 +45,7 @@
 	defer fleet.Kill()
 	fmt.Printf("%d gateways serve; %d requests from clients, a worker leaves and a gateway is killed meanwhile\n", o.Gateways, o.Requests)
 	d := &demo{fleet: fleet}
-	d.send(ctx, o.Requests)
+	d.sendAll(ctx, o.Requests)
 	if err := d.judge(); err != nil {
 		return err
 	}
