--- a/standin/trials/limits_test.go
+++ b/standin/trials/limits_test.go
@@ -67,16 +67,16 @@
 	firstChunks sync.WaitGroup
 }
 
-// stream starts a streamed request to an entry.
-func (b *burst) stream(tr *trial, entry int) {
+// startStream starts a streamed request to an entry.
+func (b *burst) startStream(tr *trial, entry int) {
 	r := tr.request(limitedWorkspace, "consulta")
 	r.Stream = true
 	r.DeadlineMS = "5000"
 	b.firstChunks.Add(1)
-	first := sync.OnceFunc(b.firstChunks.Done)
-	r.OnChunk = func([]byte) { first() }
+	markFirst := sync.OnceFunc(b.firstChunks.Done)
+	r.OnChunk = func([]byte) { markFirst() }
 	b.group.Go(func() {
-		defer first()
+		defer markFirst()
 		result := tr.send(entry, r, false)
 		b.mu.Lock()
 		defer b.mu.Unlock()
@@ -132,7 +132,7 @@
 	entry := (tr.home() + 1) % len(tr.fleet.Entries)
 	var all burst
 	for range maxInFlight {
-		all.stream(tr, entry)
+		all.startStream(tr, entry)
 	}
 	all.firstChunks.Wait()
 	r := tr.request(limitedWorkspace, "consulta")
@@ -155,7 +155,7 @@
 	var first, second, third burst
 	for range maxInFlight {
 		for entry := range tr.fleet.Entries {
-			first.stream(tr, entry)
+			first.startStream(tr, entry)
 		}
 	}
 	answered := first.countAnswered(t)
@@ -164,13 +164,13 @@
 
 	others := []int{(home + 1) % 3, (home + 2) % 3}
 	for range maxInFlight {
-		second.stream(tr, others[0])
+		second.startStream(tr, others[0])
 	}
 	second.firstChunks.Wait()
 	tr.fleet.Entries[home].Kill()
 	for range maxInFlight {
-		second.stream(tr, others[0])
-		second.stream(tr, others[1])
+		second.startStream(tr, others[0])
+		second.startStream(tr, others[1])
 	}
 	assert.Assert(t, second.countAnswered(t) >= maxInFlight)
 	assert.Assert(t, tr.maxConcurrent(0) <= 2*maxInFlight, "more than the documented overshoot")
@@ -180,8 +180,8 @@
 	}))
 	since := timeAfterRecords(t, tr)
 	for range maxInFlight {
-		third.stream(tr, others[0])
-		third.stream(tr, others[1])
+		third.startStream(tr, others[0])
+		third.startStream(tr, others[1])
 	}
 	third.countAnswered(t)
 	assert.Assert(t, tr.maxConcurrent(since) <= maxInFlight)
@@ -198,12 +198,12 @@
 	assert.NilError(t, tr.fleet.Entries[home].Freeze())
 	var all burst
 	for range maxInFlight {
-		all.stream(tr, (home+1)%len(tr.fleet.Entries))
+		all.startStream(tr, (home+1)%len(tr.fleet.Entries))
 	}
 	all.firstChunks.Wait()
 	assert.NilError(t, tr.fleet.Entries[home].Resume())
 	for range maxInFlight {
-		all.stream(tr, (home+2)%len(tr.fleet.Entries))
+		all.startStream(tr, (home+2)%len(tr.fleet.Entries))
 	}
 	assert.Assert(t, all.countAnswered(t) >= maxInFlight)
 	tr.stop()
--- a/standin/trials/trials_test.go
+++ b/standin/trials/trials_test.go
@@ -64,9 +64,9 @@
 	fleet  *harness.Fleet
 	client *caller.Client
 
-	mu        sync.Mutex
-	exchanges []verdict.Exchange
-	number    int
+	mu         sync.Mutex
+	exchanges  []verdict.Exchange
+	lastNumber int
 }
 
 // startTrial starts a fleet on a deployment with the configuration of the Institute
@@ -112,15 +112,16 @@
 func (tr *trial) request(workspace, pipeline string) caller.Request {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	tr.number++
+	tr.lastNumber++
 	return caller.Request{
 		Workspace: workspace,
 		Pipeline:  pipeline,
-		Body:      fmt.Appendf(nil, `{"number":%d}`, tr.number),
+		Body:      fmt.Appendf(nil, `{"number":%d}`, tr.lastNumber),
 	}
 }
 
-// send sends a request to an entry and records the exchange.
+// send sends a request to an entry and records the exchange. bad marks a request that must
+// be refused before it reaches an upstream.
 func (tr *trial) send(entry int, r caller.Request, bad bool) caller.Result {
 	result := tr.client.Send(tr.ctx, tr.fleet.Entries[entry].URL, r)
 	tr.mu.Lock()
