--- a/standin/soak/judge.go
+++ b/standin/soak/judge.go
@@ -72,7 +72,7 @@
 			fault = "no client had the outcome of its request"
 		}
 		if fault != "" {
-			found = append(found, fmt.Sprintf("stage %d piece %d of %s: %s", item.Stage, item.Piece, item.ID, fault))
+			found = append(found, fmt.Sprintf("stage %d piece %d of %s: %s", item.Stage, item.Index, item.ID, fault))
 		}
 	}
 	found = append(found, e.judgeWorkers(outcomes)...)
@@ -162,7 +162,7 @@
 		if !known || input.ID != item.ID || input.Stage != item.Stage-1 {
 			return "got the input " + handle + " of another request or stage"
 		}
-		seen[input.Piece] = true
+		seen[input.Index] = true
 	}
 	if len(seen) != encodeItems || len(item.Inputs) != encodeItems {
 		return fmt.Sprintf("got %d inputs of %d pieces", len(item.Inputs), len(seen))
--- a/standin/soak/judge_test.go
+++ b/standin/soak/judge_test.go
@@ -72,7 +72,7 @@
 
 func TestWrongInputsOfStagesAreFound(t *testing.T) {
 	e := evidence{itemByHandle: map[string]worker.Item{
-		"a/1": {ID: "r", Stage: 0, Piece: 0}, "a/2": {ID: "r", Stage: 0, Piece: 1}, "a/3": {ID: "q", Stage: 0, Piece: 1},
+		"a/1": {ID: "r", Stage: 0, Index: 0}, "a/2": {ID: "r", Stage: 0, Index: 1}, "a/3": {ID: "q", Stage: 0, Index: 1},
 	}}
 	assert.Equal(t, e.judgeItem(worker.Item{ID: "r", Stage: 1, Inputs: []string{"a/1", "a/2"}}), "")
 	assert.Equal(t, e.judgeItem(worker.Item{ID: "r", Stage: 0, Key: "k"}), "")
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -94,11 +94,12 @@
 	crashedBy Run
 }
 
-// Item is one item of a stage call. Piece is its number among the items of its stage.
+// Item is one item of a stage call. Index is its number among the items that a request has in the
+// stage.
 type Item struct {
 	ID     string   `json:"id"`
 	Stage  int      `json:"stage"`
-	Piece  int      `json:"piece"`
+	Index  int      `json:"piece"`
 	Key    string   `json:"key"`
 	Inputs []string `json:"inputs"`
 }
