--- a/standin/soak/client.go
+++ b/standin/soak/client.go
@@ -19,8 +19,8 @@
 	// responseTimeout is above the longest timeout of a route, 6 s.
 	responseTimeout = 7 * time.Second
 	dialTimeout     = time.Second
-	// maxThinkTime bounds the time between two requests; with 12 clients a run of some 17 s sends
-	// 2,300 to 3,700 requests.
+	// maxThinkTime bounds the time between two requests of a client; with 12 clients a run of some
+	// 17 s sends 2,300 to 3,700 requests.
 	maxThinkTime = 40 * time.Millisecond
 )
 
@@ -72,8 +72,8 @@
 	c.gateway = c.number % len(c.gateways)
 	for sent := 0; ctx.Err() == nil; sent++ {
 		c.sendNext(ctx, sent)
-		pause, cancel := context.WithTimeout(ctx, time.Duration(c.random.Int64N(int64(maxThinkTime))))
-		<-pause.Done()
+		thinking, cancel := context.WithTimeout(ctx, time.Duration(c.random.Int64N(int64(maxThinkTime))))
+		<-thinking.Done()
 		cancel()
 	}
 	c.close()
--- a/standin/soak/judge_workers.go
+++ b/standin/soak/judge_workers.go
@@ -130,23 +130,24 @@
 	return []string{fmt.Sprintf("a request under which %d workers had crashed reached workers %d times more; %d crashed in all", maxCrashes, later, len(crashes))}
 }
 
-// judgeLeaving finds requests that reached a worker later than drainWithin after a response had told
-// their gateway that the worker leaves.
+// judgeLeaving finds requests that reached a worker later than drainWithin after a response had
+// announced to their gateway that the worker leaves.
 func (e *evidence) judgeLeaving(w workerEvidence, outcomes map[string]Outcome) []string {
-	told := make(map[int]time.Time)
+	// announcedAt holds, by gateway, when the first response that announced the leaving ended.
+	announcedAt := make(map[int]time.Time)
 	for _, run := range w.runs {
 		o, has := outcomes[run.ID]
 		if !has || !run.Leaving || !o.Complete || !o.Signed {
 			continue
 		}
-		if at, known := told[o.Gateway]; !known || o.Ended.Before(at) {
-			told[o.Gateway] = o.Ended
+		if at, known := announcedAt[o.Gateway]; !known || o.Ended.Before(at) {
+			announcedAt[o.Gateway] = o.Ended
 		}
 	}
 	var found []string
 	for _, run := range w.runs {
 		o, has := outcomes[run.ID]
-		at, known := told[o.Gateway]
+		at, known := announcedAt[o.Gateway]
 		if has && known && o.Sent.After(at.Add(drainWithin)) && !e.disrupted(o.Gateway, at, run.At, true) {
 			found = append(found, fmt.Sprintf("%s reached %s through gateway %d, %v after an answer had told it that the worker leaves",
 				run.ID, w.id, o.Gateway+1, o.Sent.Sub(at).Round(time.Millisecond)))
