--- a/standin/harness/control.go
+++ b/standin/harness/control.go
@@ -44,7 +44,7 @@
 	return stats, err
 }
 
-// SetHosts replaces the host list. Its readers see the change after Options.HostLag.
+// SetHosts replaces the host list. Processes read the new list after Options.HostLag.
 func (f *Fleet) SetHosts(ctx context.Context, list fleet.List) error {
 	return send(ctx, http.MethodPut, f.hostsURL+"/control/hosts", list, nil)
 }
