--- a/standin/faults/fault.go
+++ b/standin/faults/fault.go
@@ -67,7 +67,7 @@
 	Partition partition
 	// Harmless marks faults despite which the first request must be answered.
 	Harmless bool
-	// Stopping returns the process that was told to stop. The step is held until that
+	// Stopping returns the process that stops as planned. The step is held until that
 	// process exits, or for earlyExitLimit.
 	Stopping func(*CellRun) *harness.Process
 	// EndsItself marks faults that have ended when inject returns.
@@ -159,9 +159,13 @@
 	}
 }
 
-// Functions that select a process for freeze, resume, stop and Fault.Stopping.
-func entryProcess(s *CellRun) *harness.Process  { return s.Entry.Process }
-func sideProcess(s *CellRun) *harness.Process   { return s.Upstream.Side }
+// entryProcess selects the entry for freeze, resume, stop or Fault.Stopping.
+func entryProcess(s *CellRun) *harness.Process { return s.Entry.Process }
+
+// sideProcess selects the sidecar as entryProcess does the entry.
+func sideProcess(s *CellRun) *harness.Process { return s.Upstream.Side }
+
+// workerProcess selects the upstream as entryProcess does the entry.
 func workerProcess(s *CellRun) *harness.Process { return s.Upstream.Worker }
 
 // stop returns an injection that requests a planned stop of a process with SIGTERM.
--- a/standin/faults/partition.go
+++ b/standin/faults/partition.go
@@ -165,8 +165,8 @@
 	return entries
 }
 
-// rewriteAddresses makes each entry see the addresses at which its zone reaches the
-// hosts, also in claims.
+// rewriteAddresses makes the proxy of each entry to the object API replace the addresses
+// of hosts, as in claims, by those at which the entry's zone reaches them.
 func (s *Site) rewriteAddresses() {
 	if !s.Fleet.Options.Relays.Zones {
 		return
--- a/standin/faults/storetap/addresses.go
+++ b/standin/faults/storetap/addresses.go
@@ -6,14 +6,15 @@
 	"acaciawinch/standin/hostlist"
 )
 
-// addresses maps the hosts that the process reaches at addresses other than their own,
-// as it does in tests with relays between zones.
+// addresses holds the view of the hosts that the process reaches at addresses other than
+// their own, as it does in tests with relays between zones.
 type addresses struct {
 	view hostlist.View
 }
 
-// Rewrite makes the process see the addresses of its zone while the store holds the
-// hosts' own: a claim names the address of its sidecar.
+// Rewrite makes the tap replace the hosts' own addresses, which the store holds, by those
+// of the view in what the process reads, and the reverse in what it writes. Claims, for
+// example, contain the address of their sidecar.
 func (t *Tap) Rewrite(view hostlist.View) { t.addresses.Store(&addresses{view}) }
 
 // quoted returns an address as it appears in JSON.
