--- a/standin/bench/scenario/scenario_test.go
+++ b/standin/bench/scenario/scenario_test.go
@@ -53,7 +53,7 @@
 	total := 0.0
 	for _, flow := range size.Flows(c, 100) {
 		total += flow.Rate
-		assert.Equal(t, len(flow.Surges) == 1, flow.Workspace == size.Large)
+		assert.Equal(t, len(flow.Bursts) == 1, flow.Workspace == size.Large)
 	}
 	assert.Assert(t, math.Abs(total-50) < 1e-9)
 }
@@ -82,7 +82,7 @@
 func TestScaledCaseKeepsItsFault(t *testing.T) {
 	for _, c := range Cases() {
 		short := c.Scaled(time.Second)
-		assert.Assert(t, short.Duration > short.From && short.From >= short.At, c.Name)
+		assert.Assert(t, short.Duration > short.JudgedFrom && short.JudgedFrom >= short.At, c.Name)
 		assert.Equal(t, c.Scaled(0).Duration, c.Duration)
 	}
 }
--- a/standin/bench/scenario/size.go
+++ b/standin/bench/scenario/size.go
@@ -28,7 +28,7 @@
 // requestDeadline is the deadline of every request of the bench.
 const requestDeadline = 3 * time.Second
 
-// Share is the part of the load that one workspace sends to one pipeline.
+// Share is the share of the load that one workspace sends to one pipeline.
 type Share struct {
 	Workspace string
 	Pipeline  string
@@ -178,7 +178,7 @@
 			Deadline:  requestDeadline,
 		}
 		if c.Burst > 0 && share.Workspace == s.Large {
-			flow.Surges = []load.Surge{{From: c.At, To: c.Duration, Factor: c.Burst}}
+			flow.Bursts = []load.Burst{{From: c.At, To: c.Duration, Factor: c.Burst}}
 		}
 		flows = append(flows, flow)
 	}
--- a/standin/gatewaytest/fleet_test.go
+++ b/standin/gatewaytest/fleet_test.go
@@ -45,7 +45,7 @@
 	ended    chan error
 }
 
-// logBuffer collects log lines and wakes those that wait for one.
+// logBuffer collects log lines and wakes the goroutines that wait for more of them.
 type logBuffer struct {
 	mu       sync.Mutex
 	text     bytes.Buffer
@@ -288,8 +288,8 @@
 	return text
 }
 
-// runsOf counts how often workers ran a request.
-func runsOf(id string, workers ...*worker.Worker) int {
+// countRuns counts how often workers ran a request.
+func countRuns(id string, workers ...*worker.Worker) int {
 	count := 0
 	for _, w := range workers {
 		for _, run := range w.Runs() {
--- a/standin/soak/client.go
+++ b/standin/soak/client.go
@@ -19,12 +19,13 @@
 	// responseTimeout is above the longest timeout of a route, 6 s.
 	responseTimeout = 7 * time.Second
 	dialTimeout     = time.Second
-	// maxThinkTime bounds the time between two requests; with 12 clients a run of some 17 s sends
-	// 2,300 to 3,700 requests.
+	// maxThinkTime bounds the time between two requests of a client; with 12 clients a run of some
+	// 17 s sends 2,300 to 3,700 requests.
 	maxThinkTime = 40 * time.Millisecond
 )
 
-// Routes that clients use, by the first part of their path.
+// Routes that clients use, by the first segment of their path. A request of unsafeRoute must not run
+// twice; one of safeRoute may.
 const (
 	unsafeRoute    = "saldo"
 	safeRoute      = "cupon"
@@ -42,14 +43,14 @@
 	ID, Route, Key string
 	// RequestBody is the body of the request.
 	RequestBody string
-	// Gateway is the number of the gateway that the client's connection leads to.
+	// Gateway is the index of the gateway that the client's connection leads to.
 	Gateway     int
 	Sent, Ended time.Time
 	// Status is 0 if no response arrived.
 	Status int
 	Body   string
-	// Whole is set if the response is complete, Signed if it has the signature of an upstream.
-	Whole, Signed bool
+	// Complete is set if the whole response arrived, Signed if it has the signature of an upstream.
+	Complete, Signed bool
 	// Err says why the response is missing or incomplete.
 	Err string
 }
@@ -71,8 +72,8 @@
 	c.gateway = c.number % len(c.gateways)
 	for sent := 0; ctx.Err() == nil; sent++ {
 		c.sendNext(ctx, sent)
-		pause, cancel := context.WithTimeout(ctx, time.Duration(c.random.Int64N(int64(maxThinkTime))))
-		<-pause.Done()
+		thinking, cancel := context.WithTimeout(ctx, time.Duration(c.random.Int64N(int64(maxThinkTime))))
+		<-thinking.Done()
 		cancel()
 	}
 	c.close()
@@ -128,7 +129,7 @@
 	}
 	o.Status, o.Signed = response.StatusCode, response.Header.Get("X-Response-Stamp") != ""
 	body, err := io.ReadAll(response.Body)
-	o.Body, o.Whole = string(body), err == nil
+	o.Body, o.Complete = string(body), err == nil
 	if err != nil {
 		o.Err = err.Error()
 	}
@@ -157,7 +158,7 @@
 		"Authorization: Bearer " + o.Key,
 	}
 	if o.Route == streamingRoute {
-		head = append(head, fmt.Sprintf("X-Pieces: %d,%d", encodePieces, rankPieces), "X-Piece-Key: k",
+		head = append(head, fmt.Sprintf("X-Pieces: %d,%d", encodeItems, rankItems), "X-Piece-Key: k",
 			"X-Prompt-Prefix: aa:100,bb:20", "X-Token-Counts: 120,15")
 	}
 	if o.RequestBody != "" {
@@ -168,6 +169,6 @@
 
 // Number of items in each stage of a streaming request.
 const (
-	encodePieces = 2
-	rankPieces   = 3
+	encodeItems = 2
+	rankItems   = 3
 )
--- a/standin/soak/judge_test.go
+++ b/standin/soak/judge_test.go
@@ -17,9 +17,9 @@
 // served returns the outcome of a request that was served correctly.
 func served(route string) Outcome {
 	o := Outcome{ID: "r", Route: route, Key: platformfleet.Key, Sent: began, Ended: began.Add(time.Second),
-		Status: 200, Body: "answer of r", Whole: true, Signed: true}
+		Status: 200, Body: "answer of r", Complete: true, Signed: true}
 	if route == streamingRoute {
-		o.Body = wholeStream("r")
+		o.Body = completeStream("r")
 	}
 	return o
 }
@@ -55,7 +55,7 @@
 		{"allowed", 0, func(o *Outcome) { o.Status = 401 }, evidence{}, safeRoute},
 		{"allowed", 0, func(o *Outcome) { o.Status = 404 }, evidence{}, safeRoute},
 		{"key that had been taken away", 1, func(o *Outcome) { o.Key = spareKey }, revoked, safeRoute},
-		{"planned stop", 1, func(o *Outcome) { o.Whole, o.Status = false, 0 }, stopped, safeRoute},
+		{"planned stop", 1, func(o *Outcome) { o.Complete, o.Status = false, 0 }, stopped, safeRoute},
 	} {
 		o := served(test.route)
 		assert.Equal(t, violationsOf(o, 1, evidence{}), "", test.route)
@@ -65,14 +65,14 @@
 	unknown := evidence{runs: map[string]int{"x": 1}}
 	assert.Equal(t, len(unknown.violations(true)), 1)
 	assert.Equal(t, len(unknown.violations(false)), 0, "the outcome may still be pending at its client")
-	item := evidence{calls: []worker.Item{{ID: "x", Key: "k"}}}
+	item := evidence{items: []worker.Item{{ID: "x", Key: "k"}}}
 	assert.Equal(t, len(item.violations(true)), 1)
 	assert.Equal(t, len(item.violations(false)), 0, "the outcome of its request may still be pending")
 }
 
 func TestWrongInputsOfStagesAreFound(t *testing.T) {
-	e := evidence{made: map[string]worker.Item{
-		"a/1": {ID: "r", Stage: 0, Piece: 0}, "a/2": {ID: "r", Stage: 0, Piece: 1}, "a/3": {ID: "q", Stage: 0, Piece: 1},
+	e := evidence{itemByHandle: map[string]worker.Item{
+		"a/1": {ID: "r", Stage: 0, Index: 0}, "a/2": {ID: "r", Stage: 0, Index: 1}, "a/3": {ID: "q", Stage: 0, Index: 1},
 	}}
 	assert.Equal(t, e.judgeItem(worker.Item{ID: "r", Stage: 1, Inputs: []string{"a/1", "a/2"}}), "")
 	assert.Equal(t, e.judgeItem(worker.Item{ID: "r", Stage: 0, Key: "k"}), "")
--- a/standin/soak/judge_workers.go
+++ b/standin/soak/judge_workers.go
@@ -18,14 +18,14 @@
 	maxLaterAttempts = 3
 	propagationTime  = 3 * time.Second
 	// backoffSlack is how long requests may still reach a worker after it asked for a backoff;
-	// maxInBackoff is how many may reach it later.
-	backoffSlack = 500 * time.Millisecond
-	maxInBackoff = 2
+	// maxDuringBackoff is how many may reach it later.
+	backoffSlack     = 500 * time.Millisecond
+	maxDuringBackoff = 2
 )
 
 // disruption is a time span in which a gateway was not in contact with the other parts.
 type disruption struct {
-	// gateway is the number of the gateway, or allGateways.
+	// gateway is the index of the gateway, or allGateways.
 	gateway  int
 	from, to time.Time
 	// process is set if the process of the gateway was stopped, killed or frozen.
@@ -51,7 +51,7 @@
 	return workerEvidence{id: w.ID, runs: w.Runs(), rejections: w.Rejections(), crash: crash, crashed: crashed}
 }
 
-// undisturbed reports whether a gateway had no disruption during propagationTime before a time.
+// undisturbed reports whether a gateway had no disruption in the propagationTime before a given time.
 func (e *evidence) undisturbed(gateway int, at time.Time) bool {
 	for _, t := range e.disruptions {
 		if (t.gateway == gateway || t.gateway == allGateways) && !t.from.After(at) && t.to.After(at.Add(-propagationTime)) {
@@ -90,7 +90,8 @@
 	return false
 }
 
-// judgeWorkers returns the broken promises that show at workers. The outcomes are by id.
+// judgeWorkers returns the broken promises that the evidence of the workers shows. The keys of
+// outcomes are the ids of the requests.
 func (e *evidence) judgeWorkers(outcomes map[string]Outcome) []string {
 	found := e.judgeCrashes(outcomes)
 	for _, w := range e.workers {
@@ -113,12 +114,12 @@
 		return nil
 	}
 	sort.Slice(crashes, func(i, j int) bool { return crashes[i].Before(crashes[j]) })
-	known := crashes[maxCrashes-1].Add(propagationTime)
+	propagated := crashes[maxCrashes-1].Add(propagationTime)
 	later := 0
 	for _, w := range e.workers {
 		for _, run := range w.runs {
 			o, has := outcomes[run.ID]
-			if has && strings.HasPrefix(run.ID, crashPrefix) && o.Sent.After(known) && e.undisturbed(o.Gateway, o.Sent) {
+			if has && strings.HasPrefix(run.ID, crashPrefix) && o.Sent.After(propagated) && e.undisturbed(o.Gateway, o.Sent) {
 				later++
 			}
 		}
@@ -129,23 +130,24 @@
 	return []string{fmt.Sprintf("a request under which %d workers had crashed reached workers %d times more; %d crashed in all", maxCrashes, later, len(crashes))}
 }
 
-// judgeLeaving finds requests that reached a worker later than drainWithin after a response had told
-// their gateway that the worker leaves.
+// judgeLeaving finds requests that reached a worker later than drainWithin after a response had
+// announced to their gateway that the worker leaves.
 func (e *evidence) judgeLeaving(w workerEvidence, outcomes map[string]Outcome) []string {
-	announced := make(map[int]time.Time)
+	// announcedAt holds, by gateway, when the first response that announced the leaving ended.
+	announcedAt := make(map[int]time.Time)
 	for _, run := range w.runs {
 		o, has := outcomes[run.ID]
-		if !has || !run.Leaving || !o.Whole || !o.Signed {
+		if !has || !run.Leaving || !o.Complete || !o.Signed {
 			continue
 		}
-		if at, known := announced[o.Gateway]; !known || o.Ended.Before(at) {
-			announced[o.Gateway] = o.Ended
+		if at, known := announcedAt[o.Gateway]; !known || o.Ended.Before(at) {
+			announcedAt[o.Gateway] = o.Ended
 		}
 	}
 	var found []string
 	for _, run := range w.runs {
 		o, has := outcomes[run.ID]
-		at, known := announced[o.Gateway]
+		at, known := announcedAt[o.Gateway]
 		if has && known && o.Sent.After(at.Add(drainWithin)) && !e.disrupted(o.Gateway, at, run.At, true) {
 			found = append(found, fmt.Sprintf("%s reached %s through gateway %d, %v after an answer had told it that the worker leaves",
 				run.ID, w.id, o.Gateway+1, o.Sent.Sub(at).Round(time.Millisecond)))
@@ -154,7 +156,7 @@
 	return found
 }
 
-// judgeBackoffs finds, for each gateway, the first backoff in which a worker got more than maxInBackoff
+// judgeBackoffs finds, for each gateway, the first backoff in which a worker got more than maxDuringBackoff
 // requests from it.
 func (e *evidence) judgeBackoffs(w workerEvidence, outcomes map[string]Outcome) []string {
 	var found []string
@@ -165,7 +167,7 @@
 		if !has || reported[o.Gateway] || !from.Before(to) || e.disrupted(o.Gateway, rejection.At, to, false) {
 			continue
 		}
-		if count := w.arrivedFrom(o.Gateway, from, to, outcomes); count > maxInBackoff {
+		if count := w.arrivedFrom(o.Gateway, from, to, outcomes); count > maxDuringBackoff {
 			reported[o.Gateway] = true
 			found = append(found, fmt.Sprintf("%s got %d requests through gateway %d in the pause of %v that it had asked for with %s",
 				w.id, count, o.Gateway+1, rejection.RetryAfter, rejection.ID))
