--- a/core/share/asker.go
+++ b/core/share/asker.go
@@ -125,9 +125,9 @@
 	return s, s.next(now)
 }
 
-// Answered records the response of the home that was queried last and returns the
+// Responded records the response of the home that was queried last and returns the
 // next step.
-func (s *Search) Answered(now time.Time, response AcquireResponse) Step {
+func (s *Search) Responded(now time.Time, response AcquireResponse) Step {
 	delete(s.client.suspects, s.lastQuery.Home.Name)
 	delete(s.client.regions, s.lastQuery.Home.Region)
 	if response.Granted {
@@ -229,9 +229,9 @@
 	return Step{Kind: StepGrantedLocally, Part: s.order[0], Bound: s.homes.PartBound(s.bound, s.order[0])}
 }
 
-// Ended records the end of a request that ran; local is set if StepGrantedLocally
+// RequestEnded records the end of a request that ran; local is set if StepGrantedLocally
 // admitted it.
-func (c *Client) Ended(workspace string, local bool) {
+func (c *Client) RequestEnded(workspace string, local bool) {
 	delete(c.fullUntil, workspace)
 	if !local {
 		return
--- a/core/share/held.go
+++ b/core/share/held.go
@@ -13,8 +13,8 @@
 	Part      int
 	Bound     int
 	Permit    PermitID
-	// End is the time at which the permit expires.
-	End time.Time
+	// ExpiresAt is the time at which the permit expires.
+	ExpiresAt time.Time
 	// Home is the home that counts the permit, and Incarnation the incarnation in which
 	// it does. Home is empty while no home counts the permit.
 	Home        string
@@ -33,7 +33,7 @@
 func (c *Client) Reassign(now time.Time, homes *Homes, held Held) (Home, AcquireRequest, bool) {
 	candidates := homes.Of(held.Workspace, held.Part)
 	first := slices.IndexFunc(candidates, func(h Home) bool { return c.available(now, h) })
-	if first < 0 || !now.Before(held.End) {
+	if first < 0 || !now.Before(held.ExpiresAt) {
 		return Home{}, AcquireRequest{}, false
 	}
 	home := candidates[first]
@@ -46,7 +46,7 @@
 		Part:      held.Part,
 		Bound:     held.Bound,
 		Permit:    held.Permit,
-		TTL:       held.End.Sub(now),
+		TTL:       held.ExpiresAt.Sub(now),
 		Running:   true,
 	}
 	return home, request, true
--- a/core/share/share_test.go
+++ b/core/share/share_test.go
@@ -34,7 +34,7 @@
 				response := ledger.Acquire(now, share.AcquireRequest{
 					Workspace: "w", Part: step.Part, Bound: step.Bound, Permit: share.PermitID(i + 1), TTL: time.Second,
 				})
-				step = search.Answered(now, response)
+				step = search.Responded(now, response)
 			}
 			assert.Equal(t, step.Kind == share.StepGranted, i < bound, "request %d of %d", i, bound)
 		}
--- a/core/share/sim/homes.go
+++ b/core/share/sim/homes.go
@@ -53,7 +53,7 @@
 	view := h.byRegion[r.entry%regions]
 	search, step := h.clients[r.entry].Begin(h.s.now, view, nameOf(r.workspace), h.s.bounds[r.workspace], h.s.random.Uint64())
 	r.search = search
-	r.held = share.Held{Workspace: nameOf(r.workspace), Permit: share.PermitID(r.number), End: h.s.now.Add(maxDuration + share.Grace)}
+	r.held = share.Held{Workspace: nameOf(r.workspace), Permit: share.PermitID(r.number), ExpiresAt: h.s.now.Add(maxDuration + share.Grace)}
 	h.step(r, step)
 }
 
@@ -67,7 +67,7 @@
 			Part:      step.Part,
 			Bound:     step.Bound,
 			Permit:    r.held.Permit,
-			TTL:       r.held.End.Sub(h.s.now),
+			TTL:       r.held.ExpiresAt.Sub(h.s.now),
 		})
 	case share.StepGranted, share.StepGrantedLocally:
 		r.local = step.Kind == share.StepGrantedLocally
@@ -101,7 +101,7 @@
 				r.held.Home, r.held.Incarnation = to.Name, incarnation
 			}
 			if !req.Running {
-				h.step(r, r.search.Answered(h.s.now, response))
+				h.step(r, r.search.Responded(h.s.now, response))
 			}
 		})
 	})
@@ -117,7 +117,7 @@
 }
 
 func (h *homes) ended(r *request) {
-	h.clients[r.entry].Ended(nameOf(r.workspace), r.local)
+	h.clients[r.entry].RequestEnded(nameOf(r.workspace), r.local)
 	h.running = slices.DeleteFunc(h.running, func(other *request) bool { return other == r })
 	for _, home := range r.countedBy {
 		h.call(r, home)
--- a/core/share/world_test.go
+++ b/core/share/world_test.go
@@ -127,10 +127,10 @@
 // step executes a step of a search.
 func (cl *cluster) step(r *request, step share.Step) {
 	r.stepNumber++
-	r.held = share.Held{Workspace: workspaceName, Part: step.Part, Bound: step.Bound, Permit: r.permit, End: r.deadline.Add(share.Grace)}
+	r.held = share.Held{Workspace: workspaceName, Part: step.Part, Bound: step.Bound, Permit: r.permit, ExpiresAt: r.deadline.Add(share.Grace)}
 	switch step.Kind {
 	case share.StepAcquire:
-		cl.send(r, step.Home, share.AcquireRequest{Workspace: workspaceName, Part: step.Part, Bound: step.Bound, Permit: r.permit, TTL: r.held.End.Sub(cl.now)})
+		cl.send(r, step.Home, share.AcquireRequest{Workspace: workspaceName, Part: step.Part, Bound: step.Bound, Permit: r.permit, TTL: r.held.ExpiresAt.Sub(cl.now)})
 		return
 	case share.StepGranted:
 		r.running = true
@@ -223,7 +223,7 @@
 		r.held.Home, r.held.Incarnation = home, incarnation
 	case running || !r.searching || stepNumber != r.stepNumber:
 	default:
-		cl.step(r, r.search.Answered(cl.now, response))
+		cl.step(r, r.search.Responded(cl.now, response))
 		if r.running {
 			r.held.Home, r.held.Incarnation = home, incarnation
 			r.grantedBy = key
@@ -236,7 +236,7 @@
 	r.ended = true
 	n := cl.nodes[r.entry]
 	if r.running && !r.crashed {
-		n.client.Ended(workspaceName, r.local)
+		n.client.RequestEnded(workspaceName, r.local)
 	}
 	r.searching, r.running = false, false
 	if r.crashed {
--- a/entry/limit/limiter.go
+++ b/entry/limit/limiter.go
@@ -91,7 +91,7 @@
 		held: share.Held{
 			Workspace: workspace,
 			Permit:    share.PermitID(rand.Uint64()),
-			End:       time.Now().Add(deadline + share.Grace),
+			ExpiresAt: time.Now().Add(deadline + share.Grace),
 		},
 	}
 	go p.search(ctx)
--- a/entry/limit/permit.go
+++ b/entry/limit/permit.go
@@ -64,7 +64,7 @@
 	p.cancel()
 	if _, runs := l.running[p.held.Permit]; runs {
 		delete(l.running, p.held.Permit)
-		l.client.Ended(p.held.Workspace, p.unchecked)
+		l.client.RequestEnded(p.held.Workspace, p.unchecked)
 	}
 	p.releaseAtHomes()
 }
@@ -101,7 +101,7 @@
 				p.addCountingHome(step)
 				p.held.Home, p.held.Incarnation = step.Home.Name, incarnation
 			}
-			step = search.Answered(time.Now(), response)
+			step = search.Responded(time.Now(), response)
 		}
 		l.mu.Unlock()
 	}
@@ -117,7 +117,7 @@
 		Part:      step.Part,
 		Bound:     step.Bound,
 		Permit:    p.held.Permit,
-		TTL:       time.Until(p.held.End),
+		TTL:       time.Until(p.held.ExpiresAt),
 	})
 }
 
@@ -166,7 +166,7 @@
 	}
 	p.held.Part, p.held.Bound = step.Part, step.Bound
 	if p.released {
-		l.client.Ended(p.held.Workspace, p.unchecked)
+		l.client.RequestEnded(p.held.Workspace, p.unchecked)
 		p.releaseAtHomes()
 		return
 	}
