--- a/core/request/action.go
+++ b/core/request/action.go
@@ -174,12 +174,12 @@
 
 // The kinds of notes.
 const (
-	NoteDropped    NoteKind = "dropped"
-	NoteKeptSilent NoteKind = "stayed"
-	NoteNoHedge    NoteKind = "no_hedge"
-	NoteKept       NoteKind = "kept_result"
-	NoteReplaced   NoteKind = "left"
-	NoteSettling   NoteKind = "settling"
+	NoteDropped     NoteKind = "dropped"
+	NoteAttemptKept NoteKind = "stayed"
+	NoteNoHedge     NoteKind = "no_hedge"
+	NoteResultKept  NoteKind = "kept_result"
+	NoteReplaced    NoteKind = "left"
+	NoteSettling    NoteKind = "settling"
 	// NoteTrial: a stage is tried although its upstreams are estimated to be too slow.
 	NoteTrial NoteKind = "trial"
 	// NoteBug: a state chart was violated.
@@ -205,8 +205,8 @@
 	GiveUpDeadline GiveUpCause = "deadline"
 	// GiveUpFailed: attempts failed and no further retry was allowed.
 	GiveUpFailed GiveUpCause = "failed"
-	// GiveUpUnknown: a claimed attempt may have run and its outcome can't be resolved.
-	GiveUpUnknown GiveUpCause = "unresolved"
+	// GiveUpUnresolved: a claimed attempt may have run and its outcome can't be resolved.
+	GiveUpUnresolved GiveUpCause = "unresolved"
 	// GiveUpCallerGone: the caller no longer waits for the answer.
 	GiveUpCallerGone GiveUpCause = "caller_gone"
 )
--- a/core/request/claimed.go
+++ b/core/request/claimed.go
@@ -118,11 +118,11 @@
 	switch e.Status {
 	case ClaimUnknown:
 		s.claim.mayHaveRun = true
-		reason.cause, event = GiveUpUnknown, "claim_unknown"
+		reason.cause, event = GiveUpUnresolved, "claim_unknown"
 	case ClaimInvalid:
 		reason.cause = GiveUpConflict
 	default:
-		s.claim.mayHaveRun = e.Seen
+		s.claim.mayHaveRun = e.MayHaveRun
 		if reason.retryAfter == 0 {
 			reason.retryAfter = m.rules.RetryAfterFailure
 		}
@@ -138,7 +138,7 @@
 	m.end(a, EndCancelled, "")
 	s.claim.mayHaveRun = true
 	s.output = e.Chunks
-	m.note(a, NoteKept, "an earlier request with the same idempotency key ran the stage")
+	m.note(a, NoteResultKept, "an earlier request with the same idempotency key ran the stage")
 	m.skipTo(s)
 	m.fire(s, "claim_done")
 	if !e.Recorded {
@@ -288,5 +288,5 @@
 		return
 	}
 	m.fire(s, "maybe_ran")
-	m.giveUp(ending{cause: GiveUpUnknown, step: "stage." + s.spec.Name, detail: detail, retryAfter: m.rules.RetryAfterFailure})
+	m.giveUp(ending{cause: GiveUpUnresolved, step: "stage." + s.spec.Name, detail: detail, retryAfter: m.rules.RetryAfterFailure})
 }
--- a/core/request/event.go
+++ b/core/request/event.go
@@ -150,8 +150,8 @@
 type Claimed struct {
 	Attempt AttemptID
 	Status  ClaimStatus
-	// Seen is set if another request's claim of the key may have run the stage.
-	Seen bool
+	// MayHaveRun is set if another request's claim of the key may have run the stage.
+	MayHaveRun bool
 	// Chunks are the result with ClaimDone; Recorded is set if the claim holds it.
 	Chunks     [][]byte
 	Recorded   bool
--- a/core/request/failure.go
+++ b/core/request/failure.go
@@ -227,7 +227,7 @@
 	if _, fits := m.allowance(s); !fits || !m.mayRetry(s) {
 		a.keepUntil = m.now.Add(m.rules.KeepSilentFor)
 		a.pingDue = a.keepUntil
-		m.note(a, NoteKeptSilent, reason+"; kept, since there is no time or budget for another attempt")
+		m.note(a, NoteAttemptKept, reason+"; kept, since there is no time or budget for another attempt")
 		return
 	}
 	s.stalled++
--- a/entry/callers/callers_test.go
+++ b/entry/callers/callers_test.go
@@ -215,7 +215,7 @@
 		{core.OutcomeNotRun, request.GiveUpConflict, 422, kindKeyReused},
 		{core.OutcomeFailed, request.GiveUpDeadline, 504, kindDeadline},
 		{core.OutcomeFailed, request.GiveUpFailed, 502, kindFailed},
-		{core.OutcomeUnknown, request.GiveUpUnknown, 502, kindUnknown},
+		{core.OutcomeUnknown, request.GiveUpUnresolved, 502, kindUnknown},
 	}
 	for _, c := range cases {
 		s, _ := newServer(&fakeRunner{result: pipeline.Result{Outcome: c.outcome, Cause: c.cause, RetryAfter: 1200 * time.Millisecond}})
--- a/entry/pipeline/claiming.go
+++ b/entry/pipeline/claiming.go
@@ -95,7 +95,7 @@
 // not listed; only the error for a key reused with another body is reported as
 // invalid.
 //
-// Seen is set only for the claim of another request, because the machine knows what
+// MayHaveRun is set only for the claim of another request, because the machine knows what
 // this request's own attempt did. An attempt that its sidecar refused is therefore
 // proved not run even if the store goes down before the claim is reassigned.
 func claimedEvent(requestID core.RequestID, id request.AttemptID, verdict claims.State, err error) request.Claimed {
@@ -108,7 +108,7 @@
 		Detail:     verdict.Reason,
 	}
 	holder := verdict.Claim.Record.Request
-	event.Seen = holder != "" && holder != requestID && !verdict.KeyNotRun
+	event.MayHaveRun = holder != "" && holder != requestID && !verdict.KeyNotRun
 	switch {
 	case fault.Is(err, fault.Invalid):
 		event.Status = request.ClaimInvalid
--- a/entry/pipeline/claiming_test.go
+++ b/entry/pipeline/claiming_test.go
@@ -19,7 +19,7 @@
 			Status: claims.Unavailable,
 			Claim:  claims.Claim{Record: claim.Record{Request: holder}},
 		}
-		return claimedEvent("own", 1, verdict, nil).Seen
+		return claimedEvent("own", 1, verdict, nil).MayHaveRun
 	}
 	assert.Assert(t, !seen("own"))
 	assert.Assert(t, seen("other"))
--- a/entry/pipeline/record.go
+++ b/entry/pipeline/record.go
@@ -150,14 +150,14 @@
 
 // noteEvents maps the kinds of the machine's notes to log events.
 var noteEvents = map[request.NoteKind]event.Event{
-	request.NoteDropped:    event.EventDropped,
-	request.NoteKeptSilent: event.AttemptKept,
-	request.NoteNoHedge:    event.HedgeDeclined,
-	request.NoteKept:       event.ResultKept,
-	request.NoteReplaced:   event.AttemptLeft,
-	request.NoteSettling:   event.RequestAwaitingProof,
-	request.NoteTrial:      event.StageTried,
-	request.NoteBug:        event.ChartViolated,
+	request.NoteDropped:     event.EventDropped,
+	request.NoteAttemptKept: event.AttemptKept,
+	request.NoteNoHedge:     event.HedgeDeclined,
+	request.NoteResultKept:  event.ResultKept,
+	request.NoteReplaced:    event.AttemptLeft,
+	request.NoteSettling:    event.RequestAwaitingProof,
+	request.NoteTrial:       event.StageTried,
+	request.NoteBug:         event.ChartViolated,
 }
 
 // note records a decision that leads to no other action.
--- a/entry/pipeline/runner_test.go
+++ b/entry/pipeline/runner_test.go
@@ -161,7 +161,7 @@
 func TestClaimedStageThatIsGoneIsUnknown(t *testing.T) {
 	h, result, spare := resolveTest(t, wirepb.ResolveState_RESOLVE_GONE)
 	assert.Equal(t, result.Outcome, core.OutcomeUnknown)
-	assert.Equal(t, result.Cause, request.GiveUpUnknown)
+	assert.Equal(t, result.Cause, request.GiveUpUnresolved)
 	assert.Equal(t, h.claims.reassigned, 0)
 	assert.Equal(t, len(spare.runs), 0)
 }
