--- a/core/claim/actor_test.go
+++ b/core/claim/actor_test.go
@@ -244,9 +244,9 @@
 		return
 	}
 	switch response.State {
-	case claim.SideNotRun:
+	case claim.SidecarNotRun:
 		a.reassign()
-	case claim.SideRunning, claim.SideDone:
+	case claim.SidecarRunning, claim.SidecarDone:
 		a.running = true
 	default:
 		a.ended = true
@@ -256,10 +256,10 @@
 // pollResult takes the result of the running attempt once the sidecar has it.
 func (a *actor) pollResult() {
 	switch a.w.sidecarAt(a.owned.Target).follow(a.owned) {
-	case claim.SideRunning:
-	case claim.SideNotRun:
+	case claim.SidecarRunning:
+	case claim.SidecarNotRun:
 		a.reassign()
-	case claim.SideDone:
+	case claim.SidecarDone:
 		a.running = false
 		a.checkResult(resultOf(a.owned))
 		a.finish = claim.Finish(a.owned, a.version, resultOf(a.owned), rules)
--- a/core/claim/ask.go
+++ b/core/claim/ask.go
@@ -30,7 +30,7 @@
 		Request:          s.Request,
 		Attempt:          s.Attempt,
 		Nonce:            nonce,
-		Minted:           s.KeyGenerated,
+		KeyGenerated:     s.KeyGenerated,
 		Target:           s.Target,
 		DispatchWithinMS: s.DispatchWithin.Milliseconds(),
 		CreatedUnix:      s.NowUnix,
--- a/core/claim/claim_test.go
+++ b/core/claim/claim_test.go
@@ -15,7 +15,7 @@
 // a random source.
 func newAttempt(key, body string) (claim.AttemptSpec, *rand.Rand) {
 	id := claim.Identity{Workspace: "w", Pipeline: "p", Key: key, Stage: "s", BodyDigest: claim.DigestBody([]byte(body))}
-	target := claim.Target{Upstream: "u", Addr: "127.0.0.1:1", Incarnation: 7, SideClockUS: 3}
+	target := claim.Target{Upstream: "u", Addr: "127.0.0.1:1", Incarnation: 7, SidecarClockUS: 3}
 	return claim.AttemptSpec{Identity: id, Request: "r", Attempt: 1, Target: target, NowUnix: 100}, rand.New(rand.NewPCG(1, 2))
 }
 
@@ -62,7 +62,7 @@
 	m := openConflicted(t, spec, rng)
 	assert.NilError(t, m.Found(written, 1))
 	assert.NilError(t, m.Waited())
-	assert.NilError(t, m.Resolved(claim.SidecarResponse{State: claim.SideNotRun, Incarnation: 7}))
+	assert.NilError(t, m.Resolved(claim.SidecarResponse{State: claim.SidecarNotRun, Incarnation: 7}))
 	assert.NilError(t, m.Wrote(claim.WriteConflict, 0))
 	assert.NilError(t, m.Missing())
 	assert.Equal(t, m.Verdict().Status, claim.Unknown)
--- a/core/claim/gate_test.go
+++ b/core/claim/gate_test.go
@@ -47,7 +47,7 @@
 
 // ticketOf returns the ticket of a claim for the gate.
 func ticketOf(record claim.Record) gate.Ticket {
-	clock := time.Duration(record.Target.SideClockUS) * time.Microsecond
+	clock := time.Duration(record.Target.SidecarClockUS) * time.Microsecond
 	return gate.Ticket{Nonce: record.Nonce, Clock: clock}
 }
 
@@ -98,12 +98,12 @@
 }
 
 // sidecarStates maps the states of the gate to those of a sidecar's response.
-var sidecarStates = map[gate.State]claim.SideState{
-	gate.StateDone:    claim.SideDone,
-	gate.StateRunning: claim.SideRunning,
-	gate.StateNotRun:  claim.SideNotRun,
-	gate.StateFailed:  claim.SideFailed,
-	gate.StateGone:    claim.SideGone,
+var sidecarStates = map[gate.State]claim.SidecarState{
+	gate.StateDone:    claim.SidecarDone,
+	gate.StateRunning: claim.SidecarRunning,
+	gate.StateNotRun:  claim.SidecarNotRun,
+	gate.StateFailed:  claim.SidecarFailed,
+	gate.StateGone:    claim.SidecarGone,
 }
 
 // tick implements sidecar.
@@ -127,7 +127,7 @@
 }
 
 // follow implements sidecar.
-func (s *gateSidecar) follow(record claim.Record) claim.SideState {
+func (s *gateSidecar) follow(record claim.Record) claim.SidecarState {
 	state, _ := s.gate.Resolve(s.now, record.AttemptKey(), ticketOf(record))
 	return sidecarStates[state]
 }
--- a/core/claim/machine.go
+++ b/core/claim/machine.go
@@ -130,7 +130,7 @@
 		Request:      owned.Request,
 		Attempt:      owned.Attempt + 1,
 		Target:       target,
-		KeyGenerated: owned.Minted,
+		KeyGenerated: owned.KeyGenerated,
 		NowUnix:      owned.CreatedUnix,
 	}
 }
--- a/core/claim/record.go
+++ b/core/claim/record.go
@@ -49,9 +49,9 @@
 	Addr        string           `json:"addr"`
 	Zone        string           `json:"zone"`
 	Incarnation core.Incarnation `json:"incarnation"`
-	// SideClockUS is the ticket: the reading of the sidecar's own clock at the time at
+	// SidecarClockUS is the ticket: the reading of the sidecar's own clock at the time at
 	// which the sidecar was chosen, in microseconds since the sidecar started.
-	SideClockUS uint64 `json:"side_clock_us"`
+	SidecarClockUS uint64 `json:"side_clock_us"`
 }
 
 // Record is the value of a claim object.
@@ -63,9 +63,9 @@
 	Request core.RequestID `json:"request"`
 	Attempt uint32         `json:"attempt"`
 	Nonce   uint64         `json:"nonce"`
-	// Minted is set if the entry generated the key itself.
-	Minted bool   `json:"minted,omitempty"`
-	Target Target `json:"target"`
+	// KeyGenerated is set if the entry generated the key itself.
+	KeyGenerated bool   `json:"minted,omitempty"`
+	Target       Target `json:"target"`
 	// Epoch is incremented each time a lookup abandons the claim. A request that
 	// had the claim in an earlier epoch may have been reported as not run, so it
 	// must not start the stage.
--- a/core/claim/resolve.go
+++ b/core/claim/resolve.go
@@ -7,17 +7,17 @@
 	}
 	state := m.verifiedState(response)
 	switch {
-	case state == SideUnreachable:
+	case state == SidecarUnreachable:
 		m.end(eventSideUnreachable, Verdict{RetryAfter: m.rules.RetryAfter})
 	case m.seen.State == StateDone:
 		m.handleResolvedOmitted(state, response.Chunks)
-	case state == SideDone:
+	case state == SidecarDone:
 		m.end(eventSideDone, Verdict{Chunks: response.Chunks})
-	case state == SideRunning:
+	case state == SidecarRunning:
 		m.end(eventSideRunning, Verdict{})
-	case state == SideNotRun:
+	case state == SidecarNotRun:
 		m.handleResolvedNotRun()
-	case state == SideFailed:
+	case state == SidecarFailed:
 		m.end(eventSideFailed, Verdict{})
 	default:
 		m.end(eventSideGone, Verdict{})
@@ -25,16 +25,16 @@
 	return m.err
 }
 
-// verifiedState returns the state in the response, or SideGone if the responding
+// verifiedState returns the state in the response, or SidecarGone if the responding
 // incarnation is not the one in the claim. A sidecar that was restarted, or another
 // host that got the address, has an empty table: that it has never seen the attempt
 // proves nothing about what the earlier process handed to the upstream.
-func (m *Machine) verifiedState(response SidecarResponse) SideState {
-	if response.State == SideUnreachable {
-		return SideUnreachable
+func (m *Machine) verifiedState(response SidecarResponse) SidecarState {
+	if response.State == SidecarUnreachable {
+		return SidecarUnreachable
 	}
 	if response.Incarnation != m.seen.Target.Incarnation {
-		return SideGone
+		return SidecarGone
 	}
 	return response.State
 }
@@ -56,9 +56,9 @@
 
 // handleResolvedOmitted ends the machine for a claim whose record has only the digest of
 // the result. Chunks with another digest are not accepted as the result.
-func (m *Machine) handleResolvedOmitted(state SideState, chunks [][]byte) {
+func (m *Machine) handleResolvedOmitted(state SidecarState, chunks [][]byte) {
 	recorded := m.seen.Result
-	if state == SideDone && recorded != nil && DigestChunks(chunks) == recorded.Digest {
+	if state == SidecarDone && recorded != nil && DigestChunks(chunks) == recorded.Digest {
 		m.end(eventSideDone, Verdict{Chunks: chunks, Recorded: true})
 		return
 	}
--- a/core/claim/step.go
+++ b/core/claim/step.go
@@ -118,29 +118,29 @@
 	WriteUnavailable
 )
 
-// SideState is the state of an attempt in a sidecar's response to Resolve.
-type SideState int
+// SidecarState is the state of an attempt in a sidecar's response to Resolve.
+type SidecarState int
 
 // The states that a sidecar can report.
 const (
-	// SideDone: the attempt finished; the result is in the response.
-	SideDone SideState = iota + 1
-	// SideRunning: the attempt is queued or running.
-	SideRunning
-	// SideNotRun: the attempt has not run and is refused from now on.
-	SideNotRun
-	// SideGone: the sidecar can't tell, because it is another incarnation or has
+	// SidecarDone: the attempt finished; the result is in the response.
+	SidecarDone SidecarState = iota + 1
+	// SidecarRunning: the attempt is queued or running.
+	SidecarRunning
+	// SidecarNotRun: the attempt has not run and is refused from now on.
+	SidecarNotRun
+	// SidecarGone: the sidecar can't tell, because it is another incarnation or has
 	// evicted the attempt.
-	SideGone
-	// SideFailed: the attempt was handed to the upstream and has no result.
-	SideFailed
-	// SideUnreachable: there was no response.
-	SideUnreachable
+	SidecarGone
+	// SidecarFailed: the attempt was handed to the upstream and has no result.
+	SidecarFailed
+	// SidecarUnreachable: there was no response.
+	SidecarUnreachable
 )
 
 // SidecarResponse is a sidecar's response to Resolve.
 type SidecarResponse struct {
-	State SideState
+	State SidecarState
 	// Incarnation is that of the responding sidecar.
 	Incarnation core.Incarnation
 	Chunks      [][]byte
--- a/core/claim/world_test.go
+++ b/core/claim/world_test.go
@@ -72,7 +72,7 @@
 	evict(w *world)
 	endRuns(w *world, failed bool)
 	// follow returns the state of an admitted attempt.
-	follow(record claim.Record) claim.SideState
+	follow(record claim.Record) claim.SidecarState
 }
 
 // attempt is the sidecar's state of one claimed attempt.
@@ -208,7 +208,7 @@
 func (w *world) probe(i int) claim.Target {
 	s := w.sidecars[i]
 	addr := fmt.Sprintf("side-%d", i)
-	return claim.Target{Upstream: core.UpstreamID(addr), Addr: addr, Incarnation: s.id(), SideClockUS: s.clock()}
+	return claim.Target{Upstream: core.UpstreamID(addr), Addr: addr, Incarnation: s.id(), SidecarClockUS: s.clock()}
 }
 
 // id implements sidecar.
@@ -221,7 +221,7 @@
 func (s *sidecarModel) run(w *world, record claim.Record) dispatchOutcome {
 	_, tombstoned := s.tombstones[record.Nonce]
 	_, seen := s.seen[record.Nonce]
-	expired := s.now > record.Target.SideClockUS+ticketLifetime
+	expired := s.now > record.Target.SidecarClockUS+ticketLifetime
 	switch {
 	case record.Target.Incarnation != s.incarnation && w.disabled != noRunIncarnation:
 		return refused
@@ -250,7 +250,7 @@
 // resolve queries the sidecar of an attempt, which may be unreachable.
 func (w *world) resolve(record claim.Record) claim.SidecarResponse {
 	if w.chance("unreachable", 8) {
-		return claim.SidecarResponse{State: claim.SideUnreachable}
+		return claim.SidecarResponse{State: claim.SidecarUnreachable}
 	}
 	return w.sidecarAt(record.Target).resolve(w, record)
 }
@@ -261,22 +261,22 @@
 	if w.disabled == noResolveIncarnation {
 		response.Incarnation = record.Target.Incarnation
 	} else if record.Target.Incarnation != s.incarnation {
-		response.State = claim.SideGone
+		response.State = claim.SidecarGone
 		return response
 	}
 	known, seen := s.seen[record.Nonce]
 	switch {
 	case seen && known.failed:
-		response.State = claim.SideFailed
+		response.State = claim.SidecarFailed
 	case seen && known.done:
-		response.State = claim.SideDone
+		response.State = claim.SidecarDone
 		response.Chunks = resultOf(known.record)
 	case seen:
-		response.State = claim.SideRunning
-	case record.Target.SideClockUS < s.horizon && w.disabled != noHorizon:
-		response.State = claim.SideGone
+		response.State = claim.SidecarRunning
+	case record.Target.SidecarClockUS < s.horizon && w.disabled != noHorizon:
+		response.State = claim.SidecarGone
 	default:
-		response.State = claim.SideNotRun
+		response.State = claim.SidecarNotRun
 		if w.disabled != noTombstone {
 			s.tombstones[record.Nonce] = s.now
 		}
@@ -322,17 +322,17 @@
 }
 
 // follow implements sidecar.
-func (s *sidecarModel) follow(record claim.Record) claim.SideState {
+func (s *sidecarModel) follow(record claim.Record) claim.SidecarState {
 	known, ok := s.seen[record.Nonce]
 	switch {
 	case !ok:
-		return claim.SideGone
+		return claim.SidecarGone
 	case known.failed:
-		return claim.SideFailed
+		return claim.SidecarFailed
 	case known.done:
-		return claim.SideDone
+		return claim.SidecarDone
 	default:
-		return claim.SideRunning
+		return claim.SidecarRunning
 	}
 }
 
--- a/entry/claims/drive.go
+++ b/entry/claims/drive.go
@@ -117,23 +117,23 @@
 		k.log.Warn(event.ClaimSideUnreachable, observe.Fields{
 			"claim": record.Name(), "upstream": record.Target.Upstream, "addr": record.Target.Addr, "error": err.Error(),
 		})
-		return claim.SidecarResponse{State: claim.SideUnreachable}
+		return claim.SidecarResponse{State: claim.SidecarUnreachable}
 	}
 	return claim.SidecarResponse{
-		State:       sideStates[reply.State],
+		State:       sidecarStates[reply.State],
 		Incarnation: core.Incarnation(reply.Incarnation),
 		Chunks:      reply.Chunks,
 	}
 }
 
-// sideStates translates the state in a sidecar's response. A state that is not listed
+// sidecarStates translates the state in a sidecar's response. A state that is not listed
 // becomes the zero state, which the protocol treats as gone.
-var sideStates = map[wirepb.ResolveState]claim.SideState{
-	wirepb.ResolveState_RESOLVE_DONE:    claim.SideDone,
-	wirepb.ResolveState_RESOLVE_RUNNING: claim.SideRunning,
-	wirepb.ResolveState_RESOLVE_NOT_RUN: claim.SideNotRun,
-	wirepb.ResolveState_RESOLVE_GONE:    claim.SideGone,
-	wirepb.ResolveState_RESOLVE_FAILED:  claim.SideFailed,
+var sidecarStates = map[wirepb.ResolveState]claim.SidecarState{
+	wirepb.ResolveState_RESOLVE_DONE:    claim.SidecarDone,
+	wirepb.ResolveState_RESOLVE_RUNNING: claim.SidecarRunning,
+	wirepb.ResolveState_RESOLVE_NOT_RUN: claim.SidecarNotRun,
+	wirepb.ResolveState_RESOLVE_GONE:    claim.SidecarGone,
+	wirepb.ResolveState_RESOLVE_FAILED:  claim.SidecarFailed,
 }
 
 // Finish records in the claim the result of its attempt. Callers should do so after they
--- a/entry/claims/fixture_test.go
+++ b/entry/claims/fixture_test.go
@@ -114,7 +114,7 @@
 
 // target returns the sidecar as the target that a router would choose now.
 func (s *side) target() Target {
-	return Target{Upstream: "u", Addr: s.addr, Incarnation: s.incarnation, SideClockUS: uint64(s.now.Microseconds())}
+	return Target{Upstream: "u", Addr: s.addr, Incarnation: s.incarnation, SidecarClockUS: uint64(s.now.Microseconds())}
 }
 
 // Resolve implements wirepb.DRPCSideServer.
--- a/entry/claims/keeper.go
+++ b/entry/claims/keeper.go
@@ -64,7 +64,7 @@
 	return &wirepb.ClaimKey{
 		Claim:       c.Record.Name(),
 		Nonce:       c.Record.Nonce,
-		SideClockUs: c.Record.Target.SideClockUS,
+		SideClockUs: c.Record.Target.SidecarClockUS,
 	}
 }
 
--- a/entry/pipeline/claiming.go
+++ b/entry/pipeline/claiming.go
@@ -21,11 +21,11 @@
 // claimTargetFromChoice converts a choice to the target that a claim records.
 func claimTargetFromChoice(choice route.Choice) claims.Target {
 	return claims.Target{
-		Upstream:    choice.Upstream,
-		Addr:        choice.Addr,
-		Zone:        choice.Zone,
-		Incarnation: choice.Incarnation,
-		SideClockUS: choice.SideClockUS,
+		Upstream:       choice.Upstream,
+		Addr:           choice.Addr,
+		Zone:           choice.Zone,
+		Incarnation:    choice.Incarnation,
+		SidecarClockUS: choice.SidecarClockUS,
 	}
 }
 
--- a/entry/route/route.go
+++ b/entry/route/route.go
@@ -42,8 +42,8 @@
 	Zone     string
 	// Incarnation and SideClockUS are the sidecar's, from the response to the probe
 	// that led to this choice.
-	Incarnation core.Incarnation
-	SideClockUS uint64
+	Incarnation    core.Incarnation
+	SidecarClockUS uint64
 	// Expected is the expected time from dispatch to the complete result.
 	Expected     time.Duration
 	PrefixCached bool
--- a/entry/route/router.go
+++ b/entry/route/router.go
@@ -180,15 +180,15 @@
 	}
 	chosen := decision.Chosen.Result
 	choice := Choice{
-		Upstream:     chosen.Upstream.ID,
-		Addr:         chosen.Upstream.Addr,
-		Zone:         chosen.Upstream.Zone,
-		Incarnation:  chosen.Incarnation,
-		SideClockUS:  chosen.ClockUS,
-		Expected:     decision.Chosen.Expected,
-		PrefixCached: chosen.PrefixCached,
-		Reason:       decision.Reason,
-		Alternatives: alternatives(decision.Others),
+		Upstream:       chosen.Upstream.ID,
+		Addr:           chosen.Upstream.Addr,
+		Zone:           chosen.Upstream.Zone,
+		Incarnation:    chosen.Incarnation,
+		SidecarClockUS: chosen.ClockUS,
+		Expected:       decision.Chosen.Expected,
+		PrefixCached:   chosen.PrefixCached,
+		Reason:         decision.Reason,
+		Alternatives:   alternatives(decision.Others),
 	}
 	r.logChosen(need, decision, choice)
 	return choice, nil
--- a/entry/route/router_test.go
+++ b/entry/route/router_test.go
@@ -32,7 +32,7 @@
 	assert.Equal(t, choice.Upstream, core.UpstreamID("a-1"))
 	assert.Equal(t, choice.Addr, "a-1")
 	assert.Equal(t, choice.Incarnation, core.Incarnation(7))
-	assert.Equal(t, choice.SideClockUS, uint64(99))
+	assert.Equal(t, choice.SidecarClockUS, uint64(99))
 	assert.Equal(t, choice.Expected, time.Millisecond)
 	want := []route.Alternative{{Upstream: "a-0", Zone: "a", Expected: 501 * time.Millisecond, Reason: "expected later"}}
 	assert.DeepEqual(t, choice.Alternatives, want)
