--- a/core/latency/bounds.go
+++ b/core/latency/bounds.go
@@ -21,7 +21,7 @@
 // is worthwhile: when 95 of 100 calls would have returned their first chunk. It returns false
 // if no quantile is known yet, or if a hedge that starts then cannot finish within remaining.
 func HedgeDelay(e Estimate, remaining time.Duration) (time.Duration, bool) {
-	usual := e.FirstP95
+	usual := e.FirstChunkP95
 	if usual == 0 {
 		usual = e.ServiceP95
 	}
@@ -36,7 +36,7 @@
 // chunk, after which the upstream counts as silent. Time in the queue is not silence: the
 // caller starts to count when the sidecar reports that the attempt has started.
 func FirstChunkTimeout(e Estimate) time.Duration {
-	usual := e.FirstP95
+	usual := e.FirstChunkP95
 	if usual == 0 {
 		usual = e.ServiceP95
 	}
@@ -46,7 +46,7 @@
 // ChunkGapTimeout returns the longest silence allowed between two chunks, after which the
 // upstream counts as silent during its response.
 func ChunkGapTimeout(e Estimate) time.Duration {
-	return silenceBound(e.GapP95, minChunkGapTimeout)
+	return silenceBound(e.ChunkGapP95, minChunkGapTimeout)
 }
 
 // silenceBound returns the silence bound for a usual time, zero if that is unknown. The bound
--- a/core/latency/estimate.go
+++ b/core/latency/estimate.go
@@ -11,10 +11,10 @@
 	Wait time.Duration
 	// ServiceP50 and ServiceP95 run from dispatch to the complete result.
 	ServiceP50, ServiceP95 time.Duration
-	// FirstP50 and FirstP95 run from dispatch to the first chunk.
-	FirstP50, FirstP95 time.Duration
-	// GapP95 is the time between two chunks.
-	GapP95 time.Duration
+	// FirstChunkP50 and FirstChunkP95 run from dispatch to the first chunk.
+	FirstChunkP50, FirstChunkP95 time.Duration
+	// ChunkGapP95 is the time between two chunks.
+	ChunkGapP95 time.Duration
 	// Reporters is the number of upstreams on whose reports the estimate is based.
 	Reporters int
 }
@@ -37,12 +37,12 @@
 // quantiles of the service cover results of all lengths; the time to the first chunk and the
 // gaps between count chunks may show that this one takes less. A count of zero is no bound.
 func (e Estimate) ForTokens(count int) Estimate {
-	if count <= 0 || e.FirstP50 == 0 || e.GapP95 == 0 {
+	if count <= 0 || e.FirstChunkP50 == 0 || e.ChunkGapP95 == 0 {
 		return e
 	}
-	gaps := time.Duration(count-1) * e.GapP95
-	e.ServiceP50 = min(e.ServiceP50, e.FirstP50+gaps)
-	e.ServiceP95 = min(e.ServiceP95, max(e.FirstP50, e.FirstP95)+gaps)
+	gaps := time.Duration(count-1) * e.ChunkGapP95
+	e.ServiceP50 = min(e.ServiceP50, e.FirstChunkP50+gaps)
+	e.ServiceP95 = min(e.ServiceP95, max(e.FirstChunkP50, e.FirstChunkP95)+gaps)
 	return e
 }
 
--- a/core/latency/latency_test.go
+++ b/core/latency/latency_test.go
@@ -111,9 +111,9 @@
 // TestSilenceBounds checks the default, the floor and the factor of the bounds.
 func TestSilenceBounds(t *testing.T) {
 	assert.Equal(t, latency.FirstChunkTimeout(latency.Estimate{}), 2*time.Second)
-	assert.Equal(t, latency.FirstChunkTimeout(latency.Estimate{FirstP95: 5 * ms}), 250*ms)
-	assert.Equal(t, latency.FirstChunkTimeout(latency.Estimate{FirstP95: 440 * ms}), 1760*ms)
-	assert.Equal(t, latency.ChunkGapTimeout(latency.Estimate{GapP95: 100 * ms}), 400*ms)
+	assert.Equal(t, latency.FirstChunkTimeout(latency.Estimate{FirstChunkP95: 5 * ms}), 250*ms)
+	assert.Equal(t, latency.FirstChunkTimeout(latency.Estimate{FirstChunkP95: 440 * ms}), 1760*ms)
+	assert.Equal(t, latency.ChunkGapTimeout(latency.Estimate{ChunkGapP95: 100 * ms}), 400*ms)
 }
 
 // TestForTokensOnlyShortens checks that a bound on the chunks can lower the estimate but
@@ -121,7 +121,7 @@
 func TestForTokensOnlyShortens(t *testing.T) {
 	e := estimateOf(900*ms, 1800*ms)
 	assert.Equal(t, e.ForTokens(4), e, "no chunk times are known")
-	e.FirstP50, e.FirstP95, e.GapP95 = 100*ms, 200*ms, 30*ms
+	e.FirstChunkP50, e.FirstChunkP95, e.ChunkGapP95 = 100*ms, 200*ms, 30*ms
 	short := e.ForTokens(11)
 	assert.Equal(t, short.ServiceP50, 400*ms)
 	assert.Equal(t, short.ServiceP95, 500*ms)
--- a/core/latency/table.go
+++ b/core/latency/table.go
@@ -68,13 +68,13 @@
 		return weightedMedian(reports, field, false)
 	}
 	return Estimate{
-		Wait:       weightedMedian(reports, func(r Report) time.Duration { return r.Wait }, true),
-		ServiceP50: median(func(r Report) time.Duration { return r.ServiceP50 }),
-		ServiceP95: median(func(r Report) time.Duration { return r.ServiceP95 }),
-		FirstP50:   median(func(r Report) time.Duration { return r.FirstP50 }),
-		FirstP95:   median(func(r Report) time.Duration { return r.FirstP95 }),
-		GapP95:     median(func(r Report) time.Duration { return r.GapP95 }),
-		Reporters:  len(reports),
+		Wait:          weightedMedian(reports, func(r Report) time.Duration { return r.Wait }, true),
+		ServiceP50:    median(func(r Report) time.Duration { return r.ServiceP50 }),
+		ServiceP95:    median(func(r Report) time.Duration { return r.ServiceP95 }),
+		FirstChunkP50: median(func(r Report) time.Duration { return r.FirstChunkP50 }),
+		FirstChunkP95: median(func(r Report) time.Duration { return r.FirstChunkP95 }),
+		ChunkGapP95:   median(func(r Report) time.Duration { return r.ChunkGapP95 }),
+		Reporters:     len(reports),
 	}
 }
 
--- a/core/request/scenario_test.go
+++ b/core/request/scenario_test.go
@@ -16,7 +16,7 @@
 type fixedEstimate struct{ empty bool }
 
 func (fixedEstimate) Estimate(string) latency.Estimate {
-	return latency.Estimate{ServiceP50: 50 * time.Millisecond, ServiceP95: 80 * time.Millisecond, FirstP95: 60 * time.Millisecond, GapP95: 10 * time.Millisecond}
+	return latency.Estimate{ServiceP50: 50 * time.Millisecond, ServiceP95: 80 * time.Millisecond, FirstChunkP95: 60 * time.Millisecond, ChunkGapP95: 10 * time.Millisecond}
 }
 func (k fixedEstimate) RetryBudget(string) Budget { return k }
 func (k fixedEstimate) HedgeBudget(string) Budget { return k }
--- a/core/request/timers.go
+++ b/core/request/timers.go
@@ -66,10 +66,10 @@
 	// Each stalled attempt doubles the bound for the next: if all of them are slow,
 	// the upstream is not to blame, and another attempt only adds to the load.
 	doublings := min(a.stage.stalled, maxDoublings)
-	bound := m.leaveTimeForRetry(latency.FirstChunkTimeout(e)<<doublings, max(e.FirstP95, e.ServiceP95), a.startedAt)
+	bound := m.leaveTimeForRetry(latency.FirstChunkTimeout(e)<<doublings, max(e.FirstChunkP95, e.ServiceP95), a.startedAt)
 	due, reason := a.startedAt.Add(bound), "no first chunk within the bound"
 	if a.output.next > 0 {
-		bound = m.leaveTimeForRetry(latency.ChunkGapTimeout(e)<<doublings, e.GapP95, a.chunkAt)
+		bound = m.leaveTimeForRetry(latency.ChunkGapTimeout(e)<<doublings, e.ChunkGapP95, a.chunkAt)
 		due, reason = a.chunkAt.Add(bound), "no further chunk within the bound"
 	}
 	if due.Before(a.keepUntil) {
--- a/core/request/world_test.go
+++ b/core/request/world_test.go
@@ -33,7 +33,7 @@
 func (randomSource) Estimate(string) latency.Estimate {
 	return latency.Estimate{
 		ServiceP50: 20 * time.Millisecond, ServiceP95: 40 * time.Millisecond,
-		FirstP50: 10 * time.Millisecond, FirstP95: 20 * time.Millisecond, GapP95: 5 * time.Millisecond,
+		FirstChunkP50: 10 * time.Millisecond, FirstChunkP95: 20 * time.Millisecond, ChunkGapP95: 5 * time.Millisecond,
 	}
 }
 func (d randomSource) RetryBudget(string) Budget { return d }
--- a/core/routing/decide.go
+++ b/core/routing/decide.go
@@ -72,7 +72,7 @@
 		return -1
 	}
 	maxScore := best.score + max(affinitySlackFloor, time.Duration(affinitySlack*float64(best.Expected)))
-	maxQueueCost := best.queueCost() + max(affinitySlackFloor, best.Result.Load.FirstP50)
+	maxQueueCost := best.queueCost() + max(affinitySlackFloor, best.Result.Load.FirstChunkP50)
 	indexes := make(map[Upstream]int)
 	var eligible []Upstream
 	for i, c := range candidates {
--- a/core/routing/decide_test.go
+++ b/core/routing/decide_test.go
@@ -123,7 +123,7 @@
 	h := newHarness(Probe2, 1, hostsIn("a", 2)...)
 	h.reply = func(u Upstream) ProbeResult {
 		load := idle()
-		load.ServiceP50, load.GapP95 = 2*time.Second, 30*ms
+		load.ServiceP50, load.ChunkGapP95 = 2*time.Second, 30*ms
 		return ProbeResult{Upstream: u, Replied: true, Load: load}
 	}
 	q := Query{Service: "llm", Remaining: time.Second}
--- a/core/routing/driver_test.go
+++ b/core/routing/driver_test.go
@@ -64,7 +64,7 @@
 
 // idle returns the load of an upstream without work.
 func idle() Load {
-	times := latency.Estimate{ServiceP50: 100 * ms, ServiceP95: 150 * ms, FirstP50: 20 * ms}
+	times := latency.Estimate{ServiceP50: 100 * ms, ServiceP95: 150 * ms, FirstChunkP50: 20 * ms}
 	return Load{Capacity: 4, Estimate: times}
 }
 
--- a/core/routing/judge.go
+++ b/core/routing/judge.go
@@ -79,7 +79,7 @@
 // slower. Chunks reveal a straggler within seconds, while its median over complete results
 // still reflects old ones, or none if all callers give up before the end.
 func (r *Round) serviceTimeByChunks(load Load) time.Duration {
-	factor := max(ratio(load.FirstP50, r.Usual.FirstP50), ratio(load.GapP95, r.Usual.GapP95))
+	factor := max(ratio(load.FirstChunkP50, r.Usual.FirstChunkP50), ratio(load.ChunkGapP95, r.Usual.ChunkGapP95))
 	if factor < minChunkSlowdown {
 		return 0
 	}
@@ -121,7 +121,7 @@
 	retryCost := failureRatio / (1 - failureRatio) * float64(max(service, r.Usual.ServiceP50))
 	cacheSaving := 0.0
 	if c.Result.PrefixCached {
-		cacheSaving = cachedShare * float64(load.FirstP50)
+		cacheSaving = cachedShare * float64(load.FirstChunkP50)
 	}
 	return c.Expected - c.Wait + c.queueCost() + time.Duration(tailCost+occupancyCost+retryCost-cacheSaving)
 }
--- a/core/routing/load_test.go
+++ b/core/routing/load_test.go
@@ -91,15 +91,15 @@
 // completed slow results.
 func TestLateChunksShowAStraggler(t *testing.T) {
 	h := newHarness(Probe2, 1, hostsIn("a", 2)...)
-	h.usual = latency.Estimate{ServiceP50: 100 * ms, FirstP50: 20 * ms, GapP95: 10 * ms}
+	h.usual = latency.Estimate{ServiceP50: 100 * ms, FirstChunkP50: 20 * ms, ChunkGapP95: 10 * ms}
 	late := latency.Estimate{}
 	h.reply = func(u Upstream) ProbeResult {
 		load := idle()
-		load.GapP95 = 10 * ms
+		load.ChunkGapP95 = 10 * ms
 		load.InFlight = 2
 		if u.ID == "a-1" {
-			load.FirstP50 += late.FirstP50
-			load.GapP95 += late.GapP95
+			load.FirstChunkP50 += late.FirstChunkP50
+			load.ChunkGapP95 += late.ChunkGapP95
 			load.InFlight = 1
 		}
 		return ProbeResult{Upstream: u, Replied: true, Load: load}
@@ -109,11 +109,11 @@
 		return h.choose(plainQuery).Chosen.Result.Upstream.ID
 	}
 	assert.Equal(t, chosen(), core.UpstreamID("a-1"))
-	late = latency.Estimate{FirstP50: 200 * ms}
+	late = latency.Estimate{FirstChunkP50: 200 * ms}
 	assert.Equal(t, chosen(), core.UpstreamID("a-0"))
-	late = latency.Estimate{GapP95: 100 * ms}
+	late = latency.Estimate{ChunkGapP95: 100 * ms}
 	assert.Equal(t, chosen(), core.UpstreamID("a-0"))
-	late = latency.Estimate{GapP95: 5 * ms}
+	late = latency.Estimate{ChunkGapP95: 5 * ms}
 	assert.Equal(t, chosen(), core.UpstreamID("a-1"))
 }
 
--- a/entry/route/convert.go
+++ b/entry/route/convert.go
@@ -60,12 +60,12 @@
 // estimateOf returns the latencies of a load report.
 func estimateOf(load *wirepb.Load) latency.Estimate {
 	return latency.Estimate{
-		Wait:       microseconds(load.GetWaitUs()),
-		ServiceP50: microseconds(load.GetServiceP50Us()),
-		ServiceP95: microseconds(load.GetServiceP95Us()),
-		FirstP50:   microseconds(load.GetFirstP50Us()),
-		FirstP95:   microseconds(load.GetFirstP95Us()),
-		GapP95:     microseconds(load.GetGapP95Us()),
+		Wait:          microseconds(load.GetWaitUs()),
+		ServiceP50:    microseconds(load.GetServiceP50Us()),
+		ServiceP95:    microseconds(load.GetServiceP95Us()),
+		FirstChunkP50: microseconds(load.GetFirstP50Us()),
+		FirstChunkP95: microseconds(load.GetFirstP95Us()),
+		ChunkGapP95:   microseconds(load.GetGapP95Us()),
 	}
 }
 
