--- a/core/share/sim/case.go
+++ b/core/share/sim/case.go
@@ -24,8 +24,8 @@
 	newStrategy func(*simulation) strategy
 }
 
-// Figures are the results of a case.
-type Figures struct {
+// Results are the metrics measured in the simulation of a case.
+type Results struct {
 	// WrongQuiet and WrongBusy are the ratios of requests that were refused although
 	// fewer requests than the bound were in flight: WrongQuiet for workspaces with the
 	// smallest bound, WrongBusy for those with larger bounds. The flooding workspace is
--- a/core/share/sim/sim.go
+++ b/core/share/sim/sim.go
@@ -80,7 +80,7 @@
 }
 
 // Run simulates a case for the given length of simulated time.
-func Run(c Case, length time.Duration, seed uint64) Figures {
+func Run(c Case, length time.Duration, seed uint64) Results {
 	random := rand.New(rand.NewPCG(seed, seed))
 	s := &simulation{
 		c:        c,
@@ -100,7 +100,7 @@
 		s.now = next.at
 		next.run()
 	}
-	return s.figures()
+	return s.results()
 }
 
 // addWorkspaces derives the bounds from the expected load and assigns connections to
--- a/core/share/sim/sim_test.go
+++ b/core/share/sim/sim_test.go
@@ -15,14 +15,14 @@
 // TestHomesBeatEvenSplit checks the main results of the comparison in
 // docs/design/limits.md.
 func TestHomesBeatEvenSplit(t *testing.T) {
-	run := func(c sim.Case) sim.Figures {
+	run := func(c sim.Case) sim.Results {
 		length := 14 * time.Second
 		if c.Partition || c.Restart {
 			length = 22 * time.Second
 		}
-		figures := sim.Run(c, length, seed)
-		t.Logf("%s: %+v", c.Name, figures)
-		return figures
+		results := sim.Run(c, length, seed)
+		t.Logf("%s: %+v", c.Name, results)
+		return results
 	}
 	evenSplit := run(sim.EvenSplit())
 	exchange := run(sim.Exchange("exchange", time.Second, 0))
@@ -47,22 +47,22 @@
 func BenchmarkLimits(b *testing.B) {
 	for _, c := range sim.Cases() {
 		b.Run(c.Name, func(b *testing.B) {
-			var figures sim.Figures
+			var results sim.Results
 			for b.Loop() {
-				figures = sim.Run(c, time.Minute, seed)
+				results = sim.Run(c, time.Minute, seed)
 			}
-			b.ReportMetric(100*figures.WrongQuiet, "%wrong-quiet")
-			b.ReportMetric(100*figures.WrongBusy, "%wrong-busy")
-			b.ReportMetric(figures.Over, "over")
-			b.ReportMetric(figures.OverFlood, "over-flood")
-			b.ReportMetric(100*figures.OverTime, "%over-time")
-			b.ReportMetric(figures.UsedFlood, "used-flood")
-			b.ReportMetric(figures.Calls, "calls/s")
-			b.ReportMetric(figures.Bytes, "B/s")
-			b.ReportMetric(figures.BusiestHome, "B/s-busiest-home")
-			b.ReportMetric(figures.OneHome, "calls/s-one-home")
-			b.ReportMetric(float64(figures.WaitP50.Microseconds())/1000, "wait-p50-ms")
-			b.ReportMetric(float64(figures.WaitP99.Microseconds())/1000, "wait-p99-ms")
+			b.ReportMetric(100*results.WrongQuiet, "%wrong-quiet")
+			b.ReportMetric(100*results.WrongBusy, "%wrong-busy")
+			b.ReportMetric(results.Over, "over")
+			b.ReportMetric(results.OverFlood, "over-flood")
+			b.ReportMetric(100*results.OverTime, "%over-time")
+			b.ReportMetric(results.UsedFlood, "used-flood")
+			b.ReportMetric(results.Calls, "calls/s")
+			b.ReportMetric(results.Bytes, "B/s")
+			b.ReportMetric(results.BusiestHome, "B/s-busiest-home")
+			b.ReportMetric(results.OneHome, "calls/s-one-home")
+			b.ReportMetric(float64(results.WaitP50.Microseconds())/1000, "wait-p50-ms")
+			b.ReportMetric(float64(results.WaitP99.Microseconds())/1000, "wait-p99-ms")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
--- a/core/share/sim/tally.go
+++ b/core/share/sim/tally.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// figures returns the results of the simulation.
-func (s *simulation) figures() Figures {
+// results computes the results from the counters of the simulation.
+func (s *simulation) results() Results {
 	counters := &s.counters
 	measured := (s.now.Sub(s.start) - warmUp).Seconds()
 	totalBytes, busiest := 0, 0
@@ -113,7 +113,7 @@
 	for _, calls := range s.calls {
 		mostCalls = max(mostCalls, calls)
 	}
-	figures := Figures{
+	results := Results{
 		WrongQuiet:  ratio(counters.wrongQuiet, counters.quiet),
 		WrongBusy:   ratio(counters.wrongBusy, counters.busy),
 		Over:        counters.over,
@@ -127,10 +127,10 @@
 	}
 	if len(counters.waits) > 0 {
 		slices.Sort(counters.waits)
-		figures.WaitP50 = counters.waits[len(counters.waits)/2]
-		figures.WaitP99 = counters.waits[len(counters.waits)*99/100]
+		results.WaitP50 = counters.waits[len(counters.waits)/2]
+		results.WaitP99 = counters.waits[len(counters.waits)*99/100]
 	}
-	return figures
+	return results
 }
 
 // ratio returns part divided by whole, or 0 if whole is 0.
