--- a/entry/run.go
+++ b/entry/run.go
@@ -37,7 +37,7 @@
 		Zone:        p.settings.Process.Zone,
 		Incarnation: p.incarnation,
 	}
-	return p.lifecycle.Log(p.logger, identity, func() error { return p.serve(ctx, open) })
+	return p.lifecycle.RunLogged(p.logger, identity, func() error { return p.serve(ctx, open) })
 }
 
 // listeners are the three open listeners of a process.
--- a/observe/lifecycle/lifecycle.go
+++ b/observe/lifecycle/lifecycle.go
@@ -83,9 +83,9 @@
 	Incarnation core.Incarnation
 }
 
-// Log logs the start of the process, runs serve, logs the end and returns the error
+// RunLogged logs the start of the process, runs serve, logs the end and returns the error
 // of serve. An error fires Fail, if the chart allows it.
-func (l *Lifecycle) Log(logger *observe.Logger, identity Identity, serve func() error) error {
+func (l *Lifecycle) RunLogged(logger *observe.Logger, identity Identity, serve func() error) error {
 	logger.Event(event.ProcessStarted, observe.Fields{
 		"role":        string(identity.Role),
 		"name":        identity.Name,
--- a/side/run.go
+++ b/side/run.go
@@ -30,7 +30,7 @@
 		Zone:        settings.Process.Zone,
 		Incarnation: p.incarnation,
 	}
-	return p.lifecycle.Log(p.logger, identity, func() error { return p.serve(ctx, listeners) })
+	return p.lifecycle.RunLogged(p.logger, identity, func() error { return p.serve(ctx, listeners) })
 }
 
 // listeners are the open listeners of a process.
